--- a/src/main/java/saltlatch/Control.java
+++ b/src/main/java/saltlatch/Control.java
@@ -3,24 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import saltlatch.Quotas.Customer;
-import saltlatch.Quotas.Window;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Gateway;
-import saltlatch.api.Index;
-import saltlatch.api.Site;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GatewaySettings;
 import saltlatch.member.Shares;
+import saltlatch.policy.SlotMap;
 
 /**
  * The decision module: every decision of an edge node. A host makes one Control an instance from what is read
- * at start ({@link Site}), calls {@link #handle} with the events of one instant, and does what comes out
- * through {@link Actions}; the interface stands in saltlatch.api. Event handlers only change what is wanted:
+ * at start ({@link GatewaySettings}), calls {@link #handle} with the events of one instant, and does what comes out
+ * through {@link GatewayActions}; the interface stands in saltlatch.api. Event handlers only change what is wanted:
  * of a req (its next app srv, its end, its timer), of the instance (count calls);
  * {@link #bring} alone works out the difference to what is and emits it. docs/design.md tells the reasons.
  */
-public final class Control implements Gateway {
+public final class Control implements GatewayPolicy {
   // Times in tenths of a ms. Reservation, hold cost, overrun cost, settle: the design's terms.
   static final double HOLD_COST = 1; // loss a unit reserved too much; the design's start value
   static final double OVERRUN_COST = 3; // loss a unit reserved too little; the design's start value
@@ -67,91 +65,17 @@
   static final double SPREAD_BACK = 0.5; // part of a window over which come-back advice is spread
   static final long TICKS_SPARE = 2; // ticks before the client timeout that a final answer goes out
 
-  private enum End {
-    NONE,
-    DENIED,
-    ABORTED
-  }
-
-  /** Lives for one dispatch. */
-  private static final class Dispatch {
-    Srv srv;
-    long began; // its sending
-    long since; // start of its app srv, as known then
-    long sent; // the same, later by the time that this node was away meanwhile
-    double pace; // time it was thought to take
-    boolean cancelled;
-    boolean stale; // too long on a sick app srv: no longer counted as out
-  }
-
-  /** Lives for one req. */
-  static final class Req {
-    Event.Arrived told;
-    Kind kind;
-    Customer customer;
-    boolean belated; // a client's further try, by the wait left to it too late for its response target
-    long end; // wanted: the final answer by then
-    Window window; // charged there; null where the plan has no quota
-    double reserved;
-    double charged; // of it, what its count call added
-    boolean counting; // its count call is out
-    boolean admitted, streaming, over, touched, timed;
-    long ranSince = -1; // sending of the first dispatch that may have run
-    Srv ranOn;
-    Dispatch live; // never two at once
-    int sends;
-    Srv last;
-    Srv next; // wanted: a dispatch there
-    End wantEnd = End.NONE; // wanted: its final answer
-    long pause;
-  }
-
-  /** Lives for one app srv. */
-  private static final class Srv {
-    long id, since;
-    int zone, cell;
-    double rating;
-    boolean usable;
-    int out;
-    double paceSum, paceBase; // sums of 1/pace and of sent/pace of what is out
-    double done, busy; // fading dispatches managed, and the mean dispatch times they took
-    long fadedAt, heardAt; // the latter: last answer, or sending of the first dispatch out
-    double credit; // its place in the rotation
-    double coldLeft; // units that it may be sent while it is cold; below 0: sent ahead
-    long coldAt;
-  }
-
-  /** A count call; lives until its answer. */
-  record Call(Window window, Req req, double units, long at) {}
-
-  /** What the instance has learned of a frontend. */
-  private static final class Kind {
-    final Site.Frontend rule;
-    double unitTime, recentTime; // mean time a unit takes; of a dispatch lately
-    long usualLeft; // the wait that most tries come with: first ones; found by majority vote
-    long votes;
-
-    Kind(Site.Frontend rule) { this.rule = rule; }
-
-    boolean isUsual(long left, long tick) {
-      if (votes == 0) usualLeft = left;
-      boolean usual = Math.abs(left - usualLeft) <= tick;
-      votes = usual ? Math.min(VOTES, votes + 1) : votes - 1;
-      return usual;
-    }
-  }
-
   // Lives for the instance.
-  private final Site site;
-  private final Site.Rules rules;
-  private final Actions to;
+  private final GatewaySettings site;
+  private final GatewaySettings.Limits rules;
+  private final GatewayActions to;
   private final SplittableRandom chance;
   private final Gossip gossip;
   private final Quotas quotas;
   private Shares shares; // null: nodes do not know each other, and count as the settings say
   private final List<Kind> kinds = new ArrayList<>();
-  private final Index<Req> reqs = new Index<>();
-  private final Index<Srv> srvs = new Index<>();
+  private final SlotMap<Req> reqs = new SlotMap<>();
+  private final SlotMap<Srv> srvs = new SlotMap<>();
   private final List<Req> touched = new ArrayList<>();
   private final List<Call> wantCalls = new ArrayList<>();
   private long now, longest; // the latter: client timeout
@@ -170,48 +94,49 @@
   private long followAt; // discovery is asked then; asked already: never
   private long roundAt, roundSet; // next housekeeping: wanted, and asked for
 
-  public Control(long now, Site site, Actions to) {
+  public Control(long now, GatewaySettings site, GatewayActions to) {
     this.now = now;
     this.site = site;
     this.to = to;
-    rules = site.rules();
+    rules = site.limits();
     chance = new SplittableRandom(site.seed());
-    gossip = new Gossip(site.peers().me(), site.nodes(), site.peers().intake(), site.peers().fee());
+    gossip = new Gossip(site.peers().ownIndex(), site.nodeCount(), site.peers().datagramsPerSecond(),
+        site.peers().datagramPrice());
     quotas = new Quotas(now, site, gossip, chance);
     long shortest = Long.MAX_VALUE;
-    for (Site.Frontend f : site.frontends()) {
-      shortest = Math.min(shortest, f.target());
+    for (GatewaySettings.RequestClass f : site.requestClasses()) {
+      shortest = Math.min(shortest, f.latencyObjectiveTicks());
       kinds.add(new Kind(f));
-      longest = Math.max(longest, f.clientTimeout());
-      countWait = Math.min(countWait, (long) (COUNT_WAIT * f.target()));
+      longest = Math.max(longest, f.clientTimeoutTicks());
+      countWait = Math.min(countWait, (long) (COUNT_WAIT * f.latencyObjectiveTicks()));
     }
     awayAfter = Math.max(2 * ROUND, (long) (AWAY * shortest));
     roundAt = now + ROUND;
   }
 
   @Override
-  public long awayAfter() { return awayAfter; }
+  public long stallThresholdTicks() { return awayAfter; }
 
   @Override
-  public long heardWithin() { return gossip.within(); }
+  public long gossipValidityTicks() { return gossip.within(); }
 
   @Override
-  public void handle(long at, List<Event> events) {
+  public void handle(long at, List<GatewayEvent> events) {
     boolean away = roundSet > 0 && at - Math.max(roundSet, now) > awayAfter;
     long ran = now;
     now = at;
     if (away) back(ran);
     quotas.at(at);
-    for (Event e : events) {
-      if (e instanceof Event.Arrived a) arrived(a);
-      else if (e instanceof Event.Ended d) ended(d);
-      else if (e instanceof Event.Counted c) counted(c);
-      else if (e instanceof Event.Due d) due(d);
-      else if (e instanceof Event.Listed l) listed(l);
-      else if (e instanceof Event.Heard h) quotas.heard(h);
-      else if (e instanceof Event.Begun b) begun(reqs.find(b.rid()));
-      else if (e instanceof Event.ClientLeft c) left(reqs.find(c.rid()));
-      else if (e instanceof Event.Members m) members(m);
+    for (GatewayEvent e : events) {
+      if (e instanceof GatewayEvent.RequestArrived a) arrived(a);
+      else if (e instanceof GatewayEvent.AttemptEnded d) ended(d);
+      else if (e instanceof GatewayEvent.CounterReplied c) counted(c);
+      else if (e instanceof GatewayEvent.TimerFired d) due(d);
+      else if (e instanceof GatewayEvent.EndpointsUpdated l) listed(l);
+      else if (e instanceof GatewayEvent.GossipReceived h) quotas.heard(h);
+      else if (e instanceof GatewayEvent.ResponseStarted b) begun(reqs.find(b.requestId()));
+      else if (e instanceof GatewayEvent.ClientDisconnected c) left(reqs.find(c.requestId()));
+      else if (e instanceof GatewayEvent.MembershipChanged m) members(m);
     }
     bring();
   }
@@ -223,14 +148,14 @@
    */
   private void back(long ran) {
     backAt = now;
-    srvs.each(s -> s.heardAt = now);
-    reqs.each(r -> {
+    srvs.forEach(s -> s.heardAt = now);
+    reqs.forEach(r -> {
       Dispatch d = r.live;
       if (d == null) return;
       d.sent += now - ran;
       d.srv.paceBase += (now - ran) / d.pace;
     });
-    to.note("was away for " + (now - ran) / 10 + " ms");
+    to.log("was away for " + (now - ran) / 10 + " ms");
   }
 
   private static void begun(Req r) {
@@ -241,9 +166,9 @@
     if (r != null) touch(r).over = true;
   }
 
-  private void members(Event.Members m) {
+  private void members(GatewayEvent.MembershipChanged m) {
     if (shares == null) {
-      shares = new Shares(site.peers().me(), site.nodes());
+      shares = new Shares(site.peers().ownIndex(), site.nodeCount());
       quotas.share(shares);
       gossip.share(shares);
     }
@@ -252,29 +177,29 @@
 
   /** Nodes that what all may do together is divided by. */
   private int nodes() {
-    return shares == null ? Math.max(1, site.nodes()) : shares.counted();
+    return shares == null ? Math.max(1, site.nodeCount()) : shares.counted();
   }
 
   // ---- arriving and counting
 
-  private void arrived(Event.Arrived a) {
-    Req r = reqs.put(a.rid(), new Req());
+  private void arrived(GatewayEvent.RequestArrived a) {
+    Req r = reqs.put(a.requestId(), new Req());
     r.told = a;
-    r.kind = kinds.get(a.frontend());
+    r.kind = kinds.get(a.requestClass());
     r.customer = quotas.customer(a);
-    r.end = now + a.left() - a.age() - TICKS_SPARE * site.tick();
-    boolean usual = r.kind.isUsual(a.left(), site.tick());
-    long waited = usual ? longest : r.kind.rule.clientTimeout() - a.left() + a.age();
-    boolean further = rules.marksTries() ? a.repeat() : !usual;
-    r.belated = further && waited + PROMPT * pace(r) >= r.kind.rule.target();
+    r.end = now + a.clientTimeoutTicks() - a.ageTicks() - TICKS_SPARE * site.clockResolutionTicks();
+    boolean usual = r.kind.isUsual(a.clientTimeoutTicks(), site.clockResolutionTicks());
+    long waited = usual ? longest : r.kind.rule.clientTimeoutTicks() - a.clientTimeoutTicks() + a.ageTicks();
+    boolean further = rules.clientsMarkRetries() ? a.retry() : !usual;
+    r.belated = further && waited + PROMPT * pace(r) >= r.kind.rule.latencyObjectiveTicks();
     touch(r);
     if (r.end <= now) finish(r, End.DENIED, 0);
-    else if (r.customer.plan.rate() <= 0) decide(r, true);
+    else if (r.customer.plan.ratePerSecond() <= 0) decide(r, true);
     else ask(r);
   }
 
   private void ask(Req r) {
-    r.reserved = site.counting().unitsAfter() ? learner(r)[0] : r.told.units();
+    r.reserved = site.counter().reportsActualUnits() ? learner(r)[0] : r.told.estimatedUnits();
     r.window = quotas.window(r.customer, misses == 0);
     quotas.fill(r.customer);
     // Once its window is spent and no room is known, a req only reads: adds that are sure to be given back
@@ -288,7 +213,7 @@
     if (heard) full = r.belated || !quotas.hasLocalRoom(r.customer, r.reserved);
     // Guards against a counter that is silent, refusing, full or slow: a call goes out every gap, for the
     // next req in time; a share decides the others. Harms a little where two calls are lost by chance.
-    if (counterIsWell() || site.counting().open() && !r.belated && now >= nextCall && !(heard && full)) {
+    if (counterIsWell() || site.counter().available() && !r.belated && now >= nextCall && !(heard && full)) {
       nextCall = now + (long) gap;
       r.charged = full ? 0 : r.reserved;
       r.counting = true;
@@ -307,18 +232,18 @@
     wantCalls.add(c);
   }
 
-  private void counted(Event.Counted c) {
-    Window w = quotas.find(c.name());
+  private void counted(GatewayEvent.CounterReplied c) {
+    Window w = quotas.find(c.counterName());
     if (w == null || w.calls.isEmpty()) return;
     Call call = w.calls.poll();
     Req r = call.req();
-    boolean answered = c.how() == Outcome.PASSED;
+    boolean answered = c.outcome() == AttemptOutcome.SUCCEEDED;
     // Guards against a counter taken for bad, or for well, by a call that this node was away under.
     if (call.at() >= backAt) judgeCounter(answered);
     if (answered) {
       quotas.follow(w, call.units(), c.total());
       if (r == null) return;
-      boolean below = w.top - r.charged < w.customer.plan.burst();
+      boolean below = w.top - r.charged < w.customer.plan.burstUnits();
       w.customer.spent |= !below || w.customer.room <= 0;
       // Guards against windows that differ from the quota's store: a heavy customer would spend each window
       // at its start, stand denied with room, and find a whole burst again at the turn.
@@ -330,7 +255,7 @@
     }
     // A timed-out or broken add may have counted: it is taken as counted, and not as another node's when it
     // shows in a total. What was turned away is owed again.
-    if (c.how().neverRan()) w.owed += call.units();
+    if (c.outcome().neverExecuted()) w.owed += call.units();
     else if (!answered) w.unsure += call.units();
     if (r != null) {
       r.counting = false;
@@ -340,7 +265,7 @@
     if (answered && w.owed != 0 && counterIsWell()) call(w, null, 0);
   }
 
-  private boolean counterIsWell() { return site.counting().open() && gap == 0; }
+  private boolean counterIsWell() { return site.counter().available() && gap == 0; }
 
   private void judgeCounter(boolean answered) {
     misses = answered ? 0 : misses + 1;
@@ -348,7 +273,7 @@
     if (answered) {
       // Guards against a gap that stays with a counter long well where reqs come seldomer than calls may.
       gap *= Math.exp(-Math.max(gap / GAP_FADE, Math.min(ROUND, now - judgedAt) / GAP_CLOSE) / crowd);
-      gap = gap < site.tick() ? 0 : gap;
+      gap = gap < site.clockResolutionTicks() ? 0 : gap;
     } else if ((misses >= MISSES || gap > 0) && now >= nextGap) {
       nextGap = now + ROUND;
       gossip.jam(now);
@@ -371,15 +296,17 @@
       return;
     }
     Customer c = r.customer;
-    boolean open = c.plan.parallel() <= 0 || c.out < Math.max(1, Math.ceil(c.plan.parallel() * c.share));
-    if (!open || !quotas.ceilingAllows(c, r.told.units()) || pressed(r) || (r.next = choose(r)) == null) {
-      finish(r, End.DENIED, rules.longestPause());
+    boolean open = c.plan.maxConcurrent() <= 0
+        || c.out < Math.max(1, Math.ceil(c.plan.maxConcurrent() * c.share));
+    if (!open || !quotas.ceilingAllows(c, r.told.estimatedUnits()) || pressed(r)
+        || (r.next = choose(r)) == null) {
+      finish(r, End.DENIED, rules.maxRetryAfterTicks());
       return;
     }
     r.admitted = true;
     if (r.window != null) quotas.pass(r.window, r.reserved);
     c.alone += c.alone >= 0 ? r.reserved : 0;
-    c.store -= r.told.units();
+    c.store -= r.told.estimatedUnits();
   }
 
   /** When the client of a request that its quota has no room for should come back. */
@@ -394,14 +321,15 @@
 
   private double[] learner(Req r) {
     double[][] all = r.customer.learners;
-    int at = r.told.frontend();
-    if (all[at] == null) all[at] = new double[] {Math.min(r.told.units(), r.customer.plan.burst()), 0};
+    int at = r.told.requestClass();
+    if (all[at] == null)
+      all[at] = new double[] {Math.min(r.told.estimatedUnits(), r.customer.plan.burstUnits()), 0};
     return all[at];
   }
 
   private void settle(Req r, double actual) {
     double[] l = learner(r);
-    double range = r.customer.plan.burst();
+    double range = r.customer.plan.burstUnits();
     double slope = l[0] > actual ? HOLD_COST : l[0] < actual ? -OVERRUN_COST : 0;
     double step = range / Math.max(HOLD_COST, OVERRUN_COST) / Math.sqrt(++l[1]);
     l[0] = Math.max(0, Math.min(range, l[0] - step * slope));
@@ -442,8 +370,8 @@
 
   private double warmth(Srv s) {
     long age = now - s.since;
-    if (s.since <= 0 || age >= rules.cold()) return 1;
-    return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age) / rules.cold();
+    if (s.since <= 0 || age >= rules.warmUpTicks()) return 1;
+    return rules.initialCapacity() + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpTicks();
   }
 
   /**
@@ -455,8 +383,8 @@
     if (warmth >= 1) return true;
     // By number, not by warmth: of few warm ones each would seem to carry much, and most is cold then.
     double carried = Math.max(unitsSent, unitsAsked) / Math.max(1, usable);
-    double budget = COLD_USE * rules.fallMultiple() * warmth * carried;
-    double gained = budget * (now - s.coldAt) / Math.max(1, rules.fallTime());
+    double budget = COLD_USE * rules.warmUpBudgetFactor() * warmth * carried;
+    double gained = budget * (now - s.coldAt) / Math.max(1, rules.warmUpWindowTicks());
     s.coldLeft = Math.min(Math.max(1, budget), s.coldLeft + gained);
     s.coldAt = now;
     return s.coldLeft >= 1;
@@ -471,8 +399,8 @@
   /** The weighted rotation: each gains its part, the richest that is not crowded gets the turn and pays. */
   private Srv choose(Req r) {
     List<Srv> able = new ArrayList<>();
-    if (r.sends == 0) unitsAsked += r.told.units();
-    srvs.each(s -> {
+    if (r.sends == 0) unitsAsked += r.told.estimatedUnits();
+    srvs.forEach(s -> {
       boolean tried = r.sends == 1 && r.last == s;
       if (s.usable && !tried && inGroup(r, s)) able.add(s);
     });
@@ -500,46 +428,47 @@
 
   /** A uniqued req that may have run stays where its repeats are dropped. */
   private static boolean inGroup(Req r, Srv s) {
-    if (r.kind.rule.effect() != Site.Effect.UNIQUED || r.ranSince < 0) return true;
-    if (r.kind.rule.group() == Site.Group.ZONE) return s.zone == r.ranOn.zone;
-    return r.kind.rule.group() == Site.Group.ALL || s.cell == r.ranOn.cell;
+    if (r.kind.rule.retrySafety() != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY || r.ranSince < 0)
+      return true;
+    if (r.kind.rule.keyScope() == GatewaySettings.KeyScope.ZONE) return s.zone == r.ranOn.zone;
+    return r.kind.rule.keyScope() == GatewaySettings.KeyScope.ALL || s.cell == r.ranOn.cell;
   }
 
-  private void listed(Event.Listed l) {
-    if (l.kind() == Event.ListKind.FAILED) {
+  private void listed(GatewayEvent.EndpointsUpdated l) {
+    if (l.kind() == GatewayEvent.EndpointUpdateKind.FAILED) {
       followAt = now + ROUND + (long) (ROUND * chance.nextDouble());
       return;
     }
-    if (l.kind() != Event.ListKind.CHANGES) srvs.each(s -> s.usable = false);
-    for (Event.Entry e : l.entries()) {
-      Srv s = srvs.find(e.srv());
+    if (l.kind() != GatewayEvent.EndpointUpdateKind.DELTA) srvs.forEach(s -> s.usable = false);
+    for (GatewayEvent.Endpoint e : l.endpoints()) {
+      Srv s = srvs.find(e.serverId());
       if (s == null) {
-        s = srvs.put(e.srv(), new Srv());
-        s.id = e.srv();
+        s = srvs.put(e.serverId(), new Srv());
+        s.id = e.serverId();
         s.fadedAt = now;
         s.credit = chance.nextDouble(); // many nodes with few reqs each must not begin with the same app srvs
-      } else if (e.since() != s.since) {
+      } else if (e.startedAtTicks() != s.since) {
         s.done = s.busy = 0;
       }
-      boolean fresh = e.since() != s.since;
-      s.since = e.since();
+      boolean fresh = e.startedAtTicks() != s.since;
+      s.since = e.startedAtTicks();
       if (fresh && warmth(s) < 1) chill(s);
       s.zone = e.zone();
-      s.cell = e.cell();
-      s.rating = e.rating();
-      s.usable = e.condition() == Event.Condition.READY;
+      s.cell = e.keyGroup();
+      s.rating = e.weight();
+      s.usable = e.state() == GatewayEvent.EndpointState.READY;
     }
-    srvs.each(this::forget);
+    srvs.forEach(this::forget);
     weighFleet();
     for (int i = 0; i < touched.size(); i++) {
       Req r = touched.get(i);
-      if (r.next != null && !r.next.usable) again(r, Outcome.NOT_CONNECTED);
+      if (r.next != null && !r.next.usable) again(r, AttemptOutcome.CONNECT_FAILED);
     }
   }
 
   private void weighFleet() {
     warmSeen = usable = 0;
-    srvs.each(s -> {
+    srvs.forEach(s -> {
       usable += s.usable ? 1 : 0;
       warmSeen += s.usable ? warmth(s) : 0;
     });
@@ -549,29 +478,30 @@
 
   // ---- dispatches and how they end
 
-  private void ended(Event.Ended e) {
-    Req r = reqs.find(e.rid());
-    if (r == null || r.live == null || e.dispatch() != r.sends - 1) return;
+  private void ended(GatewayEvent.AttemptEnded e) {
+    Req r = reqs.find(e.requestId());
+    if (r == null || r.live == null || e.attempt() != r.sends - 1) return;
     Dispatch d = r.live;
     r.live = null;
     r.customer.out--;
-    learn(r, d, e.how());
+    learn(r, d, e.outcome());
     touch(r);
-    r.over |= e.over();
-    if (e.how() == Outcome.PASSED && e.actual() > 0 && site.counting().unitsAfter()) settle(r, e.actual());
-    if (!e.how().neverRan() && r.ranSince < 0) {
+    r.over |= e.requestFinished();
+    if (e.outcome() == AttemptOutcome.SUCCEEDED && e.actualUnits() > 0 && site.counter().reportsActualUnits())
+      settle(r, e.actualUnits());
+    if (!e.outcome().neverExecuted() && r.ranSince < 0) {
       r.ranSince = d.began;
       r.ranOn = d.srv;
     }
-    if (!r.over && r.wantEnd == End.NONE) again(r, e.how());
+    if (!r.over && r.wantEnd == End.NONE) again(r, e.outcome());
   }
 
   private double pace(Req r) {
-    if (r.kind.unitTime <= 0) return FIRST_PACE * r.kind.rule.target();
-    return Math.max(1, r.kind.unitTime * Math.max(LEAST_UNIT, r.told.units()));
+    if (r.kind.unitTime <= 0) return FIRST_PACE * r.kind.rule.latencyObjectiveTicks();
+    return Math.max(1, r.kind.unitTime * Math.max(LEAST_UNIT, r.told.estimatedUnits()));
   }
 
-  private void learn(Req r, Dispatch d, Outcome how) {
+  private void learn(Req r, Dispatch d, AttemptOutcome how) {
     Srv s = d.srv;
     s.out--;
     s.heardAt = now;
@@ -580,62 +510,68 @@
     s.paceBase = s.out == 0 ? 0 : s.paceBase - d.sent / d.pace;
     fade(s);
     double spent = now - d.sent;
-    if (how == Outcome.PASSED) {
+    if (how == AttemptOutcome.SUCCEEDED) {
       passed++;
       s.done++;
-      double unit = spent / Math.max(LEAST_UNIT, r.told.units());
+      double unit = spent / Math.max(LEAST_UNIT, r.told.estimatedUnits());
       r.kind.unitTime += (r.kind.unitTime <= 0 ? 1 : LEARN) * (unit - r.kind.unitTime);
     }
     r.kind.recentTime += RECENT * (spent - r.kind.recentTime);
-    boolean time = how == Outcome.PASSED || how == Outcome.CANCELLED || how == Outcome.LATE;
-    s.busy += time ? spent / d.pace : how == Outcome.NOT_SENT || how == Outcome.WITHDRAWN ? 0 : FAULT;
+    boolean time = how == AttemptOutcome.SUCCEEDED || how == AttemptOutcome.CANCELLED
+        || how == AttemptOutcome.TIMED_OUT;
+    s.busy += time ? spent / d.pace
+        : how == AttemptOutcome.NOT_SENT || how == AttemptOutcome.WITHDRAWN ? 0 : FAULT;
     forget(s);
   }
 
   /** Nothing is out any more, no answer has come: another dispatch where the frontend allows, or the end. */
-  private void again(Req r, Outcome how) {
-    Site.Frontend f = r.kind.rule;
-    boolean harmless = r.ranSince < 0 || f.effect() == Site.Effect.REPLAYABLE || remembers(r);
-    harmless &= !r.streaming && now < r.end && how != Outcome.NOT_SENT;
-    r.next = harmless && r.sends < rules.sendCap() ? choose(r) : null;
-    if (r.next == null) finish(r, End.DENIED, rules.longestPause());
+  private void again(Req r, AttemptOutcome how) {
+    GatewaySettings.RequestClass f = r.kind.rule;
+    boolean harmless = r.ranSince < 0 || f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT
+        || remembers(r);
+    harmless &= !r.streaming && now < r.end && how != AttemptOutcome.NOT_SENT;
+    r.next = harmless && r.sends < rules.maxAttempts() ? choose(r) : null;
+    if (r.next == null) finish(r, End.DENIED, rules.maxRetryAfterTicks());
   }
 
   /** Uniqued, and its first dispatch that may have run is still known where a further one comes now. */
   private boolean remembers(Req r) {
-    Site.Frontend f = r.kind.rule;
-    return f.effect() == Site.Effect.UNIQUED && now + WAY < r.ranSince + f.remembered();
+    GatewaySettings.RequestClass f = r.kind.rule;
+    return f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY
+        && now + WAY < r.ranSince + f.keyTtlTicks();
   }
 
   // Guards against a connection that comes up when what allowed its dispatch is past: the client gone, the
   // app srv told to drain or replaced, the repeat window over.
   @Override
-  public boolean mayBegin(long at, long rid, int dispatch) {
+  public boolean mayStartAttempt(long at, long rid, int dispatch) {
     now = Math.max(now, at);
     Req r = reqs.find(rid);
     if (r == null || r.over || r.live == null || dispatch != r.sends - 1 || now >= r.end) return false;
     Srv s = r.live.srv;
-    return s.usable && s.since == r.live.since
-        && (r.ranSince < 0 || r.kind.rule.effect() == Site.Effect.REPLAYABLE || remembers(r));
+    return s.usable && s.since == r.live.since && (r.ranSince < 0
+        || r.kind.rule.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT || remembers(r));
   }
 
   /** Wants the final answer; a denial becomes an abort where it could do harm. */
   private void finish(Req r, End end, long pause) {
-    Site.Frontend f = r.kind.rule;
-    boolean harmless = r.ranSince < 0 && r.live == null || f.effect() == Site.Effect.REPLAYABLE
-        || f.effect() == Site.Effect.UNIQUED && f.group() == Site.Group.ALL;
+    GatewaySettings.RequestClass f = r.kind.rule;
+    boolean harmless = r.ranSince < 0 && r.live == null
+        || f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT
+        || f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY
+            && f.keyScope() == GatewaySettings.KeyScope.ALL;
     if (r.admitted && r.sends == 0 && r.window != null) { // charged, never sent
       r.window.owed -= r.reserved;
       quotas.pass(r.window, -r.reserved);
     }
     r.wantEnd = end == End.DENIED && !harmless ? End.ABORTED : end;
-    r.pause = rules.mayAdvise() ? Math.min(rules.longestPause(), Math.max(0, pause)) : 0;
+    r.pause = rules.maySendRetryAfter() ? Math.min(rules.maxRetryAfterTicks(), Math.max(0, pause)) : 0;
     touch(r);
   }
 
-  private void due(Event.Due d) {
-    Req r = reqs.find(d.handle());
-    if (d.handle() < 0) round();
+  private void due(GatewayEvent.TimerFired d) {
+    Req r = reqs.find(d.timerId());
+    if (d.timerId() < 0) round();
     else if (r != null && !r.over && !r.streaming) finish(r, r.sends == 0 ? End.DENIED : End.ABORTED, 0);
   }
 
@@ -646,12 +582,12 @@
   // of the target allowed (of what its client still waits, if less) a req is denied at once, cheap ones
   // sooner. Harms where app srvs answer in bursts.
   private boolean pressed(Req r) {
-    double value = r.customer.plan.price() * r.kind.rule.value();
+    double value = r.customer.plan.priorityWeight() * r.kind.rule.priorityWeight();
     meanValue += (meanValue == 0 ? 1 : VALUE_STEP) * (value - meanValue);
     double tilt = meanValue <= 0 ? 0 : Math.max(-1, Math.min(1, (value - meanValue) / meanValue));
     double part = WAIT_PART * (r.belated ? 1 - KEPT_BACK : 1) * (1 + VALUE_TILT * tilt);
     double free = FREE_OUT * warmSeen / nodes();
-    double wait = part * Math.min(r.kind.rule.target(), r.end - now);
+    double wait = part * Math.min(r.kind.rule.latencyObjectiveTicks(), r.end - now);
     double chances = Math.min(CHANCE_OUT, CHANCE_ALL * warmSeen / nodes());
     double headroom = chances * Math.max(0, 1 - r.kind.recentTime / (LONG_WAIT * wait));
     return out >= Math.max(free, wait * passed / RATE_TIME) + headroom;
@@ -660,22 +596,23 @@
   private void round() {
     roundAt = now + ROUND;
     passed *= Math.exp(-ROUND / RATE_TIME);
-    double kept = Math.exp(-ROUND / Math.max(1.0, rules.fallTime()));
+    double kept = Math.exp(-ROUND / Math.max(1.0, rules.warmUpWindowTicks()));
     unitsSent *= kept;
     unitsAsked *= kept;
     weighFleet();
     memory = Math.max(MEMORY, Math.min(AGEING, TURNS * warmSeen * RATE_TIME / Math.max(1, passed)));
-    reqs.each(r -> {
+    reqs.forEach(r -> {
       // Guards against dispatches stuck on bad app srvs, or whose answers got lost on the way, taking up what
       // may be out and denying the rest. Harms where one long req makes an app srv look silent.
       Dispatch d = r.live;
-      if (d == null || d.stale || r.streaming || now - d.sent <= STUCK * r.kind.rule.target()) return;
+      if (d == null || d.stale || r.streaming || now - d.sent <= STUCK * r.kind.rule.latencyObjectiveTicks())
+        return;
       if (slowness(d.srv) < SICK && quiet(d.srv) < DEAD) return;
       d.stale = true;
       out--;
     });
     if (gap > 0) gossip.jam(now);
-    gossip.due(now).forEach(to::tell);
+    gossip.due(now).forEach(to::sendGossip);
     quotas.eachWindow(w -> {
       if (w.owed != 0 && now < w.turn + longest && counterIsWell()) call(w, null, 0);
       return now > w.turn + longest && w.calls.isEmpty();
@@ -693,25 +630,25 @@
 
   /** Emits the difference between what is wanted and what is. */
   private void bring() {
-    if (rules.mustFollow() && now >= followAt) {
+    if (rules.mustOpenWatch() && now >= followAt) {
       followAt = Long.MAX_VALUE;
-      to.follow(true);
+      to.watchEndpoints(true);
     }
-    if (roundSet != roundAt) to.wake(roundAt, -1);
+    if (roundSet != roundAt) to.setTimer(roundAt, -1);
     roundSet = roundAt;
     for (Req r : touched) {
-      long rid = r.told.rid();
+      long rid = r.told.requestId();
       r.touched = false;
-      if (!r.over && r.wantEnd == End.DENIED) to.deny(rid, r.pause);
-      if (!r.over && r.wantEnd == End.ABORTED) to.abort(rid);
+      if (!r.over && r.wantEnd == End.DENIED) to.reject(rid, r.pause);
+      if (!r.over && r.wantEnd == End.ABORTED) to.fail(rid);
       r.over |= r.wantEnd != End.NONE;
       if (!r.over && r.next != null) dispatch(r);
       r.next = null;
-      if (r.live != null && r.over && !r.streaming && !r.live.cancelled && rules.mayCancel()) {
+      if (r.live != null && r.over && !r.streaming && !r.live.cancelled && rules.mayCancelAttempts()) {
         r.live.cancelled = true;
-        to.cancel(rid, r.sends - 1);
+        to.cancelAttempt(rid, r.sends - 1);
       }
-      if (!r.over && !r.timed) to.wake(r.end, rid);
+      if (!r.over && !r.timed) to.setTimer(r.end, rid);
       r.timed = true;
       if (r.over && r.live == null && !r.counting) reqs.release(rid);
     }
@@ -721,7 +658,7 @@
       // Guards against a busy counter whose answers all come a little late and are thrown away: they are
       // waited for, as far as response targets leave time. Harms while it is silent: its test calls hold
       // their reqs.
-      to.count(c.window().name, c.units(), keep, countWait);
+      to.addToCounter(c.window().name, c.units(), keep, countWait);
     }
     wantCalls.clear();
   }
@@ -739,9 +676,9 @@
     out++;
     d.srv.paceSum += 1 / d.pace;
     d.srv.paceBase += now / d.pace;
-    unitsSent += r.told.units();
+    unitsSent += r.told.estimatedUnits();
     d.since = d.srv.since;
-    d.srv.coldLeft -= r.told.units();
-    to.dispatch(r.told.rid(), d.srv.id, r.end - now);
+    d.srv.coldLeft -= r.told.estimatedUnits();
+    to.startAttempt(r.told.requestId(), d.srv.id, r.end - now);
   }
 }
--- /dev/null
+++ b/src/main/java/saltlatch/End.java
@@ -0,0 +1,7 @@
+package saltlatch;
+
+enum End {
+  NONE,
+  DENIED,
+  ABORTED
+}
--- a/src/main/java/saltlatch/Gossip.java
+++ b/src/main/java/saltlatch/Gossip.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.api.Told;
+import saltlatch.api.GossipMessage;
 import saltlatch.member.Shares;
 
 /**
@@ -24,7 +24,7 @@
   static final int TURNS = 128; // windows' numbers are told modulo this
   static final long NEVER = Long.MIN_VALUE / 2;
 
-  private record Own(Told.Sum sum, int first, int width) {}
+  private record Own(GossipMessage.WindowUsage sum, int first, int width) {}
 
   private final int me;
   private final int nodes;
@@ -76,43 +76,44 @@
     if (intake <= 0 || width > mostWidth) return;
     widest = Math.max(widest, width);
     changed.remove(name);
-    Told.Sum sum = new Told.Sum(customer, (int) Math.floorMod(number, (long) TURNS), units);
+    GossipMessage.WindowUsage sum = new GossipMessage.WindowUsage(customer,
+        (int) Math.floorMod(number, (long) TURNS), units);
     changed.put(name, new Own(sum, first, width));
   }
 
   /** What is due now: a datagram for each peer with a customer whose sum has changed, the latest first. */
-  Map<Integer, Told> due(long now) {
-    Map<Integer, Told> out = new LinkedHashMap<>();
+  Map<Integer, GossipMessage> due(long now) {
+    Map<Integer, GossipMessage> out = new LinkedHashMap<>();
     if (!isOn(now)) {
       changed.clear();
       return out;
     }
     if (now - toldAt < period()) return out;
     toldAt = now;
-    Told.Hearing hearing = shares == null ? null : shares.hearing(now, within());
-    int most = hearing == null ? Told.ENTRIES : Told.sumsBeside(nodes);
+    GossipMessage.Reachability hearing = shares == null ? null : shares.hearing(now, within());
+    int most = hearing == null ? GossipMessage.MAX_ENTRIES : GossipMessage.maxUsageEntries(nodes);
     List<Own> latest = new ArrayList<>(changed.values());
     for (int step = 1; step < nodes; step++) {
       int peer = (me + step) % nodes;
       if (shares != null && !shares.isThere(peer)) continue;
-      List<Told.Sum> sums = new ArrayList<>();
+      List<GossipMessage.WindowUsage> sums = new ArrayList<>();
       for (int i = latest.size() - 1; i >= 0 && sums.size() < most; i--) {
         Own o = latest.get(i);
         if (Math.floorMod(peer - o.first(), nodes) < o.width()) sums.add(o.sum());
       }
       // One with no sums says that this node passed nothing: silence would look like a node cut off.
       int apart = Math.min(step, nodes - step);
-      if (!sums.isEmpty() || apart < widest) out.put(peer, new Told(sums, hearing));
+      if (!sums.isEmpty() || apart < widest) out.put(peer, new GossipMessage(sums, hearing));
     }
     changed.clear();
     return out;
   }
 
   /** The sums that a peer tells; none of a stranger. */
-  List<Told.Sum> heard(long now, int from, Told told) {
+  List<GossipMessage.WindowUsage> heard(long now, int from, GossipMessage told) {
     if (from < 0 || from >= nodes || from == me) return List.of();
     heardAt = now;
-    if (shares != null) shares.heard(now, from, told.hearing());
-    return told.sums();
+    if (shares != null) shares.heard(now, from, told.reachability());
+    return told.usage();
   }
 }
--- a/src/main/java/saltlatch/Quotas.java
+++ b/src/main/java/saltlatch/Quotas.java
@@ -1,13 +1,12 @@
 package saltlatch;
 
-import java.util.ArrayDeque;
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
-import saltlatch.api.Event;
-import saltlatch.api.Index;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 import saltlatch.member.Shares;
+import saltlatch.policy.SlotMap;
 
 /**
  * What a node knows of its customers' quotas: the room that each has left, from count totals, from what peers
@@ -30,59 +29,17 @@
   static final double CHANCE_UNITS = 2; // units: for bursts so small that their root says little
   static final double COUNTED = 0.05; // step of the part of charges counted before the turn: 20 windows
 
-  /** One customer's count for one window; lives for the window and the longest client timeout. */
-  static final class Window {
-    Customer customer;
-    long name, turn;
-    double seen; // last total, with what was lost
-    double top; // units charged by that total, with those taken to have passed uncounted
-    double mine; // net units of this node that answers have confirmed
-    double owed; // units charged or given back that no call has carried yet
-    double unsure; // units of timed-out adds since the last total
-    double lost; // units that the counter forgot, by what this node knows
-    double passed; // units that this node passed, counted or not
-    double byCount, byPeers, others; // what the others passed, by totals, by their telling, and as charged
-    double[] told; // by each node of the customer's set
-    final ArrayDeque<Control.Call> calls = new ArrayDeque<>();
-  }
-
-  /** Lives until a customer is unseen for a minute, longer while its ceiling's part is not full. */
-  static final class Customer {
-    long id, seen;
-    Site.Plan plan;
-    Window window;
-    int out, width, first;
-    double othersUse; // fading: what the others passed
-    double part; // units this node may pass of a store that has no room for all that may come
-    long othersAt, partAt;
-    double share; // learned part of its use that comes through this node, half an even one at least
-    double room; // units its quota has left, as the totals seen show it; the share of it while alone
-    long roomAt;
-    double alone = -1; // units passed without the counter since its last answer; below 0: not alone
-    double held; // part of the quota that the room stands for while alone
-    double drawn; // units taken off that room for a place on the way to the next req; passed by nobody
-    double scale = 1; // the same while peers are heard: the part of those that hear each other
-    double apart; // units they passed while that was below 1
-    double meanwhile; // units this node passed while some peer was overdue
-    double presumed; // units those peers are taken to have passed meanwhile, until they say
-    long totalAt = Gossip.NEVER; // of the last total
-    boolean spent; // a window's count reached the limit and the quota has not filled again since
-    double store; // this node's part of the hard ceiling
-    long storeAt;
-    double[][] learners; // of each frontend: reservation, steps
-  }
-
-  private final Site site;
+  private final GatewaySettings site;
   private final Gossip gossip;
   private final SplittableRandom chance;
   private final long started;
-  private final Index<Customer> customers = new Index<>();
-  private final Index<Window> windows = new Index<>();
+  private final SlotMap<Customer> customers = new SlotMap<>();
+  private final SlotMap<Window> windows = new SlotMap<>();
   private long now;
   private Shares shares; // null: nodes do not know each other
   private double counted = 1; // part of this node's charges that calls carried before their window turned
 
-  Quotas(long now, Site site, Gossip gossip, SplittableRandom chance) {
+  Quotas(long now, GatewaySettings site, Gossip gossip, SplittableRandom chance) {
     this.now = now;
     this.site = site;
     this.gossip = gossip;
@@ -98,17 +55,17 @@
 
   /** Each window; one of which the answer is true is forgotten. */
   void eachWindow(Predicate<Window> isOver) {
-    windows.each(w -> {
+    windows.forEach(w -> {
       if (isOver.test(w)) windows.release(w.name);
     });
   }
 
   /** Lets go of customers unseen for long with nothing out, if no part of a ceiling would be forgiven. */
   void forget() {
-    customers.each(c -> {
-      boolean full = ceilingAllows(c, 0) && c.store >= c.plan.ceilingBurst() / c.width;
+    customers.forEach(c -> {
+      boolean full = ceilingAllows(c, 0) && c.store >= c.plan.ceilingBurstUnits() / c.width;
       boolean unseen = now - c.seen > Control.AGEING && c.out == 0;
-      if (unseen && (full || c.plan.ceilingRate() <= 0)) customers.release(c.id);
+      if (unseen && (full || c.plan.ceilingPerSecond() <= 0)) customers.release(c.id);
     });
   }
 
@@ -141,7 +98,7 @@
     fill(c);
     if (c.alone >= 0) {
       // A draw is no use: over the small part held it would become a debt of many bursts.
-      c.room = Math.min(c.plan.burst() * c.held, c.room + c.drawn);
+      c.room = Math.min(c.plan.burstUnits() * c.held, c.room + c.drawn);
       c.drawn = 0;
       c.room = (c.room + c.alone * counted) / c.held - c.alone * counted + c.presumed;
       c.presumed = 0;
@@ -158,11 +115,11 @@
     w.others = known;
     w.top += use;
     // What passes beyond a quota draws nothing from it; where little is known of that, part is held as debt.
-    c.room = Math.max(Math.min(c.room, heard ? 0 : -DEBT * c.plan.burst()), c.room - use);
+    c.room = Math.max(Math.min(c.room, heard ? 0 : -DEBT * c.plan.burstUnits()), c.room - use);
     c.apart += use;
     c.othersUse = fading(c.othersUse, c.othersAt) + Math.max(0, use);
     c.othersAt = now;
-    if (w.top > SHARE_FROM * c.plan.burst()) {
+    if (w.top > SHARE_FROM * c.plan.burstUnits()) {
       double even = LEAST_SHARE / c.width;
       double part = heard ? even + (1 - LEAST_SHARE) * w.passed / Math.max(NOUGHT, w.passed + w.others)
           : Math.min(1, Math.max(even, w.mine / w.top));
@@ -170,14 +127,14 @@
     }
   }
 
-  void heard(Event.Heard h) {
-    for (Told.Sum s : gossip.heard(now, h.from(), h.told())) {
+  void heard(GatewayEvent.GossipReceived h) {
+    for (GossipMessage.WindowUsage s : gossip.heard(now, h.sender(), h.message())) {
       Customer c = customers.find(s.customer());
-      if (c == null || c.plan.rate() <= 0 || s.units() > MOST_TOLD * c.plan.burst()) continue;
+      if (c == null || c.plan.ratePerSecond() <= 0 || s.units() > MOST_TOLD * c.plan.burstUnits()) continue;
       long number = now / length(c.plan);
-      number -= Math.floorMod(number - s.turn(), (long) Gossip.TURNS);
+      number -= Math.floorMod(number - s.windowNumber(), (long) Gossip.TURNS);
       Window w = number == now / length(c.plan) ? window(c, false) : windows.find(name(c, number));
-      int at = Math.floorMod(h.from() - c.first, Math.max(1, site.nodes()));
+      int at = Math.floorMod(h.sender() - c.first, Math.max(1, site.nodeCount()));
       if (w == null || at >= c.width) continue;
       if (w.told == null) w.told = new double[c.width];
       if (at >= w.told.length || s.units() <= w.told[at]) continue; // told before, or overtaken
@@ -199,26 +156,28 @@
     gossip.passed(w.name, c.id, w.turn / length(c.plan) - 1, c.first, c.width, w.passed);
   }
 
-  Customer customer(Event.Arrived a) {
-    int width = Math.max(1, a.width() > 0 ? a.width() : site.nodes());
+  Customer customer(GatewayEvent.RequestArrived a) {
+    int width = Math.max(1, a.nodeCount() > 0 ? a.nodeCount() : site.nodeCount());
     Customer c = customers.find(a.customer());
     if (c == null) {
       c = customers.put(a.customer(), new Customer());
       c.id = a.customer();
-      c.plan = site.plans().get(a.plan());
+      c.plan = site.quotaPlans().get(a.plan());
       c.storeAt = started; // a restart fills nothing: the ceiling's part is empty at the instance's start
-      c.learners = new double[site.frontends().size()][];
+      c.learners = new double[site.requestClasses().size()][];
       c.share = 1.0 / width;
-      c.room = c.plan.burst();
+      c.room = c.plan.burstUnits();
       c.roomAt = c.othersAt = c.partAt = now;
-      c.first = a.first();
+      c.first = a.firstNode();
     }
     c.width = Math.max(c.width, width);
     c.seen = now;
     return c;
   }
 
-  static long length(Site.Plan p) { return Math.max(1, (long) (p.burst() / p.rate() * SECOND)); }
+  static long length(GatewaySettings.QuotaPlan p) {
+    return Math.max(1, (long) (p.burstUnits() / p.ratePerSecond() * SECOND));
+  }
 
   private static long name(Customer c, long number) { return (c.id << 31) ^ (number & 0x7fffffffL); }
 
@@ -245,9 +204,9 @@
 
   void fill(Customer c) {
     double part = c.alone >= 0 ? c.held : c.scale;
-    c.room = filled(c.room, c.roomAt, c.plan.rate() * part, c.plan.burst() * part);
+    c.room = filled(c.room, c.roomAt, c.plan.ratePerSecond() * part, c.plan.burstUnits() * part);
     c.roomAt = now;
-    c.spent &= c.room < REFILLED * c.plan.burst() * part;
+    c.spent &= c.room < REFILLED * c.plan.burstUnits() * part;
     if (shares != null) rescale(c);
   }
 
@@ -267,7 +226,7 @@
     if (to == c.scale) return;
     if (c.scale < 1) { // as if all had passed alike; what the others did pass is charged when it shows
       double whole = (c.room + c.apart) / c.scale - c.apart + c.presumed;
-      c.room = Math.min(c.plan.burst(), Math.max(-DEBT * c.plan.burst(), whole));
+      c.room = Math.min(c.plan.burstUnits(), Math.max(-DEBT * c.plan.burstUnits(), whole));
       c.presumed = 0;
     }
     c.apart = 0;
@@ -298,8 +257,8 @@
       // hold less than a req. With all passes known but the latest, a req needs room for itself and for what
       // the others will have passed by now; else this node's part of what the store refills.
       rejoin(c);
-      double share = c.plan.rate() * c.share;
-      c.part = Math.max(-c.plan.burst(), filled(c.part, c.partAt, share, c.plan.burst() * c.share));
+      double share = c.plan.ratePerSecond() * c.share;
+      c.part = Math.max(-c.plan.burstUnits(), filled(c.part, c.partAt, share, c.plan.burstUnits() * c.share));
       c.partAt = now;
       double rate = fading(c.othersUse, c.othersAt) / OTHERS_TIME;
       double unheard = Math.max(rate * gossip.period(), unsaid(c, rate));
@@ -321,9 +280,9 @@
    * that one req of each is more than the quota and what chance adds to it.
    */
   private boolean partIsBelowOneReq(Customer c) {
-    double burst = c.plan.burst();
+    double burst = c.plan.burstUnits();
     double most = burst + CHANCE_ROOTS * Math.sqrt(burst) + CHANCE_UNITS;
-    return !site.counting().open() && c.held * most < 1;
+    return !site.counter().available() && c.held * most < 1;
   }
 
   /** This node begins anywhere on the way to its next req, so that all together pass what they hold. */
@@ -345,8 +304,9 @@
 
   /** This node's part of the hard ceiling, from local knowledge: rate and amount over its nodes. */
   boolean ceilingAllows(Customer c, double units) {
-    if (c.plan.ceilingRate() <= 0) return true;
-    c.store = filled(c.store, c.storeAt, c.plan.ceilingRate() / c.width, c.plan.ceilingBurst() / c.width);
+    if (c.plan.ceilingPerSecond() <= 0) return true;
+    c.store = filled(c.store, c.storeAt, c.plan.ceilingPerSecond() / c.width,
+        c.plan.ceilingBurstUnits() / c.width);
     c.storeAt = now;
     return units <= c.store;
   }
--- a/src/main/java/saltlatch/lab/capacity/Walls.java
+++ b/src/main/java/saltlatch/lab/capacity/Walls.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
-import saltlatch.api.Told;
+import saltlatch.api.GossipMessage;
 import saltlatch.lab.scale.Quantity;
 import saltlatch.member.Terms;
 
@@ -114,7 +114,8 @@
     all.add(new Wall("a dead node's share is in use again in time", Consequence.WRONG_QUOTAS,
         fleet(terms -> terms.takenOverWithin(), bound), nodes, "nodes", Mechanism.MEMBER_CELLS));
     all.add(new Wall("a datagram tells whom a node hears", Consequence.WRONG_QUOTAS,
-        Figure.exact(Told.MOST_NODES).from("api.Told.MOST_NODES"), nodes, "nodes", Mechanism.MEMBER_CELLS));
+        Figure.exact(GossipMessage.MAX_NODES_WITH_REACHABILITY).from("api.Told.MOST_NODES"), nodes, "nodes",
+        Mechanism.MEMBER_CELLS));
     all.add(new Wall("one quorum for the whole fleet: a region cut off keeps part of its shares",
         Consequence.WRONG_QUOTAS, Figure.exact(1), basis.in(Input.REGIONS), "regions",
         Mechanism.REGIONAL_SHARES));
--- a/src/main/java/saltlatch/lab/hollow/HollowFleet.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowFleet.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import saltlatch.api.Gateway;
+import saltlatch.api.GatewayPolicy;
 import saltlatch.lab.rig.Processes;
 import saltlatch.node.HollowNode;
 import saltlatch.node.NodeConfiguration;
@@ -67,7 +67,7 @@
   }
 
   /** Starts all of them, one after the other over so many seconds; 0: at once. Returns at once. */
-  public void start(Gateway.Maker maker, double overSeconds) {
+  public void start(GatewayPolicy.Factory maker, double overSeconds) {
     for (int i = 0; i < nodes.size(); i++) {
       HollowNode node = nodes.get(i);
       long afterMs = Math.round(overSeconds * 1000 * i / nodes.size());
--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import saltlatch.api.Gateway;
+import saltlatch.api.GatewayPolicy;
 import saltlatch.lab.rig.ProcessFigures;
 
 /**
@@ -52,7 +52,7 @@
   }
 
   /** Runs for so many seconds, 0: until {@link #end}; returns once all is reported. */
-  public Summary run(Gateway.Maker maker, double startOverSeconds, double seconds)
+  public Summary run(GatewayPolicy.Factory maker, double startOverSeconds, double seconds)
       throws IOException, InterruptedException {
     long until = seconds > 0 ? System.nanoTime() + (long) (seconds * NANOS) : Long.MAX_VALUE;
     fleet.start(maker, startOverSeconds);
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import saltlatch.api.Event.Members;
+import saltlatch.api.GatewayEvent.MembershipChanged;
 import saltlatch.member.Membership;
 import saltlatch.member.Message;
 import saltlatch.member.Message.State;
@@ -27,7 +27,7 @@
 
   private final Terms terms;
   private final Membership[] members;
-  private final Members[] told; // as each node has last told its module
+  private final MembershipChanged[] told; // as each node has last told its module
   private final boolean[] dead;
   private final PriorityQueue<Step> steps = new PriorityQueue<>(
       (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -41,7 +41,7 @@
   MemberNetwork(int count, long seed) {
     terms = Terms.of(count, INTAKE);
     members = new Membership[count];
-    told = new Members[count];
+    told = new MembershipChanged[count];
     dead = new boolean[count];
     chance = new SplittableRandom(seed);
     for (int i = 0; i < count; i++) {
@@ -86,7 +86,7 @@
   /** What a node does to tell its module of changes. */
   private void look(int member) {
     if (!looking) return;
-    Members is = members[member].members();
+    MembershipChanged is = members[member].members();
     if (!is.equals(told[member])) told[member] = is;
   }
 
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.Control;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Condition;
-import saltlatch.api.Event.ListKind;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Gateway;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.api.GatewayEvent.EndpointUpdateKind;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 
 /**
  * The decision module alone, without sockets, as the list grows: {@code module.request} is its CPU for one request that is
@@ -70,9 +70,9 @@
   }
 
   /** One module on a list of so many app servers, without quotas, each request dispatched and answered at once. */
-  private static final class Play implements Actions {
+  private static final class Play implements GatewayActions {
     private final int size;
-    private final Gateway module;
+    private final GatewayPolicy module;
     private long now = 10_000;
     private long lastRequest;
     private long lastServer = -1; // of the newest dispatch, -1: none is out
@@ -81,15 +81,19 @@
 
     Play(int size, long seed) {
       this.size = size;
-      Site.Rules rules = new Site.Rules(false, true, 4, true, 10_000, true, 0, 1, 0, 0);
-      Site.Frontend frontend = new Site.Frontend(Site.Effect.REPLAYABLE, Site.Group.ALL, 0, 1_000, 30_000, 1);
-      Site.Plan plan = new Site.Plan(0, 0, 0, 0, 0, 1);
-      Site site = new Site(seed, 1, TICK, rules, new Site.Counting(false, false), new Site.Peers(0, 0, 0),
+      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true, 0, 1, 0,
+          0);
+      GatewaySettings.RequestClass frontend = new GatewaySettings.RequestClass(
+          GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL, 0, 1_000, 30_000, 1);
+      GatewaySettings.QuotaPlan plan = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
+      GatewaySettings site = new GatewaySettings(seed, 1, TICK, rules,
+          new GatewaySettings.CounterSettings(false, false), new GatewaySettings.PeerSettings(0, 0, 0),
           List.of(frontend), List.of(plan));
       module = new Control(now, site, this);
-      List<Event.Entry> entries = new ArrayList<>();
-      for (int i = 0; i < size; i++) entries.add(entry(i, Condition.READY));
-      module.handle(now, List.of(new Event.Listed(ListKind.CACHED, entries)));
+      List<GatewayEvent.Endpoint> entries = new ArrayList<>();
+      for (int i = 0; i < size; i++) entries.add(entry(i, EndpointState.READY));
+      module.handle(now,
+          List.of(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.CACHED_SNAPSHOT, entries)));
     }
 
     void requests(int count) {
@@ -99,28 +103,30 @@
     private void request() {
       now += STEP;
       long id = ++lastRequest;
-      module.handle(now, List.of(new Event.Arrived(id, 0, 0, id % 1_000, 30_000, 1, 1, 0, false, 0)));
+      module.handle(now,
+          List.of(new GatewayEvent.RequestArrived(id, 0, 0, id % 1_000, 30_000, 1, 1, 0, false, 0)));
       if (lastServer < 0) return;
       long server = lastServer;
       lastServer = -1;
       now += SPENT;
-      module.handle(now,
-          List.of(new Event.Ended(id, server, 0, Outcome.PASSED, true, SPENT, 0, 0, List.of())));
+      module.handle(now, List.of(new GatewayEvent.AttemptEnded(id, server, 0, AttemptOutcome.SUCCEEDED, true,
+          SPENT, 0, 0, List.of())));
     }
 
     /** One entry drains, the next time it is ready again. */
     void changes(int count) {
       for (int i = 0; i < count; i++) {
         now += STEP;
-        Condition condition = changed % 2 == 0 ? Condition.DRAINING : Condition.READY;
-        Event.Entry entry = entry(changed / 2 % size, condition);
-        module.handle(now, List.of(new Event.Listed(ListKind.CHANGES, List.of(entry))));
+        EndpointState condition = changed % 2 == 0 ? EndpointState.DRAINING : EndpointState.READY;
+        GatewayEvent.Endpoint entry = entry(changed / 2 % size, condition);
+        module.handle(now,
+            List.of(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.DELTA, List.of(entry))));
         changed++;
       }
     }
 
-    private static Event.Entry entry(int number, Condition condition) {
-      return new Event.Entry(number, 0, number % ZONES, 0, condition, 1, 0);
+    private static GatewayEvent.Endpoint entry(int number, EndpointState condition) {
+      return new GatewayEvent.Endpoint(number, 0, number % ZONES, 0, condition, 1, 0);
     }
 
     /** CPU of this thread for each of the counted, ms. */
@@ -135,39 +141,39 @@
     }
 
     @Override
-    public void dispatch(long rid, long srv, long cap) {
+    public void startAttempt(long rid, long srv, long cap) {
       dispatched++;
       lastServer = srv;
     }
 
     @Override
-    public void deny(long rid, long pause) {}
+    public void reject(long rid, long pause) {}
 
     @Override
-    public void abort(long rid) {}
+    public void fail(long rid) {}
 
     @Override
-    public void cancel(long rid, int dispatch) {}
+    public void cancelAttempt(long rid, int dispatch) {}
 
     @Override
-    public void wake(long at, long handle) {}
+    public void setTimer(long at, long handle) {}
 
     @Override
-    public void probe(long srv) {}
+    public void checkHealth(long srv) {}
 
     @Override
-    public void closeIdle(long srv) {}
+    public void closeIdleConnections(long srv) {}
 
     @Override
-    public void count(long name, double units, long keep, long cap) {}
+    public void addToCounter(long name, double units, long keep, long cap) {}
 
     @Override
-    public void follow(boolean on) {}
+    public void watchEndpoints(boolean on) {}
 
     @Override
-    public void tell(int peer, Told told) {}
+    public void sendGossip(int peer, GossipMessage told) {}
 
     @Override
-    public void note(String text) {}
+    public void log(String text) {}
   }
 }
--- a/src/main/java/saltlatch/member/Membership.java
+++ b/src/main/java/saltlatch/member/Membership.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import saltlatch.api.Event.Life;
-import saltlatch.api.Event.Members;
+import saltlatch.api.GatewayEvent.MemberState;
+import saltlatch.api.GatewayEvent.MembershipChanged;
 import saltlatch.member.Message.Kind;
 import saltlatch.member.Message.News;
 import saltlatch.member.Message.State;
@@ -142,18 +142,18 @@
   }
 
   /** What the decision module is told: who is there, and until when which shares may be used. */
-  public Members members() {
+  public MembershipChanged members() {
     long failed = leases.takesUntil(now, terms.leaseOver());
     boolean over = now < failed;
-    List<Life> lives = new ArrayList<>();
+    List<MemberState> lives = new ArrayList<>();
     for (Peer p : peers) {
       boolean gone = p.state == State.LEFT || p.state == State.FAILED && over;
-      lives.add(isLive(p) ? Life.LIVE : gone ? Life.GONE : Life.LOST);
+      lives.add(isLive(p) ? MemberState.LIVE : gone ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE);
     }
     long holds = leaving ? 0 : leases.holdsUntil();
     long takes = leaving ? 0 : over ? failed : leases.takesUntil(now, 0);
     // A minority divides by all: those it does not see may do what it does.
-    return new Members(lives, holds, takes, 2 * live() > peers.length ? live() : peers.length);
+    return new MembershipChanged(lives, holds, takes, 2 * live() > peers.length ? live() : peers.length);
   }
 
   /**
--- a/src/main/java/saltlatch/member/Shares.java
+++ b/src/main/java/saltlatch/member/Shares.java
@@ -1,9 +1,9 @@
 package saltlatch.member;
 
 import java.util.BitSet;
-import saltlatch.api.Event.Life;
-import saltlatch.api.Event.Members;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent.MemberState;
+import saltlatch.api.GatewayEvent.MembershipChanged;
+import saltlatch.api.GossipMessage;
 
 /**
  * Which part of a quota this node may go by while the counter is silent. Shares are parts of the quota in service; a
@@ -19,36 +19,36 @@
   private final int me;
   private final int nodes;
   private final long[] heardAt; // by member; 0: never
-  private final Told.Hearing[] heard; // what each said last of whom it hears
-  private Members view;
+  private final GossipMessage.Reachability[] heard; // what each said last of whom it hears
+  private MembershipChanged view;
 
   public Shares(int me, int nodes) {
     this.me = me;
     this.nodes = nodes;
     heardAt = new long[nodes];
-    heard = new Told.Hearing[nodes];
+    heard = new GossipMessage.Reachability[nodes];
   }
 
-  public void follow(Members m) {
+  public void follow(MembershipChanged m) {
     view = m;
   }
 
   /** Nodes that what all may do together is divided by. */
   public int counted() {
-    return view.counted();
+    return view.nodeCount();
   }
 
   /** Whether it is worth telling that member anything. */
   public boolean isThere(int member) {
-    return view.lives().get(member) == Life.LIVE;
+    return view.states().get(member) == MemberState.LIVE;
   }
 
   private boolean holds(long now) {
-    return now < view.holdsUntil();
+    return now < view.leaseUntilTicks();
   }
 
   private boolean takes(long now) {
-    return holds(now) && now < view.takesUntil();
+    return holds(now) && now < view.takeoverUntilTicks();
   }
 
   /** This node's own part of the quota of a customer whose set is {@code width} nodes from {@code first} on. */
@@ -70,15 +70,15 @@
     int live = 0;
     int gone = 0;
     for (int i = 0; i < Math.min(width, nodes); i++) {
-      Life life = view.lives().get((first + i) % nodes);
-      live += life == Life.LIVE ? 1 : 0;
-      gone += life == Life.GONE ? 1 : 0;
+      MemberState life = view.states().get((first + i) % nodes);
+      live += life == MemberState.LIVE ? 1 : 0;
+      gone += life == MemberState.TAKEN_OVER ? 1 : 0;
     }
     return live == 0 ? 0 : (1 - FLOOR) * gone / live;
   }
 
   /** A peer was heard; {@code hearing} null: it is from before, and does not say whom it hears. */
-  public void heard(long now, int from, Told.Hearing hearing) {
+  public void heard(long now, int from, GossipMessage.Reachability hearing) {
     heardAt[from] = now;
     heard[from] = hearing;
   }
@@ -92,8 +92,9 @@
   }
 
   /** What this node says of whom it hears; null in a fleet too large for that. */
-  public Told.Hearing hearing(long now, long within) {
-    return nodes > Told.MOST_NODES ? null : new Told.Hearing(hears(now, within), holds(now), takes(now));
+  public GossipMessage.Reachability hearing(long now, long within) {
+    return nodes > GossipMessage.MAX_NODES_WITH_REACHABILITY ? null
+        : new GossipMessage.Reachability(hears(now, within), holds(now), takes(now));
   }
 
   /**
@@ -108,8 +109,8 @@
     for (int i = 0; i < Math.min(width, nodes); i++) {
       int member = (first + i) % nodes;
       if (member == me || !mine.get(member) || heard[member] == null) continue;
-      if (same(mine, heard[member].nodes(), first, width)) {
-        sum += part(heard[member].holds(), heard[member].takes() ? taken : 0, width);
+      if (same(mine, heard[member].reachableNodes(), first, width)) {
+        sum += part(heard[member].holdsLease(), heard[member].holdsTakeover() ? taken : 0, width);
       }
     }
     return Math.min(1, sum);
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
-import saltlatch.api.Gateway;
+import saltlatch.api.GatewayPolicy;
 import saltlatch.state.Counters;
 
 /**
@@ -31,10 +31,10 @@
   }
 
   /** Starts the module on the list last known, and follows discovery; returns at once. */
-  public void start(Gateway.Maker maker) {
+  public void start(GatewayPolicy.Factory maker) {
     loop.runOnContext(v -> {
       pilot.start(maker);
-      pilot.follow();
+      pilot.watchEndpoints();
     });
   }
 
--- a/src/main/java/saltlatch/node/ListApplier.java
+++ b/src/main/java/saltlatch/node/ListApplier.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.function.Consumer;
-import saltlatch.api.Event;
-import saltlatch.wire.Scheduler;
+import saltlatch.api.GatewayEvent;
 import saltlatch.wire.Discovery;
+import saltlatch.wire.Scheduler;
 import saltlatch.wire.TargetList;
 
 /**
@@ -18,11 +18,11 @@
 
   private final TargetDirectory directory;
   private final Scheduler scheduler;
-  private final Consumer<Event> module;
+  private final Consumer<GatewayEvent> module;
   private final Queue<Pending> pending = new ArrayDeque<>();
   private SlicedUpdate update; // of the first one pending; null: none is being applied
 
-  ListApplier(TargetDirectory directory, Scheduler scheduler, Consumer<Event> module) {
+  ListApplier(TargetDirectory directory, Scheduler scheduler, Consumer<GatewayEvent> module) {
     this.directory = directory;
     this.scheduler = scheduler;
     this.module = module;
@@ -44,7 +44,8 @@
   }
 
   private void applyWhole(TargetList list, Runnable applied) {
-    module.accept(directory.take(list, list.whole() ? Event.ListKind.WHOLE : Event.ListKind.CHANGES));
+    module.accept(directory.take(list,
+        list.whole() ? GatewayEvent.EndpointUpdateKind.SNAPSHOT : GatewayEvent.EndpointUpdateKind.DELTA));
     applied.run();
   }
 
@@ -63,7 +64,7 @@
 
   private void slice(Pending first) {
     if (update == null) update = new SlicedUpdate(first.list(), directory);
-    Event event = update.step();
+    GatewayEvent event = update.step();
     if (event != null) module.accept(event);
     if (!update.isDone()) return;
     update = null;
--- a/src/main/java/saltlatch/node/NodeConfiguration.java
+++ b/src/main/java/saltlatch/node/NodeConfiguration.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 import saltlatch.simhost.Reader;
 import saltlatch.wire.Dial;
 import saltlatch.wire.Request;
@@ -19,7 +19,7 @@
     SocketAddress counter, SocketAddress peerListen, List<SocketAddress> peers, SocketAddress peersAll,
     Path history, boolean membership, int memoryMb, int descriptors, long connectTime, long idleTime,
     long countLimit, boolean mayTell, double mostUnits, List<String> loadFields, List<String> frontends,
-    List<String> plans, List<String> zones, List<String> types, TargetList known, Site site) {
+    List<String> plans, List<String> zones, List<String> types, TargetList known, GatewaySettings site) {
 
   private static final int OWN_DESCRIPTORS = 72; // the JVM's own, the counter's, discovery, listening, just accepted
   private static final int LEAST_DESCRIPTORS = OWN_DESCRIPTORS + 64;
@@ -36,9 +36,11 @@
   /** Whether the settings know such a req. Guards against a customer's count that a stranger's huge amount fills. */
   boolean allows(Request req, int frontend, int plan) {
     if (frontend < 0 || plan < 0) return false;
-    Site.Effect effect = site.frontends().get(frontend).effect();
-    return req.units <= mostUnits && req.width <= site.nodes() && req.first < Math.max(1, site.nodes())
-        && req.query == (effect == Site.Effect.REPLAYABLE) && (req.keyed || effect != Site.Effect.UNIQUED);
+    GatewaySettings.RetrySafety effect = site.requestClasses().get(frontend).retrySafety();
+    return req.units <= mostUnits && req.width <= site.nodeCount()
+        && req.first < Math.max(1, site.nodeCount())
+        && req.query == (effect == GatewaySettings.RetrySafety.IDEMPOTENT)
+        && (req.keyed || effect != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY);
   }
 
   /**
@@ -61,11 +63,11 @@
     boolean membership = Reader.flag(all, "membership");
     long seed = Reader.typed(all, "seed", "hexadecimal number",
         e -> Long.parseUnsignedLong(e.getAsString(), 16));
-    Site site = Reader.site(settings, seed);
-    if (membership
-        && (site.peers().intake() <= 0 || peers.size() != site.nodes() || !all.has("peer_listen"))) {
+    GatewaySettings site = Reader.site(settings, seed);
+    if (membership && (site.peers().datagramsPerSecond() <= 0 || peers.size() != site.nodeCount()
+        || !all.has("peer_listen"))) {
       throw new IllegalArgumentException("membership wants peer_listen, an address in peers for each of the "
-          + site.nodes() + " nodes, and mayTell with peerInPerS above 0");
+          + site.nodeCount() + " nodes, and mayTell with peerInPerS above 0");
     }
     return new NodeConfiguration(Reader.word(all, "name"), address(all, "listen"), address(all, "discovery"),
         address(all, "counter"), address(all, "peer_listen"), peers, address(all, "peers_all"),
--- a/src/main/java/saltlatch/node/Pilot.java
+++ b/src/main/java/saltlatch/node/Pilot.java
@@ -7,27 +7,27 @@
 import java.util.function.LongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Gateway;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GossipMessage;
 import saltlatch.history.History;
-import saltlatch.state.Counters.Count;
 import saltlatch.state.Counters;
+import saltlatch.state.Counters.Count;
 import saltlatch.state.Exchange;
 import saltlatch.state.Exchanges;
 import saltlatch.state.Names;
 import saltlatch.state.Timers;
 import saltlatch.wire.Answer;
 import saltlatch.wire.AppServers;
+import saltlatch.wire.ClientListener;
 import saltlatch.wire.CounterClient;
-import saltlatch.wire.Scheduler;
 import saltlatch.wire.Discovery;
-import saltlatch.wire.ClientListener;
 import saltlatch.wire.Ending;
 import saltlatch.wire.MemberForm;
 import saltlatch.wire.Peers;
 import saltlatch.wire.Request;
+import saltlatch.wire.Scheduler;
 import saltlatch.wire.SumsForm;
 import saltlatch.wire.TargetList;
 
@@ -37,7 +37,7 @@
  */
 final class Pilot
     implements
-      Actions,
+      GatewayActions,
       Scheduler,
       ClientListener.Host,
       AppServers.Host,
@@ -57,7 +57,7 @@
   private final Names plans;
   private final Names zones;
   private final Names types;
-  private List<Event> batch = new ArrayList<>();
+  private List<GatewayEvent> batch = new ArrayList<>();
   private boolean scheduled;
   private long armedFor = Long.MAX_VALUE;
   private long armed;
@@ -65,7 +65,7 @@
   private long backAt; // it was away until then; 0: never
   private long awayFor;
   private final History history; // null: none is kept, and none of its classes are loaded
-  private Gateway gateway;
+  private GatewayPolicy gateway;
   private AppServers appServers;
   private TargetDirectory directory;
   private ListApplier lists;
@@ -92,7 +92,7 @@
   }
 
   /** Starts the module on the list last known; the sockets of the client side open as they are needed. */
-  void start(Gateway.Maker maker) {
+  void start(GatewayPolicy.Factory maker) {
     ranAt = clock.now();
     appServers = new AppServers(vertx, this, this, counters, configuration.connectTime(),
         configuration.idleTime(), configuration.appSrvLinks());
@@ -107,9 +107,9 @@
       peers = new Peers(vertx, configuration.peerListen(), configuration.peers(), configuration.peersAll(),
           this, counters);
     }
-    gateway = maker.start(clock.now(), configuration.site(), this);
+    gateway = maker.create(clock.now(), configuration.site(), this);
     listsInBatch.add(configuration.known().index());
-    add(directory.take(configuration.known(), Event.ListKind.CACHED));
+    add(directory.take(configuration.known(), GatewayEvent.EndpointUpdateKind.CACHED_SNAPSHOT));
     if (configuration.membership()) roster = new Roster(this, peers, history, configuration, this::add);
   }
 
@@ -137,8 +137,8 @@
   }
 
   /** Once the node serves; where changes must be asked for, the module does. */
-  void follow() {
-    if (!configuration.site().rules().mustFollow()) discovery.follow();
+  void watchEndpoints() {
+    if (!configuration.site().limits().mustOpenWatch()) discovery.follow();
   }
 
   /** Takes over what a configuration read anew names: discovery and the counter. The rest holds from the start. */
@@ -192,7 +192,7 @@
    */
   private void look() {
     long at = clock.now();
-    if (armedFor != Long.MAX_VALUE && at - Math.max(armedFor, ranAt) > gateway.awayAfter()) {
+    if (armedFor != Long.MAX_VALUE && at - Math.max(armedFor, ranAt) > gateway.stallThresholdTicks()) {
       backAt = at;
       awayFor = at - ranAt;
       counters.add(Count.AWAY);
@@ -206,13 +206,13 @@
   private long age(Exchange.Client client) {
     if (backAt == 0 || clock.now() - backAt > awayFor) return 0;
     long age = Math.min(client.unreadFor(), awayFor + clock.now() - backAt);
-    if (age > gateway.awayAfter()) counters.add(Count.READ_LATE);
+    if (age > gateway.stallThresholdTicks()) counters.add(Count.READ_LATE);
     return age;
   }
 
   // ---- events
 
-  private void add(Event e) {
+  private void add(GatewayEvent e) {
     batch.add(e);
     if (scheduled) return;
     scheduled = true;
@@ -223,14 +223,14 @@
     scheduled = false;
     if (batch.isEmpty()) return;
     look();
-    List<Event> events = batch;
+    List<GatewayEvent> events = batch;
     batch = new ArrayList<>();
     try {
       gateway.handle(clock.now(), events);
     } catch (RuntimeException e) {
       LOG.error("the module failed", e);
       counters.add(Count.EXCEPTIONS);
-      for (Event event : events) drop(event);
+      for (GatewayEvent event : events) drop(event);
       listsInBatch.clear();
     }
     tellListed();
@@ -243,9 +243,10 @@
   }
 
   /** A req that the module failed on gets its final answer here, and the module is told that it is gone. */
-  private void drop(Event e) {
-    long rid = e instanceof Event.Arrived a ? a.rid()
-        : e instanceof Event.Ended d ? d.rid() : e instanceof Event.Due d ? d.handle() : -1;
+  private void drop(GatewayEvent e) {
+    long rid = e instanceof GatewayEvent.RequestArrived a ? a.requestId()
+        : e instanceof GatewayEvent.AttemptEnded d ? d.requestId()
+            : e instanceof GatewayEvent.TimerFired d ? d.timerId() : -1;
     Exchange x = exchanges.find(rid);
     if (x != null && !x.over()) abandon(x);
   }
@@ -280,8 +281,8 @@
       history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units", req.units,
           "wait_ms", req.waitMs, "age_ms", age / 10, "query", req.query);
     }
-    add(new Event.Arrived(x.rid, frontend, plan, req.customer, req.waitMs * 10, req.units, req.width,
-        req.first, req.repeat, age));
+    add(new GatewayEvent.RequestArrived(x.rid, frontend, plan, req.customer, req.waitMs * 10, req.units,
+        req.width, req.first, req.repeat, age));
     return x;
   }
 
@@ -290,7 +291,7 @@
     told(x, "left");
     x.left();
     counters.add(Count.CLIENTS_LEFT);
-    add(new Event.ClientLeft(x.rid));
+    add(new GatewayEvent.ClientDisconnected(x.rid));
     exchanges.release(x);
   }
 
@@ -304,8 +305,8 @@
       told(x, "passed");
       x.passed(answer.value());
     }
-    add(new Event.Ended(x.rid, srv, dispatch, answer.ending().outcome(), x.over(), spent, answer.actual(),
-        answer.fleetUse(), load(answer)));
+    add(new GatewayEvent.AttemptEnded(x.rid, srv, dispatch, answer.ending().outcome(), x.over(), spent,
+        answer.actual(), answer.fleetUse(), load(answer)));
     exchanges.ended(x);
     directory.release();
   }
@@ -318,12 +319,12 @@
   @Override
   public boolean mayBegin(Exchange x, int dispatch) {
     flush();
-    return !x.over() && gateway.mayBegin(clock.now(), x.rid, dispatch);
+    return !x.over() && gateway.mayStartAttempt(clock.now(), x.rid, dispatch);
   }
 
   @Override
   public void probed(int srv, Answer answer, long spent) {
-    add(new Event.Probed(srv, answer.ending().outcome(), spent, load(answer)));
+    add(new GatewayEvent.HealthChecked(srv, answer.ending().outcome(), spent, load(answer)));
     directory.release();
   }
 
@@ -336,7 +337,7 @@
 
   @Override
   public void counted(long name, Ending ending, double total, long spent) {
-    add(new Event.Counted(name, ending.outcome(), total, spent));
+    add(new GatewayEvent.CounterReplied(name, ending.outcome(), total, spent));
   }
 
   @Override
@@ -351,7 +352,8 @@
   /** Where changes come unasked the watch is this host's to renew, elsewhere the module's. */
   @Override
   public void watchEnded() {
-    if (configuration.site().rules().mustFollow()) add(new Event.Listed(Event.ListKind.FAILED, List.of()));
+    if (configuration.site().limits().mustOpenWatch())
+      add(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.FAILED, List.of()));
     else discovery.follow();
   }
 
@@ -361,20 +363,20 @@
       if (roster != null) roster.heard(from, words);
       return;
     }
-    Told told = SumsForm.read(words);
-    if (told != null) add(new Event.Heard(from, told));
+    GossipMessage told = SumsForm.read(words);
+    if (told != null) add(new GatewayEvent.GossipReceived(from, told));
   }
 
   @Override
   public String figures() {
     String own = counters.text() + "held=" + exchanges.size() + "\n";
-    return roster == null ? own : own + roster.figures(gateway.heardWithin());
+    return roster == null ? own : own + roster.figures(gateway.gossipValidityTicks());
   }
 
   // ---- actions
 
   @Override
-  public void dispatch(long rid, long srv, long cap) {
+  public void startAttempt(long rid, long srv, long cap) {
     Exchange x = exchanges.find(rid);
     if (x == null) return;
     int dispatch = exchanges.begin(x);
@@ -393,7 +395,7 @@
   }
 
   @Override
-  public void deny(long rid, long pause) {
+  public void reject(long rid, long pause) {
     Exchange x = exchanges.find(rid);
     if (x == null) return;
     told(x, "denied");
@@ -402,7 +404,7 @@
   }
 
   @Override
-  public void abort(long rid) {
+  public void fail(long rid) {
     Exchange x = exchanges.find(rid);
     if (x == null) return;
     told(x, "aborted");
@@ -411,45 +413,46 @@
   }
 
   @Override
-  public void cancel(long rid, int dispatch) {
+  public void cancelAttempt(long rid, int dispatch) {
     Exchange x = exchanges.find(rid);
     if (x != null) appServers.cancel(x, dispatch);
   }
 
   @Override
-  public void wake(long when, long handle) {
-    at(when, () -> add(new Event.Due(handle)));
+  public void setTimer(long when, long handle) {
+    at(when, () -> add(new GatewayEvent.TimerFired(handle)));
   }
 
   @Override
-  public void probe(long srv) {
+  public void checkHealth(long srv) {
     appServers.probe((int) srv, configuration.connectTime());
   }
 
   @Override
-  public void closeIdle(long srv) {
+  public void closeIdleConnections(long srv) {
     appServers.closeIdle((int) srv);
   }
 
   @Override
-  public void count(long name, double units, long keep, long cap) {
-    if (counter == null) add(new Event.Counted(name, Event.Outcome.NOT_SENT, 0, 0));
+  public void addToCounter(long name, double units, long keep, long cap) {
+    if (counter == null)
+      add(new GatewayEvent.CounterReplied(name, GatewayEvent.AttemptOutcome.NOT_SENT, 0, 0));
     else counter.add(name, units, keep, cap);
   }
 
   @Override
-  public void follow(boolean on) {
+  public void watchEndpoints(boolean on) {
     if (on) discovery.follow();
     else discovery.stop();
   }
 
   @Override
-  public void tell(int peer, Told told) {
+  public void sendGossip(int peer, GossipMessage told) {
     if (peers != null) peers.tell(peer, SumsForm.write(told));
   }
 
   @Override
-  public void note(String text) {
+  public void log(String text) {
     LOG.info(text);
     if (history != null) history.add("note", "text", text);
   }
--- a/src/main/java/saltlatch/node/Roster.java
+++ b/src/main/java/saltlatch/node/Roster.java
@@ -4,16 +4,16 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 import saltlatch.history.History;
 import saltlatch.member.Membership;
 import saltlatch.member.Message;
 import saltlatch.member.Shares;
 import saltlatch.member.Standing;
 import saltlatch.member.Terms;
-import saltlatch.wire.Scheduler;
 import saltlatch.wire.MemberForm;
 import saltlatch.wire.Peers;
+import saltlatch.wire.Scheduler;
 
 /** Membership on this node's datagrams and clock; only where the configuration asks for it. It decides nothing. */
 final class Roster implements Membership.Out {
@@ -23,24 +23,24 @@
   private final Scheduler scheduler;
   private final Peers peers;
   private final History history; // null: none is kept
-  private final Consumer<Event> module;
+  private final Consumer<GatewayEvent> module;
   private final Terms terms;
   private final Membership membership;
   private final Shares shares; // as the module has them, to be told
-  private Event.Members told;
+  private GatewayEvent.MembershipChanged told;
   private Standing standing;
   private String share = "";
 
   Roster(Scheduler scheduler, Peers peers, History history, NodeConfiguration configuration,
-      Consumer<Event> module) {
+      Consumer<GatewayEvent> module) {
     this.scheduler = scheduler;
     this.peers = peers;
     this.history = history;
     this.module = module;
-    terms = Terms.of(configuration.site().nodes(), configuration.site().peers().intake());
+    terms = Terms.of(configuration.site().nodeCount(), configuration.site().peers().datagramsPerSecond());
     long now = scheduler.now();
-    shares = new Shares(configuration.site().peers().me(), terms.members());
-    membership = new Membership(terms, configuration.site().peers().me(), now / SECOND,
+    shares = new Shares(configuration.site().peers().ownIndex(), terms.members());
+    membership = new Membership(terms, configuration.site().peers().ownIndex(), now / SECOND,
         configuration.site().seed(), now, this);
     look();
     tick();
@@ -69,15 +69,17 @@
 
   /** Tells what has changed. */
   private void look() {
-    Event.Members now = membership.members();
+    GatewayEvent.MembershipChanged now = membership.members();
     boolean changed = !now.equals(told);
     if (changed) {
       module.accept(now);
       shares.follow(now);
       told = now;
     }
-    shareIs(scheduler.now() < now.takesUntil() && now.lives().contains(Event.Life.GONE) ? "more"
-        : scheduler.now() < now.holdsUntil() ? "whole" : "floor", changed);
+    shareIs(scheduler.now() < now.takeoverUntilTicks()
+        && now.states().contains(GatewayEvent.MemberState.TAKEN_OVER) ? "more"
+            : scheduler.now() < now.leaseUntilTicks() ? "whole" : "floor",
+        changed);
     Standing is = membership.standing();
     if (is == standing) return;
     standing = is;
@@ -95,7 +97,7 @@
       long now = scheduler.now();
       history.add("share", "is", is, "part", shares.own(now, 0, terms.members()), "whole",
           1.0 / terms.members(), "floor", shares.own(Long.MAX_VALUE, 0, terms.members()), "holds_ms",
-          left(told.holdsUntil()), "takes_ms", left(told.takesUntil()));
+          left(told.leaseUntilTicks()), "takes_ms", left(told.takeoverUntilTicks()));
     }
     share = is;
   }
@@ -110,10 +112,10 @@
         + "\nmembers_live=" + membership.live() + "\nmembers_failed=" + membership.count(Message.State.FAILED)
         + "\nmembers_left=" + membership.count(Message.State.LEFT) + "\nmembers_view=" + membership.version()
         + "\nmembers_digest=" + Long.toHexString(membership.digest()) + "\nmembers_health="
-        + membership.health() + "\nmembers_holds_ms=" + left(told.holdsUntil()) + "\nmembers_takes_ms="
-        + left(told.takesUntil()) + "\nmembers_t1_ms=" + terms.failedWithin() / 10 + "\nmembers_t2_ms="
-        + terms.falselyFailedAtMost() / 10 + "\nmembers_t3_ms=" + terms.equalWithin() / 10
-        + "\nmembers_lease_ms=" + terms.lease() / 10 + "\nmembers_takeover_ms="
+        + membership.health() + "\nmembers_holds_ms=" + left(told.leaseUntilTicks()) + "\nmembers_takes_ms="
+        + left(told.takeoverUntilTicks()) + "\nmembers_t1_ms=" + terms.failedWithin() / 10
+        + "\nmembers_t2_ms=" + terms.falselyFailedAtMost() / 10 + "\nmembers_t3_ms="
+        + terms.equalWithin() / 10 + "\nmembers_lease_ms=" + terms.lease() / 10 + "\nmembers_takeover_ms="
         + (terms.failedWithin() + terms.takenOverWithin()) / 10 + "\nmembers_b=" + (terms.members() - 1)
         + "\nmembers_d_ms=" + heardWithin / 10 + "\n";
   }
--- a/src/main/java/saltlatch/node/Serve.java
+++ b/src/main/java/saltlatch/node/Serve.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.TimeoutException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.api.Gateway;
-import saltlatch.api.Site;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GatewaySettings;
 import saltlatch.history.History;
 import saltlatch.state.Counters;
 import saltlatch.state.Counters.Count;
@@ -51,7 +51,7 @@
     loop.exceptionHandler(this::unexpected);
     history = configuration.history() == null ? null : new History(configuration.history(),
         configuration.name(), ProcessHandle.current().pid() + "-" + System.nanoTime());
-    if (history != null) history.add("started", "nodes", configuration.site().nodes());
+    if (history != null) history.add("started", "nodes", configuration.site().nodeCount());
     pilot = new Pilot(vertx, loop, configuration, counters,
         configuration.memoryMb() * 1024L * 1024 / BYTES_PART, history);
     listener = new ClientListener(vertx, pilot, pilot, counters, configuration.clientLinks());
@@ -65,7 +65,7 @@
   }
 
   /** Returns a code to end with, or 0 once the node serves. */
-  public static int run(Gateway.Maker maker, String path, PrintStream err) {
+  public static int run(GatewayPolicy.Factory maker, String path, PrintStream err) {
     Hangups hangups = new Hangups();
     Serve serve;
     try {
@@ -102,7 +102,7 @@
   }
 
   /** Starts a node of the configuration's JSON text; done once it serves, failed for a bad text or no listener. */
-  public static Future<Embedded> embedded(Gateway.Maker maker, String json) {
+  public static Future<Embedded> embedded(GatewayPolicy.Factory maker, String json) {
     Serve serve;
     try {
       serve = new Serve(NodeConfiguration.of(json));
@@ -138,7 +138,7 @@
   }
 
   /** Done once PING is answered with PONG. */
-  Future<Void> start(Gateway.Maker maker) {
+  Future<Void> start(GatewayPolicy.Factory maker) {
     Promise<Void> open = Promise.promise();
     loop.runOnContext(v -> {
       try {
@@ -155,7 +155,7 @@
         LOG.info("{} serves on {}", configuration.name(), configuration.listen());
         if (history != null) history.add("ready");
         open.complete();
-        pilot.follow();
+        pilot.watchEndpoints();
       });
     });
     return open.future();
@@ -183,9 +183,9 @@
   Future<Void> stop() {
     long longest = 0;
     long target = 0;
-    for (Site.Frontend f : configuration.site().frontends()) {
-      longest = Math.max(longest, f.clientTimeout() / 10);
-      target = Math.max(target, f.target() / 10);
+    for (GatewaySettings.RequestClass f : configuration.site().requestClasses()) {
+      longest = Math.max(longest, f.clientTimeoutTicks() / 10);
+      target = Math.max(target, f.latencyObjectiveTicks() / 10);
     }
     long last = Math.min(MOST_WAIT_MS, longest) + KILL_MS - EXIT_MS;
     long turn = Math.max(LATE_MS, last - target);
--- a/src/main/java/saltlatch/node/SlicedUpdate.java
+++ b/src/main/java/saltlatch/node/SlicedUpdate.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 import saltlatch.wire.Discovery;
 import saltlatch.wire.TargetList;
 
@@ -40,8 +40,8 @@
   }
 
   /** Goes on by one slice; null where it has nothing to tell the module. */
-  Event.Listed step() {
-    List<Event.Entry> entries = new ArrayList<>();
+  GatewayEvent.EndpointsUpdated step() {
+    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     switch (phase) {
       case INDEX -> index();
       case REMOVE_UNNAMED -> removeUnnamed(entries);
@@ -49,7 +49,8 @@
       case READY -> take(true, entries);
       default -> throw new IllegalStateException("done");
     }
-    return entries.isEmpty() ? null : new Event.Listed(Event.ListKind.CHANGES, entries);
+    return entries.isEmpty() ? null
+        : new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.DELTA, entries);
   }
 
   private void index() {
@@ -62,7 +63,7 @@
     phase = list.whole() ? Phase.REMOVE_UNNAMED : Phase.NOT_READY;
   }
 
-  private void removeUnnamed(List<Event.Entry> entries) {
+  private void removeUnnamed(List<GatewayEvent.Endpoint> entries) {
     int end = Math.min(directory.numbers(), at + Discovery.SLICE);
     for (; at < end; at++) {
       String name = directory.name(at);
@@ -72,10 +73,11 @@
     if (at >= directory.numbers()) phase = Phase.NOT_READY;
   }
 
-  private void take(boolean ready, List<Event.Entry> entries) {
+  private void take(boolean ready, List<GatewayEvent.Endpoint> entries) {
     for (int looked = 0; looked < Discovery.SLICE && targets.hasNext(); looked++) {
       TargetList.Target target = targets.next();
-      if (ready == (target.condition() == Event.Condition.READY)) entries.add(directory.take(target));
+      if (ready == (target.condition() == GatewayEvent.EndpointState.READY))
+        entries.add(directory.take(target));
     }
     if (targets.hasNext()) return;
     targets = latest.values().iterator();
--- a/src/main/java/saltlatch/node/TargetDirectory.java
+++ b/src/main/java/saltlatch/node/TargetDirectory.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 import saltlatch.state.Names;
 import saltlatch.wire.AppServers;
 import saltlatch.wire.Discovery;
@@ -20,7 +20,7 @@
   private final Names zones;
   private final Names types;
   private final Names names = new Names();
-  private final List<Event.Entry> entries = new ArrayList<>(); // as told last, by number
+  private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // as told last, by number
   private final Set<Integer> leaving = new LinkedHashSet<>(); // off the list, with something still out
 
   TargetDirectory(AppServers appServers, Names zones, Names types) {
@@ -54,39 +54,40 @@
   }
 
   /** Takes a list or change in, and gives the module's event of it. */
-  Event.Listed take(TargetList list, Event.ListKind kind) {
-    List<Event.Entry> entries = new ArrayList<>();
+  GatewayEvent.EndpointsUpdated take(TargetList list, GatewayEvent.EndpointUpdateKind kind) {
+    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     Set<Integer> named = new LinkedHashSet<>();
     for (TargetList.Target target : list.targets()) {
-      Event.Entry entry = take(target);
+      GatewayEvent.Endpoint entry = take(target);
       entries.add(entry);
-      named.add((int) entry.srv());
+      named.add((int) entry.serverId());
     }
     if (list.whole()) names.each(srv -> {
       if (!named.contains(srv)) leaving.add(srv);
     });
-    return new Event.Listed(kind, entries);
+    return new GatewayEvent.EndpointsUpdated(kind, entries);
   }
 
   /** Takes one target in, and gives the module's entry of it. */
-  Event.Entry take(TargetList.Target target) {
+  GatewayEvent.Endpoint take(TargetList.Target target) {
     int srv = names.number(target.name());
     if (target.address() != null) appServers.locate(srv, target.address());
-    if (target.condition() == Event.Condition.GONE) leaving.add(srv);
+    if (target.condition() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
     else leaving.remove(srv);
-    Event.Entry entry = new Event.Entry(srv, target.sinceMs() * 10, Math.max(0, zones.find(target.zone())),
-        target.group(), target.condition(), target.weight(), Math.max(0, types.find(target.type())));
+    GatewayEvent.Endpoint entry = new GatewayEvent.Endpoint(srv, target.sinceMs() * 10,
+        Math.max(0, zones.find(target.zone())), target.group(), target.condition(), target.weight(),
+        Math.max(0, types.find(target.type())));
     while (entries.size() <= srv) entries.add(null);
     entries.set(srv, entry);
     return entry;
   }
 
   /** Takes one off the list that a whole list no longer names: as told last, but gone. */
-  Event.Entry remove(int srv) {
+  GatewayEvent.Endpoint remove(int srv) {
     leaving.add(srv);
-    Event.Entry was = entries.get(srv);
-    return new Event.Entry(srv, was.since(), was.zone(), was.cell(), Event.Condition.GONE, was.rating(),
-        was.type());
+    GatewayEvent.Endpoint was = entries.get(srv);
+    return new GatewayEvent.Endpoint(srv, was.startedAtTicks(), was.zone(), was.keyGroup(),
+        GatewayEvent.EndpointState.REMOVED, was.weight(), was.machineType());
   }
 
   /** Gives the numbers free of app servers that are gone and have nothing out any more, a slice at once. */
--- a/src/main/java/saltlatch/rules/Contradictions.java
+++ b/src/main/java/saltlatch/rules/Contradictions.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.SortedSet;
 import java.util.TreeSet;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 
 /**
  * What of two versions must not be acted on at once: where a node on the older one does what the newer one forbids. What a
@@ -15,12 +15,12 @@
   public static Contradictions between(RuleSet older, RuleSet newer) {
     Set<String> plans = new TreeSet<>();
     older.plans().forEach((name, p) -> {
-      Site.Plan q = newer.plans().get(name);
+      GatewaySettings.QuotaPlan q = newer.plans().get(name);
       if (q == null || isTighter(p, q)) plans.add(name);
     });
     Set<String> frontends = new TreeSet<>();
     older.frontends().forEach((name, f) -> {
-      Site.Frontend g = newer.frontends().get(name);
+      GatewaySettings.RequestClass g = newer.frontends().get(name);
       if (g == null || isTighter(f, g)) frontends.add(name);
     });
     return new Contradictions(plans, frontends, without(newer.heldOut(), older.heldOut()),
@@ -28,10 +28,12 @@
   }
 
   /** A quota, cap or ceiling that allows less; 0 stands for none at all. */
-  private static boolean isTighter(Site.Plan p, Site.Plan q) {
-    return less(p.rate(), q.rate()) || q.rate() > 0 && p.rate() > 0 && q.burst() < p.burst()
-        || less(p.parallel(), q.parallel()) || less(p.ceilingRate(), q.ceilingRate())
-        || q.ceilingRate() > 0 && p.ceilingRate() > 0 && q.ceilingBurst() < p.ceilingBurst();
+  private static boolean isTighter(GatewaySettings.QuotaPlan p, GatewaySettings.QuotaPlan q) {
+    return less(p.ratePerSecond(), q.ratePerSecond())
+        || q.ratePerSecond() > 0 && p.ratePerSecond() > 0 && q.burstUnits() < p.burstUnits()
+        || less(p.maxConcurrent(), q.maxConcurrent()) || less(p.ceilingPerSecond(), q.ceilingPerSecond())
+        || q.ceilingPerSecond() > 0 && p.ceilingPerSecond() > 0
+            && q.ceilingBurstUnits() < p.ceilingBurstUnits();
   }
 
   private static boolean less(double older, double newer) {
@@ -39,9 +41,9 @@
   }
 
   /** One that may be run again less freely, or whose repeats are remembered for less, or in a smaller group. */
-  private static boolean isTighter(Site.Frontend f, Site.Frontend g) {
-    return g.effect().ordinal() > f.effect().ordinal() || g.group().ordinal() > f.group().ordinal()
-        || g.remembered() < f.remembered();
+  private static boolean isTighter(GatewaySettings.RequestClass f, GatewaySettings.RequestClass g) {
+    return g.retrySafety().ordinal() > f.retrySafety().ordinal()
+        || g.keyScope().ordinal() > f.keyScope().ordinal() || g.keyTtlTicks() < f.keyTtlTicks();
   }
 
   /** Those barred anew, and those exempt no longer. */
--- a/src/main/java/saltlatch/rules/RuleSet.java
+++ b/src/main/java/saltlatch/rules/RuleSet.java
@@ -6,7 +6,7 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 
 /**
  * All rules that the edge nodes must agree on, of one version: settings (plans, frontends by name, limits) and lists (app
@@ -14,9 +14,10 @@
  * are sorted, so that one rule set has one form and one hash. {@code pins}: keys ({@code plans.NAME}, {@code frontends.NAME},
  * {@code heldOut}, {@code customers}, {@code sendCap}) that no later version of the same epoch tightens.
  */
-public record RuleSet(Version version, Map<String, Site.Plan> plans, Map<String, Site.Frontend> frontends,
-    Limits limits, SortedSet<String> heldOut, SortedSet<Long> barred, SortedSet<Long> exempt,
-    SortedSet<String> roster, SortedSet<String> pins, Expired expired) {
+public record RuleSet(Version version, Map<String, GatewaySettings.QuotaPlan> plans,
+    Map<String, GatewaySettings.RequestClass> frontends, Limits limits, SortedSet<String> heldOut,
+    SortedSet<Long> barred, SortedSet<Long> exempt, SortedSet<String> roster, SortedSet<String> pins,
+    Expired expired) {
 
   /** {@code sendCap}: dispatches of a req at most; {@code longestPause}: the most that a client is told to wait. */
   public record Limits(int sendCap, long longestPause) {}
@@ -53,15 +54,15 @@
     if (plans.isEmpty()) out.add("plans: none");
     if (frontends.isEmpty()) out.add("frontends: none");
     plans.forEach((name, p) -> {
-      if (!(p.rate() >= 0) || p.rate() > 0 && !(p.burst() > 0))
+      if (!(p.ratePerSecond() >= 0) || p.ratePerSecond() > 0 && !(p.burstUnits() > 0))
         out.add("plans." + name + ": a rate wants a burst above 0");
-      if (p.ceilingRate() < 0 || p.ceilingBurst() < 0 || p.parallel() < 0)
+      if (p.ceilingPerSecond() < 0 || p.ceilingBurstUnits() < 0 || p.maxConcurrent() < 0)
         out.add("plans." + name + ": below 0");
     });
     frontends.forEach((name, f) -> {
-      if (f.target() <= 0 || f.clientTimeout() < f.target())
+      if (f.latencyObjectiveTicks() <= 0 || f.clientTimeoutTicks() < f.latencyObjectiveTicks())
         out.add("frontends." + name + ": target above 0, timeout no less");
-      if (f.effect() == Site.Effect.UNIQUED && f.remembered() <= 0)
+      if (f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY && f.keyTtlTicks() <= 0)
         out.add("frontends." + name + ": uniqued wants remembered");
     });
     if (limits.sendCap() < 1) out.add("limits.sendCap: at least 1");
--- a/src/main/java/saltlatch/simhost/Reader.java
+++ b/src/main/java/saltlatch/simhost/Reader.java
@@ -6,56 +6,57 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 
 /** Decodes the settings, which the simulator's first message and a node's configuration hold; unknown keys are skipped. */
 public final class Reader {
   private Reader() {}
 
-  static Site site(String text, long seed) {
+  static GatewaySettings site(String text, long seed) {
     return site(JsonParser.parseString(text).getAsJsonObject(), seed);
   }
 
-  public static Site site(JsonObject all, long seed) {
+  public static GatewaySettings site(JsonObject all, long seed) {
     JsonObject limits = part(all, "limits");
     JsonObject guard = part(all, "contract");
     JsonObject family = part(all, "familyInfo");
-    List<Site.Frontend> frontends = new ArrayList<>();
+    List<GatewaySettings.RequestClass> frontends = new ArrayList<>();
     for (JsonObject c : objects(all, "categories")) {
-      frontends.add(new Site.Frontend(effect(word(c, "effect")), group(word(c, "keyScope")),
+      frontends.add(new GatewaySettings.RequestClass(effect(word(c, "effect")), group(word(c, "keyScope")),
           time(c, "window"), time(c, "aim"), time(c, "deadline"), number(c, "importance")));
     }
-    List<Site.Plan> plans = new ArrayList<>();
+    List<GatewaySettings.QuotaPlan> plans = new ArrayList<>();
     if (all.has("contracts")) {
       for (JsonObject c : objects(all, "contracts")) {
-        plans.add(new Site.Plan(number(c, "refill"), number(c, "peakUnits"), (int) number(c, "parallel"),
-            number(c, "capRate"), number(c, "hardBurst"), number(c, "pays")));
+        plans.add(new GatewaySettings.QuotaPlan(number(c, "refill"), number(c, "peakUnits"),
+            (int) number(c, "parallel"), number(c, "capRate"), number(c, "hardBurst"), number(c, "pays")));
       }
     }
-    Site.Rules rules = new Site.Rules(word(all, "discovery").equals("subscribe"), flag(limits, "cancelling"),
-        (int) number(limits, "sendCap"), flag(limits, "retryAfter"), time(limits, "maxRetryAfter"),
-        flag(part(all, "clients"), "marksRetry"), time(guard, "cold"), number(guard, "coldFrom"),
-        number(guard, "fallMultiple"), time(guard, "tipAfter"));
-    Site.Counting counting = new Site.Counting(flag(family, "counter"), flag(family, "costAfter"));
-    return new Site(seed, (int) number(all, "peersTotal"), time(all, "quantum"), rules, counting,
-        new Site.Peers((int) number(all, "me"), flag(limits, "mayTell") ? number(family, "peerInPerS") : 0,
-            number(part(all, "fees"), "peer")),
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(word(all, "discovery").equals("subscribe"),
+        flag(limits, "cancelling"), (int) number(limits, "sendCap"), flag(limits, "retryAfter"),
+        time(limits, "maxRetryAfter"), flag(part(all, "clients"), "marksRetry"), time(guard, "cold"),
+        number(guard, "coldFrom"), number(guard, "fallMultiple"), time(guard, "tipAfter"));
+    GatewaySettings.CounterSettings counting = new GatewaySettings.CounterSettings(flag(family, "counter"),
+        flag(family, "costAfter"));
+    return new GatewaySettings(seed, (int) number(all, "peersTotal"), time(all, "quantum"), rules, counting,
+        new GatewaySettings.PeerSettings((int) number(all, "me"),
+            flag(limits, "mayTell") ? number(family, "peerInPerS") : 0, number(part(all, "fees"), "peer")),
         frontends, plans);
   }
 
-  private static Site.Effect effect(String word) {
+  private static GatewaySettings.RetrySafety effect(String word) {
     return switch (word) {
-      case "idempotent" -> Site.Effect.REPLAYABLE;
-      case "deduplicated" -> Site.Effect.UNIQUED;
-      default -> Site.Effect.NON_REPLAYABLE;
+      case "idempotent" -> GatewaySettings.RetrySafety.IDEMPOTENT;
+      case "deduplicated" -> GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY;
+      default -> GatewaySettings.RetrySafety.NOT_IDEMPOTENT;
     };
   }
 
-  private static Site.Group group(String word) {
+  private static GatewaySettings.KeyScope group(String word) {
     return switch (word) {
-      case "all" -> Site.Group.ALL;
-      case "zone" -> Site.Group.ZONE;
-      default -> Site.Group.CELL;
+      case "all" -> GatewaySettings.KeyScope.ALL;
+      case "zone" -> GatewaySettings.KeyScope.ZONE;
+      default -> GatewaySettings.KeyScope.GROUP;
     };
   }
 
--- a/src/main/java/saltlatch/simhost/Reply.java
+++ b/src/main/java/saltlatch/simhost/Reply.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
-import saltlatch.api.Actions;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GossipMessage;
 import saltlatch.wire.SumsForm;
 
 /** The reply frame under construction. */
@@ -64,7 +64,7 @@
   }
 
   /** One instance's actions, written as they are emitted. */
-  final class Encoder implements Actions {
+  final class Encoder implements GatewayActions {
     private final int inst;
 
     Encoder(int inst) {
@@ -76,68 +76,68 @@
     }
 
     @Override
-    public void dispatch(long rid, long srv, long cap) {
+    public void startAttempt(long rid, long srv, long cap) {
       int at = next(259, inst);
       records.putInt(at + 4, (int) rid).putDouble(at + 8, ms(cap)).putInt(at + 16, (int) srv);
     }
 
     @Override
-    public void deny(long rid, long pause) {
+    public void reject(long rid, long pause) {
       int at = next(260, inst);
       records.putInt(at + 4, (int) rid).putDouble(at + 8, ms(pause));
     }
 
     @Override
-    public void abort(long rid) {
+    public void fail(long rid) {
       int at = next(262, inst);
       records.putInt(at + 4, (int) rid);
     }
 
     @Override
-    public void cancel(long rid, int dispatch) {
+    public void cancelAttempt(long rid, int dispatch) {
       int at = next(261, inst);
       records.putInt(at + 4, (int) rid).put(at + 8, (byte) dispatch);
     }
 
     @Override
-    public void wake(long when, long handle) {
+    public void setTimer(long when, long handle) {
       int at = next(265, inst);
       records.putDouble(at + 4, ms(when)).putLong(at + 12, handle);
     }
 
     @Override
-    public void probe(long srv) {
+    public void checkHealth(long srv) {
       int at = next(266, inst);
       records.putInt(at + 4, (int) srv);
     }
 
     @Override
-    public void closeIdle(long srv) {
+    public void closeIdleConnections(long srv) {
       int at = next(256, inst);
       records.putInt(at + 4, (int) srv);
     }
 
     @Override
-    public void count(long name, double units, long keep, long cap) {
+    public void addToCounter(long name, double units, long keep, long cap) {
       int at = next(267, inst);
       records.putLong(at + 4, name).putFloat(at + 12, (float) units).putDouble(at + 16, ms(keep));
     }
 
     @Override
-    public void follow(boolean on) {
+    public void watchEndpoints(boolean on) {
       int at = next(268, inst);
       records.put(at + 4, (byte) (on ? 1 : 0));
     }
 
     @Override
-    public void tell(int peer, Told told) {
+    public void sendGossip(int peer, GossipMessage told) {
       int at = next(263, inst);
       records.putShort(at + 4, (short) peer);
       attachBytes(at + 6, SumsForm.write(told));
     }
 
     @Override
-    public void note(String text) {
+    public void log(String text) {
       attachBytes(next(264, inst) + 4, text.getBytes(StandardCharsets.UTF_8));
     }
   }
--- a/src/main/java/saltlatch/simhost/SimHost.java
+++ b/src/main/java/saltlatch/simhost/SimHost.java
@@ -14,10 +14,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.api.Event;
-import saltlatch.api.Gateway;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 import saltlatch.wire.SumsForm;
 
 /** Hosts module instances on the simulator's wire: frames in, frames out. It decides nothing. */
@@ -25,9 +25,9 @@
   private static final int HEADER = 12;
   private static final int RECORD = 48;
   private static final int ENTRY = 23;
-  private static final Event.Condition[] CONDITIONS = Event.Condition.values();
-  private static final Event.ListKind[] LISTS = Event.ListKind.values();
-  private static final Event.Outcome[] OUTCOMES = Event.Outcome.values();
+  private static final GatewayEvent.EndpointState[] CONDITIONS = GatewayEvent.EndpointState.values();
+  private static final GatewayEvent.EndpointUpdateKind[] LISTS = GatewayEvent.EndpointUpdateKind.values();
+  private static final GatewayEvent.AttemptOutcome[] OUTCOMES = GatewayEvent.AttemptOutcome.values();
 
   private static final class Malformed extends Exception {
     private static final long serialVersionUID = 1;
@@ -37,11 +37,11 @@
     }
   }
 
-  private final Gateway.Maker maker;
-  private final Map<Integer, Gateway> gateways = new HashMap<>();
+  private final GatewayPolicy.Factory maker;
+  private final Map<Integer, GatewayPolicy> gateways = new HashMap<>();
   private final Reply reply = new Reply();
 
-  public SimHost(Gateway.Maker maker) {
+  public SimHost(GatewayPolicy.Factory maker) {
     this.maker = maker;
   }
 
@@ -83,7 +83,7 @@
       throw new Malformed(count + " records do not fit into " + in.capacity() + " bytes");
     }
     reply.clear();
-    Map<Integer, List<Event>> parts = new LinkedHashMap<>();
+    Map<Integer, List<GatewayEvent>> parts = new LinkedHashMap<>();
     for (int at = HEADER; at < tail; at += RECORD) {
       int code = in.getShort(at) & 0xffff;
       int inst = in.getShort(at + 2) & 0xffff;
@@ -95,11 +95,11 @@
         String text = new String(bytes(in, at + 12, (int) tail, 1), StandardCharsets.UTF_8);
         attach(now, inst, in.getLong(at + 4), text);
       } else if (code != 265) {
-        Event e = event(in, code, at, (int) tail); // null: a datagram of another form
+        GatewayEvent e = event(in, code, at, (int) tail); // null: a datagram of another form
         if (e != null) parts.computeIfAbsent(inst, k -> new ArrayList<>()).add(e);
       }
     }
-    for (Map.Entry<Integer, List<Event>> part : parts.entrySet()) {
+    for (Map.Entry<Integer, List<GatewayEvent>> part : parts.entrySet()) {
       deliver(now, part.getKey(), part.getValue());
     }
     reply.write(out);
@@ -107,17 +107,17 @@
   }
 
   private void attach(long now, int inst, long seed, String text) throws Malformed {
-    Site site;
+    GatewaySettings site;
     try {
       site = Reader.site(text, seed);
     } catch (RuntimeException e) {
       throw new Malformed("settings: " + e);
     }
-    gateways.put(inst, maker.start(now, site, reply.of(inst)));
+    gateways.put(inst, maker.create(now, site, reply.of(inst)));
   }
 
-  private void deliver(long now, int inst, List<Event> events) {
-    Gateway gateway = gateways.get(inst);
+  private void deliver(long now, int inst, List<GatewayEvent> events) {
+    GatewayPolicy gateway = gateways.get(inst);
     if (gateway == null || events == null) {
       return;
     }
@@ -130,50 +130,50 @@
     }
   }
 
-  private static Event event(ByteBuffer in, int code, int at, int tail) throws Malformed {
+  private static GatewayEvent event(ByteBuffer in, int code, int at, int tail) throws Malformed {
     long rid = in.getInt(at + 4) & 0xffffffffL;
     switch (code) {
       case 257 :
         return listed(in, at, tail);
       case 258 :
-        return new Event.Arrived(rid, in.get(at + 22) & 255, in.getShort(at + 8) & 0xffff,
+        return new GatewayEvent.RequestArrived(rid, in.get(at + 22) & 255, in.getShort(at + 8) & 0xffff,
             in.getLong(at + 23), Reply.tenths(in.getDouble(at + 10)), in.getFloat(at + 33),
             Math.round(in.getFloat(at + 18)), Math.round(in.getFloat(at + 37)),
             (in.getShort(at + 31) & 2) != 0, 0);
       case 259 :
-        return new Event.Begun(rid, in.getInt(at + 16) & 0xffffffffL, in.get(at + 20) & 255,
+        return new GatewayEvent.ResponseStarted(rid, in.getInt(at + 16) & 0xffffffffL, in.get(at + 20) & 255,
             Reply.tenths(in.getDouble(at + 8)));
       case 260 :
-        return new Event.Ended(rid, in.getInt(at + 11) & 0xffffffffL, in.get(at + 26) & 255,
+        return new GatewayEvent.AttemptEnded(rid, in.getInt(at + 11) & 0xffffffffL, in.get(at + 26) & 255,
             pick(OUTCOMES, in.get(at + 15)), in.get(at + 8) != 0, Reply.tenths(in.getDouble(at + 18)),
             in.getShort(at + 16) & 0xffff, in.getShort(at + 9) & 0xffff, load(in, at + 27));
       case 261 :
-        return new Event.ClientLeft(rid);
+        return new GatewayEvent.ClientDisconnected(rid);
       case 262 :
-        return new Event.Due(in.getLong(at + 4));
+        return new GatewayEvent.TimerFired(in.getLong(at + 4));
       case 263 :
-        return new Event.Probed(in.getInt(at + 12) & 0xffffffffL, pick(OUTCOMES, in.get(at + 16)),
-            Reply.tenths(in.getDouble(at + 4)), load(in, at + 17));
+        return new GatewayEvent.HealthChecked(in.getInt(at + 12) & 0xffffffffL,
+            pick(OUTCOMES, in.get(at + 16)), Reply.tenths(in.getDouble(at + 4)), load(in, at + 17));
       case 264 :
-        Told told = SumsForm.read(bytes(in, at + 6, tail, 1));
-        return told == null ? null : new Event.Heard(in.getShort(at + 4) & 0xffff, told);
+        GossipMessage told = SumsForm.read(bytes(in, at + 6, tail, 1));
+        return told == null ? null : new GatewayEvent.GossipReceived(in.getShort(at + 4) & 0xffff, told);
       case 266 :
-        return new Event.Counted(in.getLong(at + 4), pick(OUTCOMES, in.get(at + 12)), in.getFloat(at + 13),
-            Reply.tenths(in.getDouble(at + 17)));
+        return new GatewayEvent.CounterReplied(in.getLong(at + 4), pick(OUTCOMES, in.get(at + 12)),
+            in.getFloat(at + 13), Reply.tenths(in.getDouble(at + 17)));
       default :
         throw new Malformed("unknown event code " + code);
     }
   }
 
-  private static Event listed(ByteBuffer in, int at, int tail) throws Malformed {
+  private static GatewayEvent listed(ByteBuffer in, int at, int tail) throws Malformed {
     ByteBuffer data = ByteBuffer.wrap(bytes(in, at + 9, tail, ENTRY)).order(ByteOrder.LITTLE_ENDIAN);
-    List<Event.Entry> entries = new ArrayList<>();
+    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     for (int e = 0; e < data.capacity(); e += ENTRY) {
-      entries.add(new Event.Entry(data.getInt(e) & 0xffffffffL, Reply.tenths(data.getDouble(e + 4)),
+      entries.add(new GatewayEvent.Endpoint(data.getInt(e) & 0xffffffffL, Reply.tenths(data.getDouble(e + 4)),
           data.getShort(e + 12) & 0xffff, data.getShort(e + 14) & 0xffff, pick(CONDITIONS, data.get(e + 16)),
           data.getFloat(e + 17), data.getShort(e + 21) & 0xffff));
     }
-    return new Event.Listed(pick(LISTS, in.get(at + 4)), entries);
+    return new GatewayEvent.EndpointsUpdated(pick(LISTS, in.get(at + 4)), entries);
   }
 
   private static byte[] bytes(ByteBuffer in, int at, int tail, int width) throws Malformed {
--- a/src/main/java/saltlatch/wire/Ending.java
+++ b/src/main/java/saltlatch/wire/Ending.java
@@ -1,30 +1,30 @@
 package saltlatch.wire;
 
-import saltlatch.api.Event.Outcome;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
 
 /** Every way in which a dispatch, a probe or a count call can end, and what each tells the module. */
 public enum Ending {
-  ANSWERED(Outcome.PASSED),
-  ERROR_ANSWER(Outcome.ERROR),
-  SPOILT_ANSWER(Outcome.BROKEN), // what can't be read: it may have run, and the connection is of no further use
-  BUSY_ANSWER(Outcome.FULL), // -BUSY, busy: it never ran
-  REFUSED_CALL(Outcome.NOT_SENT), // the counter's error: no such call, nothing added
-  CONNECT_FAILED(Outcome.NOT_CONNECTED), // refused, or did not come up in time
-  BROKE_UNWRITTEN(Outcome.NOT_CONNECTED), // broke before the last byte was written
-  BROKE_WRITTEN(Outcome.BROKEN), // broke or ended after that
-  TIMED_OUT_UNWRITTEN(Outcome.NOT_CONNECTED),
-  TIMED_OUT(Outcome.LATE),
-  OWN_CANCEL(Outcome.CANCELLED),
-  WITHDRAWN(Outcome.WITHDRAWN), // its connection came up, but what had allowed it was past: no byte was written
-  NO_DESCRIPTOR(Outcome.NOT_SENT); // every connection that this node may hold is in use
+  ANSWERED(AttemptOutcome.SUCCEEDED),
+  ERROR_ANSWER(AttemptOutcome.SERVER_ERROR),
+  SPOILT_ANSWER(AttemptOutcome.CONNECTION_LOST), // what can't be read: it may have run, and the connection is of no further use
+  BUSY_ANSWER(AttemptOutcome.SERVER_BUSY), // -BUSY, busy: it never ran
+  REFUSED_CALL(AttemptOutcome.NOT_SENT), // the counter's error: no such call, nothing added
+  CONNECT_FAILED(AttemptOutcome.CONNECT_FAILED), // refused, or did not come up in time
+  BROKE_UNWRITTEN(AttemptOutcome.CONNECT_FAILED), // broke before the last byte was written
+  BROKE_WRITTEN(AttemptOutcome.CONNECTION_LOST), // broke or ended after that
+  TIMED_OUT_UNWRITTEN(AttemptOutcome.CONNECT_FAILED),
+  TIMED_OUT(AttemptOutcome.TIMED_OUT),
+  OWN_CANCEL(AttemptOutcome.CANCELLED),
+  WITHDRAWN(AttemptOutcome.WITHDRAWN), // its connection came up, but what had allowed it was past: no byte was written
+  NO_DESCRIPTOR(AttemptOutcome.NOT_SENT); // every connection that this node may hold is in use
 
-  private final Outcome outcome;
+  private final AttemptOutcome outcome;
 
-  Ending(Outcome outcome) {
+  Ending(AttemptOutcome outcome) {
     this.outcome = outcome;
   }
 
-  public Outcome outcome() {
+  public AttemptOutcome outcome() {
     return outcome;
   }
 }
--- a/src/main/java/saltlatch/wire/RulesForm.java
+++ b/src/main/java/saltlatch/wire/RulesForm.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 import saltlatch.rules.Follower;
 import saltlatch.rules.RuleSet;
 import saltlatch.rules.Version;
@@ -40,6 +40,11 @@
   private static final double TENTHS = 10; // of a ms in one
   private static final int LONGEST = 1 << 20; // characters of one rule set: far above any fleet's, far below a keeper's memory
 
+  /** The form's words for the values that have other names in the code. */
+  private static final Map<Enum<?>, String> WORDS = Map.of(GatewaySettings.RetrySafety.IDEMPOTENT,
+      "replayable", GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY, "uniqued",
+      GatewaySettings.RetrySafety.NOT_IDEMPOTENT, "non_replayable", GatewaySettings.KeyScope.GROUP, "cell");
+
   private RulesForm() {}
 
   // ---- rule sets
@@ -52,9 +57,9 @@
   private static RuleSet rules(Part p) throws Malformed {
     p.only("epoch", "number", "expired", "pins", "plans", "frontends", "limits", "held_out", "barred",
         "exempt", "roster");
-    Map<String, Site.Plan> plans = new TreeMap<>();
+    Map<String, GatewaySettings.QuotaPlan> plans = new TreeMap<>();
     for (Part e : p.part("plans").parts()) plans.put(e.name(), plan(e));
-    Map<String, Site.Frontend> frontends = new TreeMap<>();
+    Map<String, GatewaySettings.RequestClass> frontends = new TreeMap<>();
     for (Part e : p.part("frontends").parts()) frontends.put(e.name(), frontend(e));
     Part limits = p.part("limits");
     limits.only("send_cap", "longest_pause_ms");
@@ -65,16 +70,17 @@
         p.has("expired") ? p.one("expired", RuleSet.Expired.values()) : RuleSet.Expired.DENY);
   }
 
-  private static Site.Plan plan(Part p) throws Malformed {
+  private static GatewaySettings.QuotaPlan plan(Part p) throws Malformed {
     p.only("rate", "burst", "parallel", "ceiling_rate", "ceiling_burst", "price");
-    return new Site.Plan(p.number("rate"), p.number("burst"), (int) p.whole("parallel"),
+    return new GatewaySettings.QuotaPlan(p.number("rate"), p.number("burst"), (int) p.whole("parallel"),
         p.number("ceiling_rate"), p.number("ceiling_burst"), p.number("price"));
   }
 
-  private static Site.Frontend frontend(Part p) throws Malformed {
+  private static GatewaySettings.RequestClass frontend(Part p) throws Malformed {
     p.only("effect", "group", "remembered_ms", "target_ms", "client_timeout_ms", "value");
-    return new Site.Frontend(p.one("effect", Site.Effect.values()), p.one("group", Site.Group.values()),
-        p.tenths("remembered_ms"), p.tenths("target_ms"), p.tenths("client_timeout_ms"), p.number("value"));
+    return new GatewaySettings.RequestClass(p.one("effect", GatewaySettings.RetrySafety.values()),
+        p.one("group", GatewaySettings.KeyScope.values()), p.tenths("remembered_ms"), p.tenths("target_ms"),
+        p.tenths("client_timeout_ms"), p.number("value"));
   }
 
   private static SortedSet<Long> customers(Part p, String key) throws Malformed {
@@ -102,24 +108,24 @@
     JsonObject plans = new JsonObject();
     r.plans().forEach((name, p) -> {
       JsonObject e = new JsonObject();
-      e.addProperty("rate", p.rate());
-      e.addProperty("burst", p.burst());
-      e.addProperty("parallel", p.parallel());
-      e.addProperty("ceiling_rate", p.ceilingRate());
-      e.addProperty("ceiling_burst", p.ceilingBurst());
-      e.addProperty("price", p.price());
+      e.addProperty("rate", p.ratePerSecond());
+      e.addProperty("burst", p.burstUnits());
+      e.addProperty("parallel", p.maxConcurrent());
+      e.addProperty("ceiling_rate", p.ceilingPerSecond());
+      e.addProperty("ceiling_burst", p.ceilingBurstUnits());
+      e.addProperty("price", p.priorityWeight());
       plans.add(name, e);
     });
     o.add("plans", plans);
     JsonObject frontends = new JsonObject();
     r.frontends().forEach((name, f) -> {
       JsonObject e = new JsonObject();
-      e.addProperty("effect", word(f.effect()));
-      e.addProperty("group", word(f.group()));
-      e.addProperty("remembered_ms", f.remembered() / TENTHS);
-      e.addProperty("target_ms", f.target() / TENTHS);
-      e.addProperty("client_timeout_ms", f.clientTimeout() / TENTHS);
-      e.addProperty("value", f.value());
+      e.addProperty("effect", word(f.retrySafety()));
+      e.addProperty("group", word(f.keyScope()));
+      e.addProperty("remembered_ms", f.keyTtlTicks() / TENTHS);
+      e.addProperty("target_ms", f.latencyObjectiveTicks() / TENTHS);
+      e.addProperty("client_timeout_ms", f.clientTimeoutTicks() / TENTHS);
+      e.addProperty("value", f.priorityWeight());
       frontends.add(name, e);
     });
     o.add("frontends", frontends);
@@ -199,7 +205,7 @@
   }
 
   private static String word(Enum<?> e) {
-    return e.name().toLowerCase(Locale.ROOT);
+    return WORDS.getOrDefault(e, e.name().toLowerCase(Locale.ROOT));
   }
 
   private static <T> JsonArray array(Set<T> of, Function<T, String> word) {
--- a/src/main/java/saltlatch/wire/SumsForm.java
+++ b/src/main/java/saltlatch/wire/SumsForm.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.List;
-import saltlatch.api.Told;
+import saltlatch.api.GossipMessage;
 
 /**
  * The form of a datagram of sums: a byte, then entries of 7 bytes each: 33 bits of the customer, 7 of the window's number, 16
@@ -18,36 +18,37 @@
   private static final long CUSTOMERS = 1L << 33;
   private static final long HEARING = CUSTOMERS - 16; // from this customer on an entry is of the nodes heard
   private static final int FLAGS = 2; // bits of the first such entry: holds, takes; each has 23
-  private static final int BITS = Told.TOLD_OF;
+  private static final int BITS = GossipMessage.NODES_PER_ENTRY;
 
   private SumsForm() {}
 
-  public static byte[] write(Told told) {
-    byte[] words = new byte[1 + Told.ENTRIES * ENTRY];
+  public static byte[] write(GossipMessage told) {
+    byte[] words = new byte[1 + GossipMessage.MAX_ENTRIES * ENTRY];
     words[0] = FIRST;
     int at = 1;
-    if (told.hearing() != null) {
-      BitSet bits = bits(told.hearing());
+    if (told.reachability() != null) {
+      BitSet bits = bits(told.reachability());
       for (int i = 0; i * BITS < bits.length(); i++) {
         int part = 0;
         for (int b = 0; b < BITS; b++) part |= bits.get(i * BITS + b) ? 1 << b : 0;
         at = entry(words, at, HEARING + i, part >>> 16, part & 0xffff);
       }
     }
-    for (Told.Sum s : told.sums()) {
+    for (GossipMessage.WindowUsage s : told.usage()) {
       if (at + ENTRY > words.length) break;
       int units = (int) Math.max(0, Math.min(0xffff, Math.round(s.units() * GRAIN)));
       long customer = s.customer() & CUSTOMERS - 1;
-      if (customer < HEARING) at = entry(words, at, customer, s.turn(), units);
+      if (customer < HEARING) at = entry(words, at, customer, s.windowNumber(), units);
     }
     return Arrays.copyOf(words, at);
   }
 
-  private static BitSet bits(Told.Hearing h) {
+  private static BitSet bits(GossipMessage.Reachability h) {
     BitSet bits = new BitSet();
-    bits.set(0, h.holds());
-    bits.set(1, h.takes());
-    h.nodes().stream().filter(n -> n < Told.MOST_NODES).forEach(n -> bits.set(n + FLAGS));
+    bits.set(0, h.holdsLease());
+    bits.set(1, h.holdsTakeover());
+    h.reachableNodes().stream().filter(n -> n < GossipMessage.MAX_NODES_WITH_REACHABILITY)
+        .forEach(n -> bits.set(n + FLAGS));
     return bits;
   }
 
@@ -60,12 +61,12 @@
   }
 
   /** Null for what is not of this form. */
-  public static Told read(byte[] words) {
-    if (words.length == 0 || words.length > 1 + Told.ENTRIES * ENTRY || words[0] != FIRST
+  public static GossipMessage read(byte[] words) {
+    if (words.length == 0 || words.length > 1 + GossipMessage.MAX_ENTRIES * ENTRY || words[0] != FIRST
         || (words.length - 1) % ENTRY != 0) {
       return null;
     }
-    List<Told.Sum> sums = new ArrayList<>();
+    List<GossipMessage.WindowUsage> sums = new ArrayList<>();
     BitSet bits = null;
     for (int at = 1; at < words.length; at += ENTRY) {
       long head = 0;
@@ -74,7 +75,7 @@
       long customer = head >>> 7;
       int turn = (int) (head & 0x7f);
       if (customer < HEARING) {
-        sums.add(new Told.Sum(customer, turn, units / GRAIN));
+        sums.add(new GossipMessage.WindowUsage(customer, turn, units / GRAIN));
         continue;
       }
       if (bits == null) bits = new BitSet();
@@ -82,7 +83,8 @@
       for (int b = 0; b < BITS; b++)
         if ((part >>> b & 1) != 0) bits.set((int) (customer - HEARING) * BITS + b);
     }
-    return new Told(sums, bits == null ? null
-        : new Told.Hearing(bits.get(FLAGS, Math.max(FLAGS, bits.length())), bits.get(0), bits.get(1)));
+    return new GossipMessage(sums,
+        bits == null ? null : new GossipMessage.Reachability(bits.get(FLAGS, Math.max(FLAGS, bits.length())),
+            bits.get(0), bits.get(1)));
   }
 }
--- a/src/main/java/saltlatch/wire/TargetList.java
+++ b/src/main/java/saltlatch/wire/TargetList.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.UnaryOperator;
-import saltlatch.api.Event.Condition;
+import saltlatch.api.GatewayEvent.EndpointState;
 
 /**
  * One message of discovery, decoded once; a target with no address is none to connect to. {@code series}: when the
@@ -23,7 +23,7 @@
    * @param sinceMs when it last started, Unix time in ms, 0 for long ago
    */
   public record Target(String name, SocketAddress address, String zone, String type, int group,
-      Condition condition, double weight, long sinceMs) {}
+      EndpointState condition, double weight, long sinceMs) {}
 
   public static TargetList of(JsonObject o) {
     return of(o, new ArrayList<>(), UnaryOperator.identity());
@@ -37,9 +37,9 @@
   }
 
   static Target target(JsonObject t, UnaryOperator<String> word) {
-    Condition condition = condition(t.get("status").getAsString());
+    EndpointState condition = condition(t.get("status").getAsString());
     String address = text(t, "address");
-    if (address.isEmpty() && condition == Condition.READY)
+    if (address.isEmpty() && condition == EndpointState.READY)
       throw new IllegalArgumentException("ready at no address");
     return new Target(t.get("name").getAsString(), address.isEmpty() ? null : Dial.address(address),
         word.apply(text(t, "zone")), word.apply(text(t, "type")),
@@ -48,11 +48,11 @@
         t.has("since_ms") ? t.get("since_ms").getAsLong() : 0);
   }
 
-  private static Condition condition(String status) {
+  private static EndpointState condition(String status) {
     return switch (status.toUpperCase(Locale.ROOT)) {
-      case "READY" -> Condition.READY;
-      case "TERMINATING" -> Condition.DRAINING;
-      case "GONE" -> Condition.GONE;
+      case "READY" -> EndpointState.READY;
+      case "TERMINATING" -> EndpointState.DRAINING;
+      case "GONE" -> EndpointState.REMOVED;
       default -> throw new IllegalArgumentException("status " + status);
     };
   }
--- a/src/test/java/saltlatch/ColdFleetTest.java
+++ b/src/test/java/saltlatch/ColdFleetTest.java
@@ -12,11 +12,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Condition;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Site;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.api.GatewaySettings;
 
 /**
  * A cold app srv under all nodes of a fleet, each with a Control of its own. In no window of the rule may they send it more
@@ -44,24 +44,26 @@
     }
 
     private Control control(int n, long seed, long now) {
-      Actions to = (Actions) Proxy.newProxyInstance(getClass().getClassLoader(),
-          new Class<?>[] {Actions.class}, (p, m, a) -> {
-            if (m.getName().equals("dispatch")) sent.add(new long[] {node, (long) a[0], (long) a[1]});
+      GatewayActions to = (GatewayActions) Proxy.newProxyInstance(getClass().getClassLoader(),
+          new Class<?>[] {GatewayActions.class}, (p, m, a) -> {
+            if (m.getName().equals("startAttempt")) sent.add(new long[] {node, (long) a[0], (long) a[1]});
             return null;
           });
-      Site.Rules rules = new Site.Rules(false, true, 4, true, 10_000, true, 10 * WINDOW, FROM, multiple,
-          WINDOW);
-      return new Control(now, new Site(seed, n, 20, rules, new Site.Counting(true, false),
-          new Site.Peers(0, 0, 0), List.of(Trace.REPLAYABLE), List.of(Trace.NO_QUOTA)), to);
+      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
+          10 * WINDOW, FROM, multiple, WINDOW);
+      return new Control(now,
+          new GatewaySettings(seed, n, 20, rules, new GatewaySettings.CounterSettings(true, false),
+              new GatewaySettings.PeerSettings(0, 0, 0), List.of(Trace.REPLAYABLE), List.of(Trace.NO_QUOTA)),
+          to);
     }
 
-    private Event list(boolean cold) {
-      List<Event.Entry> entries = new ArrayList<>();
+    private GatewayEvent list(boolean cold) {
+      List<GatewayEvent.Endpoint> entries = new ArrayList<>();
       for (int i = 0; i < WARM + (cold ? 1 : 0); i++) {
-        entries.add(
-            new Event.Entry(i, cold && (allCold || i == COLD) ? LISTED : 0, 0, 0, Condition.READY, 1, 0));
+        entries.add(new GatewayEvent.Endpoint(i, cold && (allCold || i == COLD) ? LISTED : 0, 0, 0,
+            EndpointState.READY, 1, 0));
       }
-      return new Event.Listed(Event.ListKind.WHOLE, entries);
+      return new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries);
     }
 
     /** One draw: how far the worst window was beyond its bound, and the part of the budget that was used. */
@@ -81,22 +83,22 @@
       double budget = 0;
       long rid = 0;
       for (long now = STEP; now < END; now += STEP) {
-        Map<Integer, List<Event>> events = new TreeMap<>();
+        Map<Integer, List<GatewayEvent>> events = new TreeMap<>();
         for (long[] one : sent)
-          add(events, (int) one[0],
-              new Event.Ended(one[1], 0, 0, Outcome.PASSED, true, STEP, 0, 0, List.of()));
+          add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0, AttemptOutcome.SUCCEEDED,
+              true, STEP, 0, 0, List.of()));
         sent.clear();
         double arrivals = WARM * carried * STEP / WINDOW;
         for (int k = poisson(arrivals, chance); k > 0; k--) {
           double at = chance.nextDouble() * all;
           int i = 0;
           while (upTo[i] < at) i++;
-          add(events, i, new Event.Arrived(rid++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
+          add(events, i, new GatewayEvent.RequestArrived(rid++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
         }
         for (int i = 0; i < n; i++) {
           if (now == LISTED && 10 * i < restarted * n) fleet.set(i, control(n, chance.nextLong(), now));
           if (now == LISTED) add(events, i, list(true));
-          if (now % Control.ROUND == 0) add(events, i, new Event.Due(-1));
+          if (now % Control.ROUND == 0) add(events, i, new GatewayEvent.TimerFired(-1));
         }
         for (int i : events.keySet()) fleet.get(node = i).handle(now, events.get(i));
         for (long[] one : sent) if (one[2] == COLD) window.add(now);
@@ -112,7 +114,7 @@
       return new double[] {worst, got / budget};
     }
 
-    private static void add(Map<Integer, List<Event>> events, int node, Event e) {
+    private static void add(Map<Integer, List<GatewayEvent>> events, int node, GatewayEvent e) {
       events.computeIfAbsent(node, k -> new ArrayList<>()).add(e);
     }
   }
--- a/src/test/java/saltlatch/ControlTest.java
+++ b/src/test/java/saltlatch/ControlTest.java
@@ -6,9 +6,9 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Site;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewaySettings;
 
 /** Each test prints a short trace of decisions; the kept ones are in src/test/resources/traces, to be read. */
 class ControlTest {
@@ -33,8 +33,8 @@
     t.counted(11);
     t.now += 20;
     t.counted(8);
-    t.ended(1, 0, Outcome.PASSED);
-    t.ended(2, 0, Outcome.PASSED);
+    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
+    t.ended(2, 0, AttemptOutcome.SUCCEEDED);
     t.matches("ordinary-path");
   }
 
@@ -47,7 +47,7 @@
       node.arrive(1, REPLAYABLE, 1);
       node.counted(1);
     }
-    assertEquals(List.of(1, 0), List.of(t.count("to 13"), other.count("to 13")));
+    assertEquals(List.of(1, 0), List.of(t.addToCounter("to 13"), other.addToCounter("to 13")));
   }
 
   /** Units told afterwards: the reservation starts from the guess, is settled on its window and learns. */
@@ -57,11 +57,11 @@
     t.list("11/1");
     t.arrive(1, REPLAYABLE, 1);
     t.counted(1);
-    t.ended(1, 0, Outcome.PASSED, 3);
+    t.ended(1, 0, AttemptOutcome.SUCCEEDED, 3);
     t.counted(3);
     t.arrive(2, REPLAYABLE, 1);
     t.counted(9);
-    t.ended(2, 0, Outcome.PASSED, 2);
+    t.ended(2, 0, AttemptOutcome.SUCCEEDED, 2);
     t.matches("settling");
   }
 
@@ -70,8 +70,8 @@
     t.arrive(1, REPLAYABLE, units);
     t.arrive(2, REPLAYABLE, units);
     t.pass(300);
-    t.counted(Outcome.LATE);
-    t.counted(Outcome.LATE);
+    t.counted(AttemptOutcome.TIMED_OUT);
+    t.counted(AttemptOutcome.TIMED_OUT);
   }
 
   /** No answers: two misses lead to the local share and a few testing calls; prompt answers lead back. */
@@ -89,7 +89,7 @@
       t.pass(100);
       t.counted(2);
       t.arrive(i, REPLAYABLE, 0.01);
-      t.ended(i, 0, Outcome.PASSED);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
     }
     t.counted(2);
     t.matches("silent-counter");
@@ -104,7 +104,7 @@
       t.muted = i > 4 && i < 23;
       t.pass(4);
       t.arrive(i, REPLAYABLE, 0.05);
-      t.ended(i, 0, Outcome.PASSED);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
     }
     t.pass(20);
     t.arrive(24, REPLAYABLE, 0.05);
@@ -125,11 +125,11 @@
       t.pass(400);
       t.arrive(i, REPLAYABLE, 0.01);
       t.counted(0.01 * i);
-      t.ended(i, 0, Outcome.PASSED);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    int calls = t.count("-> count");
+    int calls = t.addToCounter("-> count");
     for (int i = 70; i < 73; i++) t.arrive(i, REPLAYABLE, 0.01);
-    assertEquals(3, t.count("-> count") - calls);
+    assertEquals(3, t.addToCounter("-> count") - calls);
   }
 
   /** A customer that comes mostly through others has less than an even share here while the counter is silent. */
@@ -141,15 +141,15 @@
       t.pass(30_000);
       t.arrive(i, REPLAYABLE, 0.1);
       t.counted(3);
-      t.ended(i, 0, Outcome.PASSED);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
     }
     t.pass(60_000);
     t.muted = false;
     for (int i = 40; i < 46; i++) t.arrive(i, REPLAYABLE, 1);
     t.pass(300);
     for (int i = 40; i < 46; i++) {
-      t.counted(Outcome.LATE);
-      t.ended(i, 0, Outcome.PASSED);
+      t.counted(AttemptOutcome.TIMED_OUT);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
     }
     t.matches("seldom-here");
   }
@@ -159,11 +159,11 @@
   void brokenCount() throws IOException {
     t.list("11/1", "12/1", "13/1", "14/1");
     t.arrive(1, REPLAYABLE, 1);
-    t.counted(Outcome.BROKEN);
+    t.counted(AttemptOutcome.CONNECTION_LOST);
     t.arrive(2, REPLAYABLE, 1);
     t.counted(1);
     t.arrive(3, REPLAYABLE, 1);
-    t.counted(Outcome.FULL);
+    t.counted(AttemptOutcome.SERVER_BUSY);
     t.arrive(4, REPLAYABLE, 1);
     t.counted(4);
     t.matches("broken-count");
@@ -178,11 +178,11 @@
       for (int i = 0; i < 200; i++) {
         node.arrive(i, REPLAYABLE, 0.01);
         node.pass(300);
-        node.counted(Outcome.LATE);
-        node.ended(i, 0, Outcome.PASSED);
+        node.counted(AttemptOutcome.TIMED_OUT);
+        node.ended(i, 0, AttemptOutcome.SUCCEEDED);
       }
     }
-    assertEquals(List.of(47, 12), List.of(t.count("-> count"), many.count("-> count")));
+    assertEquals(List.of(47, 12), List.of(t.addToCounter("-> count"), many.addToCounter("-> count")));
   }
 
   /** A counter that never answers still leaves every req with one final answer in time. */
@@ -223,9 +223,9 @@
     t.arrive(4, REPLAYABLE, 1);
     t.counted(7);
     t.arrive(5, REPLAYABLE, 0.1);
-    t.counted(Outcome.LATE);
+    t.counted(AttemptOutcome.TIMED_OUT);
     t.arrive(6, REPLAYABLE, 0.1);
-    t.counted(Outcome.LATE); // calls are thinned from here on
+    t.counted(AttemptOutcome.TIMED_OUT); // calls are thinned from here on
     t.arrive(7, REPLAYABLE, 0.1, true);
     t.arrive(8, REPLAYABLE, 0.1);
     t.matches("further-tries");
@@ -237,14 +237,14 @@
     t.list("11/1", "12/1");
     t.arrive(1, ONCE, 1);
     t.counted(1);
-    t.ended(1, 0, Outcome.FULL);
-    t.ended(1, 1, Outcome.LATE);
+    t.ended(1, 0, AttemptOutcome.SERVER_BUSY);
+    t.ended(1, 1, AttemptOutcome.TIMED_OUT);
     t.arrive(2, ONCE, 1);
     t.counted(2);
-    t.ended(2, 0, Outcome.NOT_CONNECTED);
-    t.ended(2, 1, Outcome.NOT_CONNECTED);
-    t.ended(2, 2, Outcome.NOT_CONNECTED);
-    t.ended(2, 3, Outcome.NOT_CONNECTED);
+    t.ended(2, 0, AttemptOutcome.CONNECT_FAILED);
+    t.ended(2, 1, AttemptOutcome.CONNECT_FAILED);
+    t.ended(2, 2, AttemptOutcome.CONNECT_FAILED);
+    t.ended(2, 3, AttemptOutcome.CONNECT_FAILED);
     t.matches("non-replayable");
   }
 
@@ -254,17 +254,17 @@
     t.list("11/1", "12/2", "13/1");
     t.arrive(1, UNIQUED, 1);
     t.counted(1);
-    t.ended(1, 0, Outcome.BROKEN);
-    t.ended(1, 1, Outcome.BROKEN);
+    t.ended(1, 0, AttemptOutcome.CONNECTION_LOST);
+    t.ended(1, 1, AttemptOutcome.CONNECTION_LOST);
     t.arrive(2, UNIQUED, 1);
     t.counted(2);
     t.pass(19_990);
-    t.ended(2, 0, Outcome.BROKEN);
+    t.ended(2, 0, AttemptOutcome.CONNECTION_LOST);
     t.list("12/2");
     t.arrive(3, UNIQUED, 1);
     t.counted(1);
     t.list("11/1");
-    t.ended(3, 0, Outcome.ERROR);
+    t.ended(3, 0, AttemptOutcome.SERVER_ERROR);
     t.matches("uniqued");
   }
 
@@ -275,7 +275,7 @@
     t.arrive(1, REPLAYABLE, 1);
     t.counted(1);
     t.list("11/1 draining");
-    t.ended(1, 0, Outcome.FULL);
+    t.ended(1, 0, AttemptOutcome.SERVER_BUSY);
     t.arrive(2, REPLAYABLE, 1);
     t.counted(2);
     t.counted(1);
@@ -284,7 +284,8 @@
     t.counted(2);
     t.say("total 4.0 and an empty list at once: what was charged is given back");
     t.arrive(4, REPLAYABLE, 1);
-    t.tell(t.answer(4), new Event.Listed(Event.ListKind.WHOLE, List.of()));
+    t.sendGossip(t.answer(4),
+        new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, List.of()));
     t.pass(1_000);
     t.matches("drains");
   }
@@ -297,18 +298,19 @@
     for (int i = 0; i < 200; i++) {
       t.arrive(i, REPLAYABLE, 1);
       t.now += 50;
-      if (t.count("dispatch req " + i + " to") > 0) {
-        t.ended(i, 0, Outcome.PASSED);
+      if (t.addToCounter("dispatch req " + i + " to") > 0) {
+        t.ended(i, 0, AttemptOutcome.SUCCEEDED);
       }
     }
-    assertEquals(200, t.count("dispatch req"));
-    assertTrue(t.count("to 15 for") >= 1 && t.count("to 15 for") <= 16, "cold got " + t.count("to 15 for"));
+    assertEquals(200, t.addToCounter("dispatch req"));
+    assertTrue(t.addToCounter("to 15 for") >= 1 && t.addToCounter("to 15 for") <= 16,
+        "cold got " + t.addToCounter("to 15 for"));
   }
 
   /** The ceiling's part is empty at start and after a restart: a restart fills nothing. */
   @Test
   void ceilingAcrossRestart() throws IOException {
-    Site site = Trace.site(new Site.Plan(20, 60, 0, 10, 20, 1), false, false);
+    GatewaySettings site = Trace.site(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1), false, false);
     t.start(site);
     t.list("11/1");
     t.arrive(1, REPLAYABLE, 4);
@@ -331,15 +333,15 @@
     t.start(Trace.site(Trace.NO_QUOTA, false, false));
     t.list("11/1", "12/1", "13/1", "14/1", "15/1", "16/1");
     for (int i = 0; i < 60; i++) {
-      int before = t.count("to 11 for");
+      int before = t.addToCounter("to 11 for");
       t.arrive(i, REPLAYABLE, 1);
-      boolean stuck = t.count("to 11 for") > before;
+      boolean stuck = t.addToCounter("to 11 for") > before;
       t.pass(stuck ? 25_000 : 1_000);
-      t.ended(i, 0, stuck ? Outcome.LATE : Outcome.PASSED);
-      if (stuck) t.ended(i, 1, Outcome.PASSED);
+      t.ended(i, 0, stuck ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED);
+      if (stuck) t.ended(i, 1, AttemptOutcome.SUCCEEDED);
       t.pass(24_000);
     }
-    assertEquals(3, t.count("to 11 for"));
+    assertEquals(3, t.addToCounter("to 11 for"));
   }
 
   /** More out than passes within the target's part is denied at once, sooner for clients with little time left. */
@@ -352,9 +354,9 @@
       t.arrive(i, REPLAYABLE, 1);
     }
     t.now += 4_000;
-    t.tell(); // it runs, without its round: no absence
+    t.sendGossip(); // it runs, without its round: no absence
     t.now += 4_000;
-    t.ended(1, 0, Outcome.PASSED);
+    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
     t.left = 2_600;
     t.arrive(9, REPLAYABLE, 1);
     t.left = 30_000;
@@ -363,7 +365,7 @@
     many.list("11/1", "12/1");
     many.pass(1_500);
     for (int i = 1; i <= 8; i++) many.arrive(i, REPLAYABLE, 1);
-    assertEquals(1, many.count("-> dispatch")); // 200 nodes share what two app srvs may hold
+    assertEquals(1, many.addToCounter("-> dispatch")); // 200 nodes share what two app srvs may hold
     t.matches("pressure");
   }
 
@@ -387,10 +389,10 @@
     t.age = 10_000;
     t.arrive(5, REPLAYABLE, 1);
     t.counted(2);
-    t.counted(Outcome.LATE);
+    t.counted(AttemptOutcome.TIMED_OUT);
     t.counted(3);
-    t.ended(1, 0, Outcome.PASSED);
-    t.ended(5, 0, Outcome.PASSED);
+    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
+    t.ended(5, 0, AttemptOutcome.SUCCEEDED);
     t.age = 0;
     for (int i = 6; i < 10; i++) t.arrive(i, ONCE, 1);
     t.matches("away");
@@ -405,14 +407,14 @@
     for (int i = 0; i < 400; i++) {
       t.arrive(i, REPLAYABLE, 1);
       t.pass(100);
-      if (t.count("dispatch req " + i + " to 12") > 0) {
-        t.ended(i, 0, Outcome.PASSED);
-      } else if (t.count("dispatch req " + i + " to 11") > 0) {
+      if (t.addToCounter("dispatch req " + i + " to 12") > 0) {
+        t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      } else if (t.addToCounter("dispatch req " + i + " to 11") > 0) {
         stuck++;
       }
     }
     assertTrue(stuck < 12, "stuck " + stuck);
-    assertTrue(t.count("to 12 for") > 330, "passed " + t.count("to 12 for"));
+    assertTrue(t.addToCounter("to 12 for") > 330, "passed " + t.addToCounter("to 12 for"));
   }
 
   /** Where discovery must be asked, a failed call is made again. */
@@ -421,7 +423,7 @@
     t.start(Trace.site(Trace.FIRM, false, true));
     t.list("11/1");
     t.say("the call failed");
-    t.tell(new Event.Listed(Event.ListKind.FAILED, List.of()));
+    t.sendGossip(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.FAILED, List.of()));
     t.pass(3_000);
     t.matches("following");
   }
@@ -432,11 +434,11 @@
     t.list("11/1");
     t.arrive(1, REPLAYABLE, 1);
     t.counted(1);
-    t.tell(new Event.Begun(1, 11, 0, 10));
+    t.sendGossip(new GatewayEvent.ResponseStarted(1, 11, 0, 10));
     t.pass(40_000);
-    t.ended(1, 0, Outcome.PASSED);
+    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
     t.arrive(2, REPLAYABLE, 1);
-    t.tell(new Event.ClientLeft(2));
+    t.sendGossip(new GatewayEvent.ClientDisconnected(2));
     t.counted(1);
     t.matches("streams-and-leavers");
   }
--- a/src/test/java/saltlatch/GossipTest.java
+++ b/src/test/java/saltlatch/GossipTest.java
@@ -11,17 +11,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import saltlatch.Quotas.Customer;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 import saltlatch.wire.SumsForm;
 
 /** What nodes tell each other while the counter cannot take a call for each req, and what they make of it. */
 class GossipTest {
   private static final long SECOND = 10_000;
-  private static final Site.Plan PLAN = new Site.Plan(1, 8, 0, 0, 0, 1); // 1 unit a second, 8 at once
+  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 8, 0, 0, 0, 1); // 1 unit a second, 8 at once
 
   /** Sums go to the nodes of the customer's set alone, once a period, and only in and after a jam. */
   @Test
@@ -32,10 +31,11 @@
     g.jam(SECOND);
     g.passed(70, 7, 130, 0, 3, 2.5);
     g.passed(70, 7, 130, 0, 3, 4.5);
-    Map<Integer, Told> told = g.due(SECOND);
+    Map<Integer, GossipMessage> told = g.due(SECOND);
     assertEquals(List.of(2, 3, 5, 0), List.copyOf(told.keySet()));
-    assertEquals(List.of(), told.get(3).sums()); // not of the set, but near: that nothing was passed for it is told as well
-    assertEquals(List.of(new Told.Sum(7, 2, 4.5)), new Gossip(2, 6, 40, 0).heard(SECOND, 1, told.get(2)));
+    assertEquals(List.of(), told.get(3).usage()); // not of the set, but near: that nothing was passed for it is told as well
+    assertEquals(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
+        new Gossip(2, 6, 40, 0).heard(SECOND, 1, told.get(2)));
     g.passed(70, 7, 130, 0, 3, 5);
     assertEquals(Map.of(), g.due(SECOND + 5_000));
     assertEquals(4, g.due(2 * SECOND).size());
@@ -53,9 +53,9 @@
     assertTrue(words.length <= Gossip.MOST_BYTES && words.length > 250);
     Gossip peer = new Gossip(1, 2, 40, 0);
     peer.jam(0);
-    Told told = SumsForm.read(words);
-    List<Told.Sum> sums = peer.heard(SECOND, 0, told);
-    assertEquals(new Told.Sum(99, 0, 1), sums.get(0));
+    GossipMessage told = SumsForm.read(words);
+    List<GossipMessage.WindowUsage> sums = peer.heard(SECOND, 0, told);
+    assertEquals(new GossipMessage.WindowUsage(99, 0, 1), sums.get(0));
     assertEquals(36, sums.size());
     byte[] other = words.clone();
     other[0] = 0;
@@ -87,11 +87,11 @@
     g.jam(0);
     g.passed(1, 1, 0, 0, 60, 1);
     assertEquals(Map.of(), g.due(SECOND));
-    g.heard(SECOND, 1, new Told(List.of(), null));
+    g.heard(SECOND, 1, new GossipMessage(List.of(), null));
     assertTrue(g.isHeard(SECOND, 14));
     assertFalse(g.isHeard(SECOND, 60));
     g.passed(2, 2, 0, 0, 14, 1);
-    assertEquals(13, g.due(3 * SECOND).values().stream().filter(w -> !w.sums().isEmpty()).count());
+    assertEquals(13, g.due(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
   }
 
   /** Plays ten nodes of one customer without a counter; the units they pass and the reqs they deny with room left. */
@@ -101,28 +101,29 @@
     List<Gossip> gossips = new ArrayList<>();
     List<Quotas> quotas = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      Site site = Trace.site(i, n, PLAN, false, false, i, intake);
+      GatewaySettings site = Trace.site(i, n, PLAN, false, false, i, intake);
       gossips.add(new Gossip(i, n, intake, 0));
       quotas.add(new Quotas(0, site, gossips.get(i), new SplittableRandom(i)));
     }
-    double store = PLAN.burst();
+    double store = PLAN.burstUnits();
     double passed = 0;
     double beyond = 0;
     double withRoom = 0;
     for (long now = 0; now < 120 * SECOND; now += 200) {
-      store = Math.min(PLAN.burst(), store + 0.02 * PLAN.rate());
+      store = Math.min(PLAN.burstUnits(), store + 0.02 * PLAN.ratePerSecond());
       for (int i = 0; i < n; i++) {
         quotas.get(i).at(now);
         gossips.get(i).jam(now);
-        for (Map.Entry<Integer, Told> m : gossips.get(i).due(now).entrySet()) {
+        for (Map.Entry<Integer, GossipMessage> m : gossips.get(i).due(now).entrySet()) {
           quotas.get(m.getKey()).at(now);
-          if (chance.nextDouble() >= lost) quotas.get(m.getKey()).heard(new Event.Heard(i, m.getValue()));
+          if (chance.nextDouble() >= lost)
+            quotas.get(m.getKey()).heard(new GatewayEvent.GossipReceived(i, m.getValue()));
         }
       }
       if (chance.nextDouble() >= 0.02 * reqsPerSecond) continue;
       Quotas q = quotas.get(chance.nextInt(n));
-      Customer c = q.customer(new Event.Arrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
-      Quotas.Window w = q.window(c, false);
+      Customer c = q.customer(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
+      Window w = q.window(c, false);
       if (q.hasLocalRoom(c, 2)) {
         q.pass(w, 2);
         c.alone += c.alone >= 0 ? 2 : 0;
@@ -144,7 +145,7 @@
     assertTrue(light[2] <= 4 && onShares[2] > 4 * light[2],
         Arrays.toString(light) + Arrays.toString(onShares));
     double[] heavy = play(40, 2, 0.08);
-    double quota = PLAN.burst() + 120 * PLAN.rate();
+    double quota = PLAN.burstUnits() + 120 * PLAN.ratePerSecond();
     assertTrue(heavy[0] - heavy[1] > 0.95 * quota && heavy[0] < 1.3 * quota, Arrays.toString(heavy));
     double[] heavyOnShares = play(0, 2, 0);
     assertTrue(heavyOnShares[0] - heavyOnShares[1] < 0.9 * quota, Arrays.toString(heavyOnShares));
@@ -158,18 +159,18 @@
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
       t.now += 300;
-      t.counted(Outcome.LATE);
+      t.counted(AttemptOutcome.TIMED_OUT);
     }
     Gossip peer = new Gossip(1, 2, 40, 0);
     peer.jam(t.now);
     peer.passed(0, 9, t.now / 30_000, 0, 2, 1);
     t.say("peer 1 passed 1 of customer 9");
-    t.tell(new Event.Heard(1, peer.due(t.now).get(0)));
+    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.due(t.now).get(0)));
     t.arrive(4, 0, 1);
-    t.counted(Outcome.LATE);
+    t.counted(AttemptOutcome.TIMED_OUT);
     peer.passed(0, 9, t.now / 30_000, 0, 2, 40);
     t.say("peer 1 passed 40 of customer 9");
-    t.tell(new Event.Heard(1, peer.due(t.now + SECOND).get(0)));
+    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.due(t.now + SECOND).get(0)));
     t.arrive(5, 0, 1);
     t.pass(SECOND);
     t.matches("peers-sums");
@@ -181,19 +182,22 @@
    */
   @Test
   void sharesFollowTheLeases() throws IOException {
-    Trace t = new Trace(Trace.site(7, 2, new Site.Plan(4, 20, 0, 0, 0, 1), false, false, 0, 40));
+    Trace t = new Trace(
+        Trace.site(7, 2, new GatewaySettings.QuotaPlan(4, 20, 0, 0, 0, 1), false, false, 0, 40));
     t.list("11/1", "12/1");
-    t.tell(new Event.Members(List.of(Event.Life.LIVE, Event.Life.LIVE), t.now + 5 * SECOND, 0, 2));
+    t.sendGossip(new GatewayEvent.MembershipChanged(
+        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.LIVE), t.now + 5 * SECOND, 0, 2));
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
       t.now += 300;
-      t.counted(Outcome.LATE);
-      t.ended(i, 0, Outcome.PASSED, 0);
+      t.counted(AttemptOutcome.TIMED_OUT);
+      t.ended(i, 0, AttemptOutcome.SUCCEEDED, 0);
     }
     t.say("holds half of the 20 units, 3 of the whole spent: 8.5 left, passes " + passed(t, 100));
     t.pass(6 * SECOND);
     t.say("the lease ran out: an eighth, 2.5 units, passes " + passed(t, 200));
-    t.tell(new Event.Members(List.of(Event.Life.LIVE, Event.Life.GONE), t.now + 99 * SECOND,
+    t.sendGossip(new GatewayEvent.MembershipChanged(
+        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.TAKEN_OVER), t.now + 99 * SECOND,
         t.now + 99 * SECOND, 2));
     t.say("takes what the other left from its next req on, passes " + passed(t, 250));
     t.pass(20 * SECOND);
@@ -212,7 +216,7 @@
       if (t.isOut(i)) {
         passed++;
         t.muted = true;
-        t.ended(i, 0, Outcome.PASSED, 0);
+        t.ended(i, 0, AttemptOutcome.SUCCEEDED, 0);
       }
     }
     t.muted = false;
--- a/src/test/java/saltlatch/NoCounterTest.java
+++ b/src/test/java/saltlatch/NoCounterTest.java
@@ -9,30 +9,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import saltlatch.api.Event;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 
 /** Quotas of a deployment that has no counter hold for the fleet, also where a node's share is a small part of one req. */
 class NoCounterTest {
-  private static final Site.Plan PLAN = new Site.Plan(1, 5, 0, 0, 0, 1);
+  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 5, 0, 0, 0, 1);
   private static final int SECONDS = 60;
   private static final int DRAWS = 200;
 
-  private static Site site(long seed, int nodes) {
-    Site.Rules rules = new Site.Rules(false, true, 4, true, 10_000, true, 100_000, 0.2, 4, 10_000);
-    return new Site(seed, nodes, 20, rules, new Site.Counting(false, false), new Site.Peers(0, 0, 0),
-        List.of(Trace.REPLAYABLE), List.of(PLAN));
+  private static GatewaySettings site(long seed, int nodes) {
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true, 100_000,
+        0.2, 4, 10_000);
+    return new GatewaySettings(seed, nodes, 20, rules, new GatewaySettings.CounterSettings(false, false),
+        new GatewaySettings.PeerSettings(0, 0, 0), List.of(Trace.REPLAYABLE), List.of(PLAN));
   }
 
-  private static Quotas.Customer customer(Quotas quotas, int nodes) {
-    return quotas.customer(new Event.Arrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
+  private static Customer customer(Quotas quotas, int nodes) {
+    return quotas.customer(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
   }
 
   /** Passed of one customer by all nodes together, each asked about every other second. */
   private static double play(int nodes, long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Site site = site(seed, nodes);
+    GatewaySettings site = site(seed, nodes);
     List<Quotas> all = new ArrayList<>();
     for (int i = 0; i < nodes; i++) all.add(new Quotas(0, site, new Gossip(i, nodes, 0, 0), chance.split()));
     double passed = 0;
@@ -40,8 +41,8 @@
       for (Quotas q : all) {
         if (chance.nextInt(20) > 0) continue;
         q.at(now);
-        Quotas.Customer c = customer(q, nodes);
-        Quotas.Window w = q.window(c, false);
+        Customer c = customer(q, nodes);
+        Window w = q.window(c, false);
         if (!q.hasLocalRoom(c, 1)) continue;
         q.pass(w, 1);
         passed++;
@@ -53,7 +54,7 @@
   @ParameterizedTest
   @ValueSource(ints = {3, 6, 12, 30, 100})
   void fleetPassesWhatItsSharesHold(int nodes) {
-    double quota = PLAN.burst() + PLAN.rate() * SECONDS;
+    double quota = PLAN.burstUnits() + PLAN.ratePerSecond() * SECONDS;
     double bound = quota + 2 * Math.sqrt(quota) + 2; // that much is chance
     double sum = 0;
     int beyond = 0;
@@ -74,12 +75,12 @@
     Gossip gossip = new Gossip(0, nodes, 40, 0);
     Quotas quotas = new Quotas(0, site(0, nodes), gossip, new SplittableRandom(1));
     quotas.at(1_000);
-    Quotas.Customer c = customer(quotas, nodes);
+    Customer c = customer(quotas, nodes);
     quotas.hasLocalRoom(c, 4);
-    assertTrue(c.room < PLAN.burst() / nodes - 0.1, c.room + " units, none drawn");
+    assertTrue(c.room < PLAN.burstUnits() / nodes - 0.1, c.room + " units, none drawn");
     gossip.jam(1_000);
-    gossip.heard(1_000, 1, new Told(List.of(), null));
+    gossip.heard(1_000, 1, new GossipMessage(List.of(), null));
     quotas.hasLocalRoom(c, 4);
-    assertEquals(PLAN.burst(), c.room, 0.001);
+    assertEquals(PLAN.burstUnits(), c.room, 0.001);
   }
 }
--- a/src/test/java/saltlatch/SimHostTest.java
+++ b/src/test/java/saltlatch/SimHostTest.java
@@ -14,10 +14,10 @@
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Gateway;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GossipMessage;
 import saltlatch.simhost.SimHost;
 
 /** Bytes in and out of the adapter, with a module that does one of everything. */
@@ -30,7 +30,7 @@
       + "\"effect\":\"deduplicated\",\"keyScope\":\"cell\",\"window\":8000,\"aim\":1000,\"deadline\":4000}],"
       + "\"limits\":{\"sendCap\":4},\"familyInfo\":{\"counter\":true,\"countLimit\":30}}";
 
-  private int run(byte[] in, Gateway.Maker maker) throws IOException {
+  private int run(byte[] in, GatewayPolicy.Factory maker) throws IOException {
     return new SimHost(maker).run(new ByteArrayInputStream(in), out, new PrintStream(err));
   }
 
@@ -67,7 +67,7 @@
   void longReply() throws IOException {
     run(frame(1000, site(), attach(site().length), hex("0601 0300 4d00000000000000")),
         (now, site, to) -> (at, events) -> {
-          for (int i = 0; i < 257; i++) to.abort(i);
+          for (int i = 0; i < 257; i++) to.fail(i);
         });
     ByteBuffer reply = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
     assertEquals(257, reply.getInt(4));
@@ -87,25 +87,26 @@
     byte[] tail = Arrays.copyOf(site(), site().length + 1);
     tail[site().length] = 0x51; // a datagram of no sums
     int code = run(frame(1000, tail, records), (now, site, to) -> (at, events) -> {
-      told.append(site.frontends().get(0).effect()).append(' ').append(at).append('\n');
-      events.forEach(e -> told.append(e instanceof Event.Heard h ? "heard " + h.from() : e).append('\n'));
+      told.append(site.requestClasses().get(0).retrySafety()).append(' ').append(at).append('\n');
+      events.forEach(e -> told.append(e instanceof GatewayEvent.GossipReceived h ? "heard " + h.sender() : e)
+          .append('\n'));
       act(to);
     });
     assertEquals("", err.toString());
     assertEquals(0, code);
     assertEquals(
         """
-            UNIQUED 10000
-            Arrived[rid=1564119492, frontend=0, plan=0, customer=-7930773538597631388, left=2400, units=2.0, width=3, \
-            first=1, repeat=true, age=0]
-            Begun[rid=1564119492, srv=51530247, dispatch=1, spent=92]
-            Ended[rid=1564119492, srv=51530247, dispatch=2, how=PASSED, over=true, spent=185, actual=3.0, fleetUse=86.0, \
-            load=[1.0]]
-            ClientLeft[rid=242166553]
-            Due[handle=77]
-            Probed[srv=747639282, how=NOT_CONNECTED, spent=30, load=[]]
+            IDEMPOTENT_BY_KEY 10000
+            RequestArrived[requestId=1564119492, requestClass=0, plan=0, customer=-7930773538597631388, \
+            clientTimeoutTicks=2400, estimatedUnits=2.0, nodeCount=3, firstNode=1, retry=true, ageTicks=0]
+            ResponseStarted[requestId=1564119492, serverId=51530247, attempt=1, elapsedTicks=92]
+            AttemptEnded[requestId=1564119492, serverId=51530247, attempt=2, outcome=SUCCEEDED, requestFinished=true, \
+            elapsedTicks=185, actualUnits=3.0, fleetUtilization=86.0, loadReport=[1.0]]
+            ClientDisconnected[requestId=242166553]
+            TimerFired[timerId=77]
+            HealthChecked[serverId=747639282, outcome=CONNECT_FAILED, elapsedTicks=30, loadReport=[]]
             heard 2
-            Counted[name=9041552, how=LATE, total=38.0, spent=20]
+            CounterReplied[counterName=9041552, outcome=TIMED_OUT, total=38.0, elapsedTicks=20]
             """,
         told.toString());
     String[] expected = {"21010000 0b000000", "0301 0300 c4913a5d 0000000000005440 074a1203 00000000",
@@ -128,18 +129,18 @@
     return String.format("%08x", Integer.reverseBytes(n));
   }
 
-  private static void act(Actions to) {
-    to.dispatch(0x5d3a91c4L, 0x03124a07L, 800);
-    to.deny(0x0e6f2b19L, 2500);
-    to.abort(0x5d3a91c4L);
-    to.cancel(0x5d3a91c4L, 2);
-    to.wake(84000, 77);
-    to.probe(0x2c9011f2L);
-    to.closeIdle(0x2c9011f2L);
-    to.count(9041552, 4, 30000, 0);
-    to.follow(true);
-    to.tell(-1, new Told(List.of(), null));
-    to.note("why");
+  private static void act(GatewayActions to) {
+    to.startAttempt(0x5d3a91c4L, 0x03124a07L, 800);
+    to.reject(0x0e6f2b19L, 2500);
+    to.fail(0x5d3a91c4L);
+    to.cancelAttempt(0x5d3a91c4L, 2);
+    to.setTimer(84000, 77);
+    to.checkHealth(0x2c9011f2L);
+    to.closeIdleConnections(0x2c9011f2L);
+    to.addToCounter(9041552, 4, 30000, 0);
+    to.watchEndpoints(true);
+    to.sendGossip(-1, new GossipMessage(List.of(), null));
+    to.log("why");
   }
 
   @Test
--- a/src/test/java/saltlatch/Trace.java
+++ b/src/test/java/saltlatch/Trace.java
@@ -11,21 +11,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Event.Condition;
-import saltlatch.api.Event.Outcome;
-import saltlatch.api.Site;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.api.GatewaySettings;
+import saltlatch.api.GossipMessage;
 import saltlatch.wire.SumsForm;
 
 /** Plays events into one Control and prints what it does, a line an action; compared with a kept trace. */
-final class Trace implements Actions {
-  static final Site.Plan FIRM = new Site.Plan(2, 6, 0, 0, 0, 1);
-  static final Site.Plan NO_QUOTA = new Site.Plan(0, 0, 0, 0, 0, 1);
-  static final Site.Frontend REPLAYABLE = kind(Site.Effect.REPLAYABLE, Site.Group.ALL);
-  static final Site.Frontend UNIQUED = kind(Site.Effect.UNIQUED, Site.Group.CELL);
-  static final Site.Frontend ONCE = kind(Site.Effect.NON_REPLAYABLE, Site.Group.ALL);
+final class Trace implements GatewayActions {
+  static final GatewaySettings.QuotaPlan FIRM = new GatewaySettings.QuotaPlan(2, 6, 0, 0, 0, 1);
+  static final GatewaySettings.QuotaPlan NO_QUOTA = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
+  static final GatewaySettings.RequestClass REPLAYABLE = kind(GatewaySettings.RetrySafety.IDEMPOTENT,
+      GatewaySettings.KeyScope.ALL);
+  static final GatewaySettings.RequestClass UNIQUED = kind(GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY,
+      GatewaySettings.KeyScope.GROUP);
+  static final GatewaySettings.RequestClass ONCE = kind(GatewaySettings.RetrySafety.NOT_IDEMPOTENT,
+      GatewaySettings.KeyScope.ALL);
 
   private final StringBuilder text = new StringBuilder();
   private final List<long[]> wakes = new ArrayList<>();
@@ -37,30 +40,33 @@
   long age; // that reqs have lain unread
   boolean muted; // for stretches that tell nothing new
 
-  private static Site.Frontend kind(Site.Effect effect, Site.Group group) {
-    return new Site.Frontend(effect, group, 20_000, 10_000, 30_000, 1);
+  private static GatewaySettings.RequestClass kind(GatewaySettings.RetrySafety effect,
+      GatewaySettings.KeyScope group) {
+    return new GatewaySettings.RequestClass(effect, group, 20_000, 10_000, 30_000, 1);
   }
 
-  static Site site(Site.Plan plan, boolean unitsAfter, boolean follow) {
+  static GatewaySettings site(GatewaySettings.QuotaPlan plan, boolean unitsAfter, boolean follow) {
     return site(7, 2, plan, unitsAfter, follow);
   }
 
-  static Site site(long seed, int nodes, Site.Plan plan, boolean unitsAfter, boolean follow) {
+  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan, boolean unitsAfter,
+      boolean follow) {
     return site(seed, nodes, plan, unitsAfter, follow, 0, 0);
   }
 
-  static Site site(long seed, int nodes, Site.Plan plan, boolean unitsAfter, boolean follow, int me,
-      double intake) {
-    Site.Rules rules = new Site.Rules(follow, true, 4, true, 10_000, true, 100_000, 0.2, 4, 10_000);
-    return new Site(seed, nodes, 20, rules, new Site.Counting(true, unitsAfter),
-        new Site.Peers(me, intake, 0), List.of(REPLAYABLE, UNIQUED, ONCE), List.of(plan));
+  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan, boolean unitsAfter,
+      boolean follow, int me, double intake) {
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(follow, true, 4, true, 10_000, true, 100_000,
+        0.2, 4, 10_000);
+    return new GatewaySettings(seed, nodes, 20, rules, new GatewaySettings.CounterSettings(true, unitsAfter),
+        new GatewaySettings.PeerSettings(me, intake, 0), List.of(REPLAYABLE, UNIQUED, ONCE), List.of(plan));
   }
 
-  Trace(Site site) {
+  Trace(GatewaySettings site) {
     start(site);
   }
 
-  void start(Site site) {
+  void start(GatewaySettings site) {
     wakes.clear();
     names.clear();
     control = new Control(now, site, this);
@@ -68,16 +74,16 @@
 
   /** App srvs as "id/cell", "id/cell cold" or "id/cell draining"; the whole list. */
   void list(String... srvs) {
-    List<Event.Entry> entries = new ArrayList<>();
+    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     for (String srv : srvs) {
       String[] parts = srv.split("[/ ]");
       boolean marked = parts.length > 2;
-      entries.add(new Event.Entry(Long.parseLong(parts[0]), marked && parts[2].equals("cold") ? now : 0, 0,
-          Integer.parseInt(parts[1]),
-          marked && parts[2].equals("draining") ? Condition.DRAINING : Condition.READY, 1, 0));
+      entries.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
+          marked && parts[2].equals("cold") ? now : 0, 0, Integer.parseInt(parts[1]),
+          marked && parts[2].equals("draining") ? EndpointState.DRAINING : EndpointState.READY, 1, 0));
     }
     say("listed " + String.join(", ", srvs));
-    tell(new Event.Listed(Event.ListKind.WHOLE, entries));
+    sendGossip(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
   }
 
   void arrive(long rid, int frontend, double units) {
@@ -87,33 +93,34 @@
   void arrive(long rid, int frontend, double units, boolean repeat) {
     say("req " + rid + " of frontend " + frontend + ", units " + units + (repeat ? ", a further try" : "")
         + (left < 30_000 ? ", waits " + left / 10 : "") + (age > 0 ? ", lay unread for " + age / 10 : ""));
-    tell(new Event.Arrived(rid, frontend, 0, 9, left, units, 2, 0, repeat, age));
+    sendGossip(new GatewayEvent.RequestArrived(rid, frontend, 0, 9, left, units, 2, 0, repeat, age));
   }
 
   void counted(double total) {
     say("total " + total);
-    if (!names.isEmpty()) tell(answer(total));
+    if (!names.isEmpty()) sendGossip(answer(total));
   }
 
-  Event answer(double total) {
-    return new Event.Counted(names.poll(), Outcome.PASSED, total, 10);
+  GatewayEvent answer(double total) {
+    return new GatewayEvent.CounterReplied(names.poll(), AttemptOutcome.SUCCEEDED, total, 10);
   }
 
-  void counted(Outcome how) {
+  void counted(AttemptOutcome how) {
     say("count call " + how);
-    if (!names.isEmpty()) tell(new Event.Counted(names.poll(), how, 0, 300));
+    if (!names.isEmpty()) sendGossip(new GatewayEvent.CounterReplied(names.poll(), how, 0, 300));
   }
 
-  void ended(long rid, int dispatch, Outcome how) {
+  void ended(long rid, int dispatch, AttemptOutcome how) {
     ended(rid, dispatch, how, 0);
   }
 
-  void ended(long rid, int dispatch, Outcome how, double actual) {
+  void ended(long rid, int dispatch, AttemptOutcome how, double actual) {
     say("dispatch " + dispatch + " of req " + rid + " " + how);
-    tell(new Event.Ended(rid, 0, dispatch, how, how == Outcome.PASSED, 0, actual, 0, List.of()));
+    sendGossip(new GatewayEvent.AttemptEnded(rid, 0, dispatch, how, how == AttemptOutcome.SUCCEEDED, 0,
+        actual, 0, List.of()));
   }
 
-  void tell(Event... events) {
+  void sendGossip(GatewayEvent... events) {
     control.handle(now, List.of(events));
   }
 
@@ -130,7 +137,7 @@
       }
       wakes.remove(next);
       now = Math.max(now, next[0]);
-      tell(new Event.Due(next[1]));
+      sendGossip(new GatewayEvent.TimerFired(next[1]));
     }
     now = until;
   }
@@ -155,65 +162,65 @@
     return dispatched.contains(rid);
   }
 
-  int count(String word) {
+  int addToCounter(String word) {
     return text.toString().split(word, -1).length - 1;
   }
 
   @Override
-  public void dispatch(long rid, long srv, long cap) {
+  public void startAttempt(long rid, long srv, long cap) {
     dispatched.add(rid);
     say("  -> dispatch req " + rid + " to " + srv + " for " + cap / 10.0);
   }
 
   @Override
-  public void deny(long rid, long pause) {
+  public void reject(long rid, long pause) {
     say("  -> deny req " + rid + (pause > 0 ? ", come back in " + pause / 10.0 : ""));
   }
 
   @Override
-  public void abort(long rid) {
+  public void fail(long rid) {
     say("  -> abort req " + rid);
   }
 
   @Override
-  public void cancel(long rid, int dispatch) {
+  public void cancelAttempt(long rid, int dispatch) {
     say("  -> cancel dispatch " + dispatch + " of req " + rid);
   }
 
   @Override
-  public void wake(long at, long handle) {
+  public void setTimer(long at, long handle) {
     wakes.add(new long[] {at, handle});
   }
 
   @Override
-  public void probe(long srv) {
+  public void checkHealth(long srv) {
     say("  -> probe " + srv);
   }
 
   @Override
-  public void closeIdle(long srv) {
+  public void closeIdleConnections(long srv) {
     say("  -> close " + srv);
   }
 
   @Override
-  public void count(long name, double units, long keep, long cap) {
+  public void addToCounter(long name, double units, long keep, long cap) {
     names.add(name);
     say(String.format(Locale.ROOT, "  -> count window %d: %+.2f, kept %.0f", name & 0x7fffffffL, units,
         keep / 10.0));
   }
 
   @Override
-  public void follow(boolean on) {
+  public void watchEndpoints(boolean on) {
     say("  -> follow " + on);
   }
 
   @Override
-  public void tell(int peer, Told told) {
+  public void sendGossip(int peer, GossipMessage told) {
     say("  -> tell " + peer + ", " + SumsForm.write(told).length + " bytes");
   }
 
   @Override
-  public void note(String line) {
+  public void log(String line) {
     say("  -> note " + line);
   }
 }
--- a/src/test/java/saltlatch/lab/capacity/RolesTest.java
+++ b/src/test/java/saltlatch/lab/capacity/RolesTest.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.Told;
+import saltlatch.api.GossipMessage;
 import saltlatch.lab.scale.Measurement;
 import saltlatch.lab.scale.Quantity;
 import saltlatch.member.Terms;
@@ -153,7 +153,7 @@
     int holds = (int) wall(basis, List.of(), "a dead node's share is in use again in time").holds().value();
     assertTrue(Terms.of(holds, datagrams).takenOverWithin() <= bound);
     assertTrue(Terms.of(holds + 1, datagrams).takenOverWithin() > bound);
-    assertEquals(Told.MOST_NODES,
+    assertEquals(GossipMessage.MAX_NODES_WITH_REACHABILITY,
         wall(basis, List.of(), "a datagram tells whom a node hears").holds().value());
   }
 
--- a/src/test/java/saltlatch/member/SharesTest.java
+++ b/src/test/java/saltlatch/member/SharesTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.Event.Life;
-import saltlatch.api.Event.Members;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent.MemberState;
+import saltlatch.api.GatewayEvent.MembershipChanged;
+import saltlatch.api.GossipMessage;
 import saltlatch.wire.SumsForm;
 
 /** Which part of a quota a node goes by: its own, and that of those that hear exactly each other. */
@@ -23,7 +23,7 @@
 
   private static Shares node(int me, int n, long holdsUntil) {
     Shares s = new Shares(me, n);
-    s.follow(new Members(Collections.nCopies(n, Life.LIVE), holdsUntil, 0, n));
+    s.follow(new MembershipChanged(Collections.nCopies(n, MemberState.LIVE), holdsUntil, 0, n));
     return s;
   }
 
@@ -33,12 +33,12 @@
     List<Shares> all = new ArrayList<>();
     for (int i = 0; i < n; i++) all.add(node(i, n, Long.MAX_VALUE));
     for (long now = 10_000; now <= 60_000; now += 10_000) {
-      List<Told> words = new ArrayList<>();
+      List<GossipMessage> words = new ArrayList<>();
       for (Shares s : all)
-        words.add(SumsForm.read(SumsForm.write(new Told(List.of(), s.hearing(now, WITHIN)))));
+        words.add(SumsForm.read(SumsForm.write(new GossipMessage(List.of(), s.hearing(now, WITHIN)))));
       for (int a = 0; a < n; a++) {
         for (int b = 0; b < n; b++)
-          if (a != b && reach[a][b]) all.get(b).heard(now, a, words.get(a).hearing());
+          if (a != b && reach[a][b]) all.get(b).heard(now, a, words.get(a).reachability());
       }
     }
     return all;
@@ -93,8 +93,8 @@
     List<Shares> all = told(links(3, (a, b) -> true));
     all.get(0).heard(60_000, 2, null);
     assertEquals(2 / 3.0, all.get(0).pooled(60_000, WITHIN, 0, 3), 1e-9);
-    byte[] words = SumsForm
-        .write(new Told(List.of(new Told.Sum(7, 2, 4.5)), all.get(0).hearing(60_000, WITHIN)));
+    byte[] words = SumsForm.write(new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
+        all.get(0).hearing(60_000, WITHIN)));
     assertTrue(words[0] == 0x51 && (words.length - 1) % 7 == 0 && words.length <= 256);
     for (int at = 1; at + 7 < words.length; at += 7) assertEquals(-1, words[at], "an id that customers have");
   }
@@ -104,16 +104,19 @@
   void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
     SumsForm.read(noise);
     SplittableRandom chance = new SplittableRandom(seed);
-    int nodes = 1 + chance.nextInt(Told.MOST_NODES);
+    int nodes = 1 + chance.nextInt(GossipMessage.MAX_NODES_WITH_REACHABILITY);
     BitSet heard = new BitSet();
     heard.set(chance.nextInt(nodes));
     for (int i = 0; i < nodes; i++) heard.set(i, heard.get(i) || chance.nextBoolean());
-    List<Told.Sum> sums = new ArrayList<>();
-    for (int i = chance.nextInt(Told.sumsBeside(nodes) + 1); i > 0; i--) {
-      sums.add(new Told.Sum(chance.nextInt(), chance.nextInt(128), chance.nextInt(65_536) / 16.0));
+    List<GossipMessage.WindowUsage> sums = new ArrayList<>();
+    for (int i = chance.nextInt(GossipMessage.maxUsageEntries(nodes) + 1); i > 0; i--) {
+      sums.add(new GossipMessage.WindowUsage(chance.nextInt(), chance.nextInt(128),
+          chance.nextInt(65_536) / 16.0));
     }
-    sums.replaceAll(s -> new Told.Sum(s.customer() & 0xffffffffL, s.turn(), s.units()));
-    Told told = new Told(sums, new Told.Hearing(heard, chance.nextBoolean(), chance.nextBoolean()));
+    sums.replaceAll(
+        s -> new GossipMessage.WindowUsage(s.customer() & 0xffffffffL, s.windowNumber(), s.units()));
+    GossipMessage told = new GossipMessage(sums,
+        new GossipMessage.Reachability(heard, chance.nextBoolean(), chance.nextBoolean()));
     byte[] words = SumsForm.write(told);
     assertTrue(words.length <= 256);
     assertEquals(told, SumsForm.read(words));
--- a/src/test/java/saltlatch/node/ClosingTest.java
+++ b/src/test/java/saltlatch/node/ClosingTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 
 /** Closes on real connections whose other side does not take what is written, or writes in that very moment. */
 @Timeout(60)
@@ -38,8 +38,8 @@
   @Test
   void givenUpHalfWritten() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 5_000);
-      if (e instanceof Event.Ended d && !d.over()) to.abort(d.rid());
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 5_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
     };
     int port = appSrv.getLocalPort();
     appSrv.close();
@@ -47,7 +47,7 @@
       Socket c = client();
       say(c, submit(0));
       assertEquals("arrived 0 waits 900", next());
-      assertEquals("ended 0/0 NOT_CONNECTED", next());
+      assertEquals("ended 0/0 CONNECT_FAILED", next());
       assertEquals("-ERR aborted", line(c));
       int got = srv.readToEnd();
       assertTrue(got < 60_000, got + " bytes");
@@ -57,7 +57,7 @@
   /** Commands read in one piece while this node ends: a first answer at once does not end the connection in front of the rest. */
   @Test
   void commandsBehindOneAnsweredAtOnce() throws Exception {
-    script = e -> to.deny(rid(e), 0);
+    script = e -> to.reject(rid(e), 0);
     Socket c = client();
     Socket idle = client();
     say(idle, req(9));
--- a/src/test/java/saltlatch/node/CrossingTest.java
+++ b/src/test/java/saltlatch/node/CrossingTest.java
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 
 /**
  * Two events that cross, on real connections, in the bad order every time: the node's loop is held by the scripted module, or
@@ -52,8 +52,8 @@
   @Test
   void lateConnectionIsNotWrittenAgainstTheModule() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 80_000);
-      if (e instanceof Event.Ended d && !d.over()) to.abort(d.rid());
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
     };
     permit = false;
     Socket c = client();
@@ -72,8 +72,8 @@
     long capMs = 800;
     long lateMs = 150;
     script = e -> {
-      if (!(e instanceof Event.Arrived)) return;
-      to.dispatch(rid(e), 0, capMs * 10);
+      if (!(e instanceof GatewayEvent.RequestArrived)) return;
+      to.startAttempt(rid(e), 0, capMs * 10);
       hold.hold();
     };
     say(client(), req(0));
@@ -98,8 +98,8 @@
   void clientLeavesBeforeTheConnectionIsUp() throws Exception {
     Hold hold = new Hold();
     script = e -> {
-      if (!(e instanceof Event.Arrived)) return;
-      to.dispatch(rid(e), 0, 80_000);
+      if (!(e instanceof GatewayEvent.RequestArrived)) return;
+      to.startAttempt(rid(e), 0, 80_000);
       hold.hold();
     };
     Socket c = client();
@@ -116,8 +116,8 @@
   void closeSeenWithTheReqInFront() throws Exception {
     Hold hold = new Hold();
     script = e -> {
-      if (e instanceof Event.Arrived && rid(e) == 0) hold.hold();
-      if (e instanceof Event.Arrived) to.deny(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived && rid(e) == 0) hold.hold();
+      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
     };
     Socket first = client();
     Socket second = usualConnection();
@@ -181,8 +181,8 @@
   @Test
   void bytesOnARestingConnection() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 80_000);
-      if (e instanceof Event.Ended d && !d.over()) to.abort(d.rid());
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
     };
     Socket c = client();
     String[] strays = {"*3\r\n$2\r\nxx", PASSED};
@@ -207,13 +207,13 @@
   /** What comes behind broken framing is thrown away, and the error arrives: no reset takes it along. */
   @Test
   void errorArrivesThoughMoreWasSent() throws Exception {
-    script = e -> to.deny(rid(e), 0);
+    script = e -> to.reject(rid(e), 0);
     Hold hold = new Hold();
     Socket c = usualConnection();
     Socket other = usualConnection();
     script = e -> {
       if (rid(e) == 0) hold.hold();
-      to.deny(rid(e), 0);
+      to.reject(rid(e), 0);
     };
     say(other, req(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 import saltlatch.wire.Discovery;
 
 /** Lists of the size that is coming, from discovery's socket to the module. */
@@ -21,8 +21,8 @@
 class LargeListTest extends NodeHarness {
   private static final int MANY = 34_000;
 
-  private final BlockingQueue<Event.Listed> events = new LinkedBlockingQueue<>();
-  private final List<Event.Entry> entries = new ArrayList<>(); // of all events so far
+  private final BlockingQueue<GatewayEvent.EndpointsUpdated> events = new LinkedBlockingQueue<>();
+  private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // of all events so far
 
   private static String target(String name, String status) {
     return "{\"name\":\"" + name
@@ -45,7 +45,7 @@
     Socket s = accept(discovery);
     assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", line(s));
     script = e -> {
-      if (e instanceof Event.Listed l) events.add(l);
+      if (e instanceof GatewayEvent.EndpointsUpdated l) events.add(l);
     };
     return s;
   }
@@ -57,19 +57,19 @@
   /** Takes in events until so many entries have come; each event is a slice, and alone among lists in its batch. */
   private void until(int count) throws InterruptedException {
     while (entries.size() < count) {
-      Event.Listed event = events.poll(20, TimeUnit.SECONDS);
+      GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
-      assertEquals(Event.ListKind.CHANGES, event.kind());
-      assertTrue(event.entries().size() <= Discovery.SLICE, event.entries().size() + " in one event");
-      entries.addAll(event.entries());
+      assertEquals(GatewayEvent.EndpointUpdateKind.DELTA, event.kind());
+      assertTrue(event.endpoints().size() <= Discovery.SLICE, event.endpoints().size() + " in one event");
+      entries.addAll(event.endpoints());
     }
     assertEquals(count, entries.size());
     for (List<String> batch : batches) assertTrue(batch.size() == 1, () -> batch.size() + " events at once");
   }
 
-  private int distinct(Event.Condition condition) {
+  private int distinct(GatewayEvent.EndpointState condition) {
     BitSet numbers = new BitSet();
-    entries.stream().filter(e -> e.condition() == condition).forEach(e -> numbers.set((int) e.srv()));
+    entries.stream().filter(e -> e.state() == condition).forEach(e -> numbers.set((int) e.serverId()));
     return numbers.cardinality();
   }
 
@@ -82,13 +82,13 @@
     stream(s, list(2, true, targets));
     more(s, list(3, false, List.of(target("s-5", "Terminating"))));
     until(MANY + 2);
-    assertEquals(Event.Condition.GONE, entries.get(0).condition()); // s-0, of the list last known
-    assertEquals(0, entries.get(0).srv());
-    assertEquals(Event.Condition.DRAINING, entries.get(1).condition());
-    assertEquals(MANY - 1, distinct(Event.Condition.READY));
-    Event.Entry last = entries.get(MANY + 1);
-    assertEquals(Event.Condition.DRAINING, last.condition());
-    assertEquals(3, last.cell());
+    assertEquals(GatewayEvent.EndpointState.REMOVED, entries.get(0).state()); // s-0, of the list last known
+    assertEquals(0, entries.get(0).serverId());
+    assertEquals(GatewayEvent.EndpointState.DRAINING, entries.get(1).state());
+    assertEquals(MANY - 1, distinct(GatewayEvent.EndpointState.READY));
+    GatewayEvent.Endpoint last = entries.get(MANY + 1);
+    assertEquals(GatewayEvent.EndpointState.DRAINING, last.state());
+    assertEquals(3, last.keyGroup());
     s.close();
     watch("3");
   }
@@ -101,17 +101,17 @@
     first.add(target("s-7", "Gone"));
     stream(s, list(2, true, first));
     until(2_000);
-    assertEquals(1, distinct(Event.Condition.GONE));
-    assertEquals(1_999, distinct(Event.Condition.READY));
+    assertEquals(1, distinct(GatewayEvent.EndpointState.REMOVED));
+    assertEquals(1_999, distinct(GatewayEvent.EndpointState.READY));
     entries.clear();
     more(s, list(3, true, List.of(target("s-9", "Ready"))));
     until(1_999);
-    assertEquals(1_998, distinct(Event.Condition.GONE));
-    assertEquals(Event.Condition.READY, entries.get(1_998).condition());
+    assertEquals(1_998, distinct(GatewayEvent.EndpointState.REMOVED));
+    assertEquals(GatewayEvent.EndpointState.READY, entries.get(1_998).state());
     entries.clear();
     more(s, list(4, false, ready(10_000, 10_600)));
     until(600);
-    assertEquals(600, distinct(Event.Condition.READY));
+    assertEquals(600, distinct(GatewayEvent.EndpointState.READY));
   }
 
   /** At most a slice goes to the module as one event, as it came. */
@@ -119,9 +119,9 @@
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(1, 1 + Discovery.SLICE)));
-    Event.Listed event = events.poll(20, TimeUnit.SECONDS);
-    assertEquals(Event.ListKind.WHOLE, event.kind());
-    assertEquals(Discovery.SLICE, event.entries().size());
+    GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
+    assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
+    assertEquals(Discovery.SLICE, event.endpoints().size());
   }
 
   /** The agent ends while the slices go: what was read is applied, and the next watch goes on behind it. */
@@ -129,10 +129,10 @@
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(0, MANY)));
-    assertEquals(Discovery.SLICE, events.take().entries().size());
+    assertEquals(Discovery.SLICE, events.take().endpoints().size());
     s.close();
-    while (distinct(Event.Condition.READY) < MANY - Discovery.SLICE) {
-      entries.addAll(events.poll(20, TimeUnit.SECONDS).entries());
+    while (distinct(GatewayEvent.EndpointState.READY) < MANY - Discovery.SLICE) {
+      entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
     watch("2");
   }
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -23,10 +23,10 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
-import saltlatch.api.Actions;
-import saltlatch.api.Event;
-import saltlatch.api.Gateway;
-import saltlatch.api.Site;
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayPolicy;
+import saltlatch.api.GatewaySettings;
 
 /**
  * A whole node on loopback sockets, with a scripted module in it. The test's own thread is the client, the app srv,
@@ -43,9 +43,9 @@
   ServerSocket discovery;
   DatagramSocket peer;
   Serve node;
-  volatile Actions to;
+  volatile GatewayActions to;
   boolean stopped;
-  volatile Consumer<Event> script = e -> {};
+  volatile Consumer<GatewayEvent> script = e -> {};
   volatile boolean permit = true; // what the module says of a dispatch whose connection comes up late
   final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
   final BlockingQueue<List<String>> batches = new LinkedBlockingQueue<>();
@@ -58,14 +58,14 @@
     peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
     node = new Serve(NodeConfiguration.of(config()));
     node.start(this::module).toCompletionStage().toCompletableFuture().get();
-    assertEquals("listed CACHED [0 READY]", next());
+    assertEquals("listed CACHED_SNAPSHOT [0 READY]", next());
   }
 
-  private Gateway module(long now, Site site, Actions out) {
+  private GatewayPolicy module(long now, GatewaySettings site, GatewayActions out) {
     to = out;
-    return new Gateway() {
+    return new GatewayPolicy() {
       @Override
-      public void handle(long at, List<Event> events) {
+      public void handle(long at, List<GatewayEvent> events) {
         events.forEach(e -> {
           seen.add(text(e));
           script.accept(e);
@@ -74,7 +74,7 @@
       }
 
       @Override
-      public boolean mayBegin(long at, long rid, int dispatch) {
+      public boolean mayStartAttempt(long at, long rid, int dispatch) {
         asked.add("asked " + rid + "/" + dispatch);
         return permit;
       }
@@ -105,18 +105,20 @@
             "\"address\":\"127.0.0.1:" + appSrv.getLocalPort() + "\"");
   }
 
-  static String text(Event e) {
-    if (e instanceof Event.Arrived a) return "arrived " + a.rid() + " waits " + a.left() / 10;
-    if (e instanceof Event.Ended d)
-      return "ended " + d.rid() + "/" + d.dispatch() + " " + d.how() + (d.over() ? " over" : "");
-    if (e instanceof Event.Counted c) return "counted " + c.name() + " " + c.how() + " " + c.total();
-    if (e instanceof Event.ClientLeft c) return "left " + c.rid();
-    if (e instanceof Event.Probed p) return "probed " + p.how() + " " + p.load();
-    if (e instanceof Event.Listed l) {
+  static String text(GatewayEvent e) {
+    if (e instanceof GatewayEvent.RequestArrived a)
+      return "arrived " + a.requestId() + " waits " + a.clientTimeoutTicks() / 10;
+    if (e instanceof GatewayEvent.AttemptEnded d) return "ended " + d.requestId() + "/" + d.attempt() + " "
+        + d.outcome() + (d.requestFinished() ? " over" : "");
+    if (e instanceof GatewayEvent.CounterReplied c)
+      return "counted " + c.counterName() + " " + c.outcome() + " " + c.total();
+    if (e instanceof GatewayEvent.ClientDisconnected c) return "left " + c.requestId();
+    if (e instanceof GatewayEvent.HealthChecked p) return "probed " + p.outcome() + " " + p.loadReport();
+    if (e instanceof GatewayEvent.EndpointsUpdated l) {
       return "listed " + l.kind() + " "
-          + l.entries().stream().map(x -> x.srv() + " " + x.condition()).toList();
+          + l.endpoints().stream().map(x -> x.serverId() + " " + x.state()).toList();
     }
-    if (e instanceof Event.Heard h) return "heard " + h.from() + " " + h.told().sums();
+    if (e instanceof GatewayEvent.GossipReceived h) return "heard " + h.sender() + " " + h.message().usage();
     return e.getClass().getSimpleName();
   }
 
@@ -174,7 +176,7 @@
 
   /** A client that has been answered, as all are from now on: come again. */
   Socket usual() throws IOException {
-    script = e -> to.deny(rid(e), 0);
+    script = e -> to.reject(rid(e), 0);
     Socket s = client();
     say(s, req(0));
     assertEquals("-BUSY", line(s));
@@ -238,7 +240,7 @@
         + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
   }
 
-  static long rid(Event e) {
-    return ((Event.Arrived) e).rid();
+  static long rid(GatewayEvent e) {
+    return ((GatewayEvent.RequestArrived) e).requestId();
   }
 }
