--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import saltlatch.api.Event;
-import saltlatch.api.Told;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GossipMessage;
 import sun.misc.Signal;
 
 /** What a node does on its sockets, one thing at a time. */
@@ -29,10 +29,10 @@
   @Test
   void answersInOrder() throws Exception {
     script = e -> {
-      if (!(e instanceof Event.Arrived) || rid(e) != 2) return;
-      to.deny(2, 2_500);
-      to.abort(1);
-      to.deny(0, 0);
+      if (!(e instanceof GatewayEvent.RequestArrived) || rid(e) != 2) return;
+      to.reject(2, 2_500);
+      to.fail(1);
+      to.reject(0, 0);
     };
     Socket c = client();
     say(c, req(0) + req(1) + req(2) + "*1\r\n$4\r\nPING\r\n");
@@ -42,7 +42,7 @@
   /** What can't be read ends its own connection at most. */
   @Test
   void badInput() throws Exception {
-    script = e -> to.deny(rid(e), 0);
+    script = e -> to.reject(rid(e), 0);
     Socket good = client();
     Socket bad = client();
     say(bad, "*1\r\n$4\r\nPING\r\n" + req(1).replace("d=900", "d=9x0") + "*1\r\n$7\r\nCOMMAND\r\n"
@@ -58,7 +58,8 @@
   @Test
   void waitsForTheCounter() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived a) to.count(255, 1, 40_000, a.rid() == 0 ? 100_000 : 0);
+      if (e instanceof GatewayEvent.RequestArrived a)
+        to.addToCounter(255, 1, 40_000, a.requestId() == 0 ? 100_000 : 0);
     };
     Socket c = client();
     say(c, req(0));
@@ -67,18 +68,18 @@
     assertEquals("arrived 0 waits 900", next());
     Thread.sleep(1_300);
     say(s, "ok 7\r\n");
-    assertEquals("counted 255 PASSED 7.0", next());
+    assertEquals("counted 255 SUCCEEDED 7.0", next());
     say(c, req(1));
     assertEquals("bump ff 1 4000", line(s));
     assertEquals("arrived 1 waits 900", next());
-    assertEquals("counted 255 LATE 0.0", next());
+    assertEquals("counted 255 TIMED_OUT 0.0", next());
   }
 
   /** What the settings don't know, or a stranger with the id of a req that is out, gets an error and nothing else. */
   @Test
   void strangers() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.count(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
     };
     Socket c = client();
     say(c, req(0));
@@ -126,12 +127,12 @@
   @Test
   void dispatchesAndTheirEnds() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 80_000);
-      if (e instanceof Event.Ended d && !d.over()) to.abort(d.rid());
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
     };
     Socket c = client();
     String[] answers = {"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n", "-ERR failed\r\n", "-BUSY\r\n", null};
-    String[] told = {"PASSED over", "ERROR", "FULL", "BROKEN"};
+    String[] told = {"SUCCEEDED over", "SERVER_ERROR", "SERVER_BUSY", "CONNECTION_LOST"};
     String[] got = {"$2 hi", "-ERR aborted", "-ERR aborted", "-ERR aborted"};
     Socket s = null;
     for (int i = 0; i < answers.length; i++) {
@@ -149,15 +150,15 @@
     }
     appSrv.close();
     say(c, req(4));
-    assertEquals("arrived 4 waits 900 ended 4/0 NOT_CONNECTED", next() + " " + next());
+    assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", next() + " " + next());
   }
 
   /** An answer that can't be read is a failed dispatch that may have run, and nothing more goes out on its connection. */
   @Test
   void spoiltAnswers() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 80_000);
-      if (e instanceof Event.Ended d) to.abort(d.rid());
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d) to.fail(d.requestId());
     };
     Socket c = client();
     String[] answers = {"+OK\r\n", ":7\r\n", "*2\r\n$-1\r\n$-1\r\n", "-BUSYX\r\n", "*1\r\n$3000000000\r\nxx",
@@ -167,7 +168,7 @@
       Socket s = accept(appSrv);
       lines(s, 9);
       say(s, answers[i]);
-      assertEquals("arrived " + i + " waits 900 ended " + i + "/0 BROKEN closed",
+      assertEquals("arrived " + i + " waits 900 ended " + i + "/0 CONNECTION_LOST closed",
           next() + " " + next() + " " + line(s));
       assertEquals("-ERR aborted", line(c));
     }
@@ -177,11 +178,12 @@
   @Test
   void spoiltCounterAnswers() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.count(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
     };
     Socket c = client();
     String[] answers = {"ok NaN\r\n", "noise\r\n", "ok 0x1p3\r\n", "ok", "busy\r\n", "error\r\n"};
-    String[] told = {"BROKEN", "BROKEN", "BROKEN", "LATE", "FULL", "NOT_SENT"};
+    String[] told = {"CONNECTION_LOST", "CONNECTION_LOST", "CONNECTION_LOST", "TIMED_OUT", "SERVER_BUSY",
+        "NOT_SENT"};
     Socket s = null;
     for (int i = 0; i < answers.length; i++) {
       say(c, req(i));
@@ -197,9 +199,9 @@
   @Test
   void givenUpAndLeftOver() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, rid(e) == 0 ? 5_000 : 80_000);
-      if (e instanceof Event.Ended d && d.rid() == 0) to.abort(0);
-      if (e instanceof Event.ClientLeft l) to.cancel(l.rid(), 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, rid(e) == 0 ? 5_000 : 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && d.requestId() == 0) to.fail(0);
+      if (e instanceof GatewayEvent.ClientDisconnected l) to.cancelAttempt(l.requestId(), 0);
     };
     Socket c = client();
     long saidAt = System.nanoTime();
@@ -208,7 +210,7 @@
     assertEquals(
         "*4 $9 SVC.QUERY $16 0000000000000007 $2 10 $39 c=read,t=plan,d=500,units=1,spread=1,n= closed",
         withWaitOf(500, lines(s, 10), saidAt));
-    assertEquals("arrived 0 waits 900 ended 0/0 LATE", next() + " " + next());
+    assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT", next() + " " + next());
     assertEquals("-ERR aborted", line(c));
     say(c, req(1));
     s = accept(appSrv);
@@ -218,7 +220,7 @@
     say(c, req(2));
     s = accept(appSrv);
     lines(s, 9);
-    assertEquals("arrived 1 waits 900 ended 1/0 PASSED over arrived 2 waits 900",
+    assertEquals("arrived 1 waits 900 ended 1/0 SUCCEEDED over arrived 2 waits 900",
         next() + " " + next() + " " + next());
     c.close();
     assertEquals("left 2 ended 2/0 CANCELLED over closed", next() + " " + next() + " " + line(s));
@@ -228,30 +230,32 @@
   @Test
   void lateCounterAnswers() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.count(255, 1.5, 40_000, 0);
-      if (!(e instanceof Event.Counted n) || n.how() != Event.Outcome.NOT_CONNECTED) return;
-      for (int i = 0; i < 5; i++) to.abort(i);
+      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1.5, 40_000, 0);
+      if (!(e instanceof GatewayEvent.CounterReplied n)
+          || n.outcome() != GatewayEvent.AttemptOutcome.CONNECT_FAILED)
+        return;
+      for (int i = 0; i < 5; i++) to.fail(i);
     };
     Socket c = client();
     say(c, req(0));
     Socket s = accept(counter);
     assertEquals("bump ff 1.5000 4000", line(s));
-    assertEquals("arrived 0 waits 900 counted 255 LATE 0.0", next() + " " + next());
+    assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0", next() + " " + next());
     say(c, req(1));
     assertEquals("bump ff 1.5000 4000", line(s));
     say(s, "ok 1.5\r\nok 3\r\n");
-    assertEquals("arrived 1 waits 900 counted 255 PASSED 3.0", next() + " " + next());
+    assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0", next() + " " + next());
     say(c, req(2));
     line(s);
     say(s, "busy\r\n");
-    assertEquals("arrived 2 waits 900 counted 255 FULL 0.0", next() + " " + next());
+    assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0", next() + " " + next());
     say(c, req(3));
     line(s);
     s.close();
-    assertEquals("arrived 3 waits 900 counted 255 BROKEN 0.0", next() + " " + next());
+    assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0", next() + " " + next());
     counter.close();
     say(c, req(4));
-    assertEquals("arrived 4 waits 900 counted 255 NOT_CONNECTED 0.0", next() + " " + next());
+    assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", next() + " " + next());
     List<String> figures = info(c);
     assertTrue(figures.containsAll(List.of("reqs=5", "counted=5", "counts_answered=1", "counter_opened=1")),
         figures.toString());
@@ -268,21 +272,21 @@
     s = accept(discovery);
     assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(s));
     stream(s, "\n" + line);
-    assertEquals("listed CHANGES [1 DRAINING]", next());
+    assertEquals("listed DELTA [1 DRAINING]", next());
     s.close();
     s = accept(discovery);
     assertEquals("GET /api/targets?follow=1&since=7 HTTP/1.1", line(s));
     String body = line.replace("false", "true").replace("Terminating", "Ready").replace("s-1", "s-2")
         .replace("7", "8");
     stream(s, body);
-    assertEquals("listed WHOLE [2 READY]", next());
+    assertEquals("listed SNAPSHOT [2 READY]", next());
   }
 
   /** SIGHUP moves discovery and the counter, and no answer of a name overtakes another; a bad file changes nothing. */
   @Test
   void hangup(@TempDir Path dir) throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.count(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
     };
     Path path = dir.resolve("config.json");
     node.rereadOn(new Hangups(), path);
@@ -310,7 +314,7 @@
     say(old, "ok 1\r\n");
     assertEquals("bump ff 1 4000 closed", line(fresh) + " " + line(old));
     say(fresh, "ok 2\r\n");
-    assertEquals("counted 255 PASSED 1.0 counted 255 PASSED 2.0", next() + " " + next());
+    assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0", next() + " " + next());
     wasCounter.close();
     wasDiscovery.close();
   }
@@ -340,20 +344,21 @@
   @Test
   void probes() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.probe(0);
+      if (e instanceof GatewayEvent.RequestArrived) to.checkHealth(0);
     };
     say(client(), req(0));
     Socket s = accept(appSrv);
     assertEquals("*2 $4 INFO $4 load", lines(s, 5));
     say(s, "$23\r\nqueue=2,utilization=0.6\r\n");
-    assertEquals("arrived 0 waits 900 probed PASSED [0.6]", next() + " " + next());
+    assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", next() + " " + next());
   }
 
   /** A datagram goes out from the address at which the node listens, and a peer is known by the one it sends from. */
   @Test
   void datagrams() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.tell(0, new Told(List.of(new Told.Sum(7, 2, 1.5)), null));
+      if (e instanceof GatewayEvent.RequestArrived)
+        to.sendGossip(0, new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 1.5)), null));
     };
     say(client(), req(0));
     DatagramPacket packet = new DatagramPacket(new byte[300], 300);
@@ -361,15 +366,16 @@
     peer.send(
         new DatagramPacket("hello".getBytes(StandardCharsets.ISO_8859_1), 5, packet.getSocketAddress()));
     peer.send(packet);
-    assertEquals("arrived 0 waits 900 heard 0 [Sum[customer=7, turn=2, units=1.5]]", next() + " " + next());
+    assertEquals("arrived 0 waits 900 heard 0 [WindowUsage[customer=7, windowNumber=2, units=1.5]]", next() + " " + next());
   }
 
   /** Guards against a fault in the module that ends the process: it costs the req that it came with. */
   @Test
   void moduleFails() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived && rid(e) == 0) throw new IllegalStateException("made up for this test");
-      if (e instanceof Event.Arrived) to.deny(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived && rid(e) == 0)
+        throw new IllegalStateException("made up for this test");
+      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
     };
     Socket c = client();
     say(c, req(0));
@@ -391,7 +397,7 @@
     say(late, "*1\r\n$4\r\nPING\r\n");
     assertEquals("+PONG", line(late));
     script = e -> {
-      if (e instanceof Event.Arrived) to.deny(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
     };
     long before = System.nanoTime();
     while (System.nanoTime() - before < 700_000_000L) {
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.api.Event;
+import saltlatch.api.GatewayEvent;
 
 /** A planned end that crosses with what clients do just then. Nothing that was read goes unanswered, or is sent on afterwards. */
 @Timeout(60)
@@ -36,14 +36,14 @@
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
     script = e -> {
-      if (!(e instanceof Event.Arrived)) return;
+      if (!(e instanceof GatewayEvent.RequestArrived)) return;
       held.countDown();
       try {
         assertTrue(go.await(20, TimeUnit.SECONDS));
       } catch (InterruptedException i) {
         throw new IllegalStateException(i);
       }
-      to.deny(rid(e), 0);
+      to.reject(rid(e), 0);
     };
     Socket first = client();
     say(first, req(0));
@@ -65,7 +65,7 @@
   @Test
   void askedUpToTheLastTurn() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.deny(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
     };
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) clients.add(usual());
@@ -101,7 +101,7 @@
   @Test
   void appSrvHangs() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.dispatch(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
     };
     Socket c = client();
     say(c, req(0));
@@ -131,7 +131,7 @@
   @Test
   void halfACommand() throws Exception {
     script = e -> {
-      if (e instanceof Event.Arrived) to.deny(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
     };
     Socket c = client();
     String two = PING + req(1);
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -52,13 +52,13 @@
   void fallsSilent() throws Exception {
     Socket s = first();
     stream(s, list(2, false, "s-1", "Ready"));
-    assertEquals("listed CHANGES [1 READY]", next());
+    assertEquals("listed DELTA [1 READY]", next());
     long since = System.nanoTime();
     long took = nextWatch(since, "2");
     assertTrue(took > 4_000 && took < TOLD_MS - 500, took + " ms");
     assertEquals("closed", restOf(s));
     stream(last, list(3, false, "s-1", "Terminating"));
-    assertEquals("listed CHANGES [1 DRAINING]", next());
+    assertEquals("listed DELTA [1 DRAINING]", next());
   }
 
   /** The agent takes the connection and says nothing, as while discovery is down. */
@@ -70,7 +70,7 @@
     long again = nextWatch(System.nanoTime(), "1"); // and so on, until there is one that answers
     assertTrue(again < 3_000, again + " ms");
     stream(last, list(2, false, "s-1", "Ready"));
-    assertEquals("listed CHANGES [1 READY]", next());
+    assertEquals("listed DELTA [1 READY]", next());
   }
 
   /** A beginning without an end is no line: bytes that trickle keep no watch alive. */
@@ -102,7 +102,7 @@
     Socket s = first();
     long since = System.nanoTime();
     stream(s, list(2, false, "s-1", "Ready"));
-    assertEquals("listed CHANGES [1 READY]", next());
+    assertEquals("listed DELTA [1 READY]", next());
     s.setSoLinger(true, 0);
     s.close();
     long took = nextWatch(since, "2");
@@ -138,7 +138,7 @@
     last.close();
     nextWatch(System.nanoTime(), "1");
     stream(last, list(2, true, "s-2", "Ready"));
-    assertEquals("listed WHOLE [1 READY]", next());
+    assertEquals("listed SNAPSHOT [1 READY]", next());
   }
 
   /** A list over several lines, as when discovery indents what it writes, in pieces that cut it anywhere. */
@@ -150,7 +150,7 @@
     say(s, HEAD);
     for (int i = 0; i < text.length(); i += 7) chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
     chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
-    assertEquals("listed WHOLE [1 READY] listed CHANGES [2 DRAINING]", next() + " " + next());
+    assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]", next() + " " + next());
   }
 
   /** An agent that is behind, before or after SIGHUP, does not turn the list back; nor does the old one's late word. */
@@ -160,7 +160,7 @@
     node.rereadOn(new Hangups(), path);
     Socket old = first();
     stream(old, list(7, false, "s-1", "Terminating"));
-    assertEquals("listed CHANGES [1 DRAINING]", next());
+    assertEquals("listed DELTA [1 DRAINING]", next());
     java.net.ServerSocket was = discovery;
     discovery = listen();
     Files.writeString(path, config());
@@ -173,7 +173,7 @@
     }
     stream(last,
         list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready") + list(8, false, "s-4", "Ready"));
-    assertEquals("listed CHANGES [2 READY]", next());
+    assertEquals("listed DELTA [2 READY]", next());
     was.close();
   }
 
@@ -191,7 +191,7 @@
     }
     first();
     stream(last, good);
-    assertEquals("listed CHANGES [1 READY]", next());
+    assertEquals("listed DELTA [1 READY]", next());
   }
 
   private static String restOf(Socket s) throws IOException {
--- a/src/test/java/saltlatch/rules/RulesTest.java
+++ b/src/test/java/saltlatch/rules/RulesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.Site;
+import saltlatch.api.GatewaySettings;
 import saltlatch.wire.RulesForm;
 
 /** Agreed rules as a model in virtual time: nodes with drifting clocks, pauses and cuts, and one register of versions. */
@@ -23,9 +23,11 @@
   private static final Terms TERMS = new Terms(Terms.RENEWAL);
 
   private static RuleSet rules(double rate, RuleSet.Expired expired, String... pins) {
-    Site.Frontend f = new Site.Frontend(Site.Effect.REPLAYABLE, Site.Group.ALL, 0, 1_000, 2_000, 1);
-    return new RuleSet(new Version(1, 0), Map.of("plan", new Site.Plan(rate, 4 * rate, 0, 0, 0, 1)),
-        Map.of("read", f), new RuleSet.Limits(4, 1_000), new TreeSet<>(), new TreeSet<>(), new TreeSet<>(),
+    GatewaySettings.RequestClass f = new GatewaySettings.RequestClass(GatewaySettings.RetrySafety.IDEMPOTENT,
+        GatewaySettings.KeyScope.ALL, 0, 1_000, 2_000, 1);
+    return new RuleSet(new Version(1, 0),
+        Map.of("plan", new GatewaySettings.QuotaPlan(rate, 4 * rate, 0, 0, 0, 1)), Map.of("read", f),
+        new RuleSet.Limits(4, 1_000), new TreeSet<>(), new TreeSet<>(), new TreeSet<>(),
         new TreeSet<>(List.of("n0", "n1", "n2")), // the model has up to five
         new TreeSet<>(List.of(pins)), expired);
   }
--- a/src/test/java/saltlatch/wire/WireTest.java
+++ b/src/test/java/saltlatch/wire/WireTest.java
@@ -121,7 +121,7 @@
   void endings() {
     StringBuilder seen = new StringBuilder();
     for (Ending e : Ending.values())
-      seen.append(e).append(e.outcome().neverRan() ? " never ran\n" : " may have run\n");
+      seen.append(e).append(e.outcome().neverExecuted() ? " never ran\n" : " may have run\n");
     assertEquals("""
         ANSWERED may have run
         ERROR_ANSWER may have run
