--- a/src/main/java/saltlatch/End.java
+++ /dev/null
@@ -1,7 +0,0 @@
-package saltlatch;
-
-enum End {
-  NONE,
-  DENIED,
-  ABORTED
-}
--- a/src/main/java/saltlatch/Main.java
+++ b/src/main/java/saltlatch/Main.java
@@ -4,6 +4,7 @@
 import picocli.CommandLine;
 import saltlatch.cli.Commands;
 import saltlatch.node.Serve;
+import saltlatch.policy.PolicyEngine;
 import saltlatch.simhost.SimHost;
 
 /**
@@ -16,12 +17,12 @@
 
   public static void main(String[] args) throws IOException {
     if (args.length == 1 && args[0].equals("serve") && System.getenv("LB_CONFIG") != null) {
-      int code = Serve.run(Control::new, System.getenv("LB_CONFIG"), System.err);
+      int code = Serve.run(PolicyEngine::new, System.getenv("LB_CONFIG"), System.err);
       if (code != 0) System.exit(code);
       return;
     }
     if (args.length == 1 && args[0].equals("simhost")) {
-      System.exit(new SimHost(Control::new).run(System.in, System.out, System.err));
+      System.exit(new SimHost(PolicyEngine::new).run(System.in, System.out, System.err));
     }
     int code = new CommandLine(new Commands()).execute(args);
     if (code != 0 || !Commands.keepsRunning(args)) System.exit(code);
--- a/src/main/java/saltlatch/cli/Commands.java
+++ b/src/main/java/saltlatch/cli/Commands.java
@@ -4,8 +4,8 @@
 import java.io.UncheckedIOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import saltlatch.Control;
 import saltlatch.node.Serve;
+import saltlatch.policy.PolicyEngine;
 import saltlatch.simhost.SimHost;
 
 /**
@@ -39,7 +39,7 @@
         System.err.println("saltlatch serve: LB_CONFIG names no configuration");
         return 2;
       }
-      return Serve.run(Control::new, path, System.err);
+      return Serve.run(PolicyEngine::new, path, System.err);
     }
   }
 
@@ -50,7 +50,7 @@
     @Override
     public Integer call() {
       try {
-        return new SimHost(Control::new).run(System.in, System.out, System.err);
+        return new SimHost(PolicyEngine::new).run(System.in, System.out, System.err);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
--- a/src/main/java/saltlatch/cli/HollowCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCommand.java
@@ -12,12 +12,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import saltlatch.Control;
 import saltlatch.lab.hollow.HollowFleet;
 import saltlatch.lab.hollow.HollowRun;
 import saltlatch.lab.hollow.NodeConfig;
 import saltlatch.lab.scale.Machine;
 import saltlatch.lab.scale.Needs;
+import saltlatch.policy.PolicyEngine;
 
 /** {@code lab hollow}: the control part of many edge nodes in this process, following one discovery or relay. */
 @Command(name = "hollow", mixinStandardHelpOptions = true, subcommands = {HollowCompareCommand.class},
@@ -72,7 +72,7 @@
       HollowRun run = new HollowRun(fleet, writer, System.err);
       // The JVM ends once its hooks are done: the hook waits for the report.
       Runtime.getRuntime().addShutdownHook(new Thread(run::end));
-      run.run(Control::new, startOverSeconds, seconds);
+      run.run(PolicyEngine::new, startOverSeconds, seconds);
     }
     return 0;
   }
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -14,7 +14,6 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.Control;
 import saltlatch.history.History;
 import saltlatch.lab.check.Line;
 import saltlatch.lab.check.MemberTimes;
@@ -36,6 +35,7 @@
 import saltlatch.lab.rig.Relays;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.node.Serve;
+import saltlatch.policy.PolicyEngine;
 
 /**
  * One laboratory run: the emulator, {@code nodes} real edge nodes in this process (each its own Vert.x and event
@@ -246,7 +246,7 @@
   }
 
   private static Node embedded(String config) throws Exception {
-    Serve.Embedded e = Serve.embedded(Control::new, config).toCompletionStage().toCompletableFuture()
+    Serve.Embedded e = Serve.embedded(PolicyEngine::new, config).toCompletionStage().toCompletableFuture()
         .get(START_S, TimeUnit.SECONDS);
     return new Node() {
       @Override
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.Control;
 import saltlatch.api.GatewayActions;
 import saltlatch.api.GatewayEvent;
 import saltlatch.api.GatewayEvent.AttemptOutcome;
@@ -14,6 +13,7 @@
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GatewaySettings;
 import saltlatch.api.GossipMessage;
+import saltlatch.policy.PolicyEngine;
 
 /**
  * The decision module alone, without sockets, as the list grows: {@code module.request} is its CPU for one request that is
@@ -89,7 +89,7 @@
       GatewaySettings site = new GatewaySettings(seed, 1, TICK, rules,
           new GatewaySettings.CounterSettings(false, false), new GatewaySettings.PeerSettings(0, 0, 0),
           List.of(frontend), List.of(plan));
-      module = new Control(now, site, this);
+      module = new PolicyEngine(now, site, this);
       List<GatewayEvent.Endpoint> entries = new ArrayList<>();
       for (int i = 0; i < size; i++) entries.add(entry(i, EndpointState.READY));
       module.handle(now,
--- a/src/main/java/saltlatch/Gossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -1,4 +1,4 @@
-package saltlatch;
+package saltlatch.policy;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
  * Decides when, to whom and what; does no I/O and reads no clock. Control asks it and acts; docs/design.md
  * has the reasons.
  */
-final class Gossip {
+final class QuotaGossip {
   static final double PERIOD = 10_000; // 1 s between tellings: quotas refill less than a burst
   static final double INTAKE = 0.5; // part of the datagrams that a node takes in which these may use
   static final double SILENT = 3; // periods without any datagram after which peers are taken as unheard
@@ -37,7 +37,7 @@
   private long toldAt = NEVER;
   private Shares shares; // null: nodes do not know each other
 
-  Gossip(int me, int nodes, double intake, double fee) {
+  QuotaGossip(int me, int nodes, double intake, double fee) {
     this.me = me;
     this.nodes = nodes;
     this.intake = nodes > 1 ? intake : 0;
@@ -47,7 +47,7 @@
   /** Those that share customers with this node are at most twice the widest set; all may tell at once. */
   double period() {
     int tellers = Math.min((shares == null ? nodes : shares.counted()) - 1, 2 * (widest - 1));
-    return Math.max(PERIOD, tellers * Quotas.SECOND / Math.max(1, INTAKE * intake));
+    return Math.max(PERIOD, tellers * QuotaTracker.SECOND / Math.max(1, INTAKE * intake));
   }
 
   void share(Shares with) { shares = with; }
--- /dev/null
+++ b/src/main/java/saltlatch/policy/RequestEnd.java
@@ -0,0 +1,7 @@
+package saltlatch.policy;
+
+enum RequestEnd {
+  NONE,
+  REJECTED,
+  FAILED
+}
