--- a/src/main/java/saltlatch/api/GatewayActions.java
+++ b/src/main/java/saltlatch/api/GatewayActions.java
@@ -19,8 +19,9 @@
   void closeIdleConnections(long serverId);
 
   /**
-   * Adds to a named count that is forgotten {@code keep} after its first call; without an answer it ends after
-   * {@code cap}, or the time in the settings where that is longer. The simulator knows that time alone.
+   * Adds to a named count that is forgotten {@code keep} after its first call; without an answer it
+   * ends after {@code cap}, or the time in the settings where that is longer. The simulator knows
+   * that time alone.
    */
   void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks);
 
--- a/src/main/java/saltlatch/api/GatewayEvent.java
+++ b/src/main/java/saltlatch/api/GatewayEvent.java
@@ -58,21 +58,26 @@
       double weight, int machineType) {}
 
   /** The list of app servers, or changes of it. */
-  record EndpointsUpdated(EndpointUpdateKind kind, List<Endpoint> endpoints) implements GatewayEvent {}
+  record EndpointsUpdated(EndpointUpdateKind kind,
+      List<Endpoint> endpoints) implements GatewayEvent {}
 
   /**
-   * A request: its client waits {@code clientTimeoutTicks} from when it sent it; the customer uses {@code nodeCount} nodes from {@code firstNode}
-   * on; {@code ageTicks}: known to have lain unread for so long while this node was away.
+   * A request: its client waits {@code clientTimeoutTicks} from when it sent it; the customer uses
+   * {@code nodeCount} nodes from {@code firstNode} on; {@code ageTicks}: known to have lain unread
+   * for so long while this node was away.
    */
-  record RequestArrived(long requestId, int requestClass, int plan, long customer, long clientTimeoutTicks,
-      double estimatedUnits, int nodeCount, int firstNode, boolean retry,
+  record RequestArrived(long requestId, int requestClass, int plan, long customer,
+      long clientTimeoutTicks, double estimatedUnits, int nodeCount, int firstNode, boolean retry,
       long ageTicks) implements GatewayEvent {}
 
   /** The answer has begun to stream; the client timeout no longer runs. */
   record ResponseStarted(long requestId, long serverId, int attempt,
       long elapsedTicks) implements GatewayEvent {}
 
-  /** A dispatch ended; {@code requestFinished}: the request is over too; {@code actualUnits}: true units, 0 if untold. */
+  /**
+   * A dispatch ended; {@code requestFinished}: the request is over too; {@code actualUnits}: true
+   * units, 0 if untold.
+   */
   record AttemptEnded(long requestId, long serverId, int attempt, AttemptOutcome outcome,
       boolean requestFinished, long elapsedTicks, double actualUnits, double fleetUtilization,
       List<Double> loadReport) implements GatewayEvent {}
@@ -90,7 +95,10 @@
   /** A peer's datagram. */
   record GossipReceived(int sender, GossipMessage message) implements GatewayEvent {}
 
-  /** What a member of the fleet is to this node: there, not there (but it may run), or its surplus is this node's side's. */
+  /**
+   * What a member of the fleet is to this node: there, not there (but it may run), or its surplus
+   * is this node's side's.
+   */
   enum MemberState {
     LIVE,
     UNREACHABLE,
@@ -98,9 +106,9 @@
   }
 
   /**
-   * What this node knows of the fleet, where nodes know each other. Until {@code leaseUntilTicks} it uses its whole share of
-   * quotas, until {@code takeoverUntilTicks} also what the members that are gone left; {@code nodeCount}: the nodes that what all
-   * may do together is divided by.
+   * What this node knows of the fleet, where nodes know each other. Until {@code leaseUntilTicks}
+   * it uses its whole share of quotas, until {@code takeoverUntilTicks} also what the members that
+   * are gone left; {@code nodeCount}: the nodes that what all may do together is divided by.
    */
   record MembershipChanged(List<MemberState> states, long leaseUntilTicks, long takeoverUntilTicks,
       int nodeCount) implements GatewayEvent {}
--- a/src/main/java/saltlatch/api/GatewaySettings.java
+++ b/src/main/java/saltlatch/api/GatewaySettings.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** What an instance reads at start, decoded once. Times are tenths of a ms, rates units a second. */
+/**
+ * What an instance reads at start, decoded once. Times are tenths of a ms, rates units a second.
+ */
 public record GatewaySettings(long seed, int nodeCount, long clockResolutionTicks, Limits limits,
     CounterSettings counter, PeerSettings peers, List<RequestClass> requestClasses,
     List<QuotaPlan> quotaPlans) {
@@ -37,8 +39,8 @@
       long latencyObjectiveTicks, long clientTimeoutTicks, double priorityWeight) {}
 
   /** Rate 0: no such quota; parallel 0: no such cap; ceilingRate 0: no ceiling. */
-  public record QuotaPlan(double ratePerSecond, double burstUnits, int maxConcurrent, double ceilingPerSecond,
-      double ceilingBurstUnits, double priorityWeight) {}
+  public record QuotaPlan(double ratePerSecond, double burstUnits, int maxConcurrent,
+      double ceilingPerSecond, double ceilingBurstUnits, double priorityWeight) {}
 
   /**
    * What the deployment allows and asks of every node.
@@ -51,19 +53,22 @@
    * @param clientsMarkRetries    clients mark their further tries
    * @param warmUpTicks          for how long a started app server is cold, 0: never
    * @param initialCapacity      part of its capacity that it has at its start
-   * @param warmUpBudgetFactor  budget of a cold app server, in multiples of its warmth times the mean rate
+   * @param warmUpBudgetFactor  budget of a cold app server, in multiples of its warmth times the
+   *     mean rate
    * @param warmUpWindowTicks      window of that budget
    */
   public record Limits(boolean mustOpenWatch, boolean mayCancelAttempts, int maxAttempts,
-      boolean maySendRetryAfter, long maxRetryAfterTicks, boolean clientsMarkRetries, long warmUpTicks,
-      double initialCapacity, double warmUpBudgetFactor, long warmUpWindowTicks) {}
+      boolean maySendRetryAfter, long maxRetryAfterTicks, boolean clientsMarkRetries,
+      long warmUpTicks, double initialCapacity, double warmUpBudgetFactor,
+      long warmUpWindowTicks) {}
 
   /** Whether there is a counter, and whether an answer tells the true units of its request. */
   public record CounterSettings(boolean available, boolean reportsActualUnits) {}
 
   /**
-   * This node's number, the datagrams a second that it takes in of the others (0: none may be sent), and the price of
-   * one full datagram delivered for each client's first try, as a part of all worth.
+   * This node's number, the datagrams a second that it takes in of the others (0: none may be
+   * sent), and the price of one full datagram delivered for each client's first try, as a part of
+   * all worth.
    */
   public record PeerSettings(int ownIndex, double datagramsPerSecond, double datagramPrice) {}
 }
--- a/src/main/java/saltlatch/cli/CapacityReportCommand.java
+++ b/src/main/java/saltlatch/cli/CapacityReportCommand.java
@@ -14,15 +14,18 @@
 import saltlatch.lab.capacity.Table;
 
 /**
- * {@code lab scale report}: writes the tables of docs/CAPACITY.md from docs/capacity; with {@code --check} it writes nothing
- * and ends with 1 where page and data differ. Bad data or a page without a table's place: one line and 2.
+ * {@code lab scale report}: writes the tables of docs/CAPACITY.md from docs/capacity; with
+ * {@code --check} it writes nothing and ends with 1 where page and data differ. Bad data or a page
+ * without a table's place: one line and 2.
  */
-@Command(name = "report", mixinStandardHelpOptions = true, description = "Write the capacity page's tables.")
+@Command(name = "report", mixinStandardHelpOptions = true,
+    description = "Write the capacity page's tables.")
 final class CapacityReportCommand implements Callable<Integer> {
   @Option(names = "--data", defaultValue = "docs/capacity",
       description = "directory of measurements") Path data;
 
-  @Option(names = "--page", defaultValue = "docs/CAPACITY.md", description = "page to write") Path page;
+  @Option(names = "--page", defaultValue = "docs/CAPACITY.md",
+      description = "page to write") Path page;
 
   @Option(names = "--check",
       description = "write nothing; end with 1 where page and data differ") boolean check;
@@ -44,14 +47,16 @@
 
   private int check(String text, List<Table> tables) {
     List<String> different = CapacityPage.different(text, tables);
-    different.forEach(table -> System.out.println(page + ": table " + table + " differs from the data"));
+    different
+        .forEach(table -> System.out.println(page + ": table " + table + " differs from the data"));
     return different.isEmpty() ? 0 : 1;
   }
 
   private int write(String text, List<Table> tables) throws IOException {
     List<String> different = CapacityPage.different(text, tables);
     Files.writeString(page, CapacityPage.with(text, tables));
-    System.out.println(page + ": " + different.size() + " of " + tables.size() + " tables written anew");
+    System.out
+        .println(page + ": " + different.size() + " of " + tables.size() + " tables written anew");
     return 0;
   }
 }
--- a/src/main/java/saltlatch/cli/Commands.java
+++ b/src/main/java/saltlatch/cli/Commands.java
@@ -4,13 +4,14 @@
 import java.io.UncheckedIOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import saltlatch.node.Serve;
+import saltlatch.node.EdgeNode;
 import saltlatch.policy.PolicyEngine;
-import saltlatch.simhost.SimHost;
+import saltlatch.simhost.SimulatorHost;
 
 /**
- * The command line: {@code serve}, {@code simhost}, {@code emulate}, {@code load}, {@code report}, {@code lab}. Exit
- * codes: 0 done (or, for {@code serve}, serving), 2 bad input or configuration, 3 can't listen, 1 a lab check failed.
+ * The command line: {@code serve}, {@code simhost}, {@code emulate}, {@code load}, {@code report},
+ * {@code lab}. Exit codes: 0 done (or, for {@code serve}, serving), 2 bad input or configuration, 3
+ * can't listen, 1 a lab check failed.
  */
 @Command(name = "saltlatch", mixinStandardHelpOptions = true, version = "saltlatch 0.2.0",
     description = "A quota-keeping gateway for a shared API, and its laboratory.",
@@ -25,10 +26,14 @@
 
   @Override
   public void run() {
-    System.err.println("usage: saltlatch serve | simhost | emulate | load | report | lab  (--help for each)");
+    System.err.println(
+        "usage: saltlatch serve | simhost | emulate | load | report | lab  (--help for each)");
   }
 
-  /** One real edge node; the configuration is the file that {@code LB_CONFIG} names, as the platform gives it. */
+  /**
+   * One real edge node; the configuration is the file that {@code LB_CONFIG} names, as the platform
+   * gives it.
+   */
   @Command(name = "serve", mixinStandardHelpOptions = true,
       description = "Serve as one edge node; LB_CONFIG names the configuration (JSON).")
   static final class ServeCommand implements Callable<Integer> {
@@ -39,7 +44,7 @@
         System.err.println("saltlatch serve: LB_CONFIG names no configuration");
         return 2;
       }
-      return Serve.run(PolicyEngine::new, path, System.err);
+      return EdgeNode.run(PolicyEngine::new, path, System.err);
     }
   }
 
@@ -50,7 +55,7 @@
     @Override
     public Integer call() {
       try {
-        return new SimHost(PolicyEngine::new).run(System.in, System.out, System.err);
+        return new SimulatorHost(PolicyEngine::new).run(System.in, System.out, System.err);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
--- a/src/main/java/saltlatch/cli/EmulateCommand.java
+++ b/src/main/java/saltlatch/cli/EmulateCommand.java
@@ -11,8 +11,9 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * {@code emulate}: the stand-ins of a scenario on loopback, for nodes started by hand; writes each node's
- * configuration {@code DIR/nI.json} and serves until the scenario's time and {@code --linger} have passed.
+ * {@code emulate}: the stand-ins of a scenario on loopback, for nodes started by hand; writes each
+ * node's configuration {@code DIR/nI.json} and serves until the scenario's time and
+ * {@code --linger} have passed.
  */
 @Command(name = "emulate", mixinStandardHelpOptions = true,
     description = "Start the scenario's emulated app servers, counter, discovery and peer relay; write node configs.")
@@ -34,10 +35,11 @@
     Files.createDirectories(configs);
     for (int i = 0; i < s.nodes(); i++)
       Files.writeString(configs.resolve("n" + i + ".json"), e.nodeConfig(i));
-    System.out
-        .println("emulating " + s.name() + "; app servers on " + e.serverPorts() + "; configs in " + configs);
+    System.out.println("emulating " + s.name() + "; app servers on " + e.serverPorts()
+        + "; configs in " + configs);
     Thread.sleep((long) ((s.seconds() + linger) * 1000));
-    System.out.println(e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+    System.out
+        .println(e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
     e.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     return 0;
   }
--- a/src/main/java/saltlatch/cli/HollowCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCommand.java
@@ -19,9 +19,12 @@
 import saltlatch.lab.scale.Needs;
 import saltlatch.policy.PolicyEngine;
 
-/** {@code lab hollow}: the control part of many edge nodes in this process, following one discovery or relay. */
-@Command(name = "hollow", mixinStandardHelpOptions = true, subcommands = {HollowCompareCommand.class},
-    description = "Run the control part of many "
+/**
+ * {@code lab hollow}: the control part of many edge nodes in this process, following one discovery
+ * or relay.
+ */
+@Command(name = "hollow", mixinStandardHelpOptions = true,
+    subcommands = {HollowCompareCommand.class}, description = "Run the control part of many "
         + "edge nodes in this process: discovery, list and membership, no data path.")
 final class HollowCommand implements Callable<Integer> {
   private static final int REFUSED = 2; // exit code
@@ -32,11 +35,14 @@
 
   @Option(names = "--discovery", description = "HOST:PORT of what tells the list") String discovery;
 
-  @Option(names = "--first", defaultValue = "0", description = "number of the first of them") int first;
+  @Option(names = "--first", defaultValue = "0",
+      description = "number of the first of them") int first;
 
-  @Option(names = "--of", defaultValue = "0", description = "nodes of the whole fleet; 0: those here") int of;
+  @Option(names = "--of", defaultValue = "0",
+      description = "nodes of the whole fleet; 0: those here") int of;
 
-  @Option(names = "--loops", defaultValue = "1", description = "event loops (${DEFAULT-VALUE})") int loops;
+  @Option(names = "--loops", defaultValue = "1",
+      description = "event loops (${DEFAULT-VALUE})") int loops;
 
   @Option(names = "--start-over-seconds", defaultValue = "0",
       description = "time over which they start; 0: all at once") double startOverSeconds;
@@ -44,13 +50,15 @@
   @Option(names = "--seconds", defaultValue = "0",
       description = "time that it runs for; 0: until it is ended by SIGTERM") double seconds;
 
-  @Option(names = "--membership", description = "the nodes know each other; wants --of where the fleet has "
-      + "several processes") boolean membership;
+  @Option(names = "--membership",
+      description = "the nodes know each other; wants --of where the fleet has "
+          + "several processes") boolean membership;
 
   @Option(names = "--peer-port", defaultValue = "20000",
       description = "datagram port of node 0, the others' follow (${DEFAULT-VALUE})") int peerPort;
 
-  @Option(names = "--report", description = "file for JSON lines; else standard output") Path report;
+  @Option(names = "--report",
+      description = "file for JSON lines; else standard output") Path report;
 
   @Override
   public Integer call() throws Exception {
@@ -66,8 +74,11 @@
     }
     int all = of > 0 ? of : first + nodes;
     List<NodeConfig> configs = IntStream.range(first, first + nodes)
-        .mapToObj(number -> new NodeConfig(number, all, discovery, membership, peerPort, 1)).toList();
-    try (Writer writer = report == null ? new PrintWriter(System.out) : Files.newBufferedWriter(report);
+        .mapToObj(number -> new NodeConfig(number, all, discovery, membership, peerPort, 1))
+        .toList();
+    try (
+        Writer writer = report == null ? new PrintWriter(System.out)
+            : Files.newBufferedWriter(report);
         HollowFleet fleet = new HollowFleet(loops, configs)) {
       HollowRun run = new HollowRun(fleet, writer, System.err);
       // The JVM ends once its hooks are done: the hook waits for the report.
--- a/src/main/java/saltlatch/cli/HollowCompareCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCompareCommand.java
@@ -11,9 +11,13 @@
 import saltlatch.lab.scale.HollowComparison;
 import saltlatch.lab.scale.HollowTable;
 
-/** {@code lab hollow compare}: whether hollow nodes send and read what real ones do, as a table of differences. */
-@Command(name = "compare", mixinStandardHelpOptions = true, description = "Run as many real nodes as hollow "
-    + "ones under the same source, and write a table of the differences; 1 where one is over 10 %%.")
+/**
+ * {@code lab hollow compare}: whether hollow nodes send and read what real ones do, as a table of
+ * differences.
+ */
+@Command(name = "compare", mixinStandardHelpOptions = true,
+    description = "Run as many real nodes as hollow "
+        + "ones under the same source, and write a table of the differences; 1 where one is over 10 %%.")
 final class HollowCompareCommand implements Callable<Integer> {
   private static final int DIFFERENT = 1; // exit code
 
@@ -23,7 +27,8 @@
   @Option(names = "--out", defaultValue = "docs/capacity/hollow-vs-real.md",
       description = "page to write (${DEFAULT-VALUE})") Path out;
 
-  @Option(names = "--dir", defaultValue = "target/hollow", description = "configurations and logs") Path dir;
+  @Option(names = "--dir", defaultValue = "target/hollow",
+      description = "configurations and logs") Path dir;
 
   @Override
   public Integer call() throws Exception {
--- a/src/main/java/saltlatch/cli/LabCommand.java
+++ b/src/main/java/saltlatch/cli/LabCommand.java
@@ -14,7 +14,9 @@
 import saltlatch.lab.run.Lab;
 import saltlatch.lab.scenario.Scenario;
 
-/** {@code lab}: emulator, K in-process edge nodes and the load; writes the run file and its report. */
+/**
+ * {@code lab}: emulator, K in-process edge nodes and the load; writes the run file and its report.
+ */
 @Command(name = "lab", mixinStandardHelpOptions = true,
     subcommands = {ScaleCommand.class, HollowCommand.class},
     description = "Run a scenario against K real edge nodes in this process; write RUN.json and RUN.html.")
@@ -23,7 +25,8 @@
 
   @Spec CommandSpec spec;
 
-  @Option(names = "--scenario", description = "scenario file (TOML, see docs/lab.md)") Path scenario;
+  @Option(names = "--scenario",
+      description = "scenario file (TOML, see docs/lab.md)") Path scenario;
 
   @Option(names = "--nodes", defaultValue = "0",
       description = "edge nodes; 0 takes the scenario's") int nodes;
@@ -47,10 +50,12 @@
   @Override
   public Integer call() throws Exception {
     if (scenario == null) {
-      throw new ParameterException(spec.commandLine(), "Missing required option: '--scenario=<scenario>'");
+      throw new ParameterException(spec.commandLine(),
+          "Missing required option: '--scenario=<scenario>'");
     }
     Processes.Program program = processes
-        ? Processes.Program.of(Path.of("deploy/balancer.toml"), jar, Path.of(out + "-nodes")) : null;
+        ? Processes.Program.of(Path.of("deploy/balancer.toml"), jar, Path.of(out + "-nodes"))
+        : null;
     Scenario read = Scenario.read(scenario);
     if (seed != 0) read = read.withSeed(seed);
     RunResult r = Lab.run(read, nodes, program);
@@ -60,8 +65,8 @@
     for (RunResult.Check c : r.checks()) {
       System.out.println((c.passed() ? "passed " : "FAILED ") + c.name() + ": " + c.detail());
     }
-    System.out.println("outcomes " + r.outcomes() + ", latency us " + r.latencyUs() + ", sender late us "
-        + r.senderLateUs());
+    System.out.println("outcomes " + r.outcomes() + ", latency us " + r.latencyUs()
+        + ", sender late us " + r.senderLateUs());
     System.out.println("units beyond plan " + r.truth().unitsBeyondPlan() + ", denied with room "
         + r.deniedWithRoom() + ", recovery s " + r.recoveryS() + ", relays us " + r.relayDelayUs());
     if (r.members() != null) System.out.println("members: " + r.members());
--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -1,22 +1,25 @@
 package saltlatch.cli;
 
-import java.util.List;
-import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
-import java.nio.file.Path;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.net.NetServer;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.plan.Offered;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.Resp;
-import saltlatch.wire.RespReader;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
 
-/** {@code load}: the scenario's open-loop schedule against edge nodes already listening on loopback ports. */
+/**
+ * {@code load}: the scenario's open-loop schedule against edge nodes already listening on loopback
+ * ports.
+ */
 @Command(name = "load", mixinStandardHelpOptions = true,
     description = "Offer the scenario's load, open loop, to edge nodes on loopback; print outcomes and latency.")
 final class LoadCommand implements Callable<Integer> {
@@ -26,28 +29,31 @@
   @Option(names = "--ports", split = ",",
       description = "the nodes' client ports on 127.0.0.1") List<Integer> ports;
 
-  @Option(names = "--echo", description = "measure the load tool itself: send to an in-process server that "
-      + "answers every command at once with a value, instead of to nodes") boolean echo;
+  @Option(names = "--echo",
+      description = "measure the load tool itself: send to an in-process server that "
+          + "answers every command at once with a value, instead of to nodes") boolean echo;
 
   @Override
   public Integer call() throws Exception {
     Scenario s = Scenario.read(scenario);
     Vertx echoes = null;
     if (echo) {
-      echoes = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
+      echoes = Vertx
+          .vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
       NetServer server = echoes.createNetServer().connectHandler(socket -> {
-        RespReader reader = new RespReader();
+        RespDecoder reader = new RespDecoder();
         socket.handler(data -> {
           reader.feed(data);
           try {
-            for (Resp r = reader.next(); r != null; r = reader.next()) socket.write("$2\r\nok\r\n");
-          } catch (RespReader.Lost e) {
+            for (RespValue r = reader.next(); r != null; r = reader.next())
+              socket.write("$2\r\nok\r\n");
+          } catch (RespDecoder.RespFramingException e) {
             socket.close();
           }
         });
       });
-      ports = List
-          .of(server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get().actualPort());
+      ports = List.of(server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get()
+          .actualPort());
     } else if (ports == null || ports.isEmpty()) {
       System.err.println("saltlatch load: --ports or --echo");
       return 2;
--- a/src/main/java/saltlatch/cli/RelayCommand.java
+++ b/src/main/java/saltlatch/cli/RelayCommand.java
@@ -16,7 +16,10 @@
 import saltlatch.relay.RelayConfig.InvalidConfigException;
 import sun.misc.Signal;
 
-/** {@code relay CONFIG.json}: follows discovery or another relay and passes its list on, until SIGTERM. */
+/**
+ * {@code relay CONFIG.json}: follows discovery or another relay and passes its list on, until
+ * SIGTERM.
+ */
 @Command(name = "relay", mixinStandardHelpOptions = true, //
     description = "Follow discovery or another relay and pass the list on to many watchers (docs/relay.md).")
 final class RelayCommand implements Callable<Integer> {
@@ -47,7 +50,8 @@
     try {
       relay.start().toCompletionStage().toCompletableFuture().get();
     } catch (ExecutionException e) {
-      err.println("saltlatch relay: can't listen on " + config.listen() + ": " + e.getCause().getMessage());
+      err.println(
+          "saltlatch relay: can't listen on " + config.listen() + ": " + e.getCause().getMessage());
       return CANNOT_LISTEN;
     }
     System.out.println("relay on " + config.listen().host() + ":" + relay.port());
--- a/src/main/java/saltlatch/cli/RelayScaleCommand.java
+++ b/src/main/java/saltlatch/cli/RelayScaleCommand.java
@@ -12,9 +12,13 @@
 import saltlatch.lab.tiers.RelayScale;
 import saltlatch.lab.tiers.TierPlan;
 
-/** {@code lab scale relay}: hollow nodes behind two tiers of relays, then on the source directly; minutes long. */
-@Command(name = "relay", mixinStandardHelpOptions = true, description = "Measure the time from a change to "
-    + "its being in force, and what it costs, over two tiers of relays and without them.")
+/**
+ * {@code lab scale relay}: hollow nodes behind two tiers of relays, then on the source directly;
+ * minutes long.
+ */
+@Command(name = "relay", mixinStandardHelpOptions = true,
+    description = "Measure the time from a change to "
+        + "its being in force, and what it costs, over two tiers of relays and without them.")
 final class RelayScaleCommand implements Callable<Integer> {
   private static final int REFUSED = 2; // exit code
 
@@ -42,7 +46,8 @@
   @Option(names = "--repeat", defaultValue = "1",
       description = "its number, for the measurements") int repeat;
 
-  @Option(names = "--out", required = true, description = "file that measurements are added to") Path out;
+  @Option(names = "--out", required = true,
+      description = "file that measurements are added to") Path out;
 
   @Option(names = "--commit", required = true,
       description = "the text that is measured, for the measurements") String commit;
@@ -65,9 +70,12 @@
   }
 
   private void run(TierPlan plan) throws Exception {
-    Path jar = Path.of(RelayScaleCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    Path jar = Path
+        .of(RelayScaleCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (out.getParent() != null) Files.createDirectories(out.getParent());
-    try (Writer writer = Files.newBufferedWriter(out, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    try (
+        Writer writer = Files.newBufferedWriter(out, StandardOpenOption.CREATE,
+            StandardOpenOption.APPEND);
         RelayScale scale = new RelayScale(plan, jar, dir, writer, System.out, commit, repeat)) {
       scale.run(seconds);
     }
--- a/src/main/java/saltlatch/cli/ReportCommand.java
+++ b/src/main/java/saltlatch/cli/ReportCommand.java
@@ -9,7 +9,10 @@
 import saltlatch.lab.run.Lab;
 import saltlatch.lab.report.Report;
 
-/** {@code report RUN.json [BASELINE.json]}: the run's HTML page with plots, and the ratio against a baseline. */
+/**
+ * {@code report RUN.json [BASELINE.json]}: the run's HTML page with plots, and the ratio against a
+ * baseline.
+ */
 @Command(name = "report", mixinStandardHelpOptions = true,
     description = "Write a self-contained HTML report of a run file, compared with a baseline if given.")
 final class ReportCommand implements Callable<Integer> {
@@ -17,7 +20,8 @@
 
   @Parameters(index = "1", arity = "0..1", description = "baseline run file") Path baseline;
 
-  @Option(names = "--out", description = "HTML file; default: the run file's name with .html") Path out;
+  @Option(names = "--out",
+      description = "HTML file; default: the run file's name with .html") Path out;
 
   @Override
   public Integer call() throws Exception {
--- a/src/main/java/saltlatch/cli/ScaleCommand.java
+++ b/src/main/java/saltlatch/cli/ScaleCommand.java
@@ -20,7 +20,10 @@
 import saltlatch.lab.scale.ScaleTest;
 import saltlatch.lab.scale.ScaleTests;
 
-/** {@code lab scale TEST}: what the parts cost as one thing grows; and the stand-ins that this is measured against. */
+/**
+ * {@code lab scale TEST}: what the parts cost as one thing grows; and the stand-ins that this is
+ * measured against.
+ */
 @Command(name = "scale", mixinStandardHelpOptions = true,
     subcommands = {SourceCommand.class, RelayScaleCommand.class, CapacityReportCommand.class},
     description = "Measure what a part costs as one thing grows: JSON lines of "
@@ -30,10 +33,12 @@
 
   @Spec CommandSpec spec;
 
-  @Parameters(index = "0", arity = "0..1", paramLabel = "TEST", description = "list, watchers, plans, "
-      + "counter, members, requests, sums, hollow, fleet, module: what grows") String test;
+  @Parameters(index = "0", arity = "0..1", paramLabel = "TEST",
+      description = "list, watchers, plans, "
+          + "counter, members, requests, sums, hollow, fleet, module: what grows") String test;
 
-  @Option(names = "--sizes", split = ",", description = "ascending; else the test's own") List<Long> sizes;
+  @Option(names = "--sizes", split = ",",
+      description = "ascending; else the test's own") List<Long> sizes;
 
   @Option(names = "--repeats", defaultValue = "3",
       description = "of each size (${DEFAULT-VALUE})") int repeats;
@@ -41,7 +46,8 @@
   @Option(names = "--out",
       description = "file that measurements are added to; else docs/capacity/TEST.jsonl") Path out;
 
-  @Option(names = "--jar", description = "program of the real nodes; else the one that runs this") Path jar;
+  @Option(names = "--jar",
+      description = "program of the real nodes; else the one that runs this") Path jar;
 
   @Option(names = "--commit",
       description = "the text that is measured, for the measurements; else by git") String commit;
@@ -54,14 +60,16 @@
     Path own = ownJar();
     Bench bench = Bench.of(Path.of("deploy/balancer.toml"), jar == null ? own : jar, own, dir);
     ScaleTest chosen = ScaleTests.named(test == null ? "" : test, bench)
-        .orElseThrow(() -> new ParameterException(spec.commandLine(), "TEST is one of "
-            + ScaleTests.all(bench).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
-    List<Long> chosenSizes = sizes == null ? chosen.sizes() : sizes.stream().sorted().distinct().toList();
+        .orElseThrow(() -> new ParameterException(spec.commandLine(), "TEST is one of " + ScaleTests
+            .all(bench).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
+    List<Long> chosenSizes = sizes == null ? chosen.sizes()
+        : sizes.stream().sorted().distinct().toList();
     Path file = out == null ? Path.of("docs/capacity", test + ".jsonl") : out;
     if (file.getParent() != null) Files.createDirectories(file.getParent());
-    try (
-        Writer writer = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
-      new ScaleRun(Machine.here(), writer, System.out, System.err, commit).run(chosen, chosenSizes, repeats);
+    try (Writer writer = Files.newBufferedWriter(file, StandardOpenOption.CREATE,
+        StandardOpenOption.APPEND)) {
+      new ScaleRun(Machine.here(), writer, System.out, System.err, commit).run(chosen, chosenSizes,
+          repeats);
       return 0;
     } catch (Machine.TooMuch e) {
       System.err.println("saltlatch lab scale: " + e.getMessage());
--- a/src/main/java/saltlatch/cli/SourceCommand.java
+++ b/src/main/java/saltlatch/cli/SourceCommand.java
@@ -15,9 +15,12 @@
 import picocli.CommandLine.Spec;
 import saltlatch.lab.scale.Source;
 import saltlatch.lab.scale.SourceList;
-import saltlatch.wire.Dial;
+import saltlatch.wire.transport.TcpConnector;
 
-/** {@code lab scale source}: the stand-in for discovery at size as a process of its own, until it is ended. */
+/**
+ * {@code lab scale source}: the stand-in for discovery at size as a process of its own, until it is
+ * ended.
+ */
 @Command(name = "source", mixinStandardHelpOptions = true, description = "A stand-in for discovery "
     + "with a list of any size that changes at a given rate; runs until it is ended.")
 final class SourceCommand implements Callable<Integer> {
@@ -29,16 +32,19 @@
   @Option(names = "--entries", defaultValue = "34000",
       description = "app servers in the list (${DEFAULT-VALUE})") int entries;
 
-  @Option(names = "--changes-per-second", defaultValue = "0", description = "entries that change a second; "
-      + "POST /lab/rate?per_second=R sets another") double changesPerSecond;
+  @Option(names = "--changes-per-second", defaultValue = "0",
+      description = "entries that change a second; "
+          + "POST /lab/rate?per_second=R sets another") double changesPerSecond;
 
-  @Option(names = "--listen", defaultValue = "127.0.0.1:0", description = "HOST:PORT; port 0 takes a free "
-      + "one, which the line that it prints tells") String listen;
+  @Option(names = "--listen", defaultValue = "127.0.0.1:0",
+      description = "HOST:PORT; port 0 takes a free "
+          + "one, which the line that it prints tells") String listen;
 
   @Option(names = "--puts",
       description = "file for the time of each change: lines of index and put_ns (monotonic)") Path puts;
 
-  @Option(names = "--seed", defaultValue = "1", description = "seed of the choice of what changes") long seed;
+  @Option(names = "--seed", defaultValue = "1",
+      description = "seed of the choice of what changes") long seed;
 
   @Option(names = "--series",
       description = "tell the list's identity, its start in Unix ms, in each message") boolean series;
@@ -46,14 +52,15 @@
   @Override
   public Integer call() throws Exception {
     if (entries < 1 || changesPerSecond < 0) {
-      throw new ParameterException(spec.commandLine(), "--entries from 1, --changes-per-second from 0");
+      throw new ParameterException(spec.commandLine(),
+          "--entries from 1, --changes-per-second from 0");
     }
-    SocketAddress address = Dial.address(listen);
+    SocketAddress address = TcpConnector.parseAddress(listen);
     try (Writer writer = puts == null ? null : Files.newBufferedWriter(puts)) {
       SourceList list = new SourceList(entries, seed, series ? System.currentTimeMillis() : 0);
       Source source = new Source(list, changesPerSecond, writer);
-      int port = source.start(address.host(), address.port()).toCompletionStage().toCompletableFuture()
-          .get(START_S, TimeUnit.SECONDS);
+      int port = source.start(address.host(), address.port()).toCompletionStage()
+          .toCompletableFuture().get(START_S, TimeUnit.SECONDS);
       System.out.println("source of " + entries + " entries on " + address.host() + ":" + port);
       new CountDownLatch(1).await();
       return 0;
--- a/src/main/java/saltlatch/configuration/ActivationCoordinator.java
+++ b/src/main/java/saltlatch/configuration/ActivationCoordinator.java
@@ -1,4 +1,4 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,22 +6,22 @@
 import java.util.TreeMap;
 
 /**
- * What the leading keeper makes of the nodes' reports: when what is offered comes into force, is rejected, or for whom it
- * waits. Its memory is its own: a keeper that has just begun to lead has heard nobody and decides nothing for as long as a
- * lease given before may last. No I/O.
+ * What the leading keeper makes of the nodes' reports: when what is offered comes into force, is
+ * rejected, or for whom it waits. Its memory is its own: a keeper that has just begun to lead has
+ * heard nobody and decides nothing for as long as a lease given before may last. No I/O.
  */
-public final class Council {
-  private record Heard(Follower.Report report, long at) {}
+public final class ActivationCoordinator {
+  private record Heard(ConfigurationFollower.Report report, long at) {}
 
   /** A node as {@code rules status} shows it. */
-  public record Seen(String node, Version acts, Version prepared, String reason, long silentFor,
-      boolean live) {}
+  public record Seen(String node, ConfigurationVersion acts, ConfigurationVersion prepared,
+      String reason, long silentFor, boolean live) {}
 
-  private final Terms terms;
+  private final LeaseTimings terms;
   private final Map<String, Heard> heard = new TreeMap<>();
   private long leadsSince;
 
-  public Council(Terms terms, long now) {
+  public ActivationCoordinator(LeaseTimings terms, long now) {
     this.terms = terms;
     leadsSince = now;
   }
@@ -32,7 +32,7 @@
     leadsSince = now;
   }
 
-  public void reported(long now, Follower.Report r) {
+  public void reported(long now, ConfigurationFollower.Report r) {
     heard.put(r.node(), new Heard(r, now));
   }
 
@@ -41,14 +41,18 @@
     return now - h.at <= terms.leaseOver();
   }
 
-  /** For whom what is offered waits: live nodes that have not prepared it and, where it says so, all of the roster. */
-  public List<String> waitsFor(long now, RuleSet inForce, RuleSet offered) {
+  /**
+   * For whom what is offered waits: live nodes that have not prepared it and, where it says so, all
+   * of the roster.
+   */
+  public List<String> waitsFor(long now, SharedConfiguration inForce, SharedConfiguration offered) {
     List<String> out = new ArrayList<>();
     heard.forEach((node, h) -> {
       if (isLive(h, now) && !h.report.prepared().equals(offered.version())) out.add(node);
     });
-    boolean all = inForce != null && (inForce.expired() == RuleSet.Expired.WAIT
-        || offered.version().epoch() > inForce.version().epoch()); // a new epoch breaks pins that nodes without a lease go by
+    boolean all = inForce != null && (inForce.expired() == SharedConfiguration.Expired.WAIT
+        // a new epoch breaks pins that nodes without a lease go by
+        || offered.version().epoch() > inForce.version().epoch());
     if (!all) return out;
     for (String node : inForce.roster()) {
       Heard h = heard.get(node);
@@ -59,21 +63,24 @@
   }
 
   /** The operation that is due on what is offered; null: it waits. */
-  public Register.Op due(long now, RuleSet inForce, RuleSet offered) {
+  public ConfigurationRegister.Op due(long now, SharedConfiguration inForce,
+      SharedConfiguration offered) {
     if (offered == null) return null;
     for (Heard h : heard.values()) {
       if (offered.version().equals(h.report.rejected())) {
-        return new Register.Op.Reject(offered.version(), h.report.node(), h.report.reason());
+        return new ConfigurationRegister.Op.Reject(offered.version(), h.report.node(),
+            h.report.reason());
       }
     }
     if (now - leadsSince <= terms.leaseOver()) return null;
-    return waitsFor(now, inForce, offered).isEmpty() ? new Register.Op.Activate(offered.version()) : null;
+    return waitsFor(now, inForce, offered).isEmpty()
+        ? new ConfigurationRegister.Op.Activate(offered.version()) : null;
   }
 
   public List<Seen> seen(long now) {
     List<Seen> out = new ArrayList<>();
-    heard.forEach((node, h) -> out.add(
-        new Seen(node, h.report.acts(), h.report.prepared(), h.report.reason(), now - h.at, isLive(h, now))));
+    heard.forEach((node, h) -> out.add(new Seen(node, h.report.acts(), h.report.prepared(),
+        h.report.reason(), now - h.at, isLive(h, now))));
     return out;
   }
 }
--- a/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
@@ -1,4 +1,4 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
 import java.util.Set;
 import java.util.SortedSet;
@@ -6,13 +6,15 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * What of two versions must not be acted on at once: where a node on the older one does what the newer one forbids. What a
- * newer one only allows besides overlaps harmlessly. docs/rules-design.md has the table.
+ * What of two versions must not be acted on at once: where a node on the older one does what the
+ * newer one forbids. What a newer one only allows besides overlaps harmlessly. docs/rules-design.md
+ * has the table.
  */
-public record Contradictions(Set<String> plans, Set<String> frontends, Set<String> srvs, Set<Long> customers,
-    boolean sends) {
+public record ConfigurationConflicts(Set<String> plans, Set<String> frontends, Set<String> srvs,
+    Set<Long> customers, boolean sends) {
 
-  public static Contradictions between(RuleSet older, RuleSet newer) {
+  public static ConfigurationConflicts between(SharedConfiguration older,
+      SharedConfiguration newer) {
     Set<String> plans = new TreeSet<>();
     older.plans().forEach((name, p) -> {
       GatewaySettings.QuotaPlan q = newer.plans().get(name);
@@ -23,7 +25,7 @@
       GatewaySettings.RequestClass g = newer.frontends().get(name);
       if (g == null || isTighter(f, g)) frontends.add(name);
     });
-    return new Contradictions(plans, frontends, without(newer.heldOut(), older.heldOut()),
+    return new ConfigurationConflicts(plans, frontends, without(newer.heldOut(), older.heldOut()),
         customers(older, newer), newer.limits().sendCap() < older.limits().sendCap());
   }
 
@@ -31,23 +33,26 @@
   private static boolean isTighter(GatewaySettings.QuotaPlan p, GatewaySettings.QuotaPlan q) {
     return less(p.ratePerSecond(), q.ratePerSecond())
         || q.ratePerSecond() > 0 && p.ratePerSecond() > 0 && q.burstUnits() < p.burstUnits()
-        || less(p.maxConcurrent(), q.maxConcurrent()) || less(p.ceilingPerSecond(), q.ceilingPerSecond())
-        || q.ceilingPerSecond() > 0 && p.ceilingPerSecond() > 0
-            && q.ceilingBurstUnits() < p.ceilingBurstUnits();
+        || less(p.maxConcurrent(), q.maxConcurrent())
+        || less(p.ceilingPerSecond(), q.ceilingPerSecond()) || q.ceilingPerSecond() > 0
+            && p.ceilingPerSecond() > 0 && q.ceilingBurstUnits() < p.ceilingBurstUnits();
   }
 
   private static boolean less(double older, double newer) {
     return newer > 0 && (older <= 0 || newer < older);
   }
 
-  /** One that may be run again less freely, or whose repeats are remembered for less, or in a smaller group. */
+  /**
+   * One that may be run again less freely, or whose repeats are remembered for less, or in a
+   * smaller group.
+   */
   private static boolean isTighter(GatewaySettings.RequestClass f, GatewaySettings.RequestClass g) {
     return g.retrySafety().ordinal() > f.retrySafety().ordinal()
         || g.keyScope().ordinal() > f.keyScope().ordinal() || g.keyTtlTicks() < f.keyTtlTicks();
   }
 
   /** Those barred anew, and those exempt no longer. */
-  private static Set<Long> customers(RuleSet older, RuleSet newer) {
+  private static Set<Long> customers(SharedConfiguration older, SharedConfiguration newer) {
     Set<Long> out = without(newer.barred(), older.barred());
     out.addAll(without(older.exempt(), newer.exempt()));
     return out;
@@ -59,9 +64,13 @@
     return out;
   }
 
-  /** Whether deciding that req on the older version may go against the newer; app servers are asked for one by one. */
+  /**
+   * Whether deciding that req on the older version may go against the newer; app servers are asked
+   * for one by one.
+   */
   public boolean touch(String plan, String frontend, long customer) {
-    return sends || plans.contains(plan) || frontends.contains(frontend) || customers.contains(customer);
+    return sends || plans.contains(plan) || frontends.contains(frontend)
+        || customers.contains(customer);
   }
 
   /** The keys that are contradicted, as pins name them. */
--- a/src/main/java/saltlatch/configuration/ConfigurationRegister.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationRegister.java
@@ -1,4 +1,4 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,33 +6,35 @@
 import java.util.TreeSet;
 
 /**
- * What the keepers agree on: the version in force, the one offered, and what became of the others. A deterministic state
- * machine: the same operations in the same order give the same state, at each keeper and after each start. No I/O.
+ * What the keepers agree on: the version in force, the one offered, and what became of the others.
+ * A deterministic state machine: the same operations in the same order give the same state, at each
+ * keeper and after each start. No I/O.
  */
-public final class Register {
+public final class ConfigurationRegister {
   static final int KEPT = 64; // outcomes kept for people to read
 
   /** An operation of the log that the keepers replicate. */
   public sealed interface Op {
     /** Offers rules in place of version {@code base}, the newest that its author knew. */
-    record Put(Version base, RuleSet rules) implements Op {}
+    record Put(ConfigurationVersion base, SharedConfiguration rules) implements Op {}
 
     /** Puts the offered version in force. */
-    record Activate(Version version) implements Op {}
+    record Activate(ConfigurationVersion version) implements Op {}
 
     /** Takes the offered version back, since {@code node} can't act on it. */
-    record Reject(Version version, String node, String reason) implements Op {}
+    record Reject(ConfigurationVersion version, String node, String reason) implements Op {}
   }
 
   /** What became of a version. */
-  public record Outcome(Version version, boolean inForce, String why) {}
+  public record Outcome(ConfigurationVersion version, boolean inForce, String why) {}
 
   /** All of it, for snapshots. */
-  public record State(RuleSet inForce, RuleSet offered, Version newest, List<Outcome> outcomes) {}
+  public record State(SharedConfiguration inForce, SharedConfiguration offered,
+      ConfigurationVersion newest, List<Outcome> outcomes) {}
 
-  private RuleSet inForce;
-  private RuleSet offered;
-  private Version newest = Version.NONE;
+  private SharedConfiguration inForce;
+  private SharedConfiguration offered;
+  private ConfigurationVersion newest = ConfigurationVersion.NONE;
   private final List<Outcome> outcomes = new ArrayList<>();
 
   public State state() {
@@ -47,15 +49,15 @@
     outcomes.addAll(s.outcomes);
   }
 
-  public RuleSet inForce() {
+  public SharedConfiguration inForce() {
     return inForce;
   }
 
-  public RuleSet offered() {
+  public SharedConfiguration offered() {
     return offered;
   }
 
-  public Version newest() {
+  public ConfigurationVersion newest() {
     return newest;
   }
 
@@ -71,24 +73,28 @@
   }
 
   private String put(Op.Put p) {
-    if (!p.base().equals(newest)) return "refused: made for " + p.base() + ", the newest is " + newest;
+    if (!p.base().equals(newest))
+      return "refused: made for " + p.base() + ", the newest is " + newest;
     if (offered != null) return "refused: " + offered.version() + " is still offered";
     long epoch = p.rules().version().epoch();
-    if (epoch < newest.epoch()) return "refused: epoch " + epoch + " is over, the newest is " + newest;
-    Version v = new Version(epoch, epoch == newest.epoch() ? newest.number() + 1 : 1);
-    RuleSet rules = p.rules().as(v);
+    if (epoch < newest.epoch())
+      return "refused: epoch " + epoch + " is over, the newest is " + newest;
+    ConfigurationVersion v = new ConfigurationVersion(epoch,
+        epoch == newest.epoch() ? newest.number() + 1 : 1);
+    SharedConfiguration rules = p.rules().as(v);
     if (!rules.faults().isEmpty()) return "refused: " + String.join("; ", rules.faults());
     if (inForce != null && epoch == inForce.version().epoch()) {
-      Set<String> broken = new TreeSet<>(Contradictions.between(inForce, rules).keys());
+      Set<String> broken = new TreeSet<>(ConfigurationConflicts.between(inForce, rules).keys());
       broken.retainAll(inForce.pins());
-      if (!broken.isEmpty()) return "refused: pinned in epoch " + epoch + ": " + String.join(", ", broken);
+      if (!broken.isEmpty())
+        return "refused: pinned in epoch " + epoch + ": " + String.join(", ", broken);
     }
     newest = v;
     offered = rules;
     return "offered " + v;
   }
 
-  private String activate(Version v) {
+  private String activate(ConfigurationVersion v) {
     if (offered == null || !offered.version().equals(v)) return "old: " + v + " is not offered";
     inForce = offered;
     end(new Outcome(v, true, "in force"));
--- a/src/main/java/saltlatch/configuration/ConfigurationVersion.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationVersion.java
@@ -1,16 +1,20 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
-/** Which rule set: the epoch goes before the number. Numbers are the keepers' to give, epochs the operators'. */
-public record Version(long epoch, long number) implements Comparable<Version> {
-  public static final Version NONE = new Version(0, 0);
+/**
+ * Which rule set: the epoch goes before the number. Numbers are the keepers' to give, epochs the
+ * operators'.
+ */
+public record ConfigurationVersion(long epoch,
+    long number) implements Comparable<ConfigurationVersion> {
+  public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
   @Override
-  public int compareTo(Version o) {
+  public int compareTo(ConfigurationVersion o) {
     int byEpoch = Long.compare(epoch, o.epoch);
     return byEpoch != 0 ? byEpoch : Long.compare(number, o.number);
   }
 
-  public boolean isAfter(Version o) {
+  public boolean isAfter(ConfigurationVersion o) {
     return compareTo(o) > 0;
   }
 
@@ -20,9 +24,10 @@
     return epoch + "." + number;
   }
 
-  public static Version of(String text) {
+  public static ConfigurationVersion of(String text) {
     int dot = text.indexOf('.');
     if (dot <= 0) throw new IllegalArgumentException("a version is EPOCH.NUMBER, not " + text);
-    return new Version(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
+    return new ConfigurationVersion(Long.parseLong(text.substring(0, dot)),
+        Long.parseLong(text.substring(dot + 1)));
   }
 }
--- a/src/main/java/saltlatch/configuration/LeaseTimings.java
+++ b/src/main/java/saltlatch/configuration/LeaseTimings.java
@@ -1,15 +1,25 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
-/** Times of agreed rules, worked out of how often a node renews. Tenths of a ms; every promised time is a formula here. */
-public record Terms(long renewal) {
+/**
+ * Times of agreed rules, worked out of how often a node renews. Tenths of a ms; every promised time
+ * is a formula here.
+ */
+public record LeaseTimings(long renewal) {
   // One block of constants, each with its unit and reason.
-  public static final long RENEWAL = 10_000; // 1 s between renewals: a change is in force within seconds, a call a second each
+  // 1 s between renewals: a change is in force within seconds, a call a second each
+  public static final long RENEWAL = 10_000;
   static final int RENEWALS = 3; // renewals that a lease outlives: two lost in a row stop nobody
-  static final double DRIFT = 0.01; // how far a clock may run fast or slow: a hundredfold of a bad crystal's
-  static final long TURN = 2_000; // 200 ms, the longest turn of a loop: what was decided is on its way by then
-  static final double SPREAD = 0.1; // of a renewal by which renewals are drawn apart: a fleet must not call at once
+  // how far a clock may run fast or slow: a hundredfold of a bad crystal's
+  static final double DRIFT = 0.01;
+  // 200 ms, the longest turn of a loop: what was decided is on its way by then
+  static final long TURN = 2_000;
+  // of a renewal by which renewals are drawn apart: a fleet must not call at once
+  static final double SPREAD = 0.1;
 
-  /** L: a node acts on a version for so long after it sent the renewal that confirmed it, by its own clock. */
+  /**
+   * L: a node acts on a version for so long after it sent the renewal that confirmed it, by its own
+   * clock.
+   */
   public long lease() {
     return RENEWALS * renewal;
   }
--- a/src/main/java/saltlatch/configuration/SharedConfiguration.java
+++ b/src/main/java/saltlatch/configuration/SharedConfiguration.java
@@ -1,4 +1,4 @@
-package saltlatch.rules;
+package saltlatch.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,26 +9,34 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * All rules that the edge nodes must agree on, of one version: settings (plans, frontends by name, limits) and lists (app
- * servers held out, customers barred or exempt, the roster). Times are tenths of a ms, rates units a second. Maps and sets
- * are sorted, so that one rule set has one form and one hash. {@code pins}: keys ({@code plans.NAME}, {@code frontends.NAME},
- * {@code heldOut}, {@code customers}, {@code sendCap}) that no later version of the same epoch tightens.
+ * All rules that the edge nodes must agree on, of one version: settings (plans, frontends by name,
+ * limits) and lists (app servers held out, customers barred or exempt, the roster). Times are
+ * tenths of a ms, rates units a second. Maps and sets are sorted, so that one rule set has one form
+ * and one hash. {@code pins}: keys ({@code plans.NAME}, {@code frontends.NAME}, {@code heldOut},
+ * {@code customers}, {@code sendCap}) that no later version of the same epoch tightens.
  */
-public record RuleSet(Version version, Map<String, GatewaySettings.QuotaPlan> plans,
+public record SharedConfiguration(ConfigurationVersion version,
+    Map<String, GatewaySettings.QuotaPlan> plans,
     Map<String, GatewaySettings.RequestClass> frontends, Limits limits, SortedSet<String> heldOut,
-    SortedSet<Long> barred, SortedSet<Long> exempt, SortedSet<String> roster, SortedSet<String> pins,
-    Expired expired) {
+    SortedSet<Long> barred, SortedSet<Long> exempt, SortedSet<String> roster,
+    SortedSet<String> pins, Expired expired) {
 
-  /** {@code sendCap}: dispatches of a req at most; {@code longestPause}: the most that a client is told to wait. */
+  /**
+   * {@code sendCap}: dispatches of a req at most; {@code longestPause}: the most that a client is
+   * told to wait.
+   */
   public record Limits(int sendCap, long longestPause) {}
 
-  /** What becomes of a rule set whose successor may be in force unknown to a node: it denies, or the successor waits. */
+  /**
+   * What becomes of a rule set whose successor may be in force unknown to a node: it denies, or the
+   * successor waits.
+   */
   public enum Expired {
     DENY,
     WAIT
   }
 
-  public RuleSet {
+  public SharedConfiguration {
     plans = new TreeMap<>(plans);
     frontends = new TreeMap<>(frontends);
     heldOut = new TreeSet<>(heldOut);
@@ -44,8 +52,9 @@
         && pins.contains("customers") && pins.contains("sendCap");
   }
 
-  public RuleSet as(Version v) {
-    return new RuleSet(v, plans, frontends, limits, heldOut, barred, exempt, roster, pins, expired);
+  public SharedConfiguration as(ConfigurationVersion v) {
+    return new SharedConfiguration(v, plans, frontends, limits, heldOut, barred, exempt, roster,
+        pins, expired);
   }
 
   /** What is wrong with it by itself, by key; empty if nothing is. */
--- a/src/main/java/saltlatch/distribution/Actions.java
+++ b/src/main/java/saltlatch/distribution/Actions.java
@@ -18,13 +18,19 @@
     STOPPING
   }
 
-  /** Opens a watch at an upstream (its place in the configuration) from {@code since}; one watch is open at a time. */
+  /**
+   * Opens a watch at an upstream (its place in the configuration) from {@code since}; one watch is
+   * open at a time.
+   */
   void openUpstream(int upstream, Version since);
 
   /** Ends the watch at an upstream, no event follows from it. */
   void closeUpstream(int upstream, Reason reason);
 
-  /** Writes a message; {@link Distributor#watcherDrained} follows once the socket has taken all of it. */
+  /**
+   * Writes a message; {@link Distributor#watcherDrained} follows once the socket has taken all of
+   * it.
+   */
   void send(long watcher, Message message);
 
   /** Ends a watcher's connection, no event follows from it. */
--- a/src/main/java/saltlatch/distribution/Admission.java
+++ b/src/main/java/saltlatch/distribution/Admission.java
@@ -4,16 +4,20 @@
 import java.util.TreeSet;
 
 /**
- * Who gets a whole list when: first those that never had one, then by waiting time, within a budget of bytes a second. In
- * any second no more is admitted than the budget and one list.
+ * Who gets a whole list when: first those that never had one, then by waiting time, within a budget
+ * of bytes a second. In any second no more is admitted than the budget and one list.
  */
 final class Admission {
-  /** Part of the budget that may be saved up while nobody waits; the rest is the rate at which it refills. */
+  /**
+   * Part of the budget that may be saved up while nobody waits; the rest is the rate at which it
+   * refills.
+   */
   private static final double SAVED = 0.1;
 
   private static final double MS = 1000.0;
 
-  private static final Comparator<Watcher> ORDER = Comparator.comparing((Watcher watcher) -> watcher.listed)
+  private static final Comparator<Watcher> ORDER = Comparator
+      .comparing((Watcher watcher) -> watcher.listed)
       .thenComparingLong(watcher -> watcher.waitingSince).thenComparingLong(watcher -> watcher.id);
 
   private final double saved;
--- a/src/main/java/saltlatch/distribution/Backoff.java
+++ b/src/main/java/saltlatch/distribution/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** Delays that double with each failure up to a bound, drawn at random so that many who failed at once spread out. */
+/**
+ * Delays that double with each failure up to a bound, drawn at random so that many who failed at
+ * once spread out.
+ */
 final class Backoff {
   private static final int MOST_DOUBLINGS = 20;
 
--- a/src/main/java/saltlatch/distribution/ChangeLog.java
+++ b/src/main/java/saltlatch/distribution/ChangeLog.java
@@ -7,8 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * The latest change of each name within one series, oldest first and bounded by their number. What a watcher at some index
- * lacks is the tail behind that index, already coalesced: a name stands in the log once, where it last changed.
+ * The latest change of each name within one series, oldest first and bounded by their number. What
+ * a watcher at some index lacks is the tail behind that index, already coalesced: a name stands in
+ * the log once, where it last changed.
  */
 final class ChangeLog {
   /** Leaps remembered; beyond it the log begins behind the oldest. */
@@ -55,8 +56,9 @@
   }
 
   /**
-   * Notes that the changes from one index to another were found by comparing two whole lists. What was changed and changed
-   * back in between is not among them, so that who stands strictly between the two can't be told changes.
+   * Notes that the changes from one index to another were found by comparing two whole lists. What
+   * was changed and changed back in between is not among them, so that who stands strictly between
+   * the two can't be told changes.
    */
   void leapt(long from, long to) {
     if (to - from <= 1) {
@@ -77,7 +79,9 @@
     return leap == null || index >= leap.getValue();
   }
 
-  /** The latest state of each name that changed after {@code index}, in the order of the changes. */
+  /**
+   * The latest state of each name that changed after {@code index}, in the order of the changes.
+   */
   List<Entry> since(long index) {
     return new ArrayList<>(changes.tailMap(new Place(index, Long.MAX_VALUE), false).values());
   }
--- a/src/main/java/saltlatch/distribution/Distributor.java
+++ b/src/main/java/saltlatch/distribution/Distributor.java
@@ -1,9 +1,10 @@
 package saltlatch.distribution;
 
 /**
- * The decisions of one relay, without I/O: events in, {@link Actions} out. It follows one of several upstreams, keeps the list
- * with a bounded log of its changes, and tells its watchers what they lack. Times are in milliseconds of one monotonic clock.
- * Events may be reported from within an action; all come from one thread.
+ * The decisions of one relay, without I/O: events in, {@link Actions} out. It follows one of
+ * several upstreams, keeps the list with a bounded log of its changes, and tells its watchers what
+ * they lack. Times are in milliseconds of one monotonic clock. Events may be reported from within
+ * an action; all come from one thread.
  */
 public final class Distributor {
   /** Why an upstream's watch ended. */
@@ -95,7 +96,10 @@
     outbox.release();
   }
 
-  /** When {@link #tick} is next wanted, to be asked after each event; a time that is over means at once. */
+  /**
+   * When {@link #tick} is next wanted, to be asked after each event; a time that is over means at
+   * once.
+   */
   public long nextTick() {
     return Math.min(upstreams.due(), watchers.due());
   }
@@ -109,10 +113,11 @@
 
   /** What operators read. */
   public Status status(long now) {
-    return new Status(replica.version(), replica.size(), upstreams.current(), upstreams.staleMs(now),
-        watchers.size(), watchers.behind(), watchers.waiting(), watchers.changesSent(),
-        watchers.coalescedSent(), watchers.snapshotsSent(), watchers.refused(), watchers.stalled(),
-        upstreams.failures(), upstreams.malformedCount(), olderPassedOver, replica.log().size());
+    return new Status(replica.version(), replica.size(), upstreams.current(),
+        upstreams.staleMs(now), watchers.size(), watchers.behind(), watchers.waiting(),
+        watchers.changesSent(), watchers.coalescedSent(), watchers.snapshotsSent(),
+        watchers.refused(), watchers.stalled(), upstreams.failures(), upstreams.malformedCount(),
+        olderPassedOver, replica.log().size());
   }
 
   private void told(Update update, long now) {
--- a/src/main/java/saltlatch/distribution/Limits.java
+++ b/src/main/java/saltlatch/distribution/Limits.java
@@ -5,7 +5,8 @@
  *
  * @param watchers                   watchers held at once, relays of the next tier included
  * @param entries                    entries that the list may have
- * @param logChanges                 changed entries kept for watchers that resume; beyond it they get a snapshot
+ * @param logChanges                 changed entries kept for watchers that resume; beyond it they
+ *     get a snapshot
  * @param snapshotBytesPerSecond     budget of bytes a second for whole lists, over all watchers
  */
 public record Limits(int watchers, int entries, int logChanges, long snapshotBytesPerSecond) {
--- a/src/main/java/saltlatch/distribution/Message.java
+++ b/src/main/java/saltlatch/distribution/Message.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a watcher is sent. Watchers at the same position get the very same instance, so that a host encodes each message once
- * and shares the buffer; instances are compared by identity.
+ * What a watcher is sent. Watchers at the same position get the very same instance, so that a host
+ * encodes each message once and shares the buffer; instances are compared by identity.
  */
 public final class Message {
   /** What a message is for; costs are counted by kind. */
@@ -33,7 +33,10 @@
     return kind;
   }
 
-  /** Where its receiver stands once it has applied this; {@link Version#NONE} for a keep-alive, which moves nobody. */
+  /**
+   * Where its receiver stands once it has applied this; {@link Version#NONE} for a keep-alive,
+   * which moves nobody.
+   */
   public Version version() {
     return version;
   }
--- a/src/main/java/saltlatch/distribution/Messages.java
+++ b/src/main/java/saltlatch/distribution/Messages.java
@@ -8,7 +8,10 @@
 final class Messages {
   /** A whole list is sent again for so long, ms: it costs the encoding of all entries. */
   static final long SNAPSHOT_REUSE_MS = 5_000;
-  /** Of the log's bound, what may have changed since a list that is sent again: who gets it must still find the rest there. */
+  /**
+   * Of the log's bound, what may have changed since a list that is sent again: who gets it must
+   * still find the rest there.
+   */
   private static final double REUSE_PART = 0.5;
 
   private final Replica replica;
@@ -35,7 +38,10 @@
         from -> new Message(Message.Kind.CHANGES, changesTo, entriesSince(from)));
   }
 
-  /** A whole list later than {@code than}, perhaps some seconds old; what changed since is still in the log. */
+  /**
+   * A whole list later than {@code than}, perhaps some seconds old; what changed since is still in
+   * the log.
+   */
   Message snapshot(Version than, long now) {
     if (!reusable(now) || snapshot.version().compareTo(than) <= 0) {
       snapshot = new Message(Message.Kind.SNAPSHOT, replica.version(), replica.snapshot());
@@ -62,6 +68,7 @@
     if (snapshot.version().equals(replica.version())) {
       return true;
     }
-    return now - snapshotAt <= SNAPSHOT_REUSE_MS && replica.log().added() - snapshotAdded <= reuseChanges;
+    return now - snapshotAt <= SNAPSHOT_REUSE_MS
+        && replica.log().added() - snapshotAdded <= reuseChanges;
   }
 }
--- a/src/main/java/saltlatch/distribution/Outbox.java
+++ b/src/main/java/saltlatch/distribution/Outbox.java
@@ -4,8 +4,8 @@
 import java.util.Deque;
 
 /**
- * Holds actions back until the decision they come from is whole, so that a host may report an outcome (a socket that took all
- * at once, a connection refused) from within the action itself.
+ * Holds actions back until the decision they come from is whole, so that a host may report an
+ * outcome (a socket that took all at once, a connection refused) from within the action itself.
  */
 final class Outbox implements Actions {
   private final Actions host;
--- a/src/main/java/saltlatch/distribution/Replica.java
+++ b/src/main/java/saltlatch/distribution/Replica.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list as last heard, with its version and the log of its changes. Its version never goes backwards. */
+/**
+ * The list as last heard, with its version and the log of its changes. Its version never goes
+ * backwards.
+ */
 final class Replica {
   /** What became of an update. */
   enum Outcome {
@@ -148,7 +151,8 @@
   }
 
   private void put(Entry entry) {
-    Entry former = entry.removed() ? entries.remove(entry.name()) : entries.put(entry.name(), entry);
+    Entry former = entry.removed() ? entries.remove(entry.name())
+        : entries.put(entry.name(), entry);
     bytes -= former == null ? 0 : bytesOf(former);
     bytes += entry.removed() ? 0 : bytesOf(entry);
   }
--- a/src/main/java/saltlatch/distribution/Status.java
+++ b/src/main/java/saltlatch/distribution/Status.java
@@ -6,7 +6,8 @@
  * @param version           the version served
  * @param entries           entries listed
  * @param upstream          the upstream followed, -1 while none is
- * @param staleMs           ms since the upstream last said anything, 0 while it is in time; -1: nothing was ever heard
+ * @param staleMs           ms since the upstream last said anything, 0 while it is in time; -1:
+ *     nothing was ever heard
  * @param watchers          watches open
  * @param behind            of these, those that lack the latest version
  * @param waiting           of these, those that wait for a whole list
@@ -20,6 +21,7 @@
  * @param olderPassedOver   lines of an older version or series that were passed over
  * @param logChanges        changed entries now kept for watchers that resume
  */
-public record Status(Version version, int entries, int upstream, long staleMs, int watchers, int behind,
-    int waiting, long changesSent, long coalescedSent, long snapshotsSent, long refused, long stalled,
-    long upstreamFailures, long upstreamMalformed, long olderPassedOver, int logChanges) {}
+public record Status(Version version, int entries, int upstream, long staleMs, int watchers,
+    int behind, int waiting, long changesSent, long coalescedSent, long snapshotsSent, long refused,
+    long stalled, long upstreamFailures, long upstreamMalformed, long olderPassedOver,
+    int logChanges) {}
--- a/src/main/java/saltlatch/distribution/Upstreams.java
+++ b/src/main/java/saltlatch/distribution/Upstreams.java
@@ -2,15 +2,22 @@
 
 import java.util.SplittableRandom;
 
-/** Which upstream is followed. One watch is open at a time; one that fails, falls silent or is behind is put off. */
+/**
+ * Which upstream is followed. One watch is open at a time; one that fails, falls silent or is
+ * behind is put off.
+ */
 final class Upstreams {
   /** An upstream that says nothing for so long is left, ms: two keep-alives and a little. */
   static final long SILENT_MS = 4_500;
-  /** One that is tried for being preferred has so long to answer, ms: meanwhile nothing is heard. */
+  /**
+   * One that is tried for being preferred has so long to answer, ms: meanwhile nothing is heard.
+   */
   static final long TRIAL_MS = 1_500;
   /** A watch that has gone well for so long clears its upstream's failures, ms. */
   static final long STEADY_MS = 10_000;
-  /** While another is there, so long is waited for a first list, ms; doubled with each time in vain. */
+  /**
+   * While another is there, so long is waited for a first list, ms; doubled with each time in vain.
+   */
   static final long PATIENCE_MS = 15_000;
 
   private static final int MOST_PATIENCE_DOUBLINGS = 5;
@@ -147,7 +154,9 @@
     openNext(now);
   }
 
-  /** Leaves one that is silent or behind, opens one whose delay is over, returns to a preferred one. */
+  /**
+   * Leaves one that is silent or behind, opens one whose delay is over, returns to a preferred one.
+   */
   void tick(long now) {
     if (stopped) {
       return;
@@ -174,7 +183,10 @@
     return Math.min(silentAt(), Math.min(leaveDue(), returnDue()));
   }
 
-  /** Since when nothing was heard of a list as new as the one held, ms; 0 while in time, -1 before any list. */
+  /**
+   * Since when nothing was heard of a list as new as the one held, ms; 0 while in time, -1 before
+   * any list.
+   */
   long staleMs(long now) {
     if (!everFresh) {
       return -1;
@@ -248,7 +260,8 @@
   }
 
   private void putOffReturn(Upstream state, long now) {
-    state.returnAt = Math.max(state.notBefore, now + BEFORE_RETURN.delayMs(state.returns++, random));
+    state.returnAt = Math.max(state.notBefore,
+        now + BEFORE_RETURN.delayMs(state.returns++, random));
   }
 
   private void settled() {
@@ -273,7 +286,9 @@
     return now >= leaveDue();
   }
 
-  /** When one that is behind, or gives no list, is left for another; never while there is no other. */
+  /**
+   * When one that is behind, or gives no list, is left for another; never while there is no other.
+   */
   private long leaveDue() {
     long other = soonestOther();
     if (behind) {
@@ -318,7 +333,10 @@
     return now >= returnDue();
   }
 
-  /** When a preferred one is tried: only with a list in hand, so that it need not send one, and from a watch that goes well. */
+  /**
+   * When a preferred one is tried: only with a list in hand, so that it need not send one, and from
+   * a watch that goes well.
+   */
   private long returnDue() {
     if (!replica.listed() || behind || !answered) {
       return Long.MAX_VALUE;
--- a/src/main/java/saltlatch/distribution/Version.java
+++ b/src/main/java/saltlatch/distribution/Version.java
@@ -1,9 +1,10 @@
 package saltlatch.distribution;
 
 /**
- * Position in a list's history. A series is the identity of one unbroken numbering and is the Unix time in ms at which its
- * source began it (0: the source names none); within a series the index only grows. A later series supersedes an earlier one
- * whatever the indexes are, and the two are never combined.
+ * Position in a list's history. A series is the identity of one unbroken numbering and is the Unix
+ * time in ms at which its source began it (0: the source names none); within a series the index
+ * only grows. A later series supersedes an earlier one whatever the indexes are, and the two are
+ * never combined.
  */
 public record Version(long series, long index) implements Comparable<Version> {
   /** Before everything: what a watcher that holds no list asks from. */
--- a/src/main/java/saltlatch/distribution/Watchers.java
+++ b/src/main/java/saltlatch/distribution/Watchers.java
@@ -7,27 +7,40 @@
 import java.util.function.Predicate;
 
 /**
- * The watchers: each is sent what it lacks, one message at a time. Who does not take a message gets nothing more, and once it
- * has taken it the latest state of all that changed meanwhile.
+ * The watchers: each is sent what it lacks, one message at a time. Who does not take a message gets
+ * nothing more, and once it has taken it the latest state of all that changed meanwhile.
  */
 final class Watchers {
-  /** An idle watcher is sent a keep-alive after so long at the latest; the protocol has 2,000, less what a tick may be late. */
+  /**
+   * An idle watcher is sent a keep-alive after so long at the latest; the protocol has 2,000, less
+   * what a tick may be late.
+   */
   static final long KEEP_ALIVE_MS = 1_900;
-  /** Those idle for so long get theirs along with the first that is due, so that one tick does for many. */
+  /**
+   * Those idle for so long get theirs along with the first that is due, so that one tick does for
+   * many.
+   */
   static final long KEEP_ALIVE_SOONEST_MS = 1_600;
   /** A watcher that takes nothing of a message for so long is closed, ms. */
   static final long STALLED_MS = 30_000;
-  /** Nor does one keep a message for longer than this, ms, however slowly it reads: each whole list on its way is memory. */
+  /**
+   * Nor does one keep a message for longer than this, ms, however slowly it reads: each whole list
+   * on its way is memory.
+   */
   static final long TAKEN_WITHIN_MS = 120_000;
 
-  private static final Message KEEP_ALIVE = new Message(Message.Kind.KEEP_ALIVE, Version.NONE, List.of());
+  private static final Message KEEP_ALIVE = new Message(Message.Kind.KEEP_ALIVE, Version.NONE,
+      List.of());
 
   private final int most;
   private final Replica replica;
   private final Messages messages;
   private final Admission admission;
   private final Actions actions;
-  /** Those with nothing on the way, the one least recently sent to first; then those with a message on the way, likewise. */
+  /**
+   * Those with nothing on the way, the one least recently sent to first; then those with a message
+   * on the way, likewise.
+   */
   private final Map<Long, Watcher> idle = new LinkedHashMap<>();
   private final Map<Long, Watcher> sending = new LinkedHashMap<>();
 
--- a/src/main/java/saltlatch/history/History.java
+++ b/src/main/java/saltlatch/history/History.java
@@ -11,11 +11,12 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What one process did, an event of JSON a line, for people and the laboratory to compare processes afterwards: SLF4J
- * key-value events on logback's JSON encoder, each line handed to the system before the next thing is done, so that what
- * was written before SIGKILL counts. Beside the log and apart from its backend; opened only where the configuration names
- * a directory, else none of these classes is loaded. {@code mono_ns} is the machine's monotonic clock, which all processes
- * on it share.
+ * What one process did, an event of JSON a line, for people and the laboratory to compare processes
+ * afterwards: SLF4J key-value events on logback's JSON encoder, each line handed to the system
+ * before the next thing is done, so that what was written before SIGKILL counts. Beside the log and
+ * apart from its backend; opened only where the configuration names a directory, else none of these
+ * classes is loaded. {@code mono_ns} is the machine's monotonic clock, which all processes on it
+ * share.
  */
 public final class History implements AutoCloseable {
   private final LoggerContext context = new LoggerContext();
@@ -23,11 +24,15 @@
   private final String name;
   private final String incarnation;
 
-  /** Appends to {@code DIR/NAME.jsonl}; a process started again under its name goes on in the same file. */
+  /**
+   * Appends to {@code DIR/NAME.jsonl}; a process started again under its name goes on in the same
+   * file.
+   */
   public History(Path dir, String name, String incarnation) {
     this.name = name;
     this.incarnation = incarnation;
-    context.setMDCAdapter(new LogbackMDCAdapter()); // a context of one's own has none, and appends nothing without
+    // a context of one's own has none, and appends nothing without
+    context.setMDCAdapter(new LogbackMDCAdapter());
     JsonEncoder json = new JsonEncoder();
     json.setContext(context);
     json.setWithSequenceNumber(false);
@@ -56,8 +61,8 @@
 
   /** One event; {@code fields} are names and values in turn. */
   public void add(String kind, Object... fields) {
-    LoggingEventBuilder event = log.atInfo().addKeyValue("name", name).addKeyValue("inc", incarnation)
-        .addKeyValue("mono_ns", System.nanoTime());
+    LoggingEventBuilder event = log.atInfo().addKeyValue("name", name)
+        .addKeyValue("inc", incarnation).addKeyValue("mono_ns", System.nanoTime());
     for (int i = 0; i + 1 < fields.length; i += 2)
       event = event.addKeyValue((String) fields[i], fields[i + 1]);
     event.log(kind);
--- a/src/main/java/saltlatch/lab/capacity/AppServer.java
+++ b/src/main/java/saltlatch/lab/capacity/AppServer.java
@@ -23,16 +23,18 @@
     Figure kept = nodes.times(new Rates(basis).pairsPerNode()).over(appServers);
     rows.add(Row.of("requests", Moment.PEAK, requests, "requests/s", ANY));
     rows.add(Row.of("nodes that send to it, all", Moment.PEAK, nodes, "nodes", ANY));
-    rows.add(Row.of("a request of one of these nodes, each", Moment.PEAK, nodes.over(requests), "s", ANY)
-        .within(idle));
+    rows.add(
+        Row.of("a request of one of these nodes, each", Moment.PEAK, nodes.over(requests), "s", ANY)
+            .within(idle));
     rows.add(Row.of("nodes that send to it, subsets", Moment.PEAK, kept, "nodes", SUBSET));
-    rows.add(Row.of("a request of one of these nodes, each", Moment.PEAK, kept.over(requests), "s", SUBSET)
+    rows.add(Row
+        .of("a request of one of these nodes, each", Moment.PEAK, kept.over(requests), "s", SUBSET)
         .within(idle));
-    rows.add(Row.of("nodes at which connections just stay open", Moment.PEAK, requests.times(idle), "nodes",
-        "subsets of app servers and of services for a node"));
+    rows.add(Row.of("nodes at which connections just stay open", Moment.PEAK, requests.times(idle),
+        "nodes", "subsets of app servers and of services for a node"));
     rows.add(Row.of("new connections of the nodes", Moment.ZONE_STARTS,
-        basis.in(Input.ZONE_STARTS).times(new Rates(basis).pairsPerNode()).over(appServers), "connections",
-        SUBSET));
+        basis.in(Input.ZONE_STARTS).times(new Rates(basis).pairsPerNode()).over(appServers),
+        "connections", SUBSET));
     return rows;
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/BenchDay.java
+++ b/src/main/java/saltlatch/lab/capacity/BenchDay.java
@@ -6,8 +6,8 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * What a calm day cost on the operators' bench, a JSON line in docs/capacity/bench-prices.jsonl. Simulated clients and app
- * servers, real nodes; a copy of what the bench wrote.
+ * What a calm day cost on the operators' bench, a JSON line in docs/capacity/bench-prices.jsonl.
+ * Simulated clients and app servers, real nodes; a copy of what the bench wrote.
  *
  * @param deployment  its name at the operators'
  * @param day         the day's name
@@ -15,12 +15,14 @@
  * @param seed        of the play; null: not told
  * @param commit      the text played
  * @param overQuota   price {@code over_quota}, a part of the worth offered
- * @param beyondLeast least part of the units beyond quotas in those steps of 5 s that told of any; 0: none did
+ * @param beyondLeast least part of the units beyond quotas in those steps of 5 s that told of any;
+ *     0: none did
  * @param beyondMost  the most of them
  * @param source      where the figures stand
  */
-public record BenchDay(String deployment, String day, int nodes, Long seed, String commit, double overQuota,
-    double beyondLeast, double beyondMost, @SerializedName("from") String source) {
+public record BenchDay(String deployment, String day, int nodes, Long seed, String commit,
+    double overQuota, double beyondLeast, double beyondMost,
+    @SerializedName("from") String source) {
   private static final Gson JSON = new GsonBuilder()
       .setFieldNamingPolicy(FieldNamingPolicy.LOWER_CASE_WITH_UNDERSCORES).create();
 
--- a/src/main/java/saltlatch/lab/capacity/CapacityData.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityData.java
@@ -34,13 +34,17 @@
     }
   }
 
-  /** Reads a directory: {@code assumptions.toml}, {@code bench-prices.jsonl} if there, all other {@code *.jsonl}. */
+  /**
+   * Reads a directory: {@code assumptions.toml}, {@code bench-prices.jsonl} if there, all other
+   * {@code *.jsonl}.
+   */
   public static CapacityData read(Path directory) throws IOException {
     Inputs inputs = inputs(directory.resolve(INPUTS));
     List<Measurement> measurements = new ArrayList<>();
     List<BenchDay> benchDays = new ArrayList<>();
     for (Path file : lineFiles(directory)) {
-      if (file.getFileName().toString().equals(BENCH)) benchDays.addAll(lines(file, BenchDay::parse));
+      if (file.getFileName().toString().equals(BENCH))
+        benchDays.addAll(lines(file, BenchDay::parse));
       else measurements.addAll(lines(file, Measurement::parse));
     }
     List<Measurement> before = new ArrayList<>();
@@ -48,7 +52,8 @@
     if (Files.isDirectory(older)) {
       for (Path file : lineFiles(older)) before.addAll(lines(file, Measurement::parse));
     }
-    return new CapacityData(inputs, List.copyOf(measurements), List.copyOf(before), List.copyOf(benchDays));
+    return new CapacityData(inputs, List.copyOf(measurements), List.copyOf(before),
+        List.copyOf(benchDays));
   }
 
   /** What the formulas use. */
--- a/src/main/java/saltlatch/lab/capacity/CapacityPage.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityPage.java
@@ -7,10 +7,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The page's text: prose by hand, and tables between {@code <!-- table:NAME -->} and {@code <!-- end:NAME -->}. */
+/**
+ * The page's text: prose by hand, and tables between {@code <!-- table:NAME -->} and
+ * {@code <!-- end:NAME -->}.
+ */
 public final class CapacityPage {
-  private static final Pattern PLACE = Pattern.compile("<!-- table:([a-z-]+) -->\n(.*?)<!-- end:\\1 -->",
-      Pattern.DOTALL);
+  private static final Pattern PLACE = Pattern
+      .compile("<!-- table:([a-z-]+) -->\n(.*?)<!-- end:\\1 -->", Pattern.DOTALL);
 
   private CapacityPage() {}
 
@@ -23,7 +26,10 @@
     }
   }
 
-  /** The page with these tables in their places; each has one place and each place one table, or {@link Misfit}. */
+  /**
+   * The page with these tables in their places; each has one place and each place one table, or
+   * {@link Misfit}.
+   */
   public static String with(String page, List<Table> tables) {
     Map<String, Table> left = new LinkedHashMap<>();
     for (Table table : tables) left.put(table.name(), table);
@@ -31,7 +37,8 @@
     StringBuilder text = new StringBuilder();
     while (place.find()) {
       Table table = left.remove(place.group(1));
-      if (table == null) throw new Misfit("table:" + place.group(1) + ": no such table, or placed twice");
+      if (table == null)
+        throw new Misfit("table:" + place.group(1) + ": no such table, or placed twice");
       place.appendReplacement(text, Matcher.quoteReplacement(placed(table)));
     }
     place.appendTail(text);
@@ -46,8 +53,8 @@
     Map<String, String> there = new TreeMap<>();
     Matcher place = PLACE.matcher(page);
     while (place.find()) there.put(place.group(1), place.group());
-    return tables.stream().filter(table -> !placed(table).equals(there.get(table.name()))).map(Table::name)
-        .toList();
+    return tables.stream().filter(table -> !placed(table).equals(there.get(table.name())))
+        .map(Table::name).toList();
   }
 
   /** The page without its generated tables. */
@@ -56,6 +63,7 @@
   }
 
   private static String placed(Table table) {
-    return "<!-- table:" + table.name() + " -->\n" + table.markdown() + "<!-- end:" + table.name() + " -->";
+    return "<!-- table:" + table.name() + " -->\n" + table.markdown() + "<!-- end:" + table.name()
+        + " -->";
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/CapacityTables.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityTables.java
@@ -8,9 +8,13 @@
 import java.util.TreeMap;
 import saltlatch.lab.scale.LineFit;
 
-/** All generated tables of docs/CAPACITY.md, from the data alone: no clock, locale, machine or hash order. */
+/**
+ * All generated tables of docs/CAPACITY.md, from the data alone: no clock, locale, machine or hash
+ * order.
+ */
 public final class CapacityTables {
-  private static final List<Integer> SERVICE_SIZES = List.of(3, 15, 60, 200); // app servers: small, mean, large, largest
+  // app servers: small, mean, large, largest
+  private static final List<Integer> SERVICE_SIZES = List.of(3, 15, 60, 200);
   private static final String NONE = "";
 
   private final CapacityData data;
@@ -47,7 +51,8 @@
     for (Input input : Input.values()) {
       if (input.kind() != kind) continue;
       Inputs.Given given = data.inputs().given(input);
-      rows.add(List.of("`" + input.key() + "`", Numbers.inFull(given.value()), given.unit(), given.reason()));
+      rows.add(List.of("`" + input.key() + "`", Numbers.inFull(given.value()), given.unit(),
+          given.reason()));
     }
     return new Table(name, List.of("name", "value", "unit", "from"), rows);
   }
@@ -55,12 +60,14 @@
   private Table role(Role role) {
     List<List<String>> rows = role.rows(basis).stream().map(this::row).toList();
     return new Table(role.table(),
-        List.of("what", "when", "figure", "budget", "within", "stands", "from", "carried by"), rows);
+        List.of("what", "when", "figure", "budget", "within", "stands", "from", "carried by"),
+        rows);
   }
 
   private List<String> row(Row row) {
     Figure figure = row.figure();
-    String budget = row.budget() == null ? NONE : Numbers.show(row.budget().value()) + " " + row.unit();
+    String budget = row.budget() == null ? NONE
+        : Numbers.show(row.budget().value()) + " " + row.unit();
     return List.of(row.what(), row.moment().title(), shown(figure, row.unit()), budget, within(row),
         figure.standing().toString(), sources(figure), row.mechanism());
   }
@@ -84,24 +91,30 @@
     for (Wall wall : walls) {
       Figure part = wall.part();
       rows.add(List.of(part.known() ? Numbers.show(part.value()) : "missing", wall.term(),
-          wall.then().title(), shown(wall.holds(), wall.unit()), Numbers.show(wall.target().value()),
-          part.standing().toString(), sources(part), wall.mechanism().title()));
+          wall.then().title(), shown(wall.holds(), wall.unit()),
+          Numbers.show(wall.target().value()), part.standing().toString(), sources(part),
+          wall.mechanism().title()));
     }
-    return new Table("walls", List.of("part of the target", "what breaks", "then", "holds up to", "target",
-        "stands", "from", "taken away by"), rows);
+    return new Table("walls", List.of("part of the target", "what breaks", "then", "holds up to",
+        "target", "stands", "from", "taken away by"), rows);
   }
 
-  /** The mechanisms: those first without which nodes stop working, then by the first wall that each takes away. */
+  /**
+   * The mechanisms: those first without which nodes stop working, then by the first wall that each
+   * takes away.
+   */
   private static Table mechanisms(List<Wall> walls) {
     Map<Mechanism, List<Wall>> byMechanism = new EnumMap<>(Mechanism.class);
-    for (Wall wall : walls) byMechanism.computeIfAbsent(wall.mechanism(), m -> new ArrayList<>()).add(wall);
+    for (Wall wall : walls)
+      byMechanism.computeIfAbsent(wall.mechanism(), m -> new ArrayList<>()).add(wall);
     List<Mechanism> order = new ArrayList<>(byMechanism.keySet());
     order.sort(Comparator.comparing((Mechanism mechanism) -> !stops(byMechanism.get(mechanism)))
         .thenComparingInt(mechanism -> walls.indexOf(byMechanism.get(mechanism).get(0))));
     List<List<String>> rows = new ArrayList<>();
     for (Mechanism mechanism : order) {
       Figure first = byMechanism.get(mechanism).get(0).part();
-      String terms = String.join("; ", byMechanism.get(mechanism).stream().map(Wall::term).toList());
+      String terms = String.join("; ",
+          byMechanism.get(mechanism).stream().map(Wall::term).toList());
       rows.add(List.of(Integer.toString(rows.size() + 1), mechanism.title(), mechanism.state(),
           first.known() ? Numbers.show(first.value()) : "missing", terms));
     }
@@ -111,8 +124,8 @@
 
   /** Whether one of these walls stands below the target and stops nodes. */
   private static boolean stops(List<Wall> walls) {
-    return walls.stream()
-        .anyMatch(wall -> wall.then() == Consequence.STOPS && wall.part().known() && wall.part().value() < 1);
+    return walls.stream().anyMatch(
+        wall -> wall.then() == Consequence.STOPS && wall.part().known() && wall.part().value() < 1);
   }
 
   private Table bench() {
@@ -124,8 +137,8 @@
           day.seed() == null ? "not told" : day.seed().toString(), day.commit(),
           Numbers.show(day.overQuota()), beyond, day.source()));
     }
-    return new Table("bench", List.of("deployment", "day", "nodes", "seed", "commit", "price `over_quota`",
-        "part of units beyond quotas, steps of 5 s", "from"), rows);
+    return new Table("bench", List.of("deployment", "day", "nodes", "seed", "commit",
+        "price `over_quota`", "part of units beyond quotas, steps of 5 s", "from"), rows);
   }
 
   /** A line for each deployment over its fleets. */
@@ -141,10 +154,11 @@
       if (sizes.size() < 2) return;
       LineFit line = LineFit.of(points);
       rows.add(List.of(deployment, String.join(" / ", sizes.stream().map(Numbers::show).toList()),
-          Integer.toString(points.size()), Numbers.show(line.slope()), Numbers.show(line.residual())));
+          Integer.toString(points.size()), Numbers.show(line.slope()),
+          Numbers.show(line.residual())));
     });
-    return new Table("bench-slopes",
-        List.of("deployment", "nodes", "plays", "price `over_quota` for each more node", "residual"), rows);
+    return new Table("bench-slopes", List.of("deployment", "nodes", "plays",
+        "price `over_quota` for each more node", "residual"), rows);
   }
 
   private Table subsets() {
@@ -157,14 +171,14 @@
         rows.add(subset(SubsetSimulation.play(policy, nodes, servers, kept, seed)));
       }
     }
-    return new Table("subsets", List.of("app servers", "kept by a node", "policy", "load p50", "p99", "max",
-        "connections, most", "choices moved when one goes", "least that must"), rows);
+    return new Table("subsets", List.of("app servers", "kept by a node", "policy", "load p50",
+        "p99", "max", "connections, most", "choices moved when one goes", "least that must"), rows);
   }
 
   private static List<String> subset(SubsetSimulation.Outcome outcome) {
     return List.of(Integer.toString(outcome.servers()), Integer.toString(outcome.kept()),
         outcome.policy().title(), Numbers.show(outcome.p50()), Numbers.show(outcome.p99()),
-        Numbers.show(outcome.max()), Numbers.show(outcome.connections()), Numbers.show(outcome.moved()),
-        Numbers.show(outcome.least()));
+        Numbers.show(outcome.max()), Numbers.show(outcome.connections()),
+        Numbers.show(outcome.moved()), Numbers.show(outcome.least()));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/EdgeNode.java
+++ b/src/main/java/saltlatch/lab/capacity/EdgeNode.java
@@ -3,9 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import saltlatch.lab.scale.Quantity;
-import saltlatch.member.Terms;
+import saltlatch.membership.MembershipTimings;
 
-/** An edge node: what control costs it. Bytes are both ways together, processor time is ms a second. */
+/**
+ * An edge node: what control costs it. Bytes are both ways together, processor time is ms a second.
+ */
 public final class EdgeNode implements Role {
   private static final String LIST = "discovery's watch, `node.TargetDirectory`";
   private static final String SETTINGS = "settings read at the start";
@@ -32,7 +34,8 @@
   }
 
   private static void state(Basis basis, List<Row> rows) {
-    Figure list = basis.slope(Series.LIST_START, Quantity.HEAP_BYTES).times(basis.in(Input.APP_SERVERS));
+    Figure list = basis.slope(Series.LIST_START, Quantity.HEAP_BYTES)
+        .times(basis.in(Input.APP_SERVERS));
     Figure plans = basis.slope(Series.PLANS_START, Quantity.HEAP_BYTES).times(plans(basis));
     Figure members = basis.at(Series.MEMBERS_REST, Quantity.HEAP_BYTES, Input.EDGE_NODES);
     Figure heap = basis.in(Input.HEAP_BYTES);
@@ -42,16 +45,17 @@
         "none: the text has no table of routes").within(heap));
     rows.add(Row.of("members, heap", Moment.ORDINARY, members, "B", MEMBERSHIP).within(heap));
     Figure process = basis.intercept(Series.LIST_START, Quantity.HEAP_BYTES);
-    rows.add(Row
-        .of("process, list, plans and members, heap", Moment.ORDINARY,
-            process.plus(list).plus(plans).plus(members), "B", LIST + "; " + SETTINGS + "; " + MEMBERSHIP)
-        .within(heap));
+    rows.add(Row.of("process, list, plans and members, heap", Moment.ORDINARY,
+        process.plus(list).plus(plans).plus(members), "B",
+        LIST + "; " + SETTINGS + "; " + MEMBERSHIP).within(heap));
     rows.add(Row
         .of("process with the list, resident", Moment.ORDINARY,
             basis.at(Series.LIST_START, Quantity.RSS_BYTES, Input.APP_SERVERS), "B", LIST)
         .within(basis.in(Input.NODE_MEMORY_BYTES)));
-    rows.add(Row.of("process with list and plans, resident, at its highest", Moment.ORDINARY, resident(basis),
-        "B", LIST + "; " + SETTINGS).within(basis.in(Input.NODE_MEMORY_BYTES)));
+    rows.add(Row
+        .of("process with list and plans, resident, at its highest", Moment.ORDINARY,
+            resident(basis), "B", LIST + "; " + SETTINGS)
+        .within(basis.in(Input.NODE_MEMORY_BYTES)));
   }
 
   /** The process with its list, and what the plans add to it. */
@@ -103,28 +107,33 @@
     Figure list = basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.APP_SERVERS)
         .plus(basis.at(Series.LIST_CHANGE, Quantity.CPU_MS, Input.APP_SERVERS).times(changes));
     Figure members = basis.at(Series.MEMBERS_REST, Quantity.CPU_MS, Input.EDGE_NODES);
-    rows.add(Row.of("process at rest, and the list's changes", moment, list, "ms/s", LIST).within(budget));
+    rows.add(Row.of("process at rest, and the list's changes", moment, list, "ms/s", LIST)
+        .within(budget));
     rows.add(Row.of("membership", moment, members, "ms/s", MEMBERSHIP).within(budget));
-    rows.add(
-        Row.of("control without the counter", moment, list.plus(members), "ms/s", LIST + "; " + MEMBERSHIP)
-            .within(budget));
-    rows.add(Row.of("requests, no control", moment, basis.at(Series.REQUESTS, Quantity.CPU_MS, requests),
-        "ms/s", "`Control`, `wire`"));
+    rows.add(Row.of("control without the counter", moment, list.plus(members), "ms/s",
+        LIST + "; " + MEMBERSHIP).within(budget));
+    rows.add(Row.of("requests, no control", moment,
+        basis.at(Series.REQUESTS, Quantity.CPU_MS, requests), "ms/s", "`Control`, `wire`"));
   }
 
   private static void latency(Basis basis, List<Row> rows) {
     Figure requests = new Rates(basis).peakRequestsPerNode();
     Figure added = basis.in(Input.ADDED_P99_MS);
     Figure choice = basis.at(Series.MODULE_REQUEST, Quantity.CPU_MS, Input.APP_SERVERS);
-    rows.add(Row.of("the decision module for a request, among all app servers", Moment.PEAK, choice, "ms",
-        "`Control`").within(added));
+    rows.add(Row.of("the decision module for a request, among all app servers", Moment.PEAK, choice,
+        "ms", "`Control`").within(added));
     rows.add(Row.of("the decision module for all requests, among all app servers", Moment.PEAK,
         choice.times(requests), "ms/s", "`Control`").within(Figure.exact(MS_PER_SECOND)));
-    rows.add(Row.of("added for 99 in 100 requests", Moment.PEAK,
-        basis.at(Series.REQUESTS, Quantity.P99_MS, requests), "ms", "`Control`, `wire`").within(added));
-    rows.add(Row.of("the load tool's own lateness for 99 in 100", Moment.PEAK,
-        basis.at(Series.REQUESTS_LATE, Quantity.P99_MS, requests).or(basis.in(Input.LOAD_TOOL_LATE_MS)), "ms",
-        "`lab.load`").within(added.times(basis.in(Input.LATENESS_PART))));
+    rows.add(Row
+        .of("added for 99 in 100 requests", Moment.PEAK,
+            basis.at(Series.REQUESTS, Quantity.P99_MS, requests), "ms", "`Control`, `wire`")
+        .within(added));
+    rows.add(Row
+        .of("the load tool's own lateness for 99 in 100", Moment.PEAK,
+            basis.at(Series.REQUESTS_LATE, Quantity.P99_MS, requests)
+                .or(basis.in(Input.LOAD_TOOL_LATE_MS)),
+            "ms", "`lab.load`")
+        .within(added.times(basis.in(Input.LATENESS_PART))));
   }
 
   private static void failures(Basis basis, List<Row> rows) {
@@ -143,16 +152,16 @@
     Rates rates = new Rates(basis);
     Figure bytes = basis.in(Input.NODE_BYTES_PER_SECOND);
     rows.add(Row.of("whole list", Moment.ZONE_STARTS, rates.listBytes(), "B", LIST));
-    rows.add(Row.of("whole list at the budget's pace", Moment.ZONE_STARTS, rates.listBytes().over(bytes), "s",
-        "a list kept on disk and `since`").within(basis.in(Input.START_WITHIN_SECONDS)));
+    rows.add(
+        Row.of("whole list at the budget's pace", Moment.ZONE_STARTS, rates.listBytes().over(bytes),
+            "s", "a list kept on disk and `since`").within(basis.in(Input.START_WITHIN_SECONDS)));
     rows.add(Row.of("start with the list", Moment.ZONE_STARTS,
         basis.at(Series.LIST_START, Quantity.CPU_MS, Input.APP_SERVERS), "ms of processor", LIST));
     Figure missed = rates.changes().times(basis.in(Input.REGION_CUT_SECONDS));
     rows.add(Row.of("changes missed", Moment.REGION_RETURNS, missed, "changes", "`since`"));
-    rows.add(Row
-        .of("changes missed, bytes", Moment.REGION_RETURNS,
-            missed.times(basis.at(Series.LIST_CHANGE, Quantity.BYTES_IN, Input.APP_SERVERS)), "B", "`since`")
-        .within(bytes.times(basis.in(Input.IN_FORCE_SECONDS))));
+    rows.add(Row.of("changes missed, bytes", Moment.REGION_RETURNS,
+        missed.times(basis.at(Series.LIST_CHANGE, Quantity.BYTES_IN, Input.APP_SERVERS)), "B",
+        "`since`").within(bytes.times(basis.in(Input.IN_FORCE_SECONDS))));
     rows.add(Row.of("until all agree, all started at once", Moment.REGION_RETURNS,
         basis.at(Series.MEMBERS_BEGIN, Quantity.SECONDS, Input.EDGE_NODES), "s", MEMBERSHIP));
     rows.add(Row.of("until all views are equal, stated", Moment.REGION_RETURNS,
@@ -168,15 +177,15 @@
     Figure each = basis.atLargest(Series.SUMS_JAM, Quantity.BYTES_IN)
         .over(basis.atLargest(Series.SUMS_JAM, Quantity.MESSAGES_IN));
     Figure bothWays = datagrams.times(each).times(2);
-    rows.add(Row.of("sums told and taken in, at the most", Moment.COUNTER_EMPTY, bothWays, "B/s", "`Gossip`")
-        .within(basis.in(Input.NODE_BYTES_PER_SECOND)));
+    rows.add(Row.of("sums told and taken in, at the most", Moment.COUNTER_EMPTY, bothWays, "B/s",
+        "`Gossip`").within(basis.in(Input.NODE_BYTES_PER_SECOND)));
     rows.add(Row.of("a round of sums, if all nodes share customers", Moment.COUNTER_EMPTY,
         basis.in(Input.EDGE_NODES).over(datagrams), "s", "`Gossip`"));
   }
 
   /** Membership's promised times at the target. */
-  static Terms terms(Basis basis) {
-    return Terms.of((int) basis.inputs().value(Input.EDGE_NODES),
+  static MembershipTimings terms(Basis basis) {
+    return MembershipTimings.of((int) basis.inputs().value(Input.EDGE_NODES),
         basis.inputs().value(Input.DATAGRAMS_PER_SECOND));
   }
 
--- a/src/main/java/saltlatch/lab/capacity/Figure.java
+++ b/src/main/java/saltlatch/lab/capacity/Figure.java
@@ -6,8 +6,8 @@
 import java.util.function.DoubleBinaryOperator;
 
 /**
- * A value with its standard error, what it rests on and where it comes from. Errors of different figures are taken as
- * independent.
+ * A value with its standard error, what it rests on and where it comes from. Errors of different
+ * figures are taken as independent.
  *
  * @param value    in a unit that the user of the figure knows; 0 if missing
  * @param error    standard error in the same unit
--- a/src/main/java/saltlatch/lab/capacity/Fit.java
+++ b/src/main/java/saltlatch/lab/capacity/Fit.java
@@ -18,7 +18,8 @@
 public record Fit(String test, String grows, Quantity quantity, List<Point> points, LineFit line,
     List<String> commits) {
 
-  private static final double SAME = 0.005; // part by which a size may differ from one that was run and count as that
+  // part by which a size may differ from one that was run and count as that
+  private static final double SAME = 0.005;
 
   /** The largest size that was run. */
   public double largest() {
@@ -35,13 +36,19 @@
     return deviation() / Math.sqrt(squares());
   }
 
-  /** Standard error of the line's value at a size; it grows with the distance from what was measured. */
+  /**
+   * Standard error of the line's value at a size; it grows with the distance from what was
+   * measured.
+   */
   public double errorAt(double size) {
     double distance = size - meanSize();
     return deviation() * Math.sqrt(1.0 / points.size() + distance * distance / squares());
   }
 
-  /** What the smaller sizes alone predict for the largest; null where there are fewer than two smaller sizes. */
+  /**
+   * What the smaller sizes alone predict for the largest; null where there are fewer than two
+   * smaller sizes.
+   */
   public Double predictedLargest() {
     if (sizes().size() < 3) return null;
     return LineFit.of(points.stream().filter(p -> p.size() < largest()).toList()).at(largest());
@@ -53,8 +60,8 @@
   }
 
   /**
-   * The value at a size: the repeats' mean and its standard error where the size was run; else the line's, measured up to
-   * the largest size run and extrapolated beyond.
+   * The value at a size: the repeats' mean and its standard error where the size was run; else the
+   * line's, measured up to the largest size run and extrapolated beyond.
    */
   public Figure at(double size) {
     List<Double> repeats = points.stream().filter(p -> Math.abs(p.size() - size) <= SAME * size)
@@ -63,10 +70,14 @@
       return cost(mean(repeats), meanError(repeats), Standing.MEASURED);
     }
     if (line == null) return withoutLine();
-    return cost(line.at(size), errorAt(size), size <= largest() ? Standing.MEASURED : Standing.EXTRAPOLATED);
+    return cost(line.at(size), errorAt(size),
+        size <= largest() ? Standing.MEASURED : Standing.EXTRAPOLATED);
   }
 
-  /** Nothing costs less than nothing: where a difference of two readings is below 0, nothing is known. */
+  /**
+   * Nothing costs less than nothing: where a difference of two readings is below 0, nothing is
+   * known.
+   */
   private Figure cost(double value, double error, Standing standing) {
     if (value < 0) return Figure.missing(name() + " (below 0 there)");
     return new Figure(value, error, standing, List.of(name()));
@@ -114,7 +125,9 @@
     return points.stream().mapToDouble(p -> (p.size() - mean) * (p.size() - mean)).sum();
   }
 
-  /** Standard deviation of a point from the line: two of the points' freedoms went into the line. */
+  /**
+   * Standard deviation of a point from the line: two of the points' freedoms went into the line.
+   */
   private double deviation() {
     int free = Math.max(1, points.size() - 2);
     return line.residual() * Math.sqrt((double) points.size() / free);
--- a/src/main/java/saltlatch/lab/capacity/Fits.java
+++ b/src/main/java/saltlatch/lab/capacity/Fits.java
@@ -14,7 +14,10 @@
 import saltlatch.lab.scale.Measurement;
 import saltlatch.lab.scale.Quantity;
 
-/** All committed measurements by test and quantity, and the lines through them. A single size has no line. */
+/**
+ * All committed measurements by test and quantity, and the lines through them. A single size has no
+ * line.
+ */
 public final class Fits {
   private static final Comparator<Point> ORDER = Comparator.comparingDouble(Point::size)
       .thenComparingDouble(Point::value);
@@ -49,7 +52,8 @@
 
   private static Fit fit(String test, Quantity quantity, List<Measurement> repeats) {
     List<Measurement> used = repeats.stream()
-        .filter(one -> Double.isFinite(one.values().getOrDefault(quantity, Double.NaN))).toList(); // others did not end
+        // others did not end
+        .filter(one -> Double.isFinite(one.values().getOrDefault(quantity, Double.NaN))).toList();
     if (used.isEmpty()) return null;
     List<Point> points = used.stream().map(one -> new Point(one.size(), one.values().get(quantity)))
         .sorted(ORDER).toList();
@@ -63,8 +67,8 @@
   /** One thing grows on a line: that which grew to the largest size. */
   private static List<Measurement> ofOneKind(List<Measurement> repeats) {
     String grows = repeats.stream()
-        .max(Comparator.comparingLong(Measurement::size).thenComparing(Measurement::grows)).orElseThrow()
-        .grows();
+        .max(Comparator.comparingLong(Measurement::size).thenComparing(Measurement::grows))
+        .orElseThrow().grows();
     return repeats.stream().filter(one -> one.grows().equals(grows)).toList();
   }
 
--- a/src/main/java/saltlatch/lab/capacity/Input.java
+++ b/src/main/java/saltlatch/lab/capacity/Input.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * What the formulas take as given, each with its value, unit and reason in docs/capacity/assumptions.toml: figures of the
- * operators' target, and this project's assumptions.
+ * What the formulas take as given, each with its value, unit and reason in
+ * docs/capacity/assumptions.toml: figures of the operators' target, and this project's assumptions.
  */
 public enum Input {
   EDGE_NODES(Kind.TARGET),
--- a/src/main/java/saltlatch/lab/capacity/Inputs.java
+++ b/src/main/java/saltlatch/lab/capacity/Inputs.java
@@ -47,12 +47,14 @@
         throw new Unusable(input.key() + ": not above 0: " + one.value);
       given.put(input, one);
     }
-    if (!sections.isEmpty()) throw new Unusable(sections.keySet().iterator().next() + ": no such input");
+    if (!sections.isEmpty())
+      throw new Unusable(sections.keySet().iterator().next() + ": no such input");
     return new Inputs(given);
   }
 
   private static Map<String, Given> sections(String toml) {
-    TomlMapper mapper = TomlMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+    TomlMapper mapper = TomlMapper.builder()
+        .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
         .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
         .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
     try {
--- a/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
+++ b/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
@@ -10,9 +10,13 @@
 import saltlatch.lab.scale.Measurement;
 import saltlatch.lab.scale.Quantity;
 
-/** The page's tables of what was measured: lines, what the tests count, and outcomes that are no lines. */
+/**
+ * The page's tables of what was measured: lines, what the tests count, and outcomes that are no
+ * lines.
+ */
 final class MeasurementTables {
-  private static final List<String> RUNS = List.of("relay.", "fleet."); // how their measurements' names begin
+  // how their measurements' names begin
+  private static final List<String> RUNS = List.of("relay.", "fleet.");
   private static final String NONE = "";
   private static final int PERCENT = 100;
 
@@ -25,8 +29,9 @@
       boolean cost = fit.quantity() != Quantity.COUNT; // a count says how a test ended
       if (cost && fit.line() != null) rows.add(slope(fit));
     }
-    return new Table("slopes", List.of("measured", "grows", "sizes (repeats in all)", "at size 0",
-        "for each more ± error", "residual", "largest, predicted", "largest, measured", "off by", "commit"),
+    return new Table("slopes",
+        List.of("measured", "grows", "sizes (repeats in all)", "at size 0", "for each more ± error",
+            "residual", "largest, predicted", "largest, measured", "off by", "commit"),
         rows);
   }
 
@@ -34,8 +39,10 @@
     String sizes = String.join(" / ", fit.sizes().stream().map(Numbers::show).toList());
     Double predicted = fit.predictedLargest();
     return List.of(fit.name(), fit.grows(), sizes + " (" + fit.points().size() + ")",
-        Numbers.show(fit.line().intercept()), Numbers.withError(fit.line().slope(), fit.slopeError()),
-        Numbers.show(fit.line().residual()), predicted == null ? "too few sizes" : Numbers.show(predicted),
+        Numbers.show(fit.line().intercept()),
+        Numbers.withError(fit.line().slope(), fit.slopeError()),
+        Numbers.show(fit.line().residual()),
+        predicted == null ? "too few sizes" : Numbers.show(predicted),
         Numbers.show(fit.measuredLargest()), offBy(predicted, fit.measuredLargest()),
         String.join(", ", fit.commits()));
   }
@@ -57,8 +64,8 @@
 
   /** Runs of relays and hollow nodes together. */
   static Table runs(Collection<Measurement> measurements) {
-    return outcomes("runs",
-        measurements.stream().filter(one -> RUNS.stream().anyMatch(one.what()::startsWith)).toList());
+    return outcomes("runs", measurements.stream()
+        .filter(one -> RUNS.stream().anyMatch(one.what()::startsWith)).toList());
   }
 
   /** Measurements of an older text. */
@@ -75,15 +82,16 @@
     List<List<String>> rows = new ArrayList<>();
     for (List<Measurement> repeats : byKind.values()) rows.add(outcome(repeats));
     if (rows.isEmpty()) rows.add(List.of("missing", NONE, NONE, NONE, NONE));
-    return new Table(name, List.of("run", "size", "repeats", "measured, mean of the repeats", "commit"),
-        rows);
+    return new Table(name,
+        List.of("run", "size", "repeats", "measured, mean of the repeats", "commit"), rows);
   }
 
   private static List<String> outcome(List<Measurement> repeats) {
     List<String> values = new ArrayList<>();
     for (Quantity quantity : Quantity.values()) {
       double[] all = repeats.stream().filter(one -> one.values().containsKey(quantity))
-          .mapToDouble(one -> one.values().get(quantity)).filter(Double::isFinite).sorted().toArray();
+          .mapToDouble(one -> one.values().get(quantity)).filter(Double::isFinite).sorted()
+          .toArray();
       if (all.length == 0) continue;
       double mean = Arrays.stream(all).average().orElseThrow();
       values.add(quantity.name().toLowerCase(Locale.ROOT) + " " + Numbers.show(mean));
--- a/src/main/java/saltlatch/lab/capacity/Mechanism.java
+++ b/src/main/java/saltlatch/lab/capacity/Mechanism.java
@@ -3,7 +3,8 @@
 /** What takes a wall away. */
 public enum Mechanism {
   RUNNING_SETTINGS("settings applied to a running node", "open, issue 28"),
-  RELAYS("distribution through relays: `saltlatch.distribution`, `saltlatch relay`", "this sitting"),
+  RELAYS("distribution through relays: `saltlatch.distribution`, `saltlatch relay`",
+      "this sitting"),
   BOUNDED_LIST("the list bounded by entries and read as a stream", "this sitting"),
   KEPT_LIST("a list kept on disk, and only the changes since", "open"),
   PLANS_BY_DEMAND("plans of those tenants alone that a node serves", "open"),
--- a/src/main/java/saltlatch/lab/capacity/Numbers.java
+++ b/src/main/java/saltlatch/lab/capacity/Numbers.java
@@ -4,20 +4,27 @@
 import java.math.MathContext;
 import java.math.RoundingMode;
 
-/** Numbers as the page shows them: three significant digits, whole numbers below 10,000 in full, thousands apart; no locale. */
+/**
+ * Numbers as the page shows them: three significant digits, whole numbers below 10,000 in full,
+ * thousands apart; no locale.
+ */
 final class Numbers {
-  private static final MathContext SHOWN = new MathContext(3, RoundingMode.HALF_EVEN); // more would claim more than is known
-  private static final double WHOLE = 10_000; // below it a whole number is shown with all its digits
+  // more would claim more than is known
+  private static final MathContext SHOWN = new MathContext(3, RoundingMode.HALF_EVEN);
+  // below it a whole number is shown with all its digits
+  private static final double WHOLE = 10_000;
   private static final int GROUP = 3;
 
   private Numbers() {}
 
   /** A value to three significant digits. */
   static String show(double value) {
-    if (!Double.isFinite(value)) throw new IllegalArgumentException("not a number to show: " + value);
+    if (!Double.isFinite(value))
+      throw new IllegalArgumentException("not a number to show: " + value);
     if (value == 0) return "0";
     boolean whole = Math.abs(value) < WHOLE && value == Math.rint(value);
-    BigDecimal rounded = whole ? BigDecimal.valueOf((long) value) : new BigDecimal(value).round(SHOWN);
+    BigDecimal rounded = whole ? BigDecimal.valueOf((long) value)
+        : new BigDecimal(value).round(SHOWN);
     return grouped(rounded.stripTrailingZeros().toPlainString());
   }
 
--- a/src/main/java/saltlatch/lab/capacity/Rates.java
+++ b/src/main/java/saltlatch/lab/capacity/Rates.java
@@ -12,7 +12,10 @@
     this.basis = basis;
   }
 
-  /** Changes a second of an ordinary day that reach every node: of the configuration, and of app servers restarted. */
+  /**
+   * Changes a second of an ordinary day that reach every node: of the configuration, and of app
+   * servers restarted.
+   */
   Figure changes() {
     return basis.in(Input.CHANGES_PER_DAY).plus(listChangesPerDay()).times(1 / DAY);
   }
@@ -26,7 +29,8 @@
   private Figure listChangesPerDay() {
     Figure appServers = basis.in(Input.APP_SERVERS);
     Figure part = appServers.over(appServers.plus(basis.in(Input.EDGE_NODES)));
-    return basis.in(Input.RESTARTS_PER_DAY).times(part).times(basis.in(Input.LIST_CHANGES_PER_RESTART));
+    return basis.in(Input.RESTARTS_PER_DAY).times(part)
+        .times(basis.in(Input.LIST_CHANGES_PER_RESTART));
   }
 
   /** Requests a second at an app server, at the peak. */
@@ -55,7 +59,8 @@
   /** Bytes a second of a node's calls to the counter, both ways, at so many requests a second. */
   Figure counterBytes(Figure requests) {
     return basis.at(Series.COUNTER_CALLS, Quantity.BYTES_OUT, requests)
-        .plus(basis.at(Series.COUNTER_CALLS, Quantity.BYTES_IN, requests)).or(assumedCounterBytes(requests));
+        .plus(basis.at(Series.COUNTER_CALLS, Quantity.BYTES_IN, requests))
+        .or(assumedCounterBytes(requests));
   }
 
   /** The same by the assumptions alone. */
--- a/src/main/java/saltlatch/lab/capacity/RelayRuns.java
+++ b/src/main/java/saltlatch/lab/capacity/RelayRuns.java
@@ -10,8 +10,9 @@
 import saltlatch.lab.scale.Quantity;
 
 /**
- * Runs of relays at size. Two things are large in them, nodes and app servers, and one machine does not hold both at once: a
- * figure comes from the run that is largest in what it depends on, and is measured only where both are those of the target.
+ * Runs of relays at size. Two things are large in them, nodes and app servers, and one machine does
+ * not hold both at once: a figure comes from the run that is largest in what it depends on, and is
+ * measured only where both are those of the target.
  */
 public final class RelayRuns {
   private static final Pattern ENTRIES = Pattern.compile("before (\\d+) app servers");
@@ -33,16 +34,24 @@
     return all;
   }
 
-  /** What depends on the nodes, as changes do, from the run with the most of them; missing below the target's number. */
+  /**
+   * What depends on the nodes, as changes do, from the run with the most of them; missing below the
+   * target's number.
+   */
   public Figure ofMostNodes(Series series, Quantity quantity, Inputs target) {
-    Run largest = largest(series, quantity, Comparator.comparingLong(Run::nodes).thenComparing(Run::entries));
+    Run largest = largest(series, quantity,
+        Comparator.comparingLong(Run::nodes).thenComparing(Run::entries));
     return figure(largest, series, quantity, target,
         largest != null && largest.nodes >= target.value(Input.EDGE_NODES));
   }
 
-  /** What depends on the app servers, as whole lists do, from the run with the most; missing below the target's number. */
+  /**
+   * What depends on the app servers, as whole lists do, from the run with the most; missing below
+   * the target's number.
+   */
   public Figure ofMostEntries(Series series, Quantity quantity, Inputs target) {
-    Run largest = largest(series, quantity, Comparator.comparingLong(Run::entries).thenComparing(Run::nodes));
+    Run largest = largest(series, quantity,
+        Comparator.comparingLong(Run::entries).thenComparing(Run::nodes));
     return figure(largest, series, quantity, target,
         largest != null && largest.entries >= target.value(Input.APP_SERVERS));
   }
@@ -53,14 +62,16 @@
 
   private List<Run> told(Series series, Quantity quantity) {
     return runs.stream().filter(run -> run.measured.what().equals(series.id()))
-        .filter(run -> Double.isFinite(run.measured.values().getOrDefault(quantity, Double.NaN))).toList();
+        .filter(run -> Double.isFinite(run.measured.values().getOrDefault(quantity, Double.NaN)))
+        .toList();
   }
 
-  private Figure figure(Run largest, Series series, Quantity quantity, Inputs target, boolean enough) {
+  private Figure figure(Run largest, Series series, Quantity quantity, Inputs target,
+      boolean enough) {
     String name = Fits.name(series.id(), quantity);
     if (largest == null) return Figure.missing(name);
-    String source = name + " (" + Numbers.inFull(largest.nodes) + " nodes, " + Numbers.inFull(largest.entries)
-        + " app servers)";
+    String source = name + " (" + Numbers.inFull(largest.nodes) + " nodes, "
+        + Numbers.inFull(largest.entries) + " app servers)";
     if (!enough) return Figure.missing(source);
     List<Double> repeats = told(series, quantity).stream()
         .filter(run -> run.nodes == largest.nodes && run.entries == largest.entries)
--- a/src/main/java/saltlatch/lab/capacity/Role.java
+++ b/src/main/java/saltlatch/lab/capacity/Role.java
@@ -12,6 +12,7 @@
 
   /** All roles, in the order of the page. */
   static List<Role> all() {
-    return List.of(new EdgeNode(), new CounterService(), new ControlMachines(), new AppServer(), new Front());
+    return List.of(new EdgeNode(), new CounterService(), new ControlMachines(), new AppServer(),
+        new Front());
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Row.java
+++ b/src/main/java/saltlatch/lab/capacity/Row.java
@@ -10,7 +10,8 @@
  * @param budget    the most that it may be; null where none is set
  * @param mechanism what carries it
  */
-public record Row(String what, Moment moment, Figure figure, String unit, Figure budget, String mechanism) {
+public record Row(String what, Moment moment, Figure figure, String unit, Figure budget,
+    String mechanism) {
 
   /** A line without a budget. */
   public static Row of(String what, Moment moment, Figure figure, String unit, String mechanism) {
--- a/src/main/java/saltlatch/lab/capacity/Standing.java
+++ b/src/main/java/saltlatch/lab/capacity/Standing.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** What a figure rests on, the firmest first; a computed figure stands no firmer than the weakest of its inputs. */
+/**
+ * What a figure rests on, the firmest first; a computed figure stands no firmer than the weakest of
+ * its inputs.
+ */
 public enum Standing {
   /** A figure of the operators' letter or a constant of the text, or arithmetic on such alone. */
   GIVEN,
--- a/src/main/java/saltlatch/lab/capacity/SubsetPolicy.java
+++ b/src/main/java/saltlatch/lab/capacity/SubsetPolicy.java
@@ -5,11 +5,14 @@
 import java.util.stream.IntStream;
 
 /**
- * How a node chooses the app servers of a service that it keeps to. Pure: the same seed, nodes and servers give the same
- * choice, and each node can make its own without asking another.
+ * How a node chooses the app servers of a service that it keeps to. Pure: the same seed, nodes and
+ * servers give the same choice, and each node can make its own without asking another.
  */
 public enum SubsetPolicy {
-  /** Each node draws for itself, as shuffle sharding deals customers out (MacCárthaigh, AWS Builders' Library). */
+  /**
+   * Each node draws for itself, as shuffle sharding deals customers out (MacCárthaigh, AWS
+   * Builders' Library).
+   */
   RANDOM("random, a draw for each node") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
@@ -22,7 +25,10 @@
     }
   },
 
-  /** Rounds of nodes share out one shuffle of the servers (Beyer et al., Site Reliability Engineering, chapter 20). */
+  /**
+   * Rounds of nodes share out one shuffle of the servers (Beyer et al., Site Reliability
+   * Engineering, chapter 20).
+   */
   DETERMINISTIC("deterministic subsetting") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
@@ -47,7 +53,10 @@
     }
   },
 
-  /** Clockwise on a ring of servers, passing over what is full at {@link #BOUND} of the mean (Mirrokni et al. 2018). */
+  /**
+   * Clockwise on a ring of servers, passing over what is full at {@link #BOUND} of the mean
+   * (Mirrokni et al. 2018).
+   */
   BOUNDED_RING("consistent hashing with bounded loads") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
@@ -65,7 +74,8 @@
   };
 
   static final double BOUND = 1.25; // of the mean load: the middle of the paper's evaluation
-  private static final long NODES = 0x9e3779b97f4a7c15L; // sets nodes' places on the ring apart from servers'
+  // sets nodes' places on the ring apart from servers'
+  private static final long NODES = 0x9e3779b97f4a7c15L;
 
   private final String title;
 
@@ -89,7 +99,9 @@
    */
   abstract int[][] choose(int nodes, int[] servers, int kept, long seed);
 
-  /** A 64-bit hash of a seed and a number: the finalizer of SplitMix64 (Steele, Lea and Flood 2014). */
+  /**
+   * A 64-bit hash of a seed and a number: the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+   */
   static long mix(long seed, long number) {
     long bits = seed + (number + 1) * 0x9e3779b97f4a7c15L;
     bits = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
@@ -127,8 +139,8 @@
 
   private static int[] ring(int[] servers, long seed) {
     return IntStream.of(servers).boxed()
-        .sorted((one, other) -> Long.compare(mix(seed, one), mix(seed, other))).mapToInt(Integer::intValue)
-        .toArray();
+        .sorted((one, other) -> Long.compare(mix(seed, one), mix(seed, other)))
+        .mapToInt(Integer::intValue).toArray();
   }
 
   private static int[] clockwise(int[] ring, int[] held, int from, int kept, int most) {
--- a/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
+++ b/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 /**
- * What a policy of subsets does to a service: every node sends one unit of load, shared evenly by the app servers that it
- * keeps to. Simulated, pure and seeded.
+ * What a policy of subsets does to a service: every node sends one unit of load, shared evenly by
+ * the app servers that it keeps to. Simulated, pure and seeded.
  */
 public final class SubsetSimulation {
   /**
@@ -21,8 +21,8 @@
    * @param moved       part of all choices that change when one app server goes
    * @param least       the least part that must change: the choices of the one that went
    */
-  public record Outcome(SubsetPolicy policy, int servers, int kept, double p50, double p99, double max,
-      int connections, double moved, double least) {}
+  public record Outcome(SubsetPolicy policy, int servers, int kept, double p50, double p99,
+      double max, int connections, double moved, double least) {}
 
   private static final double HIGH = 0.99; // the percentile told beside the median and the maximum
 
@@ -45,8 +45,8 @@
     Arrays.sort(loads);
     int gone = servers / 2;
     double choices = Arrays.stream(connections).sum();
-    double moved = moved(policy, before, IntStream.of(all).filter(server -> server != gone).toArray(), kept,
-        seed);
+    double moved = moved(policy, before,
+        IntStream.of(all).filter(server -> server != gone).toArray(), kept, seed);
     return new Outcome(policy, servers, each, at(loads, 0.5) / mean, at(loads, HIGH) / mean,
         loads[servers - 1] / mean, Arrays.stream(connections).max().orElseThrow(), moved / choices,
         connections[gone] / choices);
--- a/src/main/java/saltlatch/lab/check/Line.java
+++ b/src/main/java/saltlatch/lab/check/Line.java
@@ -15,11 +15,11 @@
 import java.util.stream.Stream;
 
 /**
- * One event of a history: which process, in which incarnation, when on the machine's monotonic clock, what, and its
- * fields; {@code at} is where it stands (file and line).
+ * One event of a history: which process, in which incarnation, when on the machine's monotonic
+ * clock, what, and its fields; {@code at} is where it stands (file and line).
  */
-public record Line(String name, String incarnation, long monoNs, String kind, Map<String, String> fields,
-    String at) {
+public record Line(String name, String incarnation, long monoNs, String kind,
+    Map<String, String> fields, String at) {
 
   public String get(String field) {
     return fields.getOrDefault(field, "");
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Every {@code *.jsonl} of a directory as one history in order of time. A torn last line, as SIGKILL leaves, is passed
-   * over.
+   * Every {@code *.jsonl} of a directory as one history in order of time. A torn last line, as
+   * SIGKILL leaves, is passed over.
    */
   public static List<Line> readAll(Path dir) throws IOException {
     List<Line> all = new ArrayList<>();
@@ -47,7 +47,8 @@
         try {
           all.add(parse(lines[i], p.getFileName() + ":" + (i + 1)));
         } catch (JsonSyntaxException | IllegalStateException | NullPointerException e) {
-          // A torn line ends an incarnation: the last of the file, or the last before it was started again.
+          // A torn line ends an incarnation: the last of the file, or the last before it was
+          // started again.
           boolean torn = i + 1 == lines.length || lines[i + 1].contains("\"message\":\"started\"");
           if (!torn) throw new IOException(p + ":" + (i + 1) + ": not an event: " + lines[i], e);
         }
@@ -62,7 +63,8 @@
     JsonObject o = JsonParser.parseString(json).getAsJsonObject();
     Map<String, String> fields = new HashMap<>();
     for (JsonElement pair : o.getAsJsonArray("kvpList")) {
-      for (var e : pair.getAsJsonObject().entrySet()) fields.put(e.getKey(), e.getValue().getAsString());
+      for (var e : pair.getAsJsonObject().entrySet())
+        fields.put(e.getKey(), e.getValue().getAsString());
     }
     String name = fields.remove("name");
     String incarnation = fields.remove("inc");
--- a/src/main/java/saltlatch/lab/check/MemberTimes.java
+++ b/src/main/java/saltlatch/lab/check/MemberTimes.java
@@ -10,11 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * How long membership took, out of a run's histories, in seconds, a value for each observer: until one that was killed was
- * held failed (T1), until one that was continued was held alive again by those who held it failed (T2), until the views of all
- * that run were equal after links healed (T3, a value a heal); and members held failed that ran, reachable by all.
+ * How long membership took, out of a run's histories, in seconds, a value for each observer: until
+ * one that was killed was held failed (T1), until one that was continued was held alive again by
+ * those who held it failed (T2), until the views of all that run were equal after links healed (T3,
+ * a value a heal); and members held failed that ran, reachable by all.
  */
-public record MemberTimes(List<Double> failed, List<Double> back, List<Double> equal, int falselyFailed) {
+public record MemberTimes(List<Double> failed, List<Double> back, List<Double> equal,
+    int falselyFailed) {
 
   /** Null where no node knows another. */
   public static MemberTimes of(List<Line> history) {
@@ -28,15 +30,16 @@
   public static String spread(List<Double> times) {
     if (times.isEmpty()) return "none";
     List<Double> sorted = times.stream().sorted().toList();
-    return String.format(Locale.ROOT, "p50 %.1f p99 %.1f max %.1f of %d", sorted.get(sorted.size() / 2),
+    return String.format(Locale.ROOT, "p50 %.1f p99 %.1f max %.1f of %d",
+        sorted.get(sorted.size() / 2),
         sorted.get((int) Math.min(sorted.size() - 1, Math.ceil(0.99 * sorted.size()))),
         sorted.get(sorted.size() - 1), sorted.size());
   }
 
   @Override
   public String toString() {
-    return "failed after (s) " + spread(failed) + "; back after " + spread(back) + "; equal after a heal "
-        + spread(equal) + "; falsely failed " + falselyFailed;
+    return "failed after (s) " + spread(failed) + "; back after " + spread(back)
+        + "; equal after a heal " + spread(equal) + "; falsely failed " + falselyFailed;
   }
 
   /** The state of one run while its history is read. */
@@ -48,7 +51,8 @@
     private final Map<String, Long> killedAt = new HashMap<>();
     private final Map<String, Long> continuedAt = new HashMap<>();
     private final Set<String> stopped = new HashSet<>();
-    private final Map<String, Map<String, String>> views = new TreeMap<>(); // of the processes that run
+    // of the processes that run
+    private final Map<String, Map<String, String>> views = new TreeMap<>();
     private final List<long[]> cuts = new ArrayList<>();
     private final Set<Long> heals = new HashSet<>(); // whose views are not equal yet
 
@@ -116,10 +120,14 @@
       });
     }
 
-    /** From then on no cut, and the observer itself was not away: a stated time counts from a fault that stands alone. */
+    /**
+     * From then on no cut, and the observer itself was not away: a stated time counts from a fault
+     * that stands alone.
+     */
     private boolean undisturbed(Line l, long fromNs) {
       for (long[] c : cuts) if (c[0] <= l.monoNs() && c[1] >= fromNs) return false;
-      return !stopped.contains(l.name()) && continuedAt.getOrDefault(l.name(), Long.MIN_VALUE) < fromNs;
+      return !stopped.contains(l.name())
+          && continuedAt.getOrDefault(l.name(), Long.MIN_VALUE) < fromNs;
     }
 
     /** A verdict may rest on a silence that a cut made some time ago. */
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -28,15 +28,16 @@
         if (!l.kind().equals("answered") && !l.kind().equals("got")) continue;
         Line first = (l.kind().equals("got") ? got : answered).putIfAbsent(l.get("id"), l);
         if (first != null) out.add(
-            broken("req " + l.get("id") + " ended " + first.get("how") + " and " + l.get("how"), first, l));
+            broken("req " + l.get("id") + " ended " + first.get("how") + " and " + l.get("how"),
+                first, l));
       }
       return out;
     }
   }
 
   /**
-   * Every req that came whole is answered, or its client left, unless its node's process was ended by a fault (or by the
-   * end of the run) after it came.
+   * Every req that came whole is answered, or its client left, unless its node's process was ended
+   * by a fault (or by the end of the run) after it came.
    */
   public static final class Answered implements Property {
     @Override
@@ -55,11 +56,13 @@
             && (l.get("kind").equals("kill") || l.get("kind").equals("end"));
         if (ended) open.values().removeIf(a -> a.name().equals(l.get("node")));
         if (!l.kind().equals("started")) continue;
-        // Started anew with reqs still open: its forerunner ended with no fault on the schedule that explains it.
+        // Started anew with reqs still open: its forerunner ended with no fault on the schedule
+        // that explains it.
         open.values().removeIf(a -> {
           boolean lost = a.name().equals(l.name()) && !a.incarnation().equals(l.incarnation());
           if (lost)
-            out.add(broken("req " + a.get("id") + " was open when " + a.name() + " ended by itself", a, l));
+            out.add(broken("req " + a.get("id") + " was open when " + a.name() + " ended by itself",
+                a, l));
           return lost;
         });
       }
@@ -70,14 +73,17 @@
   }
 
   /**
-   * A client gets an answer within its timeout, unless a fault on the schedule touched its node (or every node: a fault
-   * on the nodes' links to counter, discovery or app servers) while it waited, or as long before as the front needs to
-   * notice.
+   * A client gets an answer within its timeout, unless a fault on the schedule touched its node (or
+   * every node: a fault on the nodes' links to counter, discovery or app servers) while it waited,
+   * or as long before as the front needs to notice.
    */
   public static final class LostOnlyByFaults implements Property {
     private final double slackMs;
 
-    /** {@code slackMs}: a fault explains what was sent so long after its end: the front's notice, and a restart. */
+    /**
+     * {@code slackMs}: a fault explains what was sent so long after its end: the front's notice,
+     * and a restart.
+     */
     public LostOnlyByFaults(double slackMs) {
       this.slackMs = slackMs;
     }
@@ -94,12 +100,14 @@
       for (Line l : history) {
         if (l.kind().equals("sent")) sent.put(l.get("id"), l);
         if (!l.kind().equals("planned")) continue;
-        faults.computeIfAbsent(l.get("node"), k -> new ArrayList<>()).add(new long[] {
-            Long.parseLong(l.get("from_ns")), Long.parseLong(l.get("until_ns")) + (long) (slackMs * 1e6)});
+        faults.computeIfAbsent(l.get("node"), k -> new ArrayList<>())
+            .add(new long[] {Long.parseLong(l.get("from_ns")),
+                Long.parseLong(l.get("until_ns")) + (long) (slackMs * 1e6)});
       }
       List<Violation> out = new ArrayList<>();
       for (Line l : history) {
-        if (!l.kind().equals("got") || !l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT"))
+        if (!l.kind().equals("got")
+            || !l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT"))
           continue;
         Line s = sent.get(l.get("id"));
         long from = s == null ? l.monoNs() : s.monoNs();
@@ -108,14 +116,17 @@
           for (long[] f : faults.getOrDefault(who, List.of()))
             explained |= f[0] <= l.monoNs() && f[1] >= from;
         }
-        if (!explained) out.add(
-            broken("req " + l.get("id") + " to " + l.get("node") + " " + l.get("how"), s == null ? l : s, l));
+        if (!explained)
+          out.add(broken("req " + l.get("id") + " to " + l.get("node") + " " + l.get("how"),
+              s == null ? l : s, l));
       }
       return out;
     }
   }
 
-  /** No non-replayable req comes to an app server again after a dispatch of it that may have run. */
+  /**
+   * No non-replayable req comes to an app server again after a dispatch of it that may have run.
+   */
   public static final class NotRepeated implements Property {
     @Override
     public String name() {
@@ -136,7 +147,10 @@
     }
   }
 
-  /** What a client was told to have passed ran at an app server, and no req's units are charged twice there. */
+  /**
+   * What a client was told to have passed ran at an app server, and no req's units are charged
+   * twice there.
+   */
   public static final class PassedRan implements Property {
     @Override
     public String name() {
@@ -155,7 +169,8 @@
           if (first != null && submits.contains(l.get("id")))
             out.add(broken("req " + l.get("id") + " ran twice", first, l));
         }
-        if (l.kind().equals("got") && l.get("how").equals("PASSED") && !served.containsKey(l.get("id"))) {
+        if (l.kind().equals("got") && l.get("how").equals("PASSED")
+            && !served.containsKey(l.get("id"))) {
           out.add(broken("req " + l.get("id") + " passed and never ran", l));
         }
       }
@@ -164,8 +179,9 @@
   }
 
   /**
-   * What the app servers charged a customer stays within {@code burst + rate * t + bound} over every stretch that begins
-   * with its first charge; the bound is the scenario's statement of what its faults may cost.
+   * What the app servers charged a customer stays within {@code burst + rate * t + bound} over
+   * every stretch that begins with its first charge; the bound is the scenario's statement of what
+   * its faults may cost.
    */
   public static final class WithinQuota implements Property {
     private final double rate;
@@ -189,7 +205,8 @@
       Map<String, Line> worst = new TreeMap<>();
       for (Line l : history) {
         if (!l.kind().equals("served")) continue;
-        double[] u = use.computeIfAbsent(l.get("customer"), k -> new double[] {l.monoNs(), 0, bound});
+        double[] u = use.computeIfAbsent(l.get("customer"),
+            k -> new double[] {l.monoNs(), 0, bound});
         u[1] += l.number("units");
         double beyond = u[1] - burst - rate * (l.monoNs() - u[0]) / 1e9;
         if (beyond > u[2]) {
@@ -200,15 +217,16 @@
       List<Violation> out = new ArrayList<>();
       worst.forEach((c,
           l) -> out.add(broken(String.format(java.util.Locale.ROOT,
-              "customer %s was charged %.1f units beyond its quota, %.1f are stated", c, use.get(c)[2],
-              bound), l)));
+              "customer %s was charged %.1f units beyond its quota, %.1f are stated", c,
+              use.get(c)[2], bound), l)));
       return out;
     }
   }
 
   /**
-   * The parts of one quota that all processes together may use without the counter sum to no more than one, by what each
-   * told last of its share and its own leases. A stopped process uses nothing; on waking its leases have run out by its clock.
+   * The parts of one quota that all processes together may use without the counter sum to no more
+   * than one, by what each told last of its share and its own leases. A stopped process uses
+   * nothing; on waking its leases have run out by its clock.
    */
   public static final class SharesWithinQuota implements Property {
     private static final double ROUNDING = 1e-6;
@@ -230,8 +248,9 @@
         double sum = 0;
         for (Line s : last.values()) sum += part(s, (l.monoNs() - s.monoNs()) / 1e6);
         if (sum > 1 + ROUNDING) {
-          out.add(new Violation(name(), String.format(java.util.Locale.ROOT, "%.3f quotas in use", sum),
-              List.copyOf(last.values())));
+          out.add(
+              new Violation(name(), String.format(java.util.Locale.ROOT, "%.3f quotas in use", sum),
+                  List.copyOf(last.values())));
         }
       }
       return out;
--- a/src/main/java/saltlatch/lab/check/Recovery.java
+++ b/src/main/java/saltlatch/lab/check/Recovery.java
@@ -7,22 +7,25 @@
 import java.util.Set;
 
 /**
- * What a fault cost by the clients' own history: how long until the nodes that it did not end serve their share again, and
- * what each customer was charged beyond its quota meanwhile.
+ * What a fault cost by the clients' own history: how long until the nodes that it did not end serve
+ * their share again, and what each customer was charged beyond its quota meanwhile.
  */
 public final class Recovery {
-  private static final double BACK = 0.9; // part of the share served before at which service counts as back
+  // part of the share served before at which service counts as back
+  private static final double BACK = 0.9;
   private static final int STEADY = 2; // seconds in a row that it must hold
   private static final int WARM = 4; // s at the run's beginning that do not count as before
 
   private Recovery() {}
 
   /**
-   * By how many units the worst customer's standing beyond {@code burst + rate * t} (t from its first charge) grew between
-   * two moments over what it had been before; 0 if none grew.
+   * By how many units the worst customer's standing beyond {@code burst + rate * t} (t from its
+   * first charge) grew between two moments over what it had been before; 0 if none grew.
    */
-  public static double beyond(List<Line> history, double rate, double burst, long fromNs, long untilNs) {
-    Map<String, double[]> use = new HashMap<>(); // first ns, units, most beyond before, most beyond meanwhile
+  public static double beyond(List<Line> history, double rate, double burst, long fromNs,
+      long untilNs) {
+    // first ns, units, most beyond before, most beyond meanwhile
+    Map<String, double[]> use = new HashMap<>();
     double worst = 0;
     for (Line l : history) {
       if (!l.kind().equals("served") || l.monoNs() > untilNs) continue;
@@ -36,8 +39,9 @@
   }
 
   /**
-   * Seconds from {@code faultS} until the passed part of the tries sent to {@code nodes} is back at nine tenths of its mean
-   * before the fault, for two seconds in a row; -1: not before {@code endS}; 0: it never fell.
+   * Seconds from {@code faultS} until the passed part of the tries sent to {@code nodes} is back at
+   * nine tenths of its mean before the fault, for two seconds in a row; -1: not before
+   * {@code endS}; 0: it never fell.
    */
   public static double seconds(List<Line> history, long beginNs, double faultS, double endS,
       Set<String> nodes) {
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -16,18 +16,20 @@
 import saltlatch.lab.plan.Box;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.Answer;
-import saltlatch.wire.Resp;
-import saltlatch.wire.RespReader;
+import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
 
 /**
- * Stand-in app servers speaking RESP2 as the protocol page says: {@code SVC.QUERY}/{@code SVC.SUBMIT} answered with
- * an array of value, figures on use ({@code cost=UNITS}) and load report; {@code -BUSY} when full; {@code -ERR failed};
- * answers in the order of a connection's commands. What each command meets is {@link Box}'s decision; what ran is
- * written to {@link Truth}. All on the one event loop of the emulator's Vert.x.
+ * Stand-in app servers speaking RESP2 as the protocol page says:
+ * {@code SVC.QUERY}/{@code SVC.SUBMIT} answered with an array of value, figures on use
+ * ({@code cost=UNITS}) and load report; {@code -BUSY} when full; {@code -ERR failed}; answers in
+ * the order of a connection's commands. What each command meets is {@link Box}'s decision; what ran
+ * is written to {@link Truth}. All on the one event loop of the emulator's Vert.x.
  */
 public final class AppServers {
-  private static final long SWEEP_MS = 50; // how often idle connections are looked at: finer than any idle time used
+  // how often idle connections are looked at: finer than any idle time used
+  private static final long SWEEP_MS = 50;
 
   private final Vertx vertx;
   private final LabClock clock;
@@ -56,8 +58,9 @@
   final class Conn {
     final Server server;
     final NetSocket socket;
-    final RespReader reader = new RespReader();
-    final ArrayDeque<Buffer[]> pending = new ArrayDeque<>(); // a slot each command, filled when its answer is ready
+    final RespDecoder reader = new RespDecoder();
+    // a slot each command, filled when its answer is ready
+    final ArrayDeque<Buffer[]> pending = new ArrayDeque<>();
     double lastMs;
     boolean closed;
 
@@ -84,15 +87,16 @@
     this.vertx = vertx;
     this.clock = clock;
     this.truth = truth;
-    for (int i = 0; i < s.servers().count(); i++) servers.add(new Server(new Box(i, s.servers(), s.seed())));
+    for (int i = 0; i < s.servers().count(); i++)
+      servers.add(new Server(new Box(i, s.servers(), s.seed())));
   }
 
   /** Listens on loopback, a port each; done when all listen. */
   Future<Void> start() {
     List<Future<NetServer>> all = new ArrayList<>();
     for (Server srv : servers) {
-      srv.net = vertx
-          .createNetServer(new NetServerOptions().setHost("127.0.0.1").setPort(0).setAcceptBacklog(1024));
+      srv.net = vertx.createNetServer(
+          new NetServerOptions().setHost("127.0.0.1").setPort(0).setAcceptBacklog(1024));
       srv.net.connectHandler(socket -> accept(srv, socket));
       all.add(srv.net.listen());
     }
@@ -128,14 +132,17 @@
     socket.handler(data -> {
       c.reader.feed(data);
       try {
-        for (Resp r = c.reader.next(); r != null; r = c.reader.next()) command(c, r);
-      } catch (RespReader.Lost e) {
+        for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) command(c, r);
+      } catch (RespDecoder.RespFramingException e) {
         socket.close();
       }
     });
   }
 
-  /** Connections idle past the box's idle time are closed, as a real server does, whatever the client is about to send. */
+  /**
+   * Connections idle past the box's idle time are closed, as a real server does, whatever the
+   * client is about to send.
+   */
   private void sweep() {
     double now = clock.nowMs();
     for (Server srv : servers) {
@@ -147,17 +154,17 @@
     }
   }
 
-  private void command(Conn c, Resp r) {
+  private void command(Conn c, RespValue r) {
     double now = clock.nowMs();
     c.lastMs = now;
     Buffer[] slot = new Buffer[1];
     c.pending.addLast(slot);
-    if (!(r instanceof Resp.Many m) || m.items() == null || m.items().isEmpty()) {
+    if (!(r instanceof RespValue.Array m) || m.elements() == null || m.elements().isEmpty()) {
       c.ready(slot, line("-ERR no command"));
       return;
     }
     List<String> words = new ArrayList<>();
-    for (Resp item : m.items()) words.add(item instanceof Resp.Bulk b ? b.text() : "");
+    for (RespValue item : m.elements()) words.add(item instanceof RespValue.Bulk b ? b.text() : "");
     String verb = words.get(0).toUpperCase(java.util.Locale.ROOT);
     switch (verb) {
       case "PING" -> c.ready(slot, line("+PONG"));
@@ -182,7 +189,7 @@
       return;
     }
     String id = words.get(2);
-    int units = (int) Math.max(1, Answer.field(words.get(3), "units"));
+    int units = (int) Math.max(1, AppServerReply.field(words.get(3), "units"));
     truth.dispatched(id, customer, submit, units);
     Server srv = c.server;
     Box.Turn turn = srv.box.take(now, srv.inProgress);
@@ -200,14 +207,15 @@
         vertx.setTimer(Math.max(1, (long) Math.ceil(at - now)), t -> {
           srv.inProgress--;
           truth.served(id, (long) clock.nowMs());
-          if (history != null) history.add("served", "id", id, "units", units, "customer", customer);
+          if (history != null)
+            history.add("served", "id", id, "units", units, "customer", customer);
           if (turn.verdict() == Box.Verdict.SPOIL) {
             spoilt++;
             c.ready(slot, line("+spoilt"));
             return;
           }
-          String load = "inflight=" + srv.inProgress + ",util=" + String.format(java.util.Locale.ROOT, "%.2f",
-              srv.inProgress / srv.box.capacity(clock.nowMs()));
+          String load = "inflight=" + srv.inProgress + ",util=" + String.format(
+              java.util.Locale.ROOT, "%.2f", srv.inProgress / srv.box.capacity(clock.nowMs()));
           c.ready(slot, array("v:" + id, "cost=" + units, load));
         });
       }
@@ -221,7 +229,7 @@
   static Buffer array(String... items) {
     Buffer out = Buffer.buffer().appendString("*" + items.length + "\r\n");
     for (String s : items) {
-      Resp.bulk(out, s.getBytes(StandardCharsets.ISO_8859_1));
+      RespValue.bulk(out, s.getBytes(StandardCharsets.ISO_8859_1));
     }
     return out;
   }
--- a/src/main/java/saltlatch/lab/emulator/CounterStub.java
+++ b/src/main/java/saltlatch/lab/emulator/CounterStub.java
@@ -18,18 +18,20 @@
 import saltlatch.lab.scenario.Scenario.Fault;
 
 /**
- * A stand-in counter speaking the counter's lines: {@code bump NAME AMOUNT LIFE_MS} answered {@code ok TOTAL},
- * {@code busy} or {@code error}; {@code ping} answered {@code pong}. Answers in order of calls on a connection; at most
- * {@link #MOST_CONNECTIONS} connections a node, idle ones closed after {@link #IDLE_MS}. One listening address a node, by
- * which the stand-in tells them apart on loopback, and they fall into groups; the groups share one store until a
- * {@code split} holds, when each side keeps its own and the
- * second side's writes are lost when it heals. Faults: {@code silent} (calls held and answered when it ends),
- * {@code slow} ({@code extra_ms} each), {@code refuse} (new connections closed, calls answered {@code busy}),
- * {@code empty} (all totals forgotten at {@code at_s}). With {@code calls_per_second} calls are served in turn, and turned
+ * A stand-in counter speaking the counter's lines: {@code bump NAME AMOUNT LIFE_MS} answered
+ * {@code ok TOTAL}, {@code busy} or {@code error}; {@code ping} answered {@code pong}. Answers in
+ * order of calls on a connection; at most {@link #MOST_CONNECTIONS} connections a node, idle ones
+ * closed after {@link #IDLE_MS}. One listening address a node, by which the stand-in tells them
+ * apart on loopback, and they fall into groups; the groups share one store until a {@code split}
+ * holds, when each side keeps its own and the second side's writes are lost when it heals. Faults:
+ * {@code silent} (calls held and answered when it ends), {@code slow} ({@code extra_ms} each),
+ * {@code refuse} (new connections closed, calls answered {@code busy}), {@code empty} (all totals
+ * forgotten at {@code at_s}). With {@code calls_per_second} calls are served in turn, and turned
  * away with {@code busy} while more than {@code line} wait.
  */
 public final class CounterStub {
-  static final int MOST_CONNECTIONS = 32; // an edge node's connections at one address, as the protocol page says
+  // an edge node's connections at one address, as the protocol page says
+  static final int MOST_CONNECTIONS = 32;
   static final double IDLE_MS = 10_000; // a connection idle this long is closed
   private static final double LONGEST_LIFE_MS = 60_000;
   private static final String END_OF_LINE = "\r\n";
@@ -76,7 +78,8 @@
     this.clock = clock;
     this.spec = spec;
     int g = 1;
-    for (Fault f : spec.faults()) if (f.kind().equals("split")) g = Math.max(g, Math.max(2, f.groups()));
+    for (Fault f : spec.faults())
+      if (f.kind().equals("split")) g = Math.max(g, Math.max(2, f.groups()));
     this.groups = g;
     for (Fault f : spec.faults()) emptied.add(false);
   }
@@ -140,8 +143,8 @@
     mine.add(c);
     socket.closeHandler(v -> mine.remove(c));
     socket.exceptionHandler(e -> socket.close());
-    socket
-        .handler(RecordParser.newDelimited(END_OF_LINE, line -> call(c, line.toString())).maxRecordSize(256));
+    socket.handler(RecordParser.newDelimited(END_OF_LINE, line -> call(c, line.toString()))
+        .maxRecordSize(256));
   }
 
   private void call(Conn c, String line) {
@@ -169,7 +172,8 @@
     try {
       amount = new BigDecimal(w[2]);
       life = Math.min(LONGEST_LIFE_MS, Double.parseDouble(w[3]));
-      if (life < 1 || amount.abs().compareTo(BigDecimal.valueOf(1e9)) > 0) throw new NumberFormatException();
+      if (life < 1 || amount.abs().compareTo(BigDecimal.valueOf(1e9)) > 0)
+        throw new NumberFormatException();
     } catch (NumberFormatException e) {
       answer(c, slot, "error", now);
       return;
@@ -246,7 +250,8 @@
       split = null;
     }
     for (List<Conn> group : conns) {
-      for (Conn c : List.copyOf(group)) if (c.slots.isEmpty() && now - c.lastMs > IDLE_MS) c.socket.close();
+      for (Conn c : List.copyOf(group))
+        if (c.slots.isEmpty() && now - c.lastMs > IDLE_MS) c.socket.close();
     }
   }
 }
--- a/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
+++ b/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
@@ -17,19 +17,22 @@
 import saltlatch.lab.scenario.Scenario.Fault;
 
 /**
- * Stand-in discovery agent on HTTP/1.1: {@code GET /api/targets} gives the whole list; {@code ?follow=1&since=N} a
- * chunked watch of one JSON object a line, an empty line every 2 s while nothing changes. An app server with a
- * {@code cold_start} fault joins the list at its {@code at_s} with {@code since_ms} then. Faults: {@code late} (news
- * told {@code extra_ms} after it happened), {@code stale} (while it holds, the list as it was when it began, and no news).
+ * Stand-in discovery agent on HTTP/1.1: {@code GET /api/targets} gives the whole list;
+ * {@code ?follow=1&since=N} a chunked watch of one JSON object a line, an empty line every 2 s
+ * while nothing changes. An app server with a {@code cold_start} fault joins the list at its
+ * {@code at_s} with {@code since_ms} then. Faults: {@code late} (news told {@code extra_ms} after
+ * it happened), {@code stale} (while it holds, the list as it was when it began, and no news).
  */
 public final class DiscoveryStub {
-  static final long KEEP_ALIVE_MS = 2_000; // an empty line this often on a quiet watch, as the protocol page says
+  // an empty line this often on a quiet watch, as the protocol page says
+  static final long KEEP_ALIVE_MS = 2_000;
   private static final long LOOK_MS = 50;
 
   private final Vertx vertx;
   private final LabClock clock;
   private final Scenario s;
-  private final Map<HttpServerResponse, Integer> watches = new LinkedHashMap<>(); // and whose they are
+  // and whose they are
+  private final Map<HttpServerResponse, Integer> watches = new LinkedHashMap<>();
   private final List<HttpServer> https = new ArrayList<>();
   private final IntBinaryOperator reach; // the port at which a node reaches an app server
   private int index = 1;
@@ -48,7 +51,8 @@
     List<Future<HttpServer>> all = new ArrayList<>();
     for (int i = 0; i < s.nodes(); i++) {
       int node = i;
-      HttpServer http = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
+      HttpServer http = vertx
+          .createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
       http.requestHandler(req -> request(req, node));
       https.add(http);
       all.add(http.listen());
@@ -129,7 +133,8 @@
 
   private long sinceMs(int i) {
     for (Fault f : s.servers().faults()) {
-      if (f.kind().equals("cold_start") && f.touches(i) && f.atS() > 0) return clock.epochMs(f.atS() * 1000);
+      if (f.kind().equals("cold_start") && f.touches(i) && f.atS() > 0)
+        return clock.epochMs(f.atS() * 1000);
     }
     return 0;
   }
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -20,9 +20,10 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * The systems an edge node serves, emulated on loopback from one scenario: app servers, the counter, discovery's
- * agent and the datagrams between nodes. All on one event loop of its own, which also owns {@link Truth}.
- * {@link #nodeConfig(int)} writes the JSON configuration a node is started with, as the platform would give it.
+ * The systems an edge node serves, emulated on loopback from one scenario: app servers, the
+ * counter, discovery's agent and the datagrams between nodes. All on one event loop of its own,
+ * which also owns {@link Truth}. {@link #nodeConfig(int)} writes the JSON configuration a node is
+ * started with, as the platform would give it.
  */
 public final class Emulator {
   private final Scenario s;
@@ -42,14 +43,17 @@
     this(s, clock, null, null, null);
   }
 
-  /** With relays for the links that faults touch, a history of the stand-ins, and a directory for the nodes'. */
+  /**
+   * With relays for the links that faults touch, a history of the stand-ins, and a directory for
+   * the nodes'.
+   */
   public Emulator(Scenario s, LabClock clock, Relays relays, History history, String historyDir) {
     this.relays = relays;
     this.historyDir = historyDir;
     this.s = s;
     this.clock = clock;
-    vertx = Vertx.vertx(
-        new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setPreferNativeTransport(true));
+    vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
+        .setPreferNativeTransport(true));
     servers = new AppServers(vertx, clock, truth, s, history);
     counter = new CounterStub(vertx, clock, s.counter(), s.nodes());
     relay = new PeerRelay(vertx, s, clock);
@@ -77,9 +81,9 @@
   }
 
   /**
-   * Node {@code i}'s configuration: its listener on a free port, the stand-ins' addresses, peers through the relay,
-   * the list at time 0, and settings from the scenario's plan (one replayable frontend {@code read}, one
-   * non-replayable {@code write}, one plan {@code plan}).
+   * Node {@code i}'s configuration: its listener on a free port, the stand-ins' addresses, peers
+   * through the relay, the list at time 0, and settings from the scenario's plan (one replayable
+   * frontend {@code read}, one non-replayable {@code write}, one plan {@code plan}).
    */
   public String nodeConfig(int i) {
     return nodeConfig(i, false);
@@ -112,7 +116,8 @@
 
   /** The port by which one reaches the other: a relay's where the link has faults, made once. */
   private int via(String from, String to, int port) {
-    return relays == null ? port : vias.computeIfAbsent(from + ">" + to, k -> relays.port(from, to, port));
+    return relays == null ? port
+        : vias.computeIfAbsent(from + ">" + to, k -> relays.port(from, to, port));
   }
 
   private JsonObject settings(int me, Scenario.Plan p) {
--- a/src/main/java/saltlatch/lab/emulator/LabClock.java
+++ b/src/main/java/saltlatch/lab/emulator/LabClock.java
@@ -1,13 +1,20 @@
 package saltlatch.lab.emulator;
 
-/** The laboratory's one clock: ms since the run began, from the monotonic clock; epoch ms only for discovery's news. */
+/**
+ * The laboratory's one clock: ms since the run began, from the monotonic clock; epoch ms only for
+ * discovery's news.
+ */
 public final class LabClock {
-  private static final long AHEAD_NS = 3_600_000_000_000L; // before a run begins no fault's time has come
+  // before a run begins no fault's time has come
+  private static final long AHEAD_NS = 3_600_000_000_000L;
 
   private volatile long startNanos = System.nanoTime();
   private volatile long startEpochMs = System.currentTimeMillis();
 
-  /** A clock that stands an hour before the run's beginning until {@link #begin()}: nodes may take their time to start. */
+  /**
+   * A clock that stands an hour before the run's beginning until {@link #begin()}: nodes may take
+   * their time to start.
+   */
   public static LabClock waiting() {
     LabClock c = new LabClock();
     c.startNanos += AHEAD_NS;
@@ -36,7 +43,10 @@
     return startEpochMs + (long) sinceStartMs;
   }
 
-  /** The same moment on the machine's monotonic clock, by which the processes' histories are compared. */
+  /**
+   * The same moment on the machine's monotonic clock, by which the processes' histories are
+   * compared.
+   */
   public long monoNs(double sinceStartMs) {
     return startNanos + (long) (sinceStartMs * 1e6);
   }
--- a/src/main/java/saltlatch/lab/emulator/PeerRelay.java
+++ b/src/main/java/saltlatch/lab/emulator/PeerRelay.java
@@ -14,10 +14,10 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Carries datagrams between nodes so that they can be lost and reordered. Node i's {@code peers} are the relay's
- * sockets {@code R_0..R_k-1}; a datagram from node i to {@code R_j} goes on to node j from {@code R_i}, so node j reads
- * it as from peer i. {@code peers_all} is one more socket that copies to every other node. Loss and delay from the
- * scenario's seed.
+ * Carries datagrams between nodes so that they can be lost and reordered. Node i's {@code peers}
+ * are the relay's sockets {@code R_0..R_k-1}; a datagram from node i to {@code R_j} goes on to node
+ * j from {@code R_i}, so node j reads it as from peer i. {@code peers_all} is one more socket that
+ * copies to every other node. Loss and delay from the scenario's seed.
  */
 public final class PeerRelay {
   private final Vertx vertx;
@@ -43,7 +43,10 @@
     this.chance = new SplittableRandom(s.seed() ^ 0x9ee5L);
   }
 
-  /** Binds one socket a node and one for all; {@code ports} are where the nodes listen for datagrams. */
+  /**
+   * Binds one socket a node and one for all; {@code ports} are where the nodes listen for
+   * datagrams.
+   */
   Future<Void> start(List<Integer> ports) {
     List<Future<DatagramSocket>> binds = new ArrayList<>();
     for (int j = 0; j < ports.size(); j++) {
--- a/src/main/java/saltlatch/lab/hollow/HollowFleet.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowFleet.java
@@ -16,17 +16,29 @@
 import saltlatch.node.HollowNode;
 import saltlatch.node.NodeConfiguration;
 
-/** Hollow nodes of one process: the control part of many edge nodes on a few event loops, with no data path. */
+/**
+ * Hollow nodes of one process: the control part of many edge nodes on a few event loops, with no
+ * data path.
+ */
 public final class HollowFleet implements AutoCloseable {
   private static final int STOP_S = 30; // seconds
 
-  /** That a node has applied the list or change of that index; {@code atNanos} by {@link System#nanoTime}. */
+  /**
+   * That a node has applied the list or change of that index; {@code atNanos} by
+   * {@link System#nanoTime}.
+   */
   public record Applied(String node, long index, long atNanos) {}
 
-  /** How far the nodes are: those with a list, the index that all of them have, the highest, entries of all of them. */
-  public record Progress(int nodes, int withList, long leastIndex, long newestIndex, long entries) {}
+  /**
+   * How far the nodes are: those with a list, the index that all of them have, the highest, entries
+   * of all of them.
+   */
+  public record Progress(int nodes, int withList, long leastIndex, long newestIndex,
+      long entries) {}
 
-  /** Datagrams that all nodes together have sent and read; none where they do not know each other. */
+  /**
+   * Datagrams that all nodes together have sent and read; none where they do not know each other.
+   */
   public record Datagrams(long out, long in) {}
 
   private final Vertx vertx;
@@ -34,11 +46,14 @@
   private final List<HollowNode> nodes = new ArrayList<>();
   private final Queue<Applied> applied = new ConcurrentLinkedQueue<>();
 
-  /** Deploys the nodes, each on its own context of one of {@code loops} event loops; none starts yet. */
+  /**
+   * Deploys the nodes, each on its own context of one of {@code loops} event loops; none starts
+   * yet.
+   */
   public HollowFleet(int loops, List<NodeConfig> configs) throws Exception {
-    vertx = Vertx.vertx(
-        new VertxOptions().setEventLoopPoolSize(loops).setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
-            .setPreferNativeTransport(true).setBlockedThreadCheckInterval(TimeUnit.HOURS.toMillis(1)));
+    vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(loops).setWorkerPoolSize(1)
+        .setInternalBlockingPoolSize(1).setPreferNativeTransport(true)
+        .setBlockedThreadCheckInterval(TimeUnit.HOURS.toMillis(1)));
     membership = configs.stream().anyMatch(NodeConfig::membership);
     for (NodeConfig config : configs) {
       Host host = new Host(config);
@@ -101,7 +116,8 @@
   public Map<String, Long> counters() {
     Map<String, Long> sum = new TreeMap<>();
     for (HollowNode node : nodes) {
-      Processes.counters(node.figures()).forEach((name, value) -> sum.merge(name, value, Long::sum));
+      Processes.counters(node.figures())
+          .forEach((name, value) -> sum.merge(name, value, Long::sum));
     }
     return sum;
   }
@@ -117,6 +133,7 @@
   @Override
   public void close() {
     nodes.forEach(HollowNode::stop);
-    vertx.close().toCompletionStage().toCompletableFuture().orTimeout(STOP_S, TimeUnit.SECONDS).join();
+    vertx.close().toCompletionStage().toCompletableFuture().orTimeout(STOP_S, TimeUnit.SECONDS)
+        .join();
   }
 }
--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -14,10 +14,10 @@
 import saltlatch.lab.rig.ProcessFigures;
 
 /**
- * One run of a {@link HollowFleet}: starts it, reports until its time is over or it is ended, and sums up. The report is
- * JSON lines: {@link HollowFleet.Applied} as {@code node}, {@code index}, {@code at_nanos}; a {@link Sample} a second; a
- * {@link Summary} last. Bytes are not among them: they are counted exactly where they are written, at the source's or
- * relay's side.
+ * One run of a {@link HollowFleet}: starts it, reports until its time is over or it is ended, and
+ * sums up. The report is JSON lines: {@link HollowFleet.Applied} as {@code node}, {@code index},
+ * {@code at_nanos}; a {@link Sample} a second; a {@link Summary} last. Bytes are not among them:
+ * they are counted exactly where they are written, at the source's or relay's side.
  */
 public final class HollowRun {
   private static final long LOOK_MS = 100; // between two looks at what was applied
@@ -27,11 +27,17 @@
   private static final Gson JSON = new GsonBuilder()
       .setFieldNamingPolicy(FieldNamingPolicy.LOWER_CASE_WITH_UNDERSCORES).create();
 
-  /** What the process has used by then; the heap as it is, before a collection; datagrams where nodes know each other. */
-  public record Sample(long sampleNanos, long cpuMs, long heapBytes, long rssBytes, int nodes, int withList,
-      long leastIndex, long newestIndex, long datagramsOut, long datagramsIn) {}
+  /**
+   * What the process has used by then; the heap as it is, before a collection; datagrams where
+   * nodes know each other.
+   */
+  public record Sample(long sampleNanos, long cpuMs, long heapBytes, long rssBytes, int nodes,
+      int withList, long leastIndex, long newestIndex, long datagramsOut, long datagramsIn) {}
 
-  /** At the end: the heap after a collection, with the nodes still in it, and the nodes' counters summed. */
+  /**
+   * At the end: the heap after a collection, with the nodes still in it, and the nodes' counters
+   * summed.
+   */
   public record Summary(int summaryOf, long cpuMs, long heldHeapBytes, long rssBytes, int withList,
       long leastIndex, long newestIndex, long entries, Map<String, Long> counters) {}
 
@@ -72,14 +78,16 @@
   public void end() {
     ended.countDown();
     try {
-      if (!reported.await(REPORT_S, TimeUnit.SECONDS)) progress.println("hollow: the report is not whole");
+      if (!reported.await(REPORT_S, TimeUnit.SECONDS))
+        progress.println("hollow: the report is not whole");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   private void drain() throws IOException {
-    for (HollowFleet.Applied applied = fleet.poll(); applied != null; applied = fleet.poll()) write(applied);
+    for (HollowFleet.Applied applied = fleet.poll(); applied != null; applied = fleet.poll())
+      write(applied);
     report.flush();
   }
 
@@ -95,8 +103,9 @@
     write(new Sample(System.nanoTime(), ProcessFigures.cpu(pid).processMs(), heapBytes(),
         ProcessFigures.rssBytes(pid), at.nodes(), at.withList(), at.leastIndex(), at.newestIndex(),
         datagrams.out(), datagrams.in()));
-    progress.println("hollow: " + at.withList() + " of " + at.nodes()
-        + " nodes have a list, all of them index " + at.leastIndex() + ", newest " + at.newestIndex());
+    progress.println(
+        "hollow: " + at.withList() + " of " + at.nodes() + " nodes have a list, all of them index "
+            + at.leastIndex() + ", newest " + at.newestIndex());
   }
 
   private Summary summary() throws IOException {
--- a/src/main/java/saltlatch/lab/hollow/NodeConfig.java
+++ b/src/main/java/saltlatch/lab/hollow/NodeConfig.java
@@ -5,8 +5,8 @@
 import com.google.gson.JsonParser;
 
 /**
- * The configuration of one edge node of a fleet in the laboratory, hollow or real, after {@code deploy/sample.json}: nodes
- * of one fleet differ in their number alone.
+ * The configuration of one edge node of a fleet in the laboratory, hollow or real, after
+ * {@code deploy/sample.json}: nodes of one fleet differ in their number alone.
  *
  * @param number     from 0; the node is called {@code nNUMBER}
  * @param nodes      of the fleet
@@ -17,8 +17,10 @@
  */
 public record NodeConfig(int number, int nodes, String discovery, boolean membership, int peerPort,
     int plans) {
-  public static final int PEER_PORT = 20_000; // below the ports that the kernel gives to outgoing connections
-  private static final int INTAKE = 60; // datagrams a second that a node takes in, as in the lab's scenarios
+  // below the ports that the kernel gives to outgoing connections
+  public static final int PEER_PORT = 20_000;
+  // datagrams a second that a node takes in, as in the lab's scenarios
+  private static final int INTAKE = 60;
   private static final String TEMPLATE = """
       {"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
        "known":{"index":0,"snapshot":true,"endpoints":[]},
@@ -88,6 +90,7 @@
     config.add("peers", peers);
     config.addProperty("peer_listen", "127.0.0.1:" + (peerPort + number));
     config.addProperty("membership", true);
-    config.getAsJsonObject("settings").getAsJsonObject("familyInfo").addProperty("peerInPerS", INTAKE);
+    config.getAsJsonObject("settings").getAsJsonObject("familyInfo").addProperty("peerInPerS",
+        INTAKE);
   }
 }
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -17,30 +17,38 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import saltlatch.lab.emulator.LabClock;
 import saltlatch.history.History;
+import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.Resp;
-import saltlatch.wire.RespReader;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
 
 /**
- * The open-loop load: each arrival of the fixed schedule is sent at its time whatever earlier answers do, as RESP2
- * clients speak to edge nodes ({@code SVC.QUERY}/{@code SVC.SUBMIT CUSTOMER ID TERMS [BODY]}). A customer's reqs go
- * round its set of nodes (all nodes, from {@code customer mod nodes}). A try takes an idle connection of its node, or
- * opens one up to {@code connections_per_node}, else waits behind the shortest queue. Clients that give up early
- * close their own connection; at the client timeout the client closes too. Eager clients send again at once after a
- * denial, with a new id and {@code r=1}. One event loop of its own; latencies in HdrHistogram.
+ * The open-loop load: each arrival of the fixed schedule is sent at its time whatever earlier
+ * answers do, as RESP2 clients speak to edge nodes
+ * ({@code SVC.QUERY}/{@code SVC.SUBMIT CUSTOMER ID TERMS [BODY]}). A customer's reqs go round its
+ * set of nodes (all nodes, from {@code customer mod nodes}). A try takes an idle connection of its
+ * node, or opens one up to {@code connections_per_node}, else waits behind the shortest queue.
+ * Clients that give up early close their own connection; at the client timeout the client closes
+ * too. Eager clients send again at once after a denial, with a new id and {@code r=1}. One event
+ * loop of its own; latencies in HdrHistogram.
  */
 public final class LoadRunner {
-  private static final long TICK_MS = 1; // the loop looks for due arrivals this often, besides the pacer's wake-ups
-  private static final long SPIN_US = 80; // the pacer parks until this much before an arrival, then spins: park overshoots
-  private static final long PING_MS = 250; // between the front's looks at a node: fine beside a notice of seconds
-  private static final int FRONT_LINKS = 256; // connections to a node: clients behind a front open more when all are busy
-  private static final double ROOM = 0.5; // part of the burst unused that makes a denial one with room: nearer is the edge
+  // the loop looks for due arrivals this often, besides the pacer's wake-ups
+  private static final long TICK_MS = 1;
+  // the pacer parks until this much before an arrival, then spins: park overshoots
+  private static final long SPIN_US = 80;
+  // between the front's looks at a node: fine beside a notice of seconds
+  private static final long PING_MS = 250;
+  // connections to a node: clients behind a front open more when all are busy
+  private static final int FRONT_LINKS = 256;
+  // part of the burst unused that makes a denial one with room: nearer is the edge
+  private static final double ROOM = 0.5;
   private static final long HIGHEST_US = 120_000_000; // the histograms' range: two minutes
-  private static final long WARM_US = 2_000_000; // the sender's lateness is kept apart for the first 2 s: JIT, connects
+  // the sender's lateness is kept apart for the first 2 s: JIT, connects
+  private static final long WARM_US = 2_000_000;
 
   private final Scenario s;
   private final List<Arrival> schedule;
@@ -57,7 +65,8 @@
   private final Histogram lateWarming = new Histogram(HIGHEST_US, 3);
   private final TreeMap<Long, long[]> perSecond = new TreeMap<>();
   private final TreeMap<Long, Histogram> perSecondLatency = new TreeMap<>();
-  private final Map<Long, double[]> customerUse = new HashMap<>(); // customer -> {units passed, first ms}
+  // customer -> {units passed, first ms}
+  private final Map<Long, double[]> customerUse = new HashMap<>();
   private final List<String> passedIds = new ArrayList<>();
   private volatile long startUs;
   private volatile boolean pacing = true;
@@ -91,7 +100,7 @@
   private final class Conn {
     final int node;
     final ArrayDeque<Try> queue = new ArrayDeque<>();
-    final RespReader reader = new RespReader();
+    final RespDecoder reader = new RespDecoder();
     final List<Buffer> unsent = new ArrayList<>();
     final boolean own; // opened for a client that will close it
     NetSocket socket;
@@ -121,14 +130,15 @@
   public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock,
       History history) {
     this.history = history;
-    this.front = s.front().noticeS() > 0 ? new Front(nodePorts.size(), s.front().noticeS() * 1000) : null;
+    this.front = s.front().noticeS() > 0 ? new Front(nodePorts.size(), s.front().noticeS() * 1000)
+        : null;
     this.pingers = new Pinger[front == null ? 0 : nodePorts.size()];
     this.s = s;
     this.schedule = schedule;
     this.nodePorts = nodePorts;
     this.clock = clock;
-    vertx = Vertx.vertx(
-        new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setPreferNativeTransport(true));
+    vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
+        .setPreferNativeTransport(true));
     net = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000).setTcpNoDelay(true));
     for (int i = 0; i < nodePorts.size(); i++) conns.add(new ArrayList<>());
     turn = new int[nodePorts.size()];
@@ -209,8 +219,9 @@
   }
 
   /**
-   * Wakes the loop at each arrival's time, to the microsecond as far as the machine allows: parks until
-   * {@link #SPIN_US} before it, then spins. It only wakes the loop; the loop owns all state and sends.
+   * Wakes the loop at each arrival's time, to the microsecond as far as the machine allows: parks
+   * until {@link #SPIN_US} before it, then spins. It only wakes the loop; the loop owns all state
+   * and sends.
    */
   private void pace(io.vertx.core.Context loop) {
     for (int i = 0; i < schedule.size() && pacing; i++) {
@@ -253,23 +264,25 @@
     open++;
     Arrival a = t.a;
     int k = nodePorts.size();
-    String terms = "c=" + (a.submit() ? "write" : "read") + ",t=plan,d=" + a.deadlineMs() + ",units="
-        + a.units() + ",spread=" + k + ",first=" + (a.customer() % k) + (repeat ? ",r=1" : "");
-    List<String> words = new ArrayList<>(
-        List.of(a.submit() ? "SVC.SUBMIT" : "SVC.QUERY", String.format("%016x", a.customer()), t.id, terms));
+    String terms = "c=" + (a.submit() ? "write" : "read") + ",t=plan,d=" + a.deadlineMs()
+        + ",units=" + a.units() + ",spread=" + k + ",first=" + (a.customer() % k)
+        + (repeat ? ",r=1" : "");
+    List<String> words = new ArrayList<>(List.of(a.submit() ? "SVC.SUBMIT" : "SVC.QUERY",
+        String.format("%016x", a.customer()), t.id, terms));
     if (a.submit()) words.add("progress-save");
     Buffer b = Buffer.buffer().appendString("*" + words.size() + "\r\n");
-    for (String w : words) Resp.bulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
+    for (String w : words) RespValue.bulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
     if (history != null) {
-      history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units", a.units(),
-          "submit", a.submit(), "wait_ms", a.deadlineMs());
+      history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units",
+          a.units(), "submit", a.submit(), "wait_ms", a.deadlineMs());
     }
     conn(t.node, a.leaveUs() > 0).send(t, b);
     long nowMs = (clock.nowUs() - startUs) / 1000;
     long deadlineMs = Math.max(1, t.dueUs / 1000 + a.deadlineMs() - nowMs);
     vertx.setTimer(deadlineMs, x -> expire(t, Outcome.TIMED_OUT));
     if (a.leaveUs() > 0) {
-      vertx.setTimer(Math.max(1, (t.dueUs + a.leaveUs()) / 1000 - nowMs), x -> expire(t, Outcome.LEFT));
+      vertx.setTimer(Math.max(1, (t.dueUs + a.leaveUs()) / 1000 - nowMs),
+          x -> expire(t, Outcome.LEFT));
     }
   }
 
@@ -283,7 +296,8 @@
         if (c.queue.isEmpty()) return c;
         if (best == null || c.queue.size() < best.queue.size()) best = c;
       }
-      if (best != null && list.size() >= (front != null ? FRONT_LINKS : s.load().connectionsPerNode()))
+      if (best != null
+          && list.size() >= (front != null ? FRONT_LINKS : s.load().connectionsPerNode()))
         return best;
     }
     Conn c = new Conn(node, own);
@@ -311,40 +325,44 @@
   private void read(Conn c, Buffer data) {
     c.reader.feed(data);
     try {
-      for (Resp r = c.reader.next(); r != null; r = c.reader.next()) {
+      for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) {
         Try t = c.queue.pollFirst();
         if (t == null) continue;
         answered(t, r);
       }
-    } catch (RespReader.Lost e) {
+    } catch (RespDecoder.RespFramingException e) {
       c.socket.close();
     }
   }
 
-  private void answered(Try t, Resp r) {
+  private void answered(Try t, RespValue r) {
     if (t.over) return;
     long now = clock.nowUs() - startUs;
     long latency = Math.min(HIGHEST_US, Math.max(0, now - t.dueUs));
     answered.recordValue(latency);
     Outcome o;
-    if (r instanceof Resp.Bulk b && b.bytes() != null || r instanceof Resp.Many m && m.items() != null
-        && !m.items().isEmpty() && m.items().get(0) instanceof Resp.Bulk first && first.bytes() != null) {
+    if (r instanceof RespValue.Bulk b && b.bytes() != null
+        || r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
+            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null) {
       o = Outcome.PASSED;
       passed.recordValue(latency);
       passedIds.add(t.id);
-      double[] use = customerUse.computeIfAbsent(t.a.customer(), k -> new double[] {0, now / 1000.0});
+      double[] use = customerUse.computeIfAbsent(t.a.customer(),
+          k -> new double[] {0, now / 1000.0});
       use[0] += t.a.units();
-    } else if (r instanceof Resp.Line l && l.type() == '-' && l.text().startsWith("BUSY")) {
+    } else if (r instanceof RespValue.Line l && l.type() == '-' && l.text().startsWith("BUSY")) {
       o = Outcome.DENIED;
       if (l.text().length() > 5) retryAfter++;
       double[] use = customerUse.get(t.a.customer());
       double allowance = s.plan().burst()
           + (use == null ? 0 : s.plan().rate() * (now / 1000.0 - use[1]) / 1000);
-      if ((use == null ? 0 : use[0]) + t.a.units() <= allowance - ROOM * s.plan().burst()) deniedWithRoom++;
+      if ((use == null ? 0 : use[0]) + t.a.units() <= allowance - ROOM * s.plan().burst())
+        deniedWithRoom++;
     } else {
       o = Outcome.ABORTED;
     }
-    perSecondLatency.computeIfAbsent(now / 1_000_000, k -> new Histogram(HIGHEST_US, 2)).recordValue(latency);
+    perSecondLatency.computeIfAbsent(now / 1_000_000, k -> new Histogram(HIGHEST_US, 2))
+        .recordValue(latency);
     finish(t, o, now);
     if (o == Outcome.DENIED && t.triesLeft > 0) {
       send(new Try(t.a, t.id + "-r" + t.triesLeft, t.node, t.triesLeft - 1, now), true);
--- a/src/main/java/saltlatch/lab/load/Outcome.java
+++ b/src/main/java/saltlatch/lab/load/Outcome.java
@@ -1,6 +1,9 @@
 package saltlatch.lab.load;
 
-/** How a try ended as the client saw it; one value each, mapped from what came back in {@link LoadRunner}. */
+/**
+ * How a try ended as the client saw it; one value each, mapped from what came back in
+ * {@link LoadRunner}.
+ */
 public enum Outcome {
   /** A bulk string, or an array that begins with one: the value. */
   PASSED,
--- a/src/main/java/saltlatch/lab/plan/Box.java
+++ b/src/main/java/saltlatch/lab/plan/Box.java
@@ -6,10 +6,11 @@
 import saltlatch.lab.scenario.Scenario.Fault;
 
 /**
- * What one emulated app server does with a command at a given moment: the decision of the stand-in, with no I/O, so
- * that a test can print its trace. Capacity is {@code concurrency} reqs in progress; beyond it {@code -BUSY}. A cold
- * start gives a share {@code from} of it growing to the whole over {@code ramp_s}; a cold box with more than
- * {@link #FALL_MULTIPLE} times its capacity in progress falls over and fails everything for {@link #FALL_MS}.
+ * What one emulated app server does with a command at a given moment: the decision of the stand-in,
+ * with no I/O, so that a test can print its trace. Capacity is {@code concurrency} reqs in
+ * progress; beyond it {@code -BUSY}. A cold start gives a share {@code from} of it growing to the
+ * whole over {@code ramp_s}; a cold box with more than {@link #FALL_MULTIPLE} times its capacity in
+ * progress falls over and fails everything for {@link #FALL_MS}.
  */
 public final class Box {
   /** What becomes of one command. */
@@ -20,11 +21,16 @@
     SPOIL
   }
 
-  /** The verdict, and for {@code SERVE} the latency in ms, and whether answers are held until a pause ends. */
+  /**
+   * The verdict, and for {@code SERVE} the latency in ms, and whether answers are held until a
+   * pause ends.
+   */
   public record Turn(Verdict verdict, double latencyMs, double heldUntilMs) {}
 
-  static final double FALL_MULTIPLE = 2.0; // in progress over capacity at which a cold box tips; a stand-in's choice
-  static final double FALL_MS = 3_000; // how long a tipped box fails all: long enough to be seen in a second's plot
+  // in progress over capacity at which a cold box tips; a stand-in's choice
+  static final double FALL_MULTIPLE = 2.0;
+  // how long a tipped box fails all: long enough to be seen in a second's plot
+  static final double FALL_MS = 3_000;
 
   private final int index;
   private final double sigma;
@@ -42,7 +48,8 @@
     this.faults = s.faults().stream().filter(f -> f.touches(index)).toList();
     this.chance = new SplittableRandom(seed * 31 + index);
     mu = Math.log(s.medianMs());
-    sigma = Math.max(0.01, Math.log(Math.max(s.p99Ms(), s.medianMs() * 1.01) / s.medianMs()) / 2.326);
+    sigma = Math.max(0.01,
+        Math.log(Math.max(s.p99Ms(), s.medianMs() * 1.01) / s.medianMs()) / 2.326);
   }
 
   /** A new connection at {@code nowMs}: refused while a {@code refuse} fault holds. */
@@ -73,13 +80,17 @@
   /** True if a cold start of this box is still ramping at {@code nowMs}. */
   boolean cold(double nowMs) {
     for (Fault f : faults) {
-      if (f.kind().equals("cold_start") && nowMs >= f.atS() * 1000 && nowMs < (f.atS() + f.rampS()) * 1000)
+      if (f.kind().equals("cold_start") && nowMs >= f.atS() * 1000
+          && nowMs < (f.atS() + f.rampS()) * 1000)
         return true;
     }
     return false;
   }
 
-  /** Decides a command that came whole at {@code nowMs} with {@code inProgress} others begun and not answered. */
+  /**
+   * Decides a command that came whole at {@code nowMs} with {@code inProgress} others begun and not
+   * answered.
+   */
   public Turn take(double nowMs, int inProgress) {
     if (nowMs < fallenUntil) return new Turn(Verdict.FAIL, 0, 0);
     double cap = capacity(nowMs);
@@ -90,7 +101,8 @@
     if (inProgress + 1 > cap * FALL_MULTIPLE || inProgress >= concurrency)
       return new Turn(Verdict.BUSY, 0, 0);
     double latency = Math.exp(mu + sigma * gaussian());
-    if (inProgress + 1 > cap) latency *= (inProgress + 1) / cap; // a cold box over its share queues the rest
+    // a cold box over its share queues the rest
+    if (inProgress + 1 > cap) latency *= (inProgress + 1) / cap;
     double held = 0;
     for (Fault f : faults) {
       if (!f.holds(nowMs)) continue;
--- a/src/main/java/saltlatch/lab/plan/Drawn.java
+++ b/src/main/java/saltlatch/lab/plan/Drawn.java
@@ -6,9 +6,10 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Faults drawn from the scenario's seed and added to those that it names: from second {@code at_s} on so many nodes are
- * killed for good and so many others stopped for 8 to 14 s, then so many splits follow each other, of any number of nodes
- * from the others, for 8 to 14 s each. No I/O; one seed, one schedule.
+ * Faults drawn from the scenario's seed and added to those that it names: from second {@code at_s}
+ * on so many nodes are killed for good and so many others stopped for 8 to 14 s, then so many
+ * splits follow each other, of any number of nodes from the others, for 8 to 14 s each. No I/O; one
+ * seed, one schedule.
  */
 public final class Drawn {
   private static final double SPREAD_S = 3; // s over which kills and stops are drawn
@@ -25,7 +26,8 @@
     SplittableRandom chance = new SplittableRandom(s.seed() ^ OWN);
     List<Integer> nodes = new ArrayList<>();
     for (int i = 0; i < s.nodes(); i++) nodes.add(i);
-    for (int i = nodes.size() - 1; i > 0; i--) nodes.set(i, nodes.set(chance.nextInt(i + 1), nodes.get(i)));
+    for (int i = nodes.size() - 1; i > 0; i--)
+      nodes.set(i, nodes.set(chance.nextInt(i + 1), nodes.get(i)));
     List<Scenario.ProcessFault> processes = new ArrayList<>(s.processes().faults());
     for (int i = 0; i < d.kills() + d.pauses() && i < nodes.size(); i++) {
       double at = d.atS() + SPREAD_S * chance.nextDouble();
@@ -43,8 +45,8 @@
       for (int k = 0; k < nodes.size(); k++)
         (k < side ? one : rest).add("n" + nodes.get((k + turn) % nodes.size()));
       double lasts = lasts(chance);
-      links.add(new Scenario.LinkFault("cut", at, lasts, String.join(",", one), String.join(",", rest), false,
-          0, 0, 0));
+      links.add(new Scenario.LinkFault("cut", at, lasts, String.join(",", one),
+          String.join(",", rest), false, 0, 0, 0));
       at += lasts + APART_S;
     }
     return s.withFaults(processes, links);
--- a/src/main/java/saltlatch/lab/plan/Front.java
+++ b/src/main/java/saltlatch/lab/plan/Front.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * The decisions of a stand-in for the operators' front: it deals each customer's reqs in turn among the nodes of its set
- * that are in. A node is in from its first answer to PING on, and out once it has answered none for the time to notice.
- * No I/O, no clock.
+ * The decisions of a stand-in for the operators' front: it deals each customer's reqs in turn among
+ * the nodes of its set that are in. A node is in from its first answer to PING on, and out once it
+ * has answered none for the time to notice. No I/O, no clock.
  */
 public final class Front {
   private final double noticeMs;
@@ -28,7 +28,10 @@
     return ms - answeredMs[node] <= noticeMs;
   }
 
-  /** The node for the next req of a customer whose set is {@code spread} nodes from {@code first} on; below 0: none is in. */
+  /**
+   * The node for the next req of a customer whose set is {@code spread} nodes from {@code first}
+   * on; below 0: none is in.
+   */
   public int deal(int first, int spread, double ms) {
     for (int i = 0; i < spread; i++) {
       int node = (first + turn[first]++ % spread) % answeredMs.length;
--- a/src/main/java/saltlatch/lab/plan/Group.java
+++ b/src/main/java/saltlatch/lab/plan/Group.java
@@ -4,11 +4,13 @@
 import java.util.TreeSet;
 
 /**
- * A group of endpoints as a scenario names it: {@code n0-2,n5} (edge nodes), {@code s3} (app servers), {@code nodes},
- * {@code servers}, {@code counter}, {@code discovery}, {@code clients}, in any mixture.
+ * A group of endpoints as a scenario names it: {@code n0-2,n5} (edge nodes), {@code s3} (app
+ * servers), {@code nodes}, {@code servers}, {@code counter}, {@code discovery}, {@code clients}, in
+ * any mixture.
  */
 public final class Group {
-  private static final Set<String> WHOLE = Set.of("nodes", "servers", "counter", "discovery", "clients");
+  private static final Set<String> WHOLE = Set.of("nodes", "servers", "counter", "discovery",
+      "clients");
   private final Set<String> names = new TreeSet<>();
 
   private Group() {}
@@ -31,7 +33,10 @@
     return g;
   }
 
-  /** Whether it holds the endpoint {@code n3}, {@code s7}, {@code counter}, {@code discovery} or {@code clients}. */
+  /**
+   * Whether it holds the endpoint {@code n3}, {@code s7}, {@code counter}, {@code discovery} or
+   * {@code clients}.
+   */
   public boolean holds(String endpoint) {
     if (names.contains(endpoint)) return true;
     boolean numbered = endpoint.matches("[ns]\\d+");
--- a/src/main/java/saltlatch/lab/plan/Links.java
+++ b/src/main/java/saltlatch/lab/plan/Links.java
@@ -8,11 +8,13 @@
 import saltlatch.lab.scenario.Scenario.LinkFault;
 
 /**
- * What becomes of traffic between two endpoints by the scenario's link faults, each direction on its own. No I/O, no
- * clock; every link draws from a generator of its own, so one link's traffic does not change another's fate.
+ * What becomes of traffic between two endpoints by the scenario's link faults, each direction on
+ * its own. No I/O, no clock; every link draws from a generator of its own, so one link's traffic
+ * does not change another's fate.
  */
 public final class Links {
-  private static final double RESENT_MS = 200; // ms: a lost TCP segment comes a least retransmission time-out later
+  // ms: a lost TCP segment comes a least retransmission time-out later
+  private static final double RESENT_MS = 200;
 
   private record Rule(LinkFault fault, Group from, Group to) {
     boolean touches(String a, String b) {
@@ -29,18 +31,24 @@
     for (LinkFault f : faults) rules.add(new Rule(f, Group.of(f.from()), Group.of(f.to())));
   }
 
-  /** Whether any fault ever touches this pair, in either direction: only such links need a relay. */
+  /**
+   * Whether any fault ever touches this pair, in either direction: only such links need a relay.
+   */
   public boolean everTouches(String a, String b) {
     return rules.stream().anyMatch(r -> r.touches(a, b) || r.touches(b, a));
   }
 
-  /** Nothing gets from {@code a} to {@code b} at {@code ms}: a cut, or the dead half of a flapping link's period. */
+  /**
+   * Nothing gets from {@code a} to {@code b} at {@code ms}: a cut, or the dead half of a flapping
+   * link's period.
+   */
   public boolean cut(String a, String b, double ms) {
     for (Rule r : rules) {
       LinkFault f = r.fault;
       if (!f.holds(ms) || !r.touches(a, b)) continue;
       if (f.kind().equals("cut")) return true;
-      if (f.kind().equals("flap") && (ms - f.atS() * 1000) % f.periodMs() < f.periodMs() / 2) return true;
+      if (f.kind().equals("flap") && (ms - f.atS() * 1000) % f.periodMs() < f.periodMs() / 2)
+        return true;
     }
     return false;
   }
@@ -57,10 +65,11 @@
       switch (f.kind()) {
         case "loss" -> copies.removeIf(d -> chance.nextDouble() < f.share());
         case "delay" -> copies.replaceAll(d -> d + f.extraMs());
-        case "reorder" ->
-          copies.replaceAll(d -> chance.nextDouble() < f.share() ? d + f.extraMs() * chance.nextDouble() : d);
+        case "reorder" -> copies.replaceAll(
+            d -> chance.nextDouble() < f.share() ? d + f.extraMs() * chance.nextDouble() : d);
         case "duplicate" -> {
-          if (!copies.isEmpty() && chance.nextDouble() < f.share()) copies.add(copies.get(0) + f.extraMs());
+          if (!copies.isEmpty() && chance.nextDouble() < f.share())
+            copies.add(copies.get(0) + f.extraMs());
         }
         default -> {}
       }
@@ -68,7 +77,9 @@
     return copies;
   }
 
-  /** The delay in ms of bytes on a TCP connection, whose order holds: a lost segment is sent again. */
+  /**
+   * The delay in ms of bytes on a TCP connection, whose order holds: a lost segment is sent again.
+   */
   public double stream(String a, String b, double ms) {
     double delay = 0;
     for (Rule r : rules) {
--- a/src/main/java/saltlatch/lab/plan/Offered.java
+++ b/src/main/java/saltlatch/lab/plan/Offered.java
@@ -10,16 +10,21 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * The offered schedule of a run, fixed before the first req is sent (open loop: a late answer never delays the next
- * arrival, so there is no coordinated omission). Poisson arrivals at the scenario's rate times any burst factor,
- * customers drawn by Zipf, from one {@link SplittableRandom} of the scenario's seed. No I/O, no clock.
+ * The offered schedule of a run, fixed before the first req is sent (open loop: a late answer never
+ * delays the next arrival, so there is no coordinated omission). Poisson arrivals at the scenario's
+ * rate times any burst factor, customers drawn by Zipf, from one {@link SplittableRandom} of the
+ * scenario's seed. No I/O, no clock.
  */
 public final class Offered {
-  /** One req to send: at {@code atUs} microseconds from the start; {@code leaveUs} 0 if the client waits it out. */
-  public record Arrival(long atUs, long customer, String id, boolean submit, int units, long deadlineMs,
-      long leaveUs, int eagerTries) {}
+  /**
+   * One req to send: at {@code atUs} microseconds from the start; {@code leaveUs} 0 if the client
+   * waits it out.
+   */
+  public record Arrival(long atUs, long customer, String id, boolean submit, int units,
+      long deadlineMs, long leaveUs, int eagerTries) {}
 
-  private static final int LONGEST = 2_000_000; // arrivals at most in one run: 2M of 80 B each stay within 160 MB
+  // arrivals at most in one run: 2M of 80 B each stay within 160 MB
+  private static final int LONGEST = 2_000_000;
 
   private Offered() {}
 
@@ -40,7 +45,8 @@
       boolean submit = chance.nextDouble() < l.submitShare();
       int units = l.unitsMin() + chance.nextInt(l.unitsMax() - l.unitsMin() + 1);
       long deadline = (long) l.deadlineMs();
-      long leave = chance.nextDouble() < l.giveUpShare() ? (long) (deadline * 1000 * l.giveUpAt()) : 0;
+      long leave = chance.nextDouble() < l.giveUpShare() ? (long) (deadline * 1000 * l.giveUpAt())
+          : 0;
       int eager = chance.nextDouble() < l.eagerShare() ? l.eagerTries() : 0;
       String id = String.format("%016x", s.seed() * 0x9E3779B97F4A7C15L + (++n));
       out.add(new Arrival((long) t, customer, id, submit, units, deadline, leave, eager));
@@ -55,8 +61,9 @@
       ByteBuffer b = ByteBuffer.allocate(64);
       for (Arrival a : arrivals) {
         b.clear();
-        b.putLong(a.atUs).putLong(a.customer).putLong(a.id.hashCode()).put((byte) (a.submit ? 1 : 0))
-            .putInt(a.units).putLong(a.deadlineMs).putLong(a.leaveUs).putInt(a.eagerTries);
+        b.putLong(a.atUs).putLong(a.customer).putLong(a.id.hashCode())
+            .put((byte) (a.submit ? 1 : 0)).putInt(a.units).putLong(a.deadlineMs).putLong(a.leaveUs)
+            .putInt(a.eagerTries);
         md.update(b.array(), 0, b.position());
       }
       return HexFormat.of().formatHex(md.digest());
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import saltlatch.lab.scenario.Scenario.ProcessFault;
 
-/** The scenario's process faults as single steps in order of time, all of one instant together. No I/O. */
+/**
+ * The scenario's process faults as single steps in order of time, all of one instant together. No
+ * I/O.
+ */
 public final class Timeline {
   /** What is done to a process. */
   public enum Act {
@@ -33,7 +36,8 @@
       for (int i = 0; i < hit.size(); i++)
         add(steps, f, (f.atS() + i * f.stepS()) * 1000, List.of(hit.get(i)));
     }
-    steps.sort(Comparator.comparingDouble(Step::atMs)); // stable: the faults' order holds within an instant
+    // stable: the faults' order holds within an instant
+    steps.sort(Comparator.comparingDouble(Step::atMs));
     return steps;
   }
 
