--- a/src/main/java/saltlatch/lab/plan/Truth.java
+++ b/src/main/java/saltlatch/lab/plan/Truth.java
@@ -7,12 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * The emulator's ledger of what really happened at the app servers: every dispatch of every req, the units charged
- * for each req that ran, a customer's units per one-second window. It is the reference the nodes' own counters and the
- * load tool's outcomes are checked against. No I/O; fed from one event loop.
+ * The emulator's ledger of what really happened at the app servers: every dispatch of every req,
+ * the units charged for each req that ran, a customer's units per one-second window. It is the
+ * reference the nodes' own counters and the load tool's outcomes are checked against. No I/O; fed
+ * from one event loop.
  */
 public final class Truth {
-  /** One req as the app servers saw it: dispatches that came whole, of them served, and its customer and units. */
+  /**
+   * One req as the app servers saw it: dispatches that came whole, of them served, and its customer
+   * and units.
+   */
   public static final class Seen {
     public final long customer;
     public final boolean submit;
@@ -33,7 +37,8 @@
       long repeatedNonReplayable) {}
 
   private final Map<String, Seen> byId = new HashMap<>();
-  private final TreeMap<Long, TreeMap<Long, Long>> unitsBySecond = new TreeMap<>(); // customer -> second -> units
+  // customer -> second -> units
+  private final TreeMap<Long, TreeMap<Long, Long>> unitsBySecond = new TreeMap<>();
   private long dispatches;
   private long served;
   private long units;
@@ -41,8 +46,9 @@
   private long repeats;
 
   /**
-   * A dispatch came whole to an app server; returns whether it repeats a non-replayable req that may have run: an
-   * earlier dispatch of it was not answered {@code -BUSY} (the one answer that says it never ran).
+   * A dispatch came whole to an app server; returns whether it repeats a non-replayable req that
+   * may have run: an earlier dispatch of it was not answered {@code -BUSY} (the one answer that
+   * says it never ran).
    */
   public boolean dispatched(String id, long customer, boolean submit, int unitsAsked) {
     dispatches++;
@@ -53,13 +59,19 @@
     return repeat;
   }
 
-  /** The dispatch just told was not turned away: it runs, or failed or spoilt in a way that may have run. */
+  /**
+   * The dispatch just told was not turned away: it runs, or failed or spoilt in a way that may have
+   * run.
+   */
   public void mayHaveRun(String id) {
     Seen s = byId.get(id);
     if (s != null) s.mayHaveRun = true;
   }
 
-  /** The app server ran it and charged its units at {@code ms}. A second charge of one req is a double charge. */
+  /**
+   * The app server ran it and charged its units at {@code ms}. A second charge of one req is a
+   * double charge.
+   */
   public void served(String id, long ms) {
     Seen s = byId.get(id);
     if (s == null) return;
@@ -83,8 +95,8 @@
   }
 
   /**
-   * Units each customer was charged beyond its plan: the most, over time, by which the running total exceeded
-   * {@code burst + rate * seconds}. Customers in order of number.
+   * Units each customer was charged beyond its plan: the most, over time, by which the running
+   * total exceeded {@code burst + rate * seconds}. Customers in order of number.
    */
   public Map<Long, Double> beyondPlan(double rate, double burst) {
     Map<Long, Double> out = new TreeMap<>();
@@ -113,7 +125,8 @@
   public List<Long> heaviest(int n) {
     List<Map.Entry<Long, Long>> all = new ArrayList<>();
     for (var e : unitsBySecond.entrySet()) {
-      all.add(Map.entry(e.getKey(), e.getValue().values().stream().mapToLong(Long::longValue).sum()));
+      all.add(
+          Map.entry(e.getKey(), e.getValue().values().stream().mapToLong(Long::longValue).sum()));
     }
     all.sort((a, b) -> a.getValue().equals(b.getValue()) ? Long.compare(a.getKey(), b.getKey())
         : Long.compare(b.getValue(), a.getValue()));
--- a/src/main/java/saltlatch/lab/report/Report.java
+++ b/src/main/java/saltlatch/lab/report/Report.java
@@ -8,9 +8,10 @@
 import saltlatch.lab.load.RunResult;
 
 /**
- * A self-contained HTML page of one run, with inline SVG plots (p99 latency a second, passed/denied/aborted a second,
- * units charged against the plan for the heaviest customers), its checks, and a table against a baseline run with
- * the ratio of each figure. Needs no network to open.
+ * A self-contained HTML page of one run, with inline SVG plots (p99 latency a second,
+ * passed/denied/aborted a second, units charged against the plan for the heaviest customers), its
+ * checks, and a table against a baseline run with the ratio of each figure. Needs no network to
+ * open.
  */
 public final class Report {
   private static final int W = 720; // px of a plot
@@ -28,9 +29,10 @@
                 + "td,th{border:1px solid #bbb;padding:3px 8px;text-align:right}th{background:#eee}.bad{color:#b00}"
                 + ".good{color:#070}svg{background:#fafafa;border:1px solid #ddd}</style></head><body>");
     o.append("<h1>").append(esc(r.scenario())).append("</h1><p>Loopback run: ").append(r.nodes())
-        .append(" edge nodes, ").append(r.servers()).append(" emulated app servers, ").append(r.offered())
-        .append(" reqs offered over ").append(fmt(r.seconds())).append(" s, seed ").append(r.seed())
-        .append(", schedule ").append(r.scheduleDigest(), 0, 12).append(".</p>");
+        .append(" edge nodes, ").append(r.servers()).append(" emulated app servers, ")
+        .append(r.offered()).append(" reqs offered over ").append(fmt(r.seconds()))
+        .append(" s, seed ").append(r.seed()).append(", schedule ")
+        .append(r.scheduleDigest(), 0, 12).append(".</p>");
     o.append("<h2>Checks</h2><ul>");
     for (RunResult.Check c : r.checks()) {
       o.append("<li class=\"").append(c.passed() ? "good" : "bad").append("\">")
@@ -49,10 +51,11 @@
       deny.add(new double[] {row[0], row[2]});
       abort.add(new double[] {row[0], row[3]});
     }
-    o.append("<h2>Latency</h2>")
-        .append(plot("p99 of answers a second (ms)", "s", List.of(p99), List.of("p99"), List.of("#c33")));
-    o.append("<h2>Outcomes</h2>").append(plot("tries a second by outcome", "s", List.of(pass, deny, abort),
-        List.of("passed", "denied", "aborted/other"), List.of("#393", "#c93", "#c33")));
+    o.append("<h2>Latency</h2>").append(
+        plot("p99 of answers a second (ms)", "s", List.of(p99), List.of("p99"), List.of("#c33")));
+    o.append("<h2>Outcomes</h2>")
+        .append(plot("tries a second by outcome", "s", List.of(pass, deny, abort),
+            List.of("passed", "denied", "aborted/other"), List.of("#393", "#c93", "#c33")));
     o.append("<h2>Units against plan</h2>");
     for (RunResult.Customer c : r.customers()) {
       List<double[]> used = new ArrayList<>();
@@ -64,18 +67,20 @@
         used.add(new double[] {u[0], total});
         allowed.add(new double[] {u[0], c.burst() + c.rate() * (u[0] - first + 1)});
       }
-      o.append(
-          plot(
-              String.format(Locale.ROOT, "customer %d: units charged in all, beyond plan at worst %.0f",
-                  c.id(), c.beyond()),
-              "s", List.of(used, allowed), List.of("charged", "plan"), List.of("#36c", "#999")));
+      o.append(plot(
+          String.format(Locale.ROOT, "customer %d: units charged in all, beyond plan at worst %.0f",
+              c.id(), c.beyond()),
+          "s", List.of(used, allowed), List.of("charged", "plan"), List.of("#36c", "#999")));
     }
     o.append("<h2>Figures</h2>").append(table(r, base));
     o.append("</body></html>\n");
     return o.toString();
   }
 
-  /** What was done to which process and link, second by second, a row a node, with what broke under it. */
+  /**
+   * What was done to which process and link, second by second, a row a node, with what broke under
+   * it.
+   */
   static String timeLine(RunResult r) {
     int row = 18; // px of a node's row
     int top = 20;
@@ -103,22 +108,26 @@
         o.append(String.format(Locale.ROOT,
             "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\""
                 + " fill-opacity=\"0.6\"><title>%s, %s s to %s s</title></rect>",
-            PAD + f.fromS() * perS, top + row * first + 2, Math.max(2, (f.untilS() - f.fromS()) * perS),
-            row * rows - 4, colour, esc(f.what()), fmt(f.fromS()), fmt(f.untilS())));
+            PAD + f.fromS() * perS, top + row * first + 2,
+            Math.max(2, (f.untilS() - f.fromS()) * perS), row * rows - 4, colour, esc(f.what()),
+            fmt(f.fromS()), fmt(f.untilS())));
       }
     }
     o.append(
         "</svg><p>Red: killed or ended, until started again; ochre: stopped; blue: links and app servers.</p><ul>");
     for (RunResult.Fault f : r.faults()) {
-      o.append("<li>").append(fmt(f.fromS())).append(" s to ").append(fmt(f.untilS())).append(" s: ")
-          .append(esc(f.what())).append(" ").append(esc(String.join(", ", f.nodes())))
-          .append("; the worst customer's units beyond its quota grew by ").append(fmt(f.beyondUnits()))
-          .append("</li>");
+      o.append("<li>").append(fmt(f.fromS())).append(" s to ").append(fmt(f.untilS()))
+          .append(" s: ").append(esc(f.what())).append(" ")
+          .append(esc(String.join(", ", f.nodes())))
+          .append("; the worst customer's units beyond its quota grew by ")
+          .append(fmt(f.beyondUnits())).append("</li>");
     }
-    if (r.members() != null) o.append("<li>membership: ").append(esc(r.members().toString())).append("</li>");
+    if (r.members() != null)
+      o.append("<li>membership: ").append(esc(r.members().toString())).append("</li>");
     o.append("</ul><p>Survivors' passed share back at nine tenths after ")
         .append(r.recoveryS() < 0 ? "the run's end" : fmt(r.recoveryS()) + " s")
-        .append("; relays' own delay ").append(esc(String.valueOf(r.relayDelayUs()))).append(" µs.</p>");
+        .append("; relays' own delay ").append(esc(String.valueOf(r.relayDelayUs())))
+        .append(" µs.</p>");
     if (!r.violations().isEmpty()) {
       o.append("<h3 class=\"bad\">What broke</h3><ul>");
       for (String v : r.violations()) o.append("<li>").append(esc(v)).append("</li>");
@@ -145,7 +154,8 @@
     }
     m.put("cpu s", r.process().cpuSeconds());
     m.put("node loop cpu s, most",
-        r.nodeCounters().stream().mapToLong(n -> n.getOrDefault("loop_cpu_ms", 0L)).max().orElse(0) / 1000.0);
+        r.nodeCounters().stream().mapToLong(n -> n.getOrDefault("loop_cpu_ms", 0L)).max().orElse(0)
+            / 1000.0);
     m.put("rss MB", r.process().rssMb());
     return m;
   }
@@ -182,27 +192,27 @@
     }
     maxY = nice(maxY);
     StringBuilder o = new StringBuilder();
-    o.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(W).append("\" height=\"").append(H)
-        .append("\"><text x=\"").append(PAD).append("\" y=\"16\" font-size=\"13\">").append(esc(title))
-        .append("</text>");
+    o.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(W).append("\" height=\"")
+        .append(H).append("\"><text x=\"").append(PAD).append("\" y=\"16\" font-size=\"13\">")
+        .append(esc(title)).append("</text>");
     int x0 = PAD;
     int y0 = H - 24;
     int x1 = W - 10;
     int y1 = 26;
-    o.append(String.format(Locale.ROOT, "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0,
-        y0, x1, y0));
-    o.append(String.format(Locale.ROOT, "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0,
-        y0, x0, y1));
+    o.append(String.format(Locale.ROOT,
+        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0, y0, x1, y0));
+    o.append(String.format(Locale.ROOT,
+        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0, y0, x0, y1));
     for (int i = 0; i <= 4; i++) {
       double v = maxY * i / 4;
       double y = y0 - (y0 - y1) * i / 4.0;
-      o.append(
-          String.format(Locale.ROOT, "<text x=\"2\" y=\"%.1f\" font-size=\"10\">%s</text>", y + 3, fmt(v)));
+      o.append(String.format(Locale.ROOT, "<text x=\"2\" y=\"%.1f\" font-size=\"10\">%s</text>",
+          y + 3, fmt(v)));
       o.append(String.format(Locale.ROOT,
           "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"#ddd\"/>", x0, y, x1, y));
     }
-    o.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%s %s</text>", x1 - 50,
-        H - 6, fmt(maxX), xUnit));
+    o.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%s %s</text>",
+        x1 - 50, H - 6, fmt(maxX), xUnit));
     for (int k = 0; k < series.size(); k++) {
       StringBuilder pts = new StringBuilder();
       for (double[] p : series.get(k)) {
@@ -211,8 +221,9 @@
       }
       o.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(colours.get(k))
           .append("\" points=\"").append(pts).append("\"/>");
-      o.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"11\" fill=\"%s\">%s</text>",
-          x0 + 10 + 110 * k, y1 + 12, colours.get(k), esc(names.get(k))));
+      o.append(String.format(Locale.ROOT,
+          "<text x=\"%d\" y=\"%d\" font-size=\"11\" fill=\"%s\">%s</text>", x0 + 10 + 110 * k,
+          y1 + 12, colours.get(k), esc(names.get(k))));
     }
     return o.append("</svg>").toString();
   }
@@ -225,10 +236,12 @@
 
   static String fmt(double v) {
     if (v == Math.rint(v) && Math.abs(v) < 1e12) return String.valueOf((long) v);
-    return String.format(Locale.ROOT, Math.abs(v) >= 100 ? "%.0f" : Math.abs(v) >= 1 ? "%.2f" : "%.3f", v);
+    return String.format(Locale.ROOT,
+        Math.abs(v) >= 100 ? "%.0f" : Math.abs(v) >= 1 ? "%.2f" : "%.3f", v);
   }
 
   static String esc(String s) {
-    return s.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+    return s.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"",
+        "&quot;");
   }
 }
--- a/src/main/java/saltlatch/lab/rig/AgentForwarder.java
+++ b/src/main/java/saltlatch/lab/rig/AgentForwarder.java
@@ -19,8 +19,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Stands for the platform's agent on the nodes' machines: nodes have one address of discovery, and what listens there passes
- * each connection on to one of the relays that take it, in turn. It reads along from which index each node asks.
+ * Stands for the platform's agent on the nodes' machines: nodes have one address of discovery, and
+ * what listens there passes each connection on to one of the relays that take it, in turn. It reads
+ * along from which index each node asks.
  */
 public final class AgentForwarder implements AutoCloseable {
   private static final Pattern SINCE = Pattern.compile("GET /api/targets\\?follow=1&since=(\\d+)");
@@ -39,8 +40,8 @@
   public AgentForwarder(List<Integer> relayPorts) throws Exception {
     relays = List.copyOf(relayPorts);
     server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(BACKLOG))
-        .connectHandler(this::accept).listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture()
-        .get(WAIT_S, TimeUnit.SECONDS);
+        .connectHandler(this::accept).listen(0, "127.0.0.1").toCompletionStage()
+        .toCompletableFuture().get(WAIT_S, TimeUnit.SECONDS);
   }
 
   /** What nodes have as their discovery. */
@@ -64,12 +65,16 @@
     nodes.forEach(NetSocket::close);
   }
 
-  /** The indexes that the next so many watches are asked from: what each node holds, in its own words. */
+  /**
+   * The indexes that the next so many watches are asked from: what each node holds, in its own
+   * words.
+   */
   public List<Long> askedFrom(int count) throws InterruptedException {
     List<Long> all = new ArrayList<>();
     while (all.size() < count) {
       Long since = asked.poll(WAIT_S, TimeUnit.SECONDS);
-      if (since == null) throw new IllegalStateException(all.size() + " of " + count + " asked anew: " + all);
+      if (since == null)
+        throw new IllegalStateException(all.size() + " of " + count + " asked anew: " + all);
       all.add(since);
     }
     return all;
@@ -112,6 +117,7 @@
   /** Ends all; fails where that takes over {@link #WAIT_S} seconds. */
   @Override
   public void close() {
-    vertx.close().toCompletionStage().toCompletableFuture().orTimeout(WAIT_S, TimeUnit.SECONDS).join();
+    vertx.close().toCompletionStage().toCompletableFuture().orTimeout(WAIT_S, TimeUnit.SECONDS)
+        .join();
   }
 }
--- a/src/main/java/saltlatch/lab/rig/ChildJvm.java
+++ b/src/main/java/saltlatch/lab/rig/ChildJvm.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One command of the built jar as a child process, its output in a log; ended when it is closed or this JVM ends. */
+/**
+ * One command of the built jar as a child process, its output in a log; ended when it is closed or
+ * this JVM ends.
+ */
 public final class ChildJvm implements AutoCloseable {
   private static final long READY_MS = 60_000; // until the line that it is waited for
   private static final long END_MS = 10_000; // after SIGTERM, then SIGKILL
@@ -22,14 +25,16 @@
    *
    * @param log takes its output, standard and error
    */
-  public ChildJvm(List<String> flags, Path jar, List<String> arguments, Path log) throws IOException {
+  public ChildJvm(List<String> flags, Path jar, List<String> arguments, Path log)
+      throws IOException {
     this.log = log;
     List<String> command = new ArrayList<>(List.of("java"));
     command.addAll(flags);
     command.addAll(List.of("-jar", jar.toString()));
     command.addAll(arguments);
     if (log.getParent() != null) Files.createDirectories(log.getParent());
-    process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
+    process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile())
+        .start();
     guard = new Thread(process::destroyForcibly);
     Runtime.getRuntime().addShutdownHook(guard);
   }
@@ -42,7 +47,10 @@
     return process.isAlive();
   }
 
-  /** Waits for a line of its output that begins so, and gives its rest; fails when the process ends before. */
+  /**
+   * Waits for a line of its output that begins so, and gives its rest; fails when the process ends
+   * before.
+   */
   public String await(String beginning) throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
     while (System.nanoTime() < until) {
--- a/src/main/java/saltlatch/lab/rig/ProcessFigures.java
+++ b/src/main/java/saltlatch/lab/rig/ProcessFigures.java
@@ -23,9 +23,15 @@
   private static final long KILO = 1_024;
   private static final Pattern TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
-  /** CPU time at one instant: of the whole process in steps of 10 ms, and of each thread that lives, exactly. */
+  /**
+   * CPU time at one instant: of the whole process in steps of 10 ms, and of each thread that lives,
+   * exactly.
+   */
   public record Cpu(long processMs, Map<Long, Long> threadNanos) {
-    /** ms since the earlier reading, by the threads that live now. Ended threads' last work is not in it. */
+    /**
+     * ms since the earlier reading, by the threads that live now. Ended threads' last work is not
+     * in it.
+     */
     public double msSince(Cpu earlier) {
       double nanos = 0;
       for (Map.Entry<Long, Long> thread : threadNanos.entrySet()) {
@@ -90,7 +96,8 @@
   public static long machineBytes() {
     try {
       for (String line : Files.readAllLines(PROC.resolve("meminfo"))) {
-        if (line.startsWith("MemTotal:")) return Long.parseLong(line.replaceAll("[^0-9]", "")) * KILO;
+        if (line.startsWith("MemTotal:"))
+          return Long.parseLong(line.replaceAll("[^0-9]", "")) * KILO;
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -20,29 +20,37 @@
 import java.util.function.BiFunction;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import saltlatch.history.History;
 import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.plan.Timeline;
 import saltlatch.lab.plan.Timeline.Act;
-import saltlatch.history.History;
-import saltlatch.wire.Resp;
-import saltlatch.wire.RespReader;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
 
 /**
- * The edge nodes as child processes, each {@code java FLAGS -jar JAR serve} with the {@code run} line's flags, and what a
- * schedule does to them by their ids: killed, stopped and continued, ended, started again under the same name, address
- * and configuration (or an older one). Figures come from {@code INFO}, CPU and RSS from {@code /proc}. For machines other
- * than the bench's platform, which allows one process and no fork.
+ * The edge nodes as child processes, each {@code java FLAGS -jar JAR serve} with the {@code run}
+ * line's flags, and what a schedule does to them by their ids: killed, stopped and continued,
+ * ended, started again under the same name, address and configuration (or an older one). Figures
+ * come from {@code INFO}, CPU and RSS from {@code /proc}. For machines other than the bench's
+ * platform, which allows one process and no fork.
  */
 public final class Processes implements AutoCloseable {
-  private static final long READY_MS = 30_000; // a node must answer PING within this, as on the platform
+  // a node must answer PING within this, as on the platform
+  private static final long READY_MS = 30_000;
   private static final long END_MS = 10_000; // SIGTERM leaves a node 3.7 s at most
   private static final long LOOK_MS = 50; // between two looks whether a node is ready
 
-  /** The JVM flags of the {@code run} line, the jar, a directory for configurations, logs and histories. */
+  /**
+   * The JVM flags of the {@code run} line, the jar, a directory for configurations, logs and
+   * histories.
+   */
   public record Program(List<String> jvmFlags, Path jar, Path dir) {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec java (.*?) -jar ");
 
-    /** With the flags of the {@code run} line, but for the class archive, which belongs to the jar it was made of. */
+    /**
+     * With the flags of the {@code run} line, but for the class archive, which belongs to the jar
+     * it was made of.
+     */
     public static Program of(Path balancer, Path jar, Path dir) throws IOException {
       Matcher m = RUN.matcher(Files.readString(balancer));
       if (!m.find()) throw new IOException("no run line in " + balancer);
@@ -53,7 +61,8 @@
   }
 
   private final Program program;
-  private final BiFunction<Integer, Boolean, String> configs; // by number, and whether it is the older one
+  // by number, and whether it is the older one
+  private final BiFunction<Integer, Boolean, String> configs;
   private final List<Process> processes = new ArrayList<>();
   private final List<Integer> ports = new ArrayList<>();
   private final Set<Integer> stopped = ConcurrentHashMap.newKeySet();
@@ -69,9 +78,10 @@
   /** Starts {@code n} nodes at once and waits until each answers PING. */
   public void start(int n) throws IOException, InterruptedException {
     Files.createDirectories(program.dir);
-    // Guards against nodes that outlive a lab that was ended from outside: they would keep ports and cores.
-    Runtime.getRuntime()
-        .addShutdownHook(new Thread(() -> List.copyOf(processes).forEach(Process::destroyForcibly)));
+    // Guards against nodes that outlive a lab that was ended from outside: they would keep ports
+    // and cores.
+    Runtime.getRuntime().addShutdownHook(
+        new Thread(() -> List.copyOf(processes).forEach(Process::destroyForcibly)));
     for (int i = 0; i < n; i++) {
       ports.add(hold());
       processes.add(launch(i, false));
@@ -88,8 +98,9 @@
   }
 
   /**
-   * A port that stays a node's for the whole run: bound here and never listened on, with the address' use shared. Guards
-   * against a connection going out that is given a node's port before its start, or while it is dead.
+   * A port that stays a node's for the whole run: bound here and never listened on, with the
+   * address' use shared. Guards against a connection going out that is given a node's port before
+   * its start, or while it is dead.
    */
   private int hold() throws IOException {
     Socket s = new Socket();
@@ -123,8 +134,8 @@
     List<String> cmd = new ArrayList<>(List.of("java"));
     cmd.addAll(program.jvmFlags);
     cmd.addAll(List.of("-jar", program.jar.toString(), "serve"));
-    ProcessBuilder pb = new ProcessBuilder(cmd).redirectErrorStream(true)
-        .redirectOutput(ProcessBuilder.Redirect.appendTo(program.dir.resolve("n" + i + ".log").toFile()));
+    ProcessBuilder pb = new ProcessBuilder(cmd).redirectErrorStream(true).redirectOutput(
+        ProcessBuilder.Redirect.appendTo(program.dir.resolve("n" + i + ".log").toFile()));
     pb.environment().put("LB_CONFIG", config.toString());
     return pb.start();
   }
@@ -138,7 +149,8 @@
           if (wait > 0) Thread.sleep((long) wait, (int) (wait % 1 * 1e6));
           if (closed) return;
           act(s.act(), s.nodes());
-          for (int n : s.nodes()) faults.add("fault", "kind", s.act().name().toLowerCase(), "node", "n" + n);
+          for (int n : s.nodes())
+            faults.add("fault", "kind", s.act().name().toLowerCase(), "node", "n" + n);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -177,32 +189,38 @@
 
   private void signal(String which, List<Integer> nodes) throws IOException, InterruptedException {
     List<String> cmd = new ArrayList<>(List.of("kill", which));
-    for (int n : nodes) if (processes.get(n).isAlive()) cmd.add(String.valueOf(processes.get(n).pid()));
+    for (int n : nodes)
+      if (processes.get(n).isAlive()) cmd.add(String.valueOf(processes.get(n).pid()));
     if (cmd.size() > 2) new ProcessBuilder(cmd).redirectErrorStream(true).start().waitFor();
   }
 
   private boolean answers(int i) {
     try {
-      return ask(i, "*1\r\n$4\r\nPING\r\n") instanceof Resp.Line l && l.type() == '+'
+      return ask(i, "*1\r\n$4\r\nPING\r\n") instanceof RespValue.Line l && l.type() == '+'
           && l.text().startsWith("PONG");
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** The node's INFO counters, with its CPU ms and resident KB from /proc; empty for one that is gone or hangs. */
+  /**
+   * The node's INFO counters, with its CPU ms and resident KB from /proc; empty for one that is
+   * gone or hangs.
+   */
   public Map<String, Long> figures(int i) {
     Map<String, Long> m = new LinkedHashMap<>();
     if (!alive(i) || stopped.contains(i)) return m;
     try {
-      if (ask(i, "*1\r\n$4\r\nINFO\r\n") instanceof Resp.Bulk info) {
+      if (ask(i, "*1\r\n$4\r\nINFO\r\n") instanceof RespValue.Bulk info) {
         m.putAll(counters(info.text()));
       }
       long pid = processes.get(i).pid();
       String[] stat = Files.readString(Path.of("/proc/" + pid + "/stat")).split(" ");
-      m.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10); // clock ticks of 10 ms
+      // clock ticks of 10 ms
+      m.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10);
       for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
-        if (line.startsWith("VmRSS:")) m.put("rss_kb", Long.parseLong(line.replaceAll("[^0-9]", "")));
+        if (line.startsWith("VmRSS:"))
+          m.put("rss_kb", Long.parseLong(line.replaceAll("[^0-9]", "")));
       }
     } catch (IOException e) {
       return m; // it ended meanwhile: what is there is told
@@ -210,19 +228,23 @@
     return m;
   }
 
-  /** The counters of {@code INFO}, a {@code name=value} line each; words among the values are passed over. */
+  /**
+   * The counters of {@code INFO}, a {@code name=value} line each; words among the values are passed
+   * over.
+   */
   public static Map<String, Long> counters(String info) {
     Map<String, Long> m = new LinkedHashMap<>();
     for (String line : info.split("\n")) {
       int eq = line.indexOf('=');
       String value = line.substring(eq + 1).trim();
-      if (eq > 0 && value.matches("-?[0-9]{1,18}")) m.put(line.substring(0, eq), Long.parseLong(value));
+      if (eq > 0 && value.matches("-?[0-9]{1,18}"))
+        m.put(line.substring(0, eq), Long.parseLong(value));
     }
     return m;
   }
 
   /** What the node answers; null if it ends the connection before. */
-  private Resp ask(int i, String command) throws IOException {
+  private RespValue ask(int i, String command) throws IOException {
     try (Socket s = new Socket(InetAddress.getLoopbackAddress(), ports.get(i))) {
       s.setSoTimeout(2_000);
       OutputStream out = s.getOutputStream();
@@ -230,15 +252,15 @@
       out.flush();
       InputStream in = s.getInputStream();
       byte[] buf = new byte[16_384];
-      RespReader reader = new RespReader();
+      RespDecoder reader = new RespDecoder();
       int n;
       while ((n = in.read(buf)) > 0) {
         reader.feed(Buffer.buffer(n).appendBytes(buf, 0, n));
-        Resp answer = reader.next();
+        RespValue answer = reader.next();
         if (answer != null) return answer;
       }
       return null;
-    } catch (RespReader.Lost e) {
+    } catch (RespDecoder.RespFramingException e) {
       throw new IOException(e);
     }
   }
@@ -254,7 +276,10 @@
     held.clear();
   }
 
-  /** Ends what still runs, stopped ones too: SIGTERM, and SIGKILL for what does not end. Each by its id. */
+  /**
+   * Ends what still runs, stopped ones too: SIGTERM, and SIGKILL for what does not end. Each by its
+   * id.
+   */
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/saltlatch/lab/rig/Relays.java
+++ b/src/main/java/saltlatch/lab/rig/Relays.java
@@ -24,15 +24,18 @@
 import saltlatch.lab.plan.Links;
 
 /**
- * TCP relays on loopback that carry the link faults, one listener a link, all on one thread of its own. A cut link is
- * silent, as a machine cut off is: bytes and ends stay where they are until it heals, and new connections never come up,
- * since the listener's queue is filled with connections of the relay's own and the system then drops what asks for more.
- * What each byte meets is {@link Links}'s decision.
+ * TCP relays on loopback that carry the link faults, one listener a link, all on one thread of its
+ * own. A cut link is silent, as a machine cut off is: bytes and ends stay where they are until it
+ * heals, and new connections never come up, since the listener's queue is filled with connections
+ * of the relay's own and the system then drops what asks for more. What each byte meets is
+ * {@link Links}'s decision.
  */
 public final class Relays implements AutoCloseable {
-  private static final int BACKLOG = 32; // connections not taken yet; one more each fills a cut listener
+  // connections not taken yet; one more each fills a cut listener
+  private static final int BACKLOG = 32;
   private static final int CHUNK = 16_384; // bytes read at once
-  private static final int MOST_HELD = 1 << 20; // bytes held on one direction before reading stops: a cut link's buffers
+  // bytes held on one direction before reading stops: a cut link's buffers
+  private static final int MOST_HELD = 1 << 20;
   private static final long TICK_MS = 2; // between looks at what is held, and whether links are cut
   private static final long HIGHEST_US = 60_000_000; // the histogram's range
 
@@ -62,7 +65,10 @@
       return links.cut(from, to, now) || links.cut(to, from, now);
     }
 
-    /** Fills the queue of what is not accepted yet while the link is cut; empties it once it has healed. */
+    /**
+     * Fills the queue of what is not accepted yet while the link is cut; empties it once it has
+     * healed.
+     */
     void look(double now) throws IOException {
       boolean cut = cut(now);
       if (cut && plugs == null) {
@@ -70,7 +76,8 @@
         for (int i = 0; i < 2 * BACKLOG; i++) {
           SocketChannel c = SocketChannel.open();
           c.configureBlocking(false);
-          c.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)); // its port is known while it still connects
+          // its port is known while it still connects
+          c.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
           c.connect(channel.getLocalAddress());
           plugPorts.add(((InetSocketAddress) c.getLocalAddress()).getPort());
           plugs.add(c);
@@ -165,8 +172,8 @@
           lastDue = Math.max(lastDue, now + links.stream(from, to, now));
           if (n < 0) ended = true;
           else bytes += n;
-          held.add(new Chunk(n < 0 ? null : b, lastDue, readNs, lastDue <= now && !links.cut(from, to, now),
-              false));
+          held.add(new Chunk(n < 0 ? null : b, lastDue, readNs,
+              lastDue <= now && !links.cut(from, to, now), false));
         }
       } catch (IOException e) {
         ended = true;
@@ -193,7 +200,8 @@
             int n = dst.write(c.bytes);
             bytes -= n;
             if (c.bytes.hasRemaining()) break;
-            if (c.free) delay.recordValue(Math.min(HIGHEST_US, (System.nanoTime() - c.readNs) / 1000));
+            if (c.free)
+              delay.recordValue(Math.min(HIGHEST_US, (System.nanoTime() - c.readNs) / 1000));
           }
           held.poll();
         }
@@ -215,8 +223,8 @@
       if (in == null || !in.isValid() || !src.isConnected()) return;
       boolean blocked = !other.held.isEmpty() && other.held.peek().bytes != null
           && other.held.peek().bytes.position() > 0;
-      in.interestOps(
-          (ended || bytes >= MOST_HELD ? 0 : SelectionKey.OP_READ) | (blocked ? SelectionKey.OP_WRITE : 0));
+      in.interestOps((ended || bytes >= MOST_HELD ? 0 : SelectionKey.OP_READ)
+          | (blocked ? SelectionKey.OP_WRITE : 0));
     }
   }
 
@@ -240,7 +248,10 @@
     thread.start();
   }
 
-  /** The port by which {@code from} reaches {@code to}, whose own port is given: the same where no fault touches the link. */
+  /**
+   * The port by which {@code from} reaches {@code to}, whose own port is given: the same where no
+   * fault touches the link.
+   */
   public int port(String from, String to, int port) {
     if (!links.everTouches(from, to)) return port;
     Listener l;
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -34,21 +34,24 @@
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.rig.Relays;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.node.Serve;
+import saltlatch.node.EdgeNode;
 import saltlatch.policy.PolicyEngine;
 
 /**
- * One laboratory run: the emulator, {@code nodes} real edge nodes in this process (each its own Vert.x and event
- * loop, the same module as on the bench), the open-loop load, then the run file with its checks. The checks: no
- * double charge, no repeated non-replayable dispatch, every passed try ran at an app server, and the nodes' own
- * {@code answered_passed} agree with the clients' passed to the req (clients that left may have missed some).
+ * One laboratory run: the emulator, {@code nodes} real edge nodes in this process (each its own
+ * Vert.x and event loop, the same module as on the bench), the open-loop load, then the run file
+ * with its checks. The checks: no double charge, no repeated non-replayable dispatch, every passed
+ * try ran at an app server, and the nodes' own {@code answered_passed} agree with the clients'
+ * passed to the req (clients that left may have missed some).
  */
 public final class Lab {
   private static final Logger LOG = LoggerFactory.getLogger(Lab.class);
-  private static final double SLACK_MS = 5_000; // a fault explains what ends so long after it: a start, a client timeout
+  // a fault explains what ends so long after it: a start, a client timeout
+  private static final double SLACK_MS = 5_000;
   private static final double AFTER_S = 2; // what a fault cost shows up to so long after its end
   private static final long START_S = 30; // a node must be ready in this, as on the platform
-  private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create();
+  private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping()
+      .create();
 
   private Lab() {}
 
@@ -61,13 +64,19 @@
     void stop() throws Exception;
   }
 
-  /** Runs the scenario with in-process nodes; {@code nodes} overrides its node count when above 0. */
+  /**
+   * Runs the scenario with in-process nodes; {@code nodes} overrides its node count when above 0.
+   */
   public static RunResult run(Scenario scenario, int nodes) throws Exception {
     return run(scenario, nodes, null);
   }
 
-  /** Runs the scenario; nodes are child processes when {@code program} is given, with histories in its directory. */
-  public static RunResult run(Scenario scenario, int nodes, Processes.Program program) throws Exception {
+  /**
+   * Runs the scenario; nodes are child processes when {@code program} is given, with histories in
+   * its directory.
+   */
+  public static RunResult run(Scenario scenario, int nodes, Processes.Program program)
+      throws Exception {
     Scenario s = Drawn.into(nodes > 0 ? scenario.withNodes(nodes) : scenario);
     if (program == null && !s.processes().faults().isEmpty()) {
       throw new IllegalArgumentException("scenario: faults on processes want --processes");
@@ -98,7 +107,8 @@
       List<Offered.Arrival> schedule = Offered.of(s);
       LOG.info("{}: {} nodes, {} app servers, {} reqs offered over {} s", s.name(), s.nodes(),
           s.servers().count(), schedule.size(), s.seconds());
-      OperatingSystemMXBean os = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+      OperatingSystemMXBean os = (OperatingSystemMXBean) ManagementFactory
+          .getOperatingSystemMXBean();
       long cpuBefore = os.getProcessCpuTime();
       load = new LoadRunner(s, schedule, ports, clock, clients);
       load.ready().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
@@ -106,8 +116,8 @@
       List<RunResult.Fault> faults = faults(s);
       if (processes != null) {
         for (RunResult.Fault f : faults) for (String node : f.nodes()) {
-          director.add("planned", "what", f.what(), "node", node, "from_ns", clock.monoNs(f.fromS() * 1000),
-              "until_ns", clock.monoNs(f.untilS() * 1000));
+          director.add("planned", "what", f.what(), "node", node, "from_ns",
+              clock.monoNs(f.fromS() * 1000), "until_ns", clock.monoNs(f.untilS() * 1000));
         }
         processes.play(Timeline.of(s.processes().faults(), s.nodes()), clock, director);
       }
@@ -135,26 +145,26 @@
       }
       for (Property p : properties(s)) {
         List<Property.Violation> found = p.check(history);
-        if (dir != null)
-          checks.add(new RunResult.Check(p.name(), found.isEmpty(), found.size() + " violations in "
-              + history.size() + " events" + (found.isEmpty() ? "" : ", first: " + found.get(0).what())));
+        if (dir != null) checks.add(new RunResult.Check(p.name(), found.isEmpty(),
+            found.size() + " violations in " + history.size() + " events"
+                + (found.isEmpty() ? "" : ", first: " + found.get(0).what())));
         for (Property.Violation v : found)
-          violations.add(v.property() + ": " + v.what() + " " + v.proof().stream().map(Line::at).toList());
+          violations.add(
+              v.property() + ": " + v.what() + " " + v.proof().stream().map(Line::at).toList());
       }
-      if (dir != null)
-        faults = faults.stream()
-            .map(
-                f -> new RunResult.Fault(f.what(), f.nodes(), f.fromS(), f.untilS(),
-                    Recovery.beyond(history, s.plan().rate(), s.plan().burst(),
-                        clock.monoNs(f.fromS() * 1000), clock.monoNs((f.untilS() + AFTER_S) * 1000))))
-            .toList();
-      double recovery = faults.isEmpty() || dir == null ? 0
-          : Recovery.seconds(history, clock.monoNs(0), faults.get(0).fromS(), s.seconds(), survivors(s));
-      return new RunResult(s.name(), s.json(), s.seed(), Offered.digest(schedule), s.seconds(), s.nodes(),
-          s.servers().count(), schedule.size(), load.tries(), load.outcomes(), load.retryAfter(),
-          load.deniedWithRoom(), load.latency(), load.senderLate(), load.perSecond(), truth, emu,
-          nodeCounters, customers, process, checks, faults, relays == null ? Map.of() : relays.delayUs(),
-          violations, recovery, MemberTimes.of(history));
+      if (dir != null) faults = faults.stream()
+          .map(f -> new RunResult.Fault(f.what(), f.nodes(), f.fromS(), f.untilS(),
+              Recovery.beyond(history, s.plan().rate(), s.plan().burst(),
+                  clock.monoNs(f.fromS() * 1000), clock.monoNs((f.untilS() + AFTER_S) * 1000))))
+          .toList();
+      double recovery = faults.isEmpty() || dir == null ? 0 : Recovery.seconds(history,
+          clock.monoNs(0), faults.get(0).fromS(), s.seconds(), survivors(s));
+      return new RunResult(s.name(), s.json(), s.seed(), Offered.digest(schedule), s.seconds(),
+          s.nodes(), s.servers().count(), schedule.size(), load.tries(), load.outcomes(),
+          load.retryAfter(), load.deniedWithRoom(), load.latency(), load.senderLate(),
+          load.perSecond(), truth, emu, nodeCounters, customers, process, checks, faults,
+          relays == null ? Map.of() : relays.delayUs(), violations, recovery,
+          MemberTimes.of(history));
     } finally {
       if (processes != null) processes.close();
       for (Node n : started) n.stop();
@@ -167,16 +177,22 @@
 
   /** The properties a run's history is checked for. */
   public static List<Property> properties(Scenario s) {
-    List<Property> all = new ArrayList<>(List.of(new Properties.AnsweredOnce(), new Properties.Answered(),
-        new Properties.LostOnlyByFaults(s.front().noticeS() * 1000 + SLACK_MS), new Properties.NotRepeated(),
-        new Properties.PassedRan(), new Properties.SharesWithinQuota()));
+    List<Property> all = new ArrayList<>(
+        List.of(new Properties.AnsweredOnce(), new Properties.Answered(),
+            new Properties.LostOnlyByFaults(s.front().noticeS() * 1000 + SLACK_MS),
+            new Properties.NotRepeated(), new Properties.PassedRan(),
+            new Properties.SharesWithinQuota()));
     if (s.bounds().beyondUnits() > 0) {
-      all.add(new Properties.WithinQuota(s.plan().rate(), s.plan().burst(), s.bounds().beyondUnits()));
+      all.add(
+          new Properties.WithinQuota(s.plan().rate(), s.plan().burst(), s.bounds().beyondUnits()));
     }
     return all;
   }
 
-  /** The schedule's faults on processes, links and app servers, and the nodes whose clients they may cost an answer. */
+  /**
+   * The schedule's faults on processes, links and app servers, and the nodes whose clients they may
+   * cost an answer.
+   */
   static List<RunResult.Fault> faults(Scenario s) {
     List<RunResult.Fault> out = new ArrayList<>();
     for (Scenario.ProcessFault f : s.processes().faults()) {
@@ -185,17 +201,18 @@
         double from = f.atS() + i * f.stepS();
         double lasts = f.kind().equals("pause") ? f.forS() > 0 ? f.forS() : s.seconds()
             : f.restart() ? f.backS() : 0;
-        out.add(new RunResult.Fault(f.kind() + (f.restart() ? ", restart" : ""), List.of("n" + hit.get(i)),
-            from, from + lasts, 0));
+        out.add(new RunResult.Fault(f.kind() + (f.restart() ? ", restart" : ""),
+            List.of("n" + hit.get(i)), from, from + lasts, 0));
       }
     }
     for (Scenario.LinkFault f : s.links().faults()) {
       List<String> names = new ArrayList<>();
       for (int n = 0; n < s.nodes(); n++) {
-        if (Group.of(f.from()).holds("n" + n) || Group.of(f.to()).holds("n" + n)) names.add("n" + n);
+        if (Group.of(f.from()).holds("n" + n) || Group.of(f.to()).holds("n" + n))
+          names.add("n" + n);
       }
-      out.add(new RunResult.Fault(f.kind() + " " + f.from() + (f.oneWay() ? " > " : " - ") + f.to(), names,
-          f.atS(), end(f.atS(), f.forS(), s), 0));
+      out.add(new RunResult.Fault(f.kind() + " " + f.from() + (f.oneWay() ? " > " : " - ") + f.to(),
+          names, f.atS(), end(f.atS(), f.forS(), s), 0));
     }
     for (Scenario.Fault f : s.servers().faults()) {
       if (f.kind().equals("idle_close")) continue;
@@ -216,7 +233,8 @@
     Set<String> out = new java.util.TreeSet<>();
     for (int i = 0; i < s.nodes(); i++) {
       String node = "n" + i;
-      if (s.processes().faults().stream().noneMatch(f -> Group.of(f.nodes()).holds(node))) out.add(node);
+      if (s.processes().faults().stream().noneMatch(f -> Group.of(f.nodes()).holds(node)))
+        out.add(node);
     }
     return out;
   }
@@ -246,8 +264,8 @@
   }
 
   private static Node embedded(String config) throws Exception {
-    Serve.Embedded e = Serve.embedded(PolicyEngine::new, config).toCompletionStage().toCompletableFuture()
-        .get(START_S, TimeUnit.SECONDS);
+    EdgeNode.Embedded e = EdgeNode.embedded(PolicyEngine::new, config).toCompletionStage()
+        .toCompletableFuture().get(START_S, TimeUnit.SECONDS);
     return new Node() {
       @Override
       public int port() {
@@ -256,10 +274,11 @@
 
       @Override
       public Map<String, Long> figures() throws Exception {
-        Map<String, Long> m = Processes
-            .counters(e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        Map<String, Long> m = Processes.counters(
+            e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
         m.put("loop_cpu_ms",
-            e.loopCpuNanos().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS) / 1_000_000);
+            e.loopCpuNanos().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS)
+                / 1_000_000);
         return m;
       }
 
@@ -288,7 +307,8 @@
       if (seen == null || seen.served == 0) notRun++;
     }
     double beyond = 0;
-    for (double b : t.beyondPlan(s.plan().rate(), s.plan().burst()).values()) beyond += Math.max(0, b);
+    for (double b : t.beyondPlan(s.plan().rate(), s.plan().burst()).values())
+      beyond += Math.max(0, b);
     return new RunResult.Truth(sums.reqs(), sums.dispatches(), sums.served(), sums.unitsCharged(),
         sums.doubleCharges(), sums.repeatedNonReplayable(), notRun, beyond);
   }
@@ -303,17 +323,20 @@
     return out;
   }
 
-  static List<RunResult.Check> checks(RunResult.Truth truth, LoadRunner load, List<Map<String, Long>> nodes,
-      boolean faults) {
+  static List<RunResult.Check> checks(RunResult.Truth truth, LoadRunner load,
+      List<Map<String, Long>> nodes, boolean faults) {
     List<RunResult.Check> out = new ArrayList<>();
-    // A replayable req may run again after a dispatch that a fault cut off; its units are a figure then, not a check.
+    // A replayable req may run again after a dispatch that a fault cut off; its units are a figure
+    // then, not a check.
     out.add(new RunResult.Check("no double charge", faults || truth.doubleCharges() == 0,
         truth.doubleCharges() + " reqs charged twice at app servers"));
-    out.add(new RunResult.Check("no repeated non-replayable dispatch", truth.repeatedNonReplayable() == 0,
+    out.add(new RunResult.Check("no repeated non-replayable dispatch",
+        truth.repeatedNonReplayable() == 0,
         truth.repeatedNonReplayable() + " repeated dispatches of non-replayable reqs"));
     out.add(new RunResult.Check("every passed try ran", truth.passedNotRun() == 0,
         truth.passedNotRun() + " passed tries that no app server ran"));
-    if (faults) return out; // a node that was killed tells no figures: the histories are checked instead
+    // a node that was killed tells no figures: the histories are checked instead
+    if (faults) return out;
     long nodePassed = nodes.stream().mapToLong(m -> m.getOrDefault("answered_passed", 0L)).sum();
     long clientPassed = load.outcomes().get(Outcome.PASSED);
     long unseen = load.outcomes().get(Outcome.LEFT) + load.outcomes().get(Outcome.TIMED_OUT)
@@ -327,7 +350,8 @@
   private static double rssMb() {
     try {
       for (String line : Files.readAllLines(Path.of("/proc/self/status"))) {
-        if (line.startsWith("VmRSS:")) return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024.0;
+        if (line.startsWith("VmRSS:"))
+          return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024.0;
       }
     } catch (IOException | RuntimeException e) {
       return -1;
--- a/src/main/java/saltlatch/lab/scale/Bench.java
+++ b/src/main/java/saltlatch/lab/scale/Bench.java
@@ -9,8 +9,10 @@
 /**
  * What the scale tests start their processes from.
  *
- * @param program real nodes: the {@code run} line's flags, the jar that is measured, a directory for configurations and logs
- * @param tools   the jar of the stand-ins and hollow nodes, which is this text's also where an older text is measured
+ * @param program real nodes: the {@code run} line's flags, the jar that is measured, a directory
+ *     for configurations and logs
+ * @param tools   the jar of the stand-ins and hollow nodes, which is this text's also where an
+ *     older text is measured
  */
 public record Bench(Processes.Program program, Path tools) {
   /** Heap 64, direct 24, metaspace 48 and code 24 MB as in the run line, and some for stacks. */
--- a/src/main/java/saltlatch/lab/scale/CounterScale.java
+++ b/src/main/java/saltlatch/lab/scale/CounterScale.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Requests a second at one real node, with a counter that answers in 0.2 ms: {@code counter.calls}, what the node asks of it
- * a second (MESSAGES_OUT, BYTES_OUT) and what comes back (BYTES_IN), as the stand-in counts them; COUNT is the requests a
- * second that the node saw. {@link LoadTrial} tells customers and quotas.
+ * Requests a second at one real node, with a counter that answers in 0.2 ms: {@code counter.calls},
+ * what the node asks of it a second (MESSAGES_OUT, BYTES_OUT) and what comes back (BYTES_IN), as
+ * the stand-in counts them; COUNT is the requests a second that the node saw. {@link LoadTrial}
+ * tells customers and quotas.
  */
 final class CounterScale implements ScaleTest {
   private final LoadTrial trial;
@@ -38,9 +39,11 @@
   @Override
   public Map<String, Values> measure(long size, int repeat) throws Exception {
     LoadTrial.Node node = trial.node(size, repeat);
-    return Map.of("counter.calls", Values.of(Quantity.MESSAGES_OUT, node.callsPerSecond())
-        .and(Quantity.BYTES_OUT, node.callBytesPerSecond())
-        .and(Quantity.BYTES_IN, node.answerBytesPerSecond()).and(Quantity.COUNT, node.requestsPerSecond()));
+    return Map.of("counter.calls",
+        Values.of(Quantity.MESSAGES_OUT, node.callsPerSecond())
+            .and(Quantity.BYTES_OUT, node.callBytesPerSecond())
+            .and(Quantity.BYTES_IN, node.answerBytesPerSecond())
+            .and(Quantity.COUNT, node.requestsPerSecond()));
   }
 
   @Override
--- a/src/main/java/saltlatch/lab/scale/FleetScale.java
+++ b/src/main/java/saltlatch/lab/scale/FleetScale.java
@@ -12,17 +12,21 @@
 import saltlatch.lab.rig.ProcessFigures;
 
 /**
- * Hollow nodes of {@value #PROCESSES} processes on one discovery stand-in, no relay between, before a list of
- * {@value #ENTRIES} app servers that changes twice a second: {@code fleet.change}, the times from a change's put until a
- * node has applied it, over all nodes and changes; COUNT: applications seen, MESSAGES_OUT: those due; CPU_MS and BYTES_OUT:
- * the source's for a change. {@code fleet.node}: CPU of one hollow node a second meanwhile, heap held of one.
+ * Hollow nodes of {@value #PROCESSES} processes on one discovery stand-in, no relay between, before
+ * a list of {@value #ENTRIES} app servers that changes twice a second: {@code fleet.change}, the
+ * times from a change's put until a node has applied it, over all nodes and changes; COUNT:
+ * applications seen, MESSAGES_OUT: those due; CPU_MS and BYTES_OUT: the source's for a change.
+ * {@code fleet.node}: CPU of one hollow node a second meanwhile, heap held of one.
  */
 final class FleetScale implements ScaleTest {
-  static final int ENTRIES = 1_000; // 2,700 nodes that each hold 34,000 don't fit half of a machine of 24 GB
+  // 2,700 nodes that each hold 34,000 don't fit half of a machine of 24 GB
+  static final int ENTRIES = 1_000;
   static final int PROCESSES = 3; // a core each at the most: other runs share the machine
-  private static final long NODE_BYTES = 1L << 20; // one hollow node's heap before such a list, at the most
+  // one hollow node's heap before such a list, at the most
+  private static final long NODE_BYTES = 1L << 20;
   private static final long PROCESS_BYTES = 256L << 20; // of a JVM beside its nodes
-  private static final double STARTS_PER_SECOND = 40; // all at once would be the start's cost, not the change's
+  // all at once would be the start's cost, not the change's
+  private static final double STARTS_PER_SECOND = 40;
   private static final long START_MS = 180_000;
   private static final long LOOK_MS = 500;
   private static final long SETTLE_MS = 5_000;
@@ -54,7 +58,8 @@
 
   @Override
   public Needs needs(long size) {
-    return new Needs(size * NODE_BYTES + PROCESSES * PROCESS_BYTES + Bench.SOURCE_BYTES, PROCESSES + 1);
+    return new Needs(size * NODE_BYTES + PROCESSES * PROCESS_BYTES + Bench.SOURCE_BYTES,
+        PROCESSES + 1);
   }
 
   @Override
@@ -76,7 +81,8 @@
     Files.deleteIfExists(report(number)); // of the size before
     long heapMb = (nodes * NODE_BYTES + PROCESS_BYTES) >> 20;
     return new ChildJvm(
-        List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC", "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
+        List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
+            "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
         bench.tools(),
         List.of("lab", "hollow", "--nodes", "" + nodes, "--first", "" + first, "--of", "" + size,
             "--discovery", source.address(), "--start-over-seconds", "" + size / STARTS_PER_SECOND,
@@ -116,9 +122,10 @@
     return Map.of("fleet.change",
         Values.of(Quantity.CPU_MS, used.cpuMs() / used.changes())
             .and(Quantity.BYTES_OUT, (double) used.bytes() / used.changes())
-            .and(Quantity.MESSAGES_OUT, (double) size * used.changes()).and(Quantity.COUNT, times.length)
-            .and(Quantity.P50_MS, Percentiles.of(times, 0.5))
-            .and(Quantity.P99_MS, Percentiles.of(times, 0.99)).and(Quantity.MAX_MS, Percentiles.of(times, 1)),
+            .and(Quantity.MESSAGES_OUT, (double) size * used.changes())
+            .and(Quantity.COUNT, times.length).and(Quantity.P50_MS, Percentiles.of(times, 0.5))
+            .and(Quantity.P99_MS, Percentiles.of(times, 0.99))
+            .and(Quantity.MAX_MS, Percentiles.of(times, 1)),
         "fleet.node",
         Values.of(Quantity.CPU_MS, nodesCpu / used.seconds() / size)
             .and(Quantity.BYTES_IN, used.bytes() / used.seconds() / size)
--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -14,9 +14,9 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * Whether hollow nodes send and read what real ones do: the same number of each, one after the other, under a source of the
- * same list and changes, all knowing each other. Bytes and messages of the watches are the source's count, datagrams the
- * nodes' own.
+ * Whether hollow nodes send and read what real ones do: the same number of each, one after the
+ * other, under a source of the same list and changes, all knowing each other. Bytes and messages of
+ * the watches are the source's count, datagrams the nodes' own.
  */
 public final class HollowComparison {
   /** By how much a hollow node's bytes and messages may differ from a real one's. */
@@ -83,12 +83,15 @@
       hollow = cost(source, nodes, hollow(source, nodes));
     }
     List<Row> rows = new ArrayList<>();
-    rows.add(new Row(nodes, "bytes in until it has the list", real.startBytes, hollow.startBytes, true));
     rows.add(
-        new Row(nodes, "messages in until it has the list", real.startMessages, hollow.startMessages, true));
+        new Row(nodes, "bytes in until it has the list", real.startBytes, hollow.startBytes, true));
+    rows.add(new Row(nodes, "messages in until it has the list", real.startMessages,
+        hollow.startMessages, true));
     rows.add(new Row(nodes, "bytes in a second, 5 changes/s", real.bytes, hollow.bytes, true));
-    rows.add(new Row(nodes, "messages in a second, 5 changes/s", real.messages, hollow.messages, true));
-    rows.add(new Row(nodes, "datagrams out a second", real.datagramsOut, hollow.datagramsOut, true));
+    rows.add(
+        new Row(nodes, "messages in a second, 5 changes/s", real.messages, hollow.messages, true));
+    rows.add(
+        new Row(nodes, "datagrams out a second", real.datagramsOut, hollow.datagramsOut, true));
     rows.add(new Row(nodes, "datagrams in a second", real.datagramsIn, hollow.datagramsIn, true));
     rows.add(new Row(nodes, "CPU ms a second", real.cpuMs, hollow.cpuMs, false));
     rows.add(new Row(nodes, "RSS MiB", real.rssMib, hollow.rssMib, false));
@@ -136,8 +139,8 @@
   }
 
   private Nodes real(SourceProcess source, int count) throws Exception {
-    Processes processes = bench
-        .nodes(number -> NodeConfig.of(number, count, source.address()).withMembership(true).json());
+    Processes processes = bench.nodes(
+        number -> NodeConfig.of(number, count, source.address()).withMembership(true).json());
     try {
       processes.start(count);
     } catch (IOException e) {
@@ -190,8 +193,9 @@
         String text = Files.readString(report);
         for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n")) {
           JsonObject told = JsonParser.parseString(line).getAsJsonObject();
-          if (told.has("sample_nanos")) newest = new Datagrams(told.get("datagrams_out").getAsLong(),
-              told.get("datagrams_in").getAsLong(), told.get("sample_nanos").getAsLong());
+          if (told.has("sample_nanos"))
+            newest = new Datagrams(told.get("datagrams_out").getAsLong(),
+                told.get("datagrams_in").getAsLong(), told.get("sample_nanos").getAsLong());
         }
         return newest;
       }
--- a/src/main/java/saltlatch/lab/scale/HollowScale.java
+++ b/src/main/java/saltlatch/lab/scale/HollowScale.java
@@ -12,13 +12,16 @@
 import saltlatch.lab.rig.ProcessFigures;
 
 /**
- * Hollow nodes of one process, all started at once before a list of {@value #ENTRIES} app servers: {@code hollow.start} (CPU
- * and seconds until all of them have the list, heap held and RSS), {@code hollow.rest} (CPU a second) and
- * {@code hollow.change} (CPU for a change that all apply, beyond rest). Values are the process': it tells how many fit.
+ * Hollow nodes of one process, all started at once before a list of {@value #ENTRIES} app servers:
+ * {@code hollow.start} (CPU and seconds until all of them have the list, heap held and RSS),
+ * {@code hollow.rest} (CPU a second) and {@code hollow.change} (CPU for a change that all apply,
+ * beyond rest). Values are the process': it tells how many fit.
  */
 final class HollowScale implements ScaleTest {
-  static final int ENTRIES = 3_400; // a tenth of the size that is coming: the tenfold of it does not fit a machine
-  private static final long NODE_BYTES = 4L << 20; // one hollow node's heap before such a list, at the most
+  // a tenth of the size that is coming: the tenfold of it does not fit a machine
+  static final int ENTRIES = 3_400;
+  // one hollow node's heap before such a list, at the most
+  private static final long NODE_BYTES = 4L << 20;
   private static final long PROCESS_BYTES = 256L << 20; // of a JVM beside its nodes
   private static final long START_MS = 120_000;
   private static final long LOOK_MS = 100;
@@ -63,8 +66,8 @@
         ChildJvm process = new ChildJvm(
             List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
                 "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
-            bench.tools(), List.of("lab", "hollow", "--nodes", "" + size, "--discovery", source.address(),
-                "--report", report.toString()),
+            bench.tools(), List.of("lab", "hollow", "--nodes", "" + size, "--discovery",
+                source.address(), "--report", report.toString()),
             bench.dir().resolve("hollow.log"))) {
       double seconds = awaitLists(report, size);
       Values start = Values.of(Quantity.CPU_MS, ProcessFigures.cpu(process.pid()).processMs())
@@ -78,7 +81,9 @@
       measured.put("hollow.start", start);
       measured.put("hollow.rest", Values.of(Quantity.CPU_MS, atRest));
       measured.put("hollow.change",
-          Values.of(Quantity.CPU_MS, (changes.cpuMs() - atRest * changes.seconds()) / changes.changes())
+          Values
+              .of(Quantity.CPU_MS,
+                  (changes.cpuMs() - atRest * changes.seconds()) / changes.changes())
               .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes()));
     }
     return measured;
--- a/src/main/java/saltlatch/lab/scale/ListScale.java
+++ b/src/main/java/saltlatch/lab/scale/ListScale.java
@@ -9,10 +9,11 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * App servers in discovery's list, before one real node: {@code list.start} (CPU and time from its start until it has read
- * the list, and a second more in which it applies it; bytes read; heap held after a collection and RSS at its highest, both
- * at the end; COUNT: lists that it took, 0 where it could not), {@code list.rest} (a second of a list that does not change,
- * taken or not) and {@code list.change} (one app server's change, beyond what rest costs).
+ * App servers in discovery's list, before one real node: {@code list.start} (CPU and time from its
+ * start until it has read the list, and a second more in which it applies it; bytes read; heap held
+ * after a collection and RSS at its highest, both at the end; COUNT: lists that it took, 0 where it
+ * could not), {@code list.rest} (a second of a list that does not change, taken or not) and
+ * {@code list.change} (one app server's change, beyond what rest costs).
  */
 final class ListScale implements ScaleTest {
   private static final long READ_MS = 20_000; // a list that was not taken by then is not taken
@@ -53,7 +54,8 @@
   public Map<String, Values> measure(long size, int repeat) throws Exception {
     Map<String, Values> measured = new LinkedHashMap<>();
     try (SourceProcess source = new SourceProcess(bench, size);
-        Processes nodes = bench.nodes(number -> NodeConfig.of(number, 1, source.address()).json())) {
+        Processes nodes = bench
+            .nodes(number -> NodeConfig.of(number, 1, source.address()).json())) {
       Values start = start(nodes, source);
       measured.put("list.start", start);
       Thread.sleep(SETTLE_MS);
@@ -71,10 +73,12 @@
     return measured;
   }
 
-  private Values start(Processes nodes, SourceProcess source) throws IOException, InterruptedException {
+  private Values start(Processes nodes, SourceProcess source)
+      throws IOException, InterruptedException {
     long from = System.nanoTime();
     nodes.start(1);
-    while (lists(nodes) == 0 && System.nanoTime() - from < READ_MS * 1_000_000) Thread.sleep(LOOK_MS);
+    while (lists(nodes) == 0 && System.nanoTime() - from < READ_MS * 1_000_000)
+      Thread.sleep(LOOK_MS);
     double seconds = (System.nanoTime() - from) / NANOS;
     Thread.sleep(APPLY_MS);
     return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(nodes.pid(0)).processMs())
--- a/src/main/java/saltlatch/lab/scale/LoadTrial.java
+++ b/src/main/java/saltlatch/lab/scale/LoadTrial.java
@@ -12,12 +12,14 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * One real node before the emulator's counter and app servers, which answer within 2 ms, under an open-loop load, with no
- * history kept; then the same load straight to the app servers. 200 customers, quotas that no customer reaches.
+ * One real node before the emulator's counter and app servers, which answer within 2 ms, under an
+ * open-loop load, with no history kept; then the same load straight to the app servers. 200
+ * customers, quotas that no customer reaches.
  */
 final class LoadTrial {
   private static final double SECONDS = 14; // of load
-  private static final long WARM_MS = 5_000; // of it, before CPU and counts are read: compiles, connects
+  // of it, before CPU and counts are read: compiles, connects
+  private static final long WARM_MS = 5_000;
   private static final int START_S = 30;
   private static final double THOUSAND = 1_000; // us in a ms, ms in a second
   private static final String SCENARIO = """
@@ -52,8 +54,8 @@
   }
 
   private static Scenario scenario(long requestsPerSecond, long seed) throws Exception {
-    return Scenario.parse(
-        SCENARIO.formatted(seed, SECONDS, requestsPerSecond, requestsPerSecond, 4 * requestsPerSecond));
+    return Scenario.parse(SCENARIO.formatted(seed, SECONDS, requestsPerSecond, requestsPerSecond,
+        4 * requestsPerSecond));
   }
 
   /** Through a node. */
@@ -97,10 +99,11 @@
     Emulator emulator = new Emulator(scenario, clock);
     try {
       emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario), List.copyOf(emulator.serverPorts()),
-          clock);
+      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario),
+          List.copyOf(emulator.serverPorts()), clock);
       clock.begin();
-      load.run().toCompletionStage().toCompletableFuture().get((long) SECONDS + START_S, TimeUnit.SECONDS);
+      load.run().toCompletionStage().toCompletableFuture().get((long) SECONDS + START_S,
+          TimeUnit.SECONDS);
       Latency latency = latency(load);
       load.close();
       return latency;
@@ -120,8 +123,8 @@
   /** What the node and the counter's stand-in have counted by now. */
   private record Counts(long requests, long calls, long callBytes, long answerBytes) {
     static Counts of(Processes nodes, Emulator emulator) throws Exception {
-      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture().get(START_S,
-          TimeUnit.SECONDS);
+      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture()
+          .get(START_S, TimeUnit.SECONDS);
       return new Counts(nodes.figures(0).get("reqs"), standIns.get("counter_calls"),
           standIns.get("counter_bytes_in"), standIns.get("counter_bytes_out"));
     }
--- a/src/main/java/saltlatch/lab/scale/Machine.java
+++ b/src/main/java/saltlatch/lab/scale/Machine.java
@@ -4,7 +4,8 @@
 import saltlatch.lab.rig.ProcessFigures;
 
 /**
- * The limits that a scale test keeps on a shared machine: half of its memory, and some hundred processes.
+ * The limits that a scale test keeps on a shared machine: half of its memory, and some hundred
+ * processes.
  *
  * @param memoryBytes of the machine
  */
@@ -36,8 +37,8 @@
           needs.bytes() / GIB, most / GIB));
     }
     if (needs.processes() > MOST_PROCESSES) {
-      throw new TooMuch(String.format(Locale.ROOT, "%s at %d wants %d processes; the most is %d", test, size,
-          needs.processes(), MOST_PROCESSES));
+      throw new TooMuch(String.format(Locale.ROOT, "%s at %d wants %d processes; the most is %d",
+          test, size, needs.processes(), MOST_PROCESSES));
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Measurement.java
+++ b/src/main/java/saltlatch/lab/scale/Measurement.java
@@ -13,11 +13,12 @@
  * @param grows  what grows, such as {@code app servers}
  * @param size   how many of it
  * @param repeat from 1
- * @param values what was measured, for each unit in which the test counts (per node, per change: the test says so)
+ * @param values what was measured, for each unit in which the test counts (per node, per change:
+ *     the test says so)
  * @param commit the text measured, {@code -dirty} behind it where the tree had changes
  */
-public record Measurement(String what, String grows, long size, int repeat, Map<Quantity, Double> values,
-    String commit) {
+public record Measurement(String what, String grows, long size, int repeat,
+    Map<Quantity, Double> values, String commit) {
 
   /** One line of JSON, keys in a fixed order. */
   public String toJson() {
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -6,26 +6,28 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import saltlatch.api.GatewayEvent.MembershipChanged;
-import saltlatch.member.Membership;
-import saltlatch.member.Message;
-import saltlatch.member.Message.State;
-import saltlatch.member.Terms;
-import saltlatch.wire.MemberForm;
+import saltlatch.membership.Membership;
+import saltlatch.membership.MembershipMessage;
+import saltlatch.membership.MembershipMessage.State;
+import saltlatch.membership.MembershipTimings;
+import saltlatch.wire.peer.MembershipCodec;
 
 /**
- * A fleet of members over a network in memory, in virtual time (tenths of a ms): {@link Membership} as {@code serve} runs
- * it, each datagram written and read by its form, up to {@value #MOST_DELAY} on the way, none lost. Every member is looked
- * at after each tick and datagram as a node does. One caller; the same seed gives the same run.
+ * A fleet of members over a network in memory, in virtual time (tenths of a ms): {@link Membership}
+ * as {@code serve} runs it, each datagram written and read by its form, up to {@value #MOST_DELAY}
+ * on the way, none lost. Every member is looked at after each tick and datagram as a node does. One
+ * caller; the same seed gives the same run.
  */
 final class MemberNetwork {
   static final long SECOND = 10_000;
-  private static final int INTAKE = 60; // datagrams a second that a node takes in, as in the lab's scenarios
+  // datagrams a second that a node takes in, as in the lab's scenarios
+  private static final int INTAKE = 60;
   private static final double MOST_DELAY = 20; // 2 ms: within a region
   private static final long LOOK = 1_000; // between two looks whether a condition holds
 
   private record Step(long at, long order, Runnable then) {}
 
-  private final Terms terms;
+  private final MembershipTimings terms;
   private final Membership[] members;
   private final MembershipChanged[] told; // as each node has last told its module
   private final boolean[] dead;
@@ -39,7 +41,7 @@
   private boolean looking;
 
   MemberNetwork(int count, long seed) {
-    terms = Terms.of(count, INTAKE);
+    terms = MembershipTimings.of(count, INTAKE);
     members = new Membership[count];
     told = new MembershipChanged[count];
     dead = new boolean[count];
@@ -53,8 +55,8 @@
   private Membership.Out out(int from) {
     return new Membership.Out() {
       @Override
-      public void send(int to, Message message) {
-        byte[] datagram = MemberForm.write(message);
+      public void send(int to, MembershipMessage message) {
+        byte[] datagram = MembershipCodec.encode(message);
         datagrams++;
         bytes += datagram.length;
         after(1 + (long) (MOST_DELAY * chance.nextDouble()), () -> heard(to, from, datagram));
@@ -70,12 +72,12 @@
   private void heard(int to, int from, byte[] datagram) {
     if (dead[to]) return;
     members[to].tick(now);
-    members[to].heard(now, from, MemberForm.read(datagram));
+    members[to].heard(now, from, MembershipCodec.decode(datagram));
     look(to);
   }
 
   private void tick(int member) {
-    after(Terms.tick(), () -> {
+    after(MembershipTimings.tick(), () -> {
       if (dead[member]) return;
       members[member].tick(now);
       look(member);
@@ -94,7 +96,10 @@
     steps.add(new Step(now + time, order++, then));
   }
 
-  /** Whether members are looked at as nodes do, which costs most: left out where only the protocol's time is wanted. */
+  /**
+   * Whether members are looked at as nodes do, which costs most: left out where only the protocol's
+   * time is wanted.
+   */
   void look(boolean on) {
     looking = on;
   }
@@ -141,7 +146,7 @@
     return holding;
   }
 
-  Terms terms() {
+  MembershipTimings terms() {
     return terms;
   }
 
--- a/src/main/java/saltlatch/lab/scale/MembersScale.java
+++ b/src/main/java/saltlatch/lab/scale/MembersScale.java
@@ -6,18 +6,20 @@
 import java.util.Map;
 
 /**
- * Members of one fleet that know each other, the classes that {@code serve} runs over a network in memory and virtual time
- * ({@link MemberNetwork}), no datagram lost: {@code members.begin} (seconds until all that start at once agree),
- * {@code members.rest} (of one node: datagrams, bytes and CPU a second, heap held) and {@code members.failure} (seconds
- * from a death until the first, and all, hold it failed: P50_MS is when half do). CPU is that of the protocol, its form and
- * the network in memory, no socket's.
+ * Members of one fleet that know each other, the classes that {@code serve} runs over a network in
+ * memory and virtual time ({@link MemberNetwork}), no datagram lost: {@code members.begin} (seconds
+ * until all that start at once agree), {@code members.rest} (of one node: datagrams, bytes and CPU
+ * a second, heap held) and {@code members.failure} (seconds from a death until the first, and all,
+ * hold it failed: P50_MS is when half do). CPU is that of the protocol, its form and the network in
+ * memory, no socket's.
  */
 final class MembersScale implements ScaleTest {
   private static final long LONGEST = 3_600 * MemberNetwork.SECOND; // virtual: an hour
   private static final long WINDOW_S = 5; // virtual seconds of rest
   private static final double SECOND_MS = 1_000;
   private static final double MILLION = 1e6; // ns in a ms
-  private static final long MEMBER_BYTES = 640L << 10; // of one member of a fleet of 2,700, at the most
+  // of one member of a fleet of 2,700, at the most
+  private static final long MEMBER_BYTES = 640L << 10;
   private static final int MOST_MEMBERS = 2_700; // for which that holds
 
   @Override
@@ -66,8 +68,9 @@
     network.look(false);
     double sent = (network.datagrams() - datagrams) / units;
     double written = (network.bytes() - bytes) / units;
-    return Values.of(Quantity.CPU_MS, used).and(Quantity.MESSAGES_IN, sent).and(Quantity.MESSAGES_OUT, sent)
-        .and(Quantity.BYTES_IN, written).and(Quantity.BYTES_OUT, written);
+    return Values.of(Quantity.CPU_MS, used).and(Quantity.MESSAGES_IN, sent)
+        .and(Quantity.MESSAGES_OUT, sent).and(Quantity.BYTES_IN, written)
+        .and(Quantity.BYTES_OUT, written);
   }
 
   private static Values failure(MemberNetwork network, int size) {
@@ -76,7 +79,8 @@
     long first = network.until(() -> network.holdFailed(victim) > 0, LONGEST);
     long half = first + network.until(() -> network.holdFailed(victim) >= size / 2, LONGEST);
     long all = half + network.until(() -> network.holdFailed(victim) == size - 1, LONGEST);
-    return Values.of(Quantity.SECONDS, seconds(all)).and(Quantity.P50_MS, seconds(half) * SECOND_MS);
+    return Values.of(Quantity.SECONDS, seconds(all)).and(Quantity.P50_MS,
+        seconds(half) * SECOND_MS);
   }
 
   private static double seconds(long time) {
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -16,9 +16,10 @@
 import saltlatch.policy.PolicyEngine;
 
 /**
- * The decision module alone, without sockets, as the list grows: {@code module.request} is its CPU for one request that is
- * dispatched and answered, {@code module.change} for one changed entry of the list. The module runs in this process, which
- * may compile it further than {@code serve}'s flags do.
+ * The decision module alone, without sockets, as the list grows: {@code module.request} is its CPU
+ * for one request that is dispatched and answered, {@code module.change} for one changed entry of
+ * the list. The module runs in this process, which may compile it further than {@code serve}'s
+ * flags do.
  */
 final class ModuleScale implements ScaleTest {
   private static final int WARM = 400; // requests and changes before anything is read
@@ -56,10 +57,13 @@
     play.requests(WARM);
     play.changes(WARM);
     Map<String, Values> measured = new LinkedHashMap<>();
-    measured.put("module.request", Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.requests(COUNTED))));
-    measured.put("module.change", Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.changes(COUNTED))));
+    measured.put("module.request",
+        Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.requests(COUNTED))));
+    measured.put("module.change",
+        Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.changes(COUNTED))));
     if (play.dispatched() != WARM + COUNTED) {
-      throw new IllegalStateException(play.dispatched() + " of " + (WARM + COUNTED) + " requests dispatched");
+      throw new IllegalStateException(
+          play.dispatched() + " of " + (WARM + COUNTED) + " requests dispatched");
     }
     return measured;
   }
@@ -69,7 +73,10 @@
     return "module: the decision module alone in this process; sockets, parsing and the list's reading are not in these figures.";
   }
 
-  /** One module on a list of so many app servers, without quotas, each request dispatched and answered at once. */
+  /**
+   * One module on a list of so many app servers, without quotas, each request dispatched and
+   * answered at once.
+   */
   private static final class Play implements GatewayActions {
     private final int size;
     private final GatewayPolicy module;
@@ -81,14 +88,15 @@
 
     Play(int size, long seed) {
       this.size = size;
-      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true, 0, 1, 0,
-          0);
+      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
+          0, 1, 0, 0);
       GatewaySettings.RequestClass frontend = new GatewaySettings.RequestClass(
-          GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL, 0, 1_000, 30_000, 1);
+          GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL, 0, 1_000, 30_000,
+          1);
       GatewaySettings.QuotaPlan plan = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
       GatewaySettings site = new GatewaySettings(seed, 1, TICK, rules,
-          new GatewaySettings.CounterSettings(false, false), new GatewaySettings.PeerSettings(0, 0, 0),
-          List.of(frontend), List.of(plan));
+          new GatewaySettings.CounterSettings(false, false),
+          new GatewaySettings.PeerSettings(0, 0, 0), List.of(frontend), List.of(plan));
       module = new PolicyEngine(now, site, this);
       List<GatewayEvent.Endpoint> entries = new ArrayList<>();
       for (int i = 0; i < size; i++) entries.add(entry(i, EndpointState.READY));
@@ -103,14 +111,14 @@
     private void request() {
       now += STEP;
       long id = ++lastRequest;
-      module.handle(now,
-          List.of(new GatewayEvent.RequestArrived(id, 0, 0, id % 1_000, 30_000, 1, 1, 0, false, 0)));
+      module.handle(now, List
+          .of(new GatewayEvent.RequestArrived(id, 0, 0, id % 1_000, 30_000, 1, 1, 0, false, 0)));
       if (lastServer < 0) return;
       long server = lastServer;
       lastServer = -1;
       now += SPENT;
-      module.handle(now, List.of(new GatewayEvent.AttemptEnded(id, server, 0, AttemptOutcome.SUCCEEDED, true,
-          SPENT, 0, 0, List.of())));
+      module.handle(now, List.of(new GatewayEvent.AttemptEnded(id, server, 0,
+          AttemptOutcome.SUCCEEDED, true, SPENT, 0, 0, List.of())));
     }
 
     /** One entry drains, the next time it is ready again. */
@@ -133,7 +141,8 @@
     double cpuMs(Runnable work) {
       long before = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
       work.run();
-      return (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - before) / MILLION / COUNTED;
+      return (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - before) / MILLION
+          / COUNTED;
     }
 
     int dispatched() {
--- a/src/main/java/saltlatch/lab/scale/PlansScale.java
+++ b/src/main/java/saltlatch/lab/scale/PlansScale.java
@@ -8,9 +8,10 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * Customers' plans in the settings of one real node: {@code plans.start} (CPU and time from its start until it answers
- * PING, heap held after a collection, RSS at its highest; COUNT 1, or 0 where it did not start), and {@code plans.ends}, the
- * largest number with which it started, to a part of {@value #PRECISION}.
+ * Customers' plans in the settings of one real node: {@code plans.start} (CPU and time from its
+ * start until it answers PING, heap held after a collection, RSS at its highest; COUNT 1, or 0
+ * where it did not start), and {@code plans.ends}, the largest number with which it started, to a
+ * part of {@value #PRECISION}.
  */
 final class PlansScale implements ScaleTest {
   private static final long ENTRIES = 100; // app servers in the list meanwhile
@@ -60,8 +61,8 @@
 
   private Values start(long size) throws Exception {
     try (SourceProcess source = new SourceProcess(bench, ENTRIES);
-        Processes nodes = bench
-            .nodes(number -> NodeConfig.of(number, 1, source.address()).withPlans((int) size).json())) {
+        Processes nodes = bench.nodes(
+            number -> NodeConfig.of(number, 1, source.address()).withPlans((int) size).json())) {
       long from = System.nanoTime();
       try {
         nodes.start(1);
--- a/src/main/java/saltlatch/lab/scale/Readings.java
+++ b/src/main/java/saltlatch/lab/scale/Readings.java
@@ -25,13 +25,17 @@
     return new Readings(pid, source);
   }
 
-  /** Since a reading: CPU of the process, seconds, bytes and messages of the source, changes that it put. */
+  /**
+   * Since a reading: CPU of the process, seconds, bytes and messages of the source, changes that it
+   * put.
+   */
   record Used(double cpuMs, double seconds, long bytes, long messages, long changes) {}
 
   /** What was used from then until now. */
   Used until() throws IOException, InterruptedException {
     Readings now = of(pid, source);
-    return new Used(now.cpu.msSince(cpu), (now.at - at) / NANOS, now.sent.bytesOut() - sent.bytesOut(),
-        now.sent.messages() - sent.messages(), now.sent.index() - sent.index());
+    return new Used(now.cpu.msSince(cpu), (now.at - at) / NANOS,
+        now.sent.bytesOut() - sent.bytesOut(), now.sent.messages() - sent.messages(),
+        now.sent.index() - sent.index());
   }
 }
--- a/src/main/java/saltlatch/lab/scale/RequestsScale.java
+++ b/src/main/java/saltlatch/lab/scale/RequestsScale.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * Requests a second at one real node: {@code requests.rate} (its CPU a second; P50_MS and P99_MS are what it adds: latency
- * through it less the same load's straight to the app servers, quantile by quantile), {@code requests.direct} (the latter)
- * and {@code requests.late} (by how much the load tool sent too late on the way through the node).
+ * Requests a second at one real node: {@code requests.rate} (its CPU a second; P50_MS and P99_MS
+ * are what it adds: latency through it less the same load's straight to the app servers, quantile
+ * by quantile), {@code requests.direct} (the latter) and {@code requests.late} (by how much the
+ * load tool sent too late on the way through the node).
  */
 final class RequestsScale implements ScaleTest {
   private final LoadTrial trial;
@@ -39,14 +40,16 @@
 
   @Override
   public Map<String, Values> measure(long size, int repeat) throws Exception {
-    if (!warm) trial.direct(size, repeat); // so that the load tool's and the stand-ins' code is compiled
+    // so that the load tool's and the stand-ins' code is compiled
+    if (!warm) trial.direct(size, repeat);
     warm = true;
     LoadTrial.Latency direct = trial.direct(size, repeat);
     LoadTrial.Node node = trial.node(size, repeat);
     LoadTrial.Latency through = node.latency();
     Map<String, Values> measured = new LinkedHashMap<>();
     measured.put("requests.rate",
-        Values.of(Quantity.CPU_MS, node.cpuMsPerSecond()).and(Quantity.COUNT, node.requestsPerSecond())
+        Values.of(Quantity.CPU_MS, node.cpuMsPerSecond())
+            .and(Quantity.COUNT, node.requestsPerSecond())
             .and(Quantity.P50_MS, through.p50() - direct.p50())
             .and(Quantity.P99_MS, through.p99() - direct.p99()));
     measured.put("requests.direct",
--- a/src/main/java/saltlatch/lab/scale/ScaleRun.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleRun.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * Runs one scale test: every size, smallest first, so many repeats each; before the largest it prints what the line
- * through the smaller ones foretells for it. Each measurement is written as it is made.
+ * Runs one scale test: every size, smallest first, so many repeats each; before the largest it
+ * prints what the line through the smaller ones foretells for it. Each measurement is written as it
+ * is made.
  */
 public final class ScaleRun {
   private static final int BAR = 40; // characters
@@ -36,7 +37,10 @@
     this.commit = commit == null ? Revision.here() : commit;
   }
 
-  /** Fails with {@link Machine.TooMuch} before anything runs where one of the sizes is beyond the machine's limits. */
+  /**
+   * Fails with {@link Machine.TooMuch} before anything runs where one of the sizes is beyond the
+   * machine's limits.
+   */
   public void run(ScaleTest test, List<Long> sizes, int repeats) throws Exception {
     for (long size : sizes) machine.admit(test.name(), size, test.needs(size));
     long largest = sizes.get(sizes.size() - 1);
@@ -50,7 +54,8 @@
       for (int repeat = 1; repeat <= repeats; repeat++) {
         show(test, size, repeat, done++, sizes.size() * repeats);
         for (Map.Entry<String, Values> one : test.measure(size, repeat).entrySet()) {
-          write(new Measurement(one.getKey(), test.grows(), size, repeat, one.getValue().map(), commit));
+          write(new Measurement(one.getKey(), test.grows(), size, repeat, one.getValue().map(),
+              commit));
         }
       }
     }
@@ -73,8 +78,8 @@
 
   private void show(ScaleTest test, long size, int repeat, int done, int all) {
     int filled = BAR * done / all;
-    progress.print("\r" + test.name() + " [" + "#".repeat(filled) + " ".repeat(BAR - filled) + "] " + done
-        + "/" + all + "  " + size + " " + test.grows() + ", repeat " + repeat + "   ");
+    progress.print("\r" + test.name() + " [" + "#".repeat(filled) + " ".repeat(BAR - filled) + "] "
+        + done + "/" + all + "  " + size + " " + test.grows() + ", repeat " + repeat + "   ");
     progress.flush();
   }
 }
--- a/src/main/java/saltlatch/lab/scale/ScaleTable.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTable.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The table that a scale test prints: each quantity's line, its residual, and the largest size foretold and measured. */
+/**
+ * The table that a scale test prints: each quantity's line, its residual, and the largest size
+ * foretold and measured.
+ */
 final class ScaleTable {
-  private static final List<String> HEAD = List.of("measured", "quantity", "at size 0", "for each more",
-      "residual", "largest size", "predicted", "measured", "off by");
+  private static final List<String> HEAD = List.of("measured", "quantity", "at size 0",
+      "for each more", "residual", "largest size", "predicted", "measured", "off by");
   private static final int PERCENT = 100;
 
   private ScaleTable() {}
@@ -34,8 +37,9 @@
   private static List<String> row(Slope slope) {
     boolean known = !Double.isNaN(slope.measured());
     return List.of(slope.what(), slope.quantity().name().toLowerCase(Locale.ROOT),
-        number(slope.all().intercept()), number(slope.all().slope()), number(slope.all().residual()),
-        Long.toString(slope.largest()), number(slope.predicted()), known ? number(slope.measured()) : "-",
+        number(slope.all().intercept()), number(slope.all().slope()),
+        number(slope.all().residual()), Long.toString(slope.largest()), number(slope.predicted()),
+        known ? number(slope.measured()) : "-",
         known && slope.measured() != 0 ? Math.round(slope.error() * PERCENT) + " %" : "-");
   }
 
--- a/src/main/java/saltlatch/lab/scale/ScaleTest.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTest.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One thing that grows, and how what a size of it costs is measured. One caller, one size at a time. */
+/**
+ * One thing that grows, and how what a size of it costs is measured. One caller, one size at a
+ * time.
+ */
 public interface ScaleTest {
   /** Its name on the command line and the beginning of its measurements' names. */
   String name();
@@ -17,10 +20,16 @@
   /** What a size takes of the machine at the most. */
   Needs needs(long size);
 
-  /** Measures one repeat of one size: the values by the name of the measurement, such as {@code list.start}. */
+  /**
+   * Measures one repeat of one size: the values by the name of the measurement, such as
+   * {@code list.start}.
+   */
   Map<String, Values> measure(long size, int repeat) throws Exception;
 
-  /** The size at which it ends, by the name of the measurement, once all sizes were measured; none for most tests. */
+  /**
+   * The size at which it ends, by the name of the measurement, once all sizes were measured; none
+   * for most tests.
+   */
   default Map<String, Long> ends() throws Exception {
     return Map.of();
   }
--- a/src/main/java/saltlatch/lab/scale/Slope.java
+++ b/src/main/java/saltlatch/lab/scale/Slope.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * One quantity of one measurement over the size that grew: the line through the smaller sizes, what it foretells for the
- * largest, what was measured there, and the line through all.
+ * One quantity of one measurement over the size that grew: the line through the smaller sizes, what
+ * it foretells for the largest, what was measured there, and the line through all.
  *
  * @param what      the measurement, such as {@code list.start}
  * @param smaller   the line through all sizes but the largest
@@ -26,7 +26,10 @@
     return (predicted - measured) / measured;
   }
 
-  /** Of every quantity with enough sizes, in the order of their measuring; the largest size may be still to come. */
+  /**
+   * Of every quantity with enough sizes, in the order of their measuring; the largest size may be
+   * still to come.
+   */
   public static List<Slope> of(List<Measurement> measurements, long largest) {
     Map<String, List<Measurement>> byName = new LinkedHashMap<>();
     for (Measurement one : measurements)
@@ -51,8 +54,9 @@
     }
     if (sizes.size() < LEAST_SIZES) return null;
     LineFit smaller = LineFit.of(all.stream().filter(point -> point.size() < largest).toList());
-    double measured = all.stream().filter(point -> point.size() == largest).mapToDouble(LineFit.Point::value)
-        .average().orElse(Double.NaN);
-    return new Slope(what, quantity, smaller, LineFit.of(all), largest, smaller.at(largest), measured);
+    double measured = all.stream().filter(point -> point.size() == largest)
+        .mapToDouble(LineFit.Point::value).average().orElse(Double.NaN);
+    return new Slope(what, quantity, smaller, LineFit.of(all), largest, smaller.at(largest),
+        measured);
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Source.java
+++ b/src/main/java/saltlatch/lab/scale/Source.java
@@ -22,20 +22,24 @@
 import java.util.Set;
 
 /**
- * A stand-in for discovery at size, HTTP/1.1 after the protocol page: {@code GET /api/targets} gives the whole list,
- * {@code ?follow=1&since=N} a watch whose first line is what changed after N, or the whole list where the log does not
- * reach so far; an empty line every 2 s while nothing changes. One encoded buffer for each change and for each whole list,
- * shared by all watchers. A watcher that does not read is told nothing more until it does, and then what changed
- * meanwhile: what is held for it is bounded.
+ * A stand-in for discovery at size, HTTP/1.1 after the protocol page: {@code GET /api/targets}
+ * gives the whole list, {@code ?follow=1&since=N} a watch whose first line is what changed after N,
+ * or the whole list where the log does not reach so far; an empty line every 2 s while nothing
+ * changes. One encoded buffer for each change and for each whole list, shared by all watchers. A
+ * watcher that does not read is told nothing more until it does, and then what changed meanwhile:
+ * what is held for it is bounded.
  *
- * <p>For the laboratory: {@code GET /lab/figures} tells what was sent, and {@code POST /lab/rate?per_second=R} sets how many
- * changes come a second. One event loop owns all of it.
+ * <p>For the laboratory: {@code GET /lab/figures} tells what was sent, and
+ * {@code POST /lab/rate?per_second=R} sets how many changes come a second. One event loop owns all
+ * of it.
  */
 public final class Source {
-  static final long KEEP_ALIVE_MS = 2_000; // an empty line this often on a quiet watch, as the protocol page says
+  // an empty line this often on a quiet watch, as the protocol page says
+  static final long KEEP_ALIVE_MS = 2_000;
   private static final double NANOS = 1e9; // in a second
   private static final double MILLIS = 1e3;
-  private static final int WATCHER_QUEUE_BYTES = 262_144; // above it a watcher waits until it has read half
+  // above it a watcher waits until it has read half
+  private static final int WATCHER_QUEUE_BYTES = 262_144;
   private static final Buffer EMPTY_LINE = Buffer.buffer("\n");
 
   private final Vertx vertx;
@@ -98,8 +102,8 @@
   /** Listens; the result is the port. */
   public Future<Integer> start(String host, int port) {
     server = vertx
-        .createHttpServer(new HttpServerOptions().setHost(host).setPort(port).setAcceptBacklog(4_096)
-            .setTcpNoDelay(true).setIdleTimeout(0))
+        .createHttpServer(new HttpServerOptions().setHost(host).setPort(port)
+            .setAcceptBacklog(4_096).setTcpNoDelay(true).setIdleTimeout(0))
         .requestHandler(this::request).connectionHandler(connection -> {
           connections++;
           bytes.count(connection);
@@ -172,7 +176,10 @@
     }
   }
 
-  /** Outside of the heap, since writing a buffer of the heap copies it for each watcher; the collector frees it. */
+  /**
+   * Outside of the heap, since writing a buffer of the heap copies it for each watcher; the
+   * collector frees it.
+   */
   private static Buffer line(String text) {
     byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
     ByteBuffer direct = ByteBuffer.allocateDirect(bytes.length).put(bytes).flip();
@@ -238,7 +245,10 @@
     }
   }
 
-  /** What was sent so far, as JSON; bytes are those of all connections but the ones that ask for this. */
+  /**
+   * What was sent so far, as JSON; bytes are those of all connections but the ones that ask for
+   * this.
+   */
   private JsonObject figures() {
     JsonObject figures = new JsonObject();
     figures.addProperty("index", list.index());
@@ -252,7 +262,8 @@
     figures.addProperty("bytes_out", bytes.out());
     figures.addProperty("connections", connections);
     figures.addProperty("pid", ProcessHandle.current().pid());
-    figures.addProperty("loop_cpu_ns", ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime());
+    figures.addProperty("loop_cpu_ns",
+        ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime());
     return figures;
   }
 
--- a/src/main/java/saltlatch/lab/scale/SourceList.java
+++ b/src/main/java/saltlatch/lab/scale/SourceList.java
@@ -6,21 +6,25 @@
 import java.util.SplittableRandom;
 
 /**
- * The list that a stand-in of discovery tells: so many app servers, one of which changes at a time from {@code Ready} to
- * {@code Terminating} or back, and a log of which changed at which index. Pure: no clock, no I/O, one seeded generator. An
- * entry's text is the protocol page's example, about 125 bytes.
+ * The list that a stand-in of discovery tells: so many app servers, one of which changes at a time
+ * from {@code Ready} to {@code Terminating} or back, and a log of which changed at which index.
+ * Pure: no clock, no I/O, one seeded generator. An entry's text is the protocol page's example,
+ * about 125 bytes.
  */
 public final class SourceList {
-  static final int SERVICES = 2_200; // an entry's group is its service, as at the size that is coming
+  // an entry's group is its service, as at the size that is coming
+  static final int SERVICES = 2_200;
   static final int LOG = 65_536; // changes kept for watchers that resume; two hours at 8 a second
   private static final int FIRST_INDEX = 1;
   private static final int ZONES = 9; // a to i
   private static final int OCTET = 256;
   private static final int PORT = 6379;
-  private static final long NAME_STEP = 0x9E3779B1L; // odd, so that no two numbers below 2^32 get one name
+  // odd, so that no two numbers below 2^32 get one name
+  private static final long NAME_STEP = 0x9E3779B1L;
 
   private final boolean[] draining;
-  private final int[] changed = new int[LOG]; // the entry that changed at an index, by the index modulo LOG
+  // the entry that changed at an index, by the index modulo LOG
+  private final int[] changed = new int[LOG];
   private final SplittableRandom chance;
   private final long series; // Unix ms; 0: not told
   private long index = FIRST_INDEX;
@@ -56,12 +60,17 @@
     return index;
   }
 
-  /** Whether {@link #changesAfter} can answer: the index was reached, and the log still holds all that came after it. */
+  /**
+   * Whether {@link #changesAfter} can answer: the index was reached, and the log still holds all
+   * that came after it.
+   */
   public boolean reaches(long since) {
     return since >= FIRST_INDEX && since <= index && index - since <= LOG;
   }
 
-  /** What changed after an index that {@link #reaches} holds for, each entry once in its state now. */
+  /**
+   * What changed after an index that {@link #reaches} holds for, each entry once in its state now.
+   */
   public String changesAfter(long since) {
     if (!reaches(since)) throw new IllegalArgumentException("no changes are known after " + since);
     LinkedHashSet<Integer> entries = new LinkedHashSet<>();
@@ -93,10 +102,12 @@
   private void entry(StringBuilder text, int entry) {
     long name = (entry * NAME_STEP) & 0xffffffffL;
     String hex = Long.toHexString(name | 1L << 32).substring(1);
-    text.append("{\"name\":\"s-").append(hex).append("\",\"address\":\"127.1.").append(entry / OCTET % OCTET)
-        .append('.').append(entry % OCTET).append(':').append(PORT + entry / OCTET / OCTET)
-        .append("\",\"zone\":\"").append((char) ('a' + entry % ZONES)).append("\",\"type\":\"m2\",\"group\":")
-        .append(entry % SERVICES).append(",\"status\":\"").append(draining[entry] ? "Terminating" : "Ready")
+    text.append("{\"name\":\"s-").append(hex).append("\",\"address\":\"127.1.")
+        .append(entry / OCTET % OCTET).append('.').append(entry % OCTET).append(':')
+        .append(PORT + entry / OCTET / OCTET).append("\",\"zone\":\"")
+        .append((char) ('a' + entry % ZONES)).append("\",\"type\":\"m2\",\"group\":")
+        .append(entry % SERVICES).append(",\"status\":\"")
+        .append(draining[entry] ? "Terminating" : "Ready")
         .append("\",\"weight\":1.0,\"since_ms\":0}");
   }
 }
--- a/src/main/java/saltlatch/lab/scale/SourceProcess.java
+++ b/src/main/java/saltlatch/lab/scale/SourceProcess.java
@@ -22,8 +22,8 @@
   private final HttpClient http = HttpClient.newHttpClient();
 
   /** What it has sent by now, {@code bytesOut} without the answers to this question. */
-  public record Sent(long index, int watchers, long behind, long snapshots, long changeLines, long emptyLines,
-      long bytesOut) {
+  public record Sent(long index, int watchers, long behind, long snapshots, long changeLines,
+      long emptyLines, long bytesOut) {
     /** Whole lists, lines of changes and empty lines. */
     public long messages() {
       return snapshots + changeLines + emptyLines;
@@ -33,8 +33,9 @@
   SourceProcess(Bench bench, long entries) throws IOException, InterruptedException {
     Files.createDirectories(bench.dir());
     puts = bench.dir().resolve("puts.jsonl");
-    process = new ChildJvm(Bench.SOURCE_FLAGS, bench.tools(), List.of("lab", "scale", "source", "--entries",
-        "" + entries, "--listen", "127.0.0.1:0", "--puts", puts.toString()),
+    process = new ChildJvm(
+        Bench.SOURCE_FLAGS, bench.tools(), List.of("lab", "scale", "source", "--entries",
+            "" + entries, "--listen", "127.0.0.1:0", "--puts", puts.toString()),
         bench.dir().resolve("source.log"));
     address = process.await("source of " + entries + " entries on ");
   }
@@ -55,9 +56,8 @@
   }
 
   public Sent sent() throws IOException, InterruptedException {
-    JsonObject told = JsonParser
-        .parseString(
-            http.send(HttpRequest.newBuilder(uri("/lab/figures")).build(), BodyHandlers.ofString()).body())
+    JsonObject told = JsonParser.parseString(http
+        .send(HttpRequest.newBuilder(uri("/lab/figures")).build(), BodyHandlers.ofString()).body())
         .getAsJsonObject();
     return new Sent(told.get("index").getAsLong(), told.get("watchers").getAsInt(),
         told.get("behind").getAsLong(), told.get("snapshots").getAsLong(),
--- a/src/main/java/saltlatch/lab/scale/SumsScale.java
+++ b/src/main/java/saltlatch/lab/scale/SumsScale.java
@@ -12,9 +12,9 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Real nodes that share every customer's quota while the counter says nothing: {@code sums.jam}, of one node a second, the
- * datagrams and bytes that it tells the others and is told, and its CPU, at 24 requests/s a node. 200 customers; the nodes
- * do not know each other.
+ * Real nodes that share every customer's quota while the counter says nothing: {@code sums.jam}, of
+ * one node a second, the datagrams and bytes that it tells the others and is told, and its CPU, at
+ * 24 requests/s a node. 200 customers; the nodes do not know each other.
  */
 final class SumsScale implements ScaleTest {
   private static final double SECONDS = 16; // of load, the counter silent all the while and beyond
@@ -62,7 +62,10 @@
     return "nodes";
   }
 
-  /** Beyond the 30 nodes up to which each new one tells the others one datagram a second more; the lab holds 64. */
+  /**
+   * Beyond the 30 nodes up to which each new one tells the others one datagram a second more; the
+   * lab holds 64.
+   */
   @Override
   public List<Long> sizes() {
     return List.of(32L, 38L, 46L, 55L);
@@ -76,7 +79,8 @@
   @Override
   public Map<String, Values> measure(long size, int repeat) throws Exception {
     long rate = RATE * size;
-    Scenario scenario = Scenario.parse(SCENARIO.formatted(repeat, SECONDS, size, rate, rate, 4 * rate));
+    Scenario scenario = Scenario
+        .parse(SCENARIO.formatted(repeat, SECONDS, size, rate, rate, 4 * rate));
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
@@ -115,9 +119,10 @@
         heard += figures.get("peers_heard");
         cpu += ProcessFigures.cpu(nodes.pid(i)).processMs();
       }
-      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture().get(START_S,
-          TimeUnit.SECONDS);
-      return new Counts(told, heard, standIns.get("peer_bytes_in"), standIns.get("peer_bytes_out"), cpu);
+      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture()
+          .get(START_S, TimeUnit.SECONDS);
+      return new Counts(told, heard, standIns.get("peer_bytes_in"), standIns.get("peer_bytes_out"),
+          cpu);
     }
 
     Values since(Counts before, double units) {
--- a/src/main/java/saltlatch/lab/scale/Watchers.java
+++ b/src/main/java/saltlatch/lab/scale/Watchers.java
@@ -15,20 +15,23 @@
 import java.util.Queue;
 
 /**
- * Many plain watchers of one source on one event loop, which read and keep nothing: a list's bytes cost the source what any
- * watcher's do, and this side as little as can be. Tells when what was put was read.
+ * Many plain watchers of one source on one event loop, which read and keep nothing: a list's bytes
+ * cost the source what any watcher's do, and this side as little as can be. Tells when what was put
+ * was read.
  */
 final class Watchers implements AutoCloseable {
-  private static final byte[] INDEX = "{\"index\":".getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-  private static final int RECEIVE_BYTES = 262_144; // of a read: fewer turns of the loop for whole lists
+  private static final byte[] INDEX = "{\"index\":"
+      .getBytes(java.nio.charset.StandardCharsets.US_ASCII);
+  // of a read: fewer turns of the loop for whole lists
+  private static final int RECEIVE_BYTES = 262_144;
 
   /** A line with this index began to come then, by {@link System#nanoTime}. */
   record Read(long index, long atNanos) {}
 
   private final Vertx vertx = Vertx
       .vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
-  private final NetClient client = vertx.createNetClient(
-      new NetClientOptions().setTcpNoDelay(true).setReceiveBufferSize(RECEIVE_BYTES).setReconnectAttempts(0));
+  private final NetClient client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true)
+      .setReceiveBufferSize(RECEIVE_BYTES).setReconnectAttempts(0));
   private final List<NetSocket> sockets = new ArrayList<>(); // touched on the loop alone
   private final Queue<Read> reads = new ConcurrentLinkedQueue<>();
   private final LongAdder bytes = new LongAdder();
@@ -36,8 +39,8 @@
 
   /** Opens so many watches at once; what they read comes when it does. */
   void open(SocketAddress source, int count, long since) {
-    Buffer request = Buffer.buffer(
-        "GET /api/targets?follow=1&since=" + since + " HTTP/1.1\r\nhost: " + source.host() + "\r\n\r\n");
+    Buffer request = Buffer.buffer("GET /api/targets?follow=1&since=" + since
+        + " HTTP/1.1\r\nhost: " + source.host() + "\r\n\r\n");
     vertx.runOnContext(v -> {
       for (int i = 0; i < count; i++) {
         client.connect(source).onFailure(e -> failed.incrementAndGet()).onSuccess(socket -> {
@@ -56,13 +59,17 @@
     if (index >= 0) reads.add(new Read(index, System.nanoTime()));
   }
 
-  /** Of the line that begins in here; below 0: none does. It is near the beginning of a read: no more is looked at. */
+  /**
+   * Of the line that begins in here; below 0: none does. It is near the beginning of a read: no
+   * more is looked at.
+   */
   private static long index(Buffer data) {
     int most = Math.min(data.length() - INDEX.length, 512);
     for (int at = 0; at < most; at++) {
       if (!matches(data, at)) continue;
       long index = 0;
-      for (int digit = at + INDEX.length; digit < data.length() && data.getByte(digit) != ','; digit++)
+      for (int digit = at + INDEX.length; digit < data.length()
+          && data.getByte(digit) != ','; digit++)
         index = index * 10 + data.getByte(digit) - '0';
       return index;
     }
--- a/src/main/java/saltlatch/lab/scale/WatchersScale.java
+++ b/src/main/java/saltlatch/lab/scale/WatchersScale.java
@@ -5,20 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.lab.rig.ProcessFigures;
-import saltlatch.wire.Dial;
+import saltlatch.wire.transport.TcpConnector;
 
 /**
- * Watchers of one discovery stand-in with {@value #ENTRIES} app servers: {@code watchers.rest} (the source's CPU and bytes a
- * second, its RSS), {@code watchers.change} (CPU and bytes for a change that all are told, beyond rest; times from the put
- * until a watcher has read it) and {@code watchers.whole} (all connect at once and want the whole list: CPU, bytes, seconds
- * until the last byte is read, RSS at its highest). All values are the source's. The watchers read and keep nothing.
+ * Watchers of one discovery stand-in with {@value #ENTRIES} app servers: {@code watchers.rest} (the
+ * source's CPU and bytes a second, its RSS), {@code watchers.change} (CPU and bytes for a change
+ * that all are told, beyond rest; times from the put until a watcher has read it) and
+ * {@code watchers.whole} (all connect at once and want the whole list: CPU, bytes, seconds until
+ * the last byte is read, RSS at its highest). All values are the source's. The watchers read and
+ * keep nothing.
  */
 final class WatchersScale implements ScaleTest {
   static final int ENTRIES = 34_000;
   private static final long OPEN_MS = 60_000; // until all watches are open
   private static final long WHOLE_MS = 180_000; // until all lists are read
   private static final long LOOK_MS = 20;
-  private static final double WARM_UP_CHANGES_PER_SECOND = 40; // so that the source's code is compiled
+  // so that the source's code is compiled
+  private static final double WARM_UP_CHANGES_PER_SECOND = 40;
   private static final long WARM_UP_MS = 5_000;
   private static final int WARM_UP_WATCHERS = 50; // that read the whole list before it is measured
   private static final long WINDOW_MS = 6_000; // of rest, and of changes: three empty lines
@@ -56,7 +59,8 @@
   @Override
   public Map<String, Values> measure(long size, int repeat) throws Exception {
     Map<String, Values> measured = new LinkedHashMap<>();
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES); Watchers watchers = new Watchers()) {
+    try (SourceProcess source = new SourceProcess(bench, ENTRIES);
+        Watchers watchers = new Watchers()) {
       watchers.open(address(source), (int) size, source.sent().index());
       awaitOpen(source, size);
       warmUp(source);
@@ -75,7 +79,7 @@
   }
 
   private static SocketAddress address(SourceProcess source) {
-    return Dial.address(source.address());
+    return TcpConnector.parseAddress(source.address());
   }
 
   private static void awaitOpen(SourceProcess source, long size) throws Exception {
@@ -90,7 +94,8 @@
   private static void awaitNone(SourceProcess source) throws Exception {
     long from = System.nanoTime();
     while (source.sent().watchers() > 0) {
-      if (System.nanoTime() - from > OPEN_MS * MILLION) throw new IllegalStateException("watches do not end");
+      if (System.nanoTime() - from > OPEN_MS * MILLION)
+        throw new IllegalStateException("watches do not end");
       Thread.sleep(LOOK_MS);
     }
   }
@@ -106,21 +111,25 @@
       throws Exception {
     Readings.Used rest = window(source, 0);
     Readings.Used changes = window(source, CHANGES_PER_SECOND);
-    if (watchers.failed() > 0) throw new IllegalStateException(watchers.failed() + " watches have ended");
+    if (watchers.failed() > 0)
+      throw new IllegalStateException(watchers.failed() + " watches have ended");
     measured.put("watchers.rest",
         Values.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
             .and(Quantity.BYTES_OUT, rest.bytes() / rest.seconds())
             .and(Quantity.RSS_BYTES, ProcessFigures.rssBytes(source.pid())));
     double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
     double[] times = times(source.puts(), watchers.reads());
-    measured.put("watchers.change", Values.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
-        .and(Quantity.BYTES_OUT, (double) changes.bytes() / changes.changes())
-        .and(Quantity.MESSAGES_OUT, (double) changes.messages() / changes.changes())
-        .and(Quantity.P50_MS, Percentiles.of(times, 0.5)).and(Quantity.P99_MS, Percentiles.of(times, 0.99))
-        .and(Quantity.MAX_MS, Percentiles.of(times, 1)));
+    measured.put("watchers.change",
+        Values.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
+            .and(Quantity.BYTES_OUT, (double) changes.bytes() / changes.changes())
+            .and(Quantity.MESSAGES_OUT, (double) changes.messages() / changes.changes())
+            .and(Quantity.P50_MS, Percentiles.of(times, 0.5))
+            .and(Quantity.P99_MS, Percentiles.of(times, 0.99))
+            .and(Quantity.MAX_MS, Percentiles.of(times, 1)));
   }
 
-  private static Readings.Used window(SourceProcess source, double changesPerSecond) throws Exception {
+  private static Readings.Used window(SourceProcess source, double changesPerSecond)
+      throws Exception {
     source.rate(changesPerSecond);
     Readings from = Readings.of(source.pid(), source);
     Thread.sleep(WINDOW_MS);
@@ -132,7 +141,8 @@
   /** ms from each put to each read of it, ascending. */
   private static double[] times(Map<Long, Long> puts, List<Watchers.Read> reads) {
     return reads.stream().filter(read -> puts.containsKey(read.index()))
-        .mapToDouble(read -> (read.atNanos() - puts.get(read.index())) / MILLION).sorted().toArray();
+        .mapToDouble(read -> (read.atNanos() - puts.get(read.index())) / MILLION).sorted()
+        .toArray();
   }
 
   private static Values whole(SourceProcess source, Watchers watchers, long size) throws Exception {
@@ -151,7 +161,8 @@
     double seconds = (System.nanoTime() - from) / NANOS;
     return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(source.pid()).msSince(before))
         .and(Quantity.BYTES_OUT, sent.bytesOut() - already.bytesOut())
-        .and(Quantity.MESSAGES_OUT, sent.snapshots() - already.snapshots()).and(Quantity.SECONDS, seconds)
+        .and(Quantity.MESSAGES_OUT, sent.snapshots() - already.snapshots())
+        .and(Quantity.SECONDS, seconds)
         .and(Quantity.RSS_BYTES, ProcessFigures.peakRssBytes(source.pid()));
   }
 }
--- a/src/main/java/saltlatch/lab/scale/WireBytes.java
+++ b/src/main/java/saltlatch/lab/scale/WireBytes.java
@@ -11,22 +11,26 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts exactly what a server writes to its connections: every byte that is handed to the kernel, HTTP's headers
- * and chunk sizes among them; not TCP's and IP's own. First in the pipeline of each connection. Vert.x' own metrics count
- * bodies alone.
+ * Counts exactly what a server writes to its connections: every byte that is handed to the kernel,
+ * HTTP's headers and chunk sizes among them; not TCP's and IP's own. First in the pipeline of each
+ * connection. Vert.x' own metrics count bodies alone.
  */
 @Sharable
 final class WireBytes extends ChannelOutboundHandlerAdapter {
   private final LongAdder out = new LongAdder();
 
-  /** Counts this connection from now on; called from the server's connection handler, before anything is written. */
+  /**
+   * Counts this connection from now on; called from the server's connection handler, before
+   * anything is written.
+   */
   void count(HttpConnection connection) {
     ((HttpServerConnection) connection).channelHandlerContext().pipeline().addFirst(this);
   }
 
   /** Counts this connection no more. */
   void leaveOut(HttpConnection connection) {
-    ChannelPipeline pipeline = ((HttpServerConnection) connection).channelHandlerContext().pipeline();
+    ChannelPipeline pipeline = ((HttpServerConnection) connection).channelHandlerContext()
+        .pipeline();
     if (pipeline.context(this) != null) pipeline.remove(this);
   }
 
@@ -36,7 +40,8 @@
   }
 
   @Override
-  public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) throws Exception {
+  public void write(ChannelHandlerContext context, Object message, ChannelPromise promise)
+      throws Exception {
     if (message instanceof ByteBuf bytes) out.add(bytes.readableBytes());
     super.write(context, message, promise);
   }
--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -11,25 +11,35 @@
 import saltlatch.lab.plan.Group;
 
 /**
- * A laboratory scenario, read from TOML (docs/lab.md gives the format). Times are seconds ({@code _s}) or milliseconds
- * ({@code _ms}) as the name says; rates are a second. Unknown keys are an error, so a misspelt fault does not pass quietly.
+ * A laboratory scenario, read from TOML (docs/lab.md gives the format). Times are seconds
+ * ({@code _s}) or milliseconds ({@code _ms}) as the name says; rates are a second. Unknown keys are
+ * an error, so a misspelt fault does not pass quietly.
  *
  * @param name what the run is called in its report
  * @param seed the one seed of every chance in the run: offered schedule, latencies, losses
  * @param seconds how long the load is offered
  * @param nodes edge nodes started by {@code lab}
  */
-public record Scenario(String name, long seed, double seconds, int nodes, Servers servers, Counter counter,
-    Discovery discovery, Peers peers, Load load, Plan plan, Plan oldPlan, Front front, Processes processes,
-    Links links, Bounds bounds, Drawn drawn) {
+public record Scenario(String name, long seed, double seconds, int nodes, Servers servers,
+    Counter counter, Discovery discovery, Peers peers, Load load, Plan plan, Plan oldPlan,
+    Front front, Processes processes, Links links, Bounds bounds, Drawn drawn) {
 
-  /** Faults drawn from the seed: nodes killed and stopped from {@code at_s} on, then splits (lab.plan.Drawn). */
+  /**
+   * Faults drawn from the seed: nodes killed and stopped from {@code at_s} on, then splits
+   * (lab.plan.Drawn).
+   */
   public record Drawn(int kills, int pauses, int splits, double atS) {}
 
-  /** Stated bounds that a run is checked against: units beyond its quota for any customer; 0: not checked. */
+  /**
+   * Stated bounds that a run is checked against: units beyond its quota for any customer; 0: not
+   * checked.
+   */
   public record Bounds(double beyondUnits) {}
 
-  /** A stand-in for the operators' front, which notices {@code notice_s} late that a node has died or hangs; 0: none. */
+  /**
+   * A stand-in for the operators' front, which notices {@code notice_s} late that a node has died
+   * or hangs; 0: none.
+   */
   public record Front(double noticeS) {}
 
   /** Faults on the nodes' processes; child processes only. */
@@ -39,20 +49,21 @@
   public record Links(List<LinkFault> faults) {}
 
   /**
-   * {@code kill} (SIGKILL), {@code term} (SIGTERM) or {@code pause} (SIGSTOP, SIGCONT after {@code for_s}) of the group
-   * {@code nodes}, all at one instant or {@code step_s} apart (rolling). {@code restart}: started again under the same
-   * name {@code back_s} after that, with {@code old_plan} where {@code old_config} says so.
+   * {@code kill} (SIGKILL), {@code term} (SIGTERM) or {@code pause} (SIGSTOP, SIGCONT after
+   * {@code for_s}) of the group {@code nodes}, all at one instant or {@code step_s} apart
+   * (rolling). {@code restart}: started again under the same name {@code back_s} after that, with
+   * {@code old_plan} where {@code old_config} says so.
    */
   public record ProcessFault(String kind, double atS, double forS, String nodes, double stepS,
       boolean restart, double backS, boolean oldConfig) {}
 
   /**
-   * {@code cut}, {@code loss} ({@code share}), {@code delay} ({@code extra_ms}), {@code duplicate} and {@code reorder}
-   * ({@code share}, {@code extra_ms}; datagrams), {@code flap} (dead for the first half of each {@code period_ms}),
-   * between two groups, both ways unless {@code one_way}.
+   * {@code cut}, {@code loss} ({@code share}), {@code delay} ({@code extra_ms}), {@code duplicate}
+   * and {@code reorder} ({@code share}, {@code extra_ms}; datagrams), {@code flap} (dead for the
+   * first half of each {@code period_ms}), between two groups, both ways unless {@code one_way}.
    */
-  public record LinkFault(String kind, double atS, double forS, String from, String to, boolean oneWay,
-      double share, double extraMs, double periodMs) {
+  public record LinkFault(String kind, double atS, double forS, String from, String to,
+      boolean oneWay, double share, double extraMs, double periodMs) {
     public boolean holds(double ms) {
       return within(atS, forS, ms);
     }
@@ -65,60 +76,71 @@
 
   /** The same with another number of nodes. */
   public Scenario withNodes(int n) {
-    return new Scenario(name, seed, seconds, n, servers, counter, discovery, peers, load, plan, oldPlan,
-        front, processes, links, bounds, drawn);
+    return new Scenario(name, seed, seconds, n, servers, counter, discovery, peers, load, plan,
+        oldPlan, front, processes, links, bounds, drawn);
   }
 
   /** The same with other faults on processes and links. */
   public Scenario withFaults(List<ProcessFault> onProcesses, List<LinkFault> onLinks) {
-    return new Scenario(name, seed, seconds, nodes, servers, counter, discovery, peers, load, plan, oldPlan,
-        front, new Processes(List.copyOf(onProcesses)), new Links(List.copyOf(onLinks)), bounds, null);
+    return new Scenario(name, seed, seconds, nodes, servers, counter, discovery, peers, load, plan,
+        oldPlan, front, new Processes(List.copyOf(onProcesses)), new Links(List.copyOf(onLinks)),
+        bounds, null);
   }
 
   /** The same with another seed. */
   public Scenario withSeed(long other) {
-    return new Scenario(name, other, seconds, nodes, servers, counter, discovery, peers, load, plan, oldPlan,
-        front, processes, links, bounds, drawn);
+    return new Scenario(name, other, seconds, nodes, servers, counter, discovery, peers, load, plan,
+        oldPlan, front, processes, links, bounds, drawn);
   }
 
   /** The app servers: {@code count} of them, latency lognormal by median and 99th percentile. */
-  public record Servers(int count, double medianMs, double p99Ms, int concurrency, double idleCloseMs,
-      List<Fault> faults) {}
+  public record Servers(int count, double medianMs, double p99Ms, int concurrency,
+      double idleCloseMs, List<Fault> faults) {}
 
   /**
-   * The counter: its own latency, the calls a second that it serves in turn (0: all), the calls that may wait for that
-   * (more are turned away), and faults ({@code silent}, {@code slow}, {@code refuse}, {@code empty}, {@code split}).
+   * The counter: its own latency, the calls a second that it serves in turn (0: all), the calls
+   * that may wait for that (more are turned away), and faults ({@code silent}, {@code slow},
+   * {@code refuse}, {@code empty}, {@code split}).
    */
   public record Counter(double latencyMs, double callsPerSecond, int line, List<Fault> faults) {}
 
-  /** Discovery: faults {@code late} (changes held back by {@code extra_ms}) and {@code stale} (the old list served). */
+  /**
+   * Discovery: faults {@code late} (changes held back by {@code extra_ms}) and {@code stale} (the
+   * old list served).
+   */
   public record Discovery(List<Fault> faults) {}
 
   /**
-   * Peer datagrams through the emulator's relay: share lost, extra delay up to {@code reorder_ms}; {@code intake} a second
-   * that a node says it takes in (0: nodes tell each other nothing); {@code membership}: the nodes know each other.
+   * Peer datagrams through the emulator's relay: share lost, extra delay up to {@code reorder_ms};
+   * {@code intake} a second that a node says it takes in (0: nodes tell each other nothing);
+   * {@code membership}: the nodes know each other.
    */
   public record Peers(double loss, double reorderMs, double intake, boolean membership) {}
 
   /**
-   * The offered load: {@code rate} reqs a second in all, Poisson, over {@code customers} with Zipf skew {@code zipf};
-   * {@code submit_share} are non-replayable; {@code give_up_share} of clients leave at a {@code give_up_at} share of their
-   * client timeout; {@code eager_share} come back at once after a denial, up to {@code eager_tries} times.
+   * The offered load: {@code rate} reqs a second in all, Poisson, over {@code customers} with Zipf
+   * skew {@code zipf}; {@code submit_share} are non-replayable; {@code give_up_share} of clients
+   * leave at a {@code give_up_at} share of their client timeout; {@code eager_share} come back at
+   * once after a denial, up to {@code eager_tries} times.
    */
-  public record Load(double rate, int customers, double zipf, double submitShare, int unitsMin, int unitsMax,
-      double deadlineMs, double giveUpShare, double giveUpAt, double eagerShare, int eagerTries,
-      int connectionsPerNode, List<Burst> bursts) {}
+  public record Load(double rate, int customers, double zipf, double submitShare, int unitsMin,
+      int unitsMax, double deadlineMs, double giveUpShare, double giveUpAt, double eagerShare,
+      int eagerTries, int connectionsPerNode, List<Burst> bursts) {}
 
   /** From {@code at_s} for {@code for_s} the offered rate is {@code factor} times the base. */
   public record Burst(double atS, double forS, double factor) {}
 
-  /** Every customer's plan: {@code rate} units a second refilled, {@code burst} units at most; the frontends' times. */
+  /**
+   * Every customer's plan: {@code rate} units a second refilled, {@code burst} units at most; the
+   * frontends' times.
+   */
   public record Plan(double rate, double burst, double aimMs, double deadlineMs) {}
 
   /**
-   * One fault on a schedule. {@code first}/{@code count} pick app servers (count 0: all); {@code extra_ms} is added
-   * latency; {@code idle_ms} the idle time after which connections close; {@code ramp_s} a cold start's warm-up;
-   * {@code from} the share of capacity a cold server starts with; {@code groups} the nodes' split ({@code split}).
+   * One fault on a schedule. {@code first}/{@code count} pick app servers (count 0: all);
+   * {@code extra_ms} is added latency; {@code idle_ms} the idle time after which connections close;
+   * {@code ramp_s} a cold start's warm-up; {@code from} the share of capacity a cold server starts
+   * with; {@code groups} the nodes' split ({@code split}).
    */
   public record Fault(String kind, double atS, double forS, int first, int count, double extraMs,
       double idleMs, double rampS, double from, int groups) {
@@ -145,7 +167,10 @@
   private static final JsonMapper JSON = JsonMapper.builder()
       .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
 
-  /** Reads a file; throws {@link IOException} with the line at fault, or {@link IllegalArgumentException} if out of range. */
+  /**
+   * Reads a file; throws {@link IOException} with the line at fault, or
+   * {@link IllegalArgumentException} if out of range.
+   */
   public static Scenario read(Path path) throws IOException {
     return parse(Files.readString(path));
   }
@@ -173,16 +198,19 @@
         counter.callsPerSecond, pos(counter.line, 32), faults(counter.faults));
     Discovery d = new Discovery(discovery == null ? List.of() : faults(discovery.faults));
     Peers p = peers == null ? new Peers(0, 0, 0, false) : peers;
-    Load l = load == null ? new Load(100, 20, 1.0, 0.2, 1, 1, 3000, 0, 0.5, 0, 0, 64, List.of()) : load;
-    l = new Load(l.rate > 0 ? l.rate : 100, pos(l.customers, 20), l.zipf, l.submitShare, pos(l.unitsMin, 1),
-        Math.max(pos(l.unitsMin, 1), l.unitsMax), l.deadlineMs > 0 ? l.deadlineMs : 3000, l.giveUpShare,
-        l.giveUpAt > 0 ? l.giveUpAt : 0.5, l.eagerShare, l.eagerTries, pos(l.connectionsPerNode, 64),
+    Load l = load == null ? new Load(100, 20, 1.0, 0.2, 1, 1, 3000, 0, 0.5, 0, 0, 64, List.of())
+        : load;
+    l = new Load(l.rate > 0 ? l.rate : 100, pos(l.customers, 20), l.zipf, l.submitShare,
+        pos(l.unitsMin, 1), Math.max(pos(l.unitsMin, 1), l.unitsMax),
+        l.deadlineMs > 0 ? l.deadlineMs : 3000, l.giveUpShare, l.giveUpAt > 0 ? l.giveUpAt : 0.5,
+        l.eagerShare, l.eagerTries, pos(l.connectionsPerNode, 64),
         l.bursts == null ? List.of() : List.copyOf(l.bursts));
     Plan q = plan == null ? new Plan(20, 100, 1000, 3000) : plan;
     Scenario out = new Scenario(name == null ? "unnamed" : name, seed, seconds > 0 ? seconds : 20,
-        pos(nodes, 1), s, c, d, p, l, q, oldPlan == null ? q : oldPlan, front == null ? new Front(0) : front,
-        new Processes(
-            processes == null || processes.faults == null ? List.of() : List.copyOf(processes.faults)),
+        pos(nodes, 1), s, c, d, p, l, q, oldPlan == null ? q : oldPlan,
+        front == null ? new Front(0) : front,
+        new Processes(processes == null || processes.faults == null ? List.of()
+            : List.copyOf(processes.faults)),
         new Links(links == null || links.faults == null ? List.of() : List.copyOf(links.faults)),
         bounds == null ? new Bounds(0) : bounds, drawn);
     out.check();
@@ -197,7 +225,8 @@
     must(!peers.membership || peers.intake > 0, "peers.membership wants peers.intake above 0");
     must(peers.loss >= 0 && peers.loss <= 1, "peers.loss: a share from 0 to 1");
     for (ProcessFault f : processes.faults) {
-      must(List.of("kill", "term", "pause").contains(f.kind), "processes.faults: kind not known: " + f.kind);
+      must(List.of("kill", "term", "pause").contains(f.kind),
+          "processes.faults: kind not known: " + f.kind);
       must(f.nodes != null && !Group.of(f.nodes).nodes(nodes).isEmpty(),
           "processes.faults: no such nodes: " + f.nodes);
     }
@@ -216,8 +245,8 @@
   }
 
   /** Every kind of fault that the emulator plays. */
-  public static final List<String> KINDS = List.of("slow", "pause", "fail_fast", "spoil", "idle_close",
-      "cold_start", "refuse", "silent", "empty", "split", "late", "stale");
+  public static final List<String> KINDS = List.of("slow", "pause", "fail_fast", "spoil",
+      "idle_close", "cold_start", "refuse", "silent", "empty", "split", "late", "stale");
 
   private static List<Fault> faults(List<Fault> list) {
     return list == null ? List.of() : List.copyOf(list);
--- a/src/main/java/saltlatch/lab/tiers/HollowGroup.java
+++ b/src/main/java/saltlatch/lab/tiers/HollowGroup.java
@@ -15,23 +15,25 @@
 
 /** A process of hollow nodes and the report that it writes. */
 final class HollowGroup implements AutoCloseable {
-  private static final int INDEX_WORD = 12; // of what it says: hollow: N of N nodes have a list, all of them index I
+  // of what it says: hollow: N of N nodes have a list, all of them index I
+  private static final int INDEX_WORD = 12;
 
   private final ChildJvm process;
   private final Path report;
   private final Path log;
   private final int nodes;
 
-  HollowGroup(TierPlan plan, Path jar, Path dir, String name, int first, int nodes, String discovery,
-      double startOverSeconds) throws IOException {
+  HollowGroup(TierPlan plan, Path jar, Path dir, String name, int first, int nodes,
+      String discovery, double startOverSeconds) throws IOException {
     this.nodes = nodes;
     report = dir.resolve(name + ".jsonl");
     log = dir.resolve(name + ".log");
     Files.deleteIfExists(report);
     process = new ChildJvm(
-        List.of("-Xmx" + plan.heapMb(nodes) + "m", "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"), jar,
-        List.of("lab", "hollow", "--nodes", "" + nodes, "--first", "" + first, "--discovery", discovery,
-            "--start-over-seconds", "" + startOverSeconds, "--report", "" + report),
+        List.of("-Xmx" + plan.heapMb(nodes) + "m", "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
+        jar,
+        List.of("lab", "hollow", "--nodes", "" + nodes, "--first", "" + first, "--discovery",
+            discovery, "--start-over-seconds", "" + startOverSeconds, "--report", "" + report),
         log);
   }
 
@@ -63,7 +65,8 @@
   Map<String, List<Applied>> applied() throws IOException {
     Map<String, List<Applied>> all = new HashMap<>();
     for (String text : Files.readAllLines(report)) {
-      if (!text.startsWith("{\"node\"") || !text.endsWith("}")) continue; // samples, and a line that is being written
+      // samples, and a line that is being written
+      if (!text.startsWith("{\"node\"") || !text.endsWith("}")) continue;
       JsonObject line = JsonParser.parseString(text).getAsJsonObject();
       all.computeIfAbsent(line.get("node").getAsString(), n -> new ArrayList<>())
           .add(new Applied(line.get("index").getAsLong(), line.get("at_nanos").getAsLong()));
--- a/src/main/java/saltlatch/lab/tiers/InForce.java
+++ b/src/main/java/saltlatch/lab/tiers/InForce.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * When changes were in force: for each change and node the time from its put at the source until the node had applied it,
- * itself or within a later index. Times are of one monotonic clock, ns.
+ * When changes were in force: for each change and node the time from its put at the source until
+ * the node had applied it, itself or within a later index. Times are of one monotonic clock, ns.
  */
 final class InForce {
   /** A change of the list at its source. */
@@ -16,7 +16,10 @@
   /** That a node had applied all up to an index. */
   record Applied(long index, long atNanos) {}
 
-  /** Times in ms; {@code missing}: pairs of change and node that never came to be; {@code backwards}: a lower index applied. */
+  /**
+   * Times in ms; {@code missing}: pairs of change and node that never came to be;
+   * {@code backwards}: a lower index applied.
+   */
   record Times(int count, int missing, int backwards, double p50Ms, double p99Ms, double maxMs) {}
 
   private static final double NANOS_PER_MS = 1e6;
--- a/src/main/java/saltlatch/lab/tiers/RelayScale.java
+++ b/src/main/java/saltlatch/lab/tiers/RelayScale.java
@@ -18,10 +18,11 @@
 import saltlatch.lab.tiers.TierProcesses.Server;
 
 /**
- * What distribution over two tiers of relays does and costs at a size: nodes that start at once, changes at an ordinary day's
- * rate and at 2 a second, a relay killed; and the same nodes on the source directly. Each phase is written as measurements:
- * {@code P50_MS}, {@code P99_MS}, {@code MAX_MS} from put to in force over all changes and nodes ({@code COUNT} of them);
- * CPU ms and bytes are a second, for a node, or for a relay (the mean of its tier) or the source.
+ * What distribution over two tiers of relays does and costs at a size: nodes that start at once,
+ * changes at an ordinary day's rate and at 2 a second, a relay killed; and the same nodes on the
+ * source directly. Each phase is written as measurements: {@code P50_MS}, {@code P99_MS},
+ * {@code MAX_MS} from put to in force over all changes and nodes ({@code COUNT} of them); CPU ms
+ * and bytes are a second, for a node, or for a relay (the mean of its tier) or the source.
  */
 public final class RelayScale implements AutoCloseable {
   private static final double A_DAY = 8_200 / 86_400.0; // changes a second
@@ -105,8 +106,8 @@
     List<HollowGroup> started = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
       int some = nodes / processes + (i < nodes % processes ? 1 : 0);
-      started.add(
-          new HollowGroup(plan, jar, dir, name + i, nextNode, some, tiers.agent().address(), overSeconds));
+      started.add(new HollowGroup(plan, jar, dir, name + i, nextNode, some, tiers.agent().address(),
+          overSeconds));
       nextNode += some;
     }
     groups.addAll(started);
@@ -122,33 +123,37 @@
     long to = tiers.rate(0);
     Usage after = usage();
     settle(to);
-    List<Put> puts = tiers.puts().stream().filter(put -> put.index() > from && put.index() <= to).toList();
+    List<Put> puts = tiers.puts().stream().filter(put -> put.index() > from && put.index() <= to)
+        .toList();
     Map<String, List<Applied>> applied = new HashMap<>();
     for (HollowGroup group : groups) applied.putAll(group.applied());
     double bytes = bytesToNodes(what, before, after) / seconds(before, after) / plan.nodes();
     double cpu = (after.nodeCpuMs - before.nodeCpuMs) / seconds(before, after) / plan.nodes();
     write(what,
         values(InForce.of(puts, applied)).and(Quantity.SECONDS, seconds(before, after))
-            .and(Quantity.MESSAGES_IN, puts.size()).and(Quantity.BYTES_IN, bytes).and(Quantity.CPU_MS, cpu)
-            .and(Quantity.RSS_BYTES, nodeRssBytes()));
+            .and(Quantity.MESSAGES_IN, puts.size()).and(Quantity.BYTES_IN, bytes)
+            .and(Quantity.CPU_MS, cpu).and(Quantity.RSS_BYTES, nodeRssBytes()));
     servers(what, before, after);
   }
 
   private double bytesToNodes(String what, Usage before, Usage after) {
     double bytes = 0;
-    List<Server> tellers = what.startsWith("relay.direct") ? List.of(tiers.source()) : tiers.lower();
-    for (Server server : tellers) bytes += after.bytes.get(server.name()) - before.bytes.get(server.name());
+    List<Server> tellers = what.startsWith("relay.direct") ? List.of(tiers.source())
+        : tiers.lower();
+    for (Server server : tellers)
+      bytes += after.bytes.get(server.name()) - before.bytes.get(server.name());
     return bytes;
   }
 
   private Values values(Times times) {
     if (times.missing() > 0 || times.backwards() > 0) {
-      say("FAILED: " + times.missing() + " never in force, " + times.backwards() + " went backwards");
+      say("FAILED: " + times.missing() + " never in force, " + times.backwards()
+          + " went backwards");
     }
     Values values = Values.of(Quantity.COUNT, times.count());
     if (times.count() == 0) return values;
-    return values.and(Quantity.P50_MS, times.p50Ms()).and(Quantity.P99_MS, times.p99Ms()).and(Quantity.MAX_MS,
-        times.maxMs());
+    return values.and(Quantity.P50_MS, times.p50Ms()).and(Quantity.P99_MS, times.p99Ms())
+        .and(Quantity.MAX_MS, times.maxMs());
   }
 
   /** What the source and a relay of each tier have used in a phase. */
@@ -212,8 +217,9 @@
   }
 
   private void write(String what, Values values) throws IOException {
-    Measurement made = new Measurement(what, "hollow nodes before " + plan.entries() + " app servers",
-        plan.nodes(), repeat, values.map(), commit);
+    Measurement made = new Measurement(what,
+        "hollow nodes before " + plan.entries() + " app servers", plan.nodes(), repeat,
+        values.map(), commit);
     measurements.write(made.toJson() + "\n");
     measurements.flush();
     say(made.toJson());
--- a/src/main/java/saltlatch/lab/tiers/TierPlan.java
+++ b/src/main/java/saltlatch/lab/tiers/TierPlan.java
@@ -1,7 +1,8 @@
 package saltlatch.lab.tiers;
 
 /**
- * The layout of a run: one source, two tiers of relays, hollow nodes of which some start at once when all others are there.
+ * The layout of a run: one source, two tiers of relays, hollow nodes of which some start at once
+ * when all others are there.
  *
  * @param upper         relays that follow the source
  * @param lower         relays that follow the upper ones and that nodes follow
@@ -10,8 +11,12 @@
  * @param startAtOnce   of these, those that start at one instant
  * @param processes     that the hollow nodes share
  */
-public record TierPlan(int upper, int lower, int entries, int nodes, int startAtOnce, int processes) {
-  /** Heap of a hollow node, measured with 200 nodes at 10 entries and 20 at 34,000: 0.06 MB and 578 bytes an entry. */
+public record TierPlan(int upper, int lower, int entries, int nodes, int startAtOnce,
+    int processes) {
+  /**
+   * Heap of a hollow node, measured with 200 nodes at 10 entries and 20 at 34,000: 0.06 MB and 578
+   * bytes an entry.
+   */
   private static final long NODE_BYTES = 70_000;
 
   private static final long ENTRY_BYTES = 600;
@@ -19,7 +24,8 @@
   private static final long PROCESS_BYTES = 160L << 20; // of a JVM beside what its nodes hold
   private static final int RELAY_HEAP_MB = 192;
   private static final int SOURCE_HEAP_MB = 384;
-  private static final double OUTSIDE_HEAP = 1.5; // direct memory, code and stacks of a relay or the source
+  // direct memory, code and stacks of a relay or the source
+  private static final double OUTSIDE_HEAP = 1.5;
 
   /** Names what can't be run. */
   public TierPlan {
@@ -29,7 +35,8 @@
     if (startAtOnce < 1 || startAtOnce >= nodes) {
       throw new IllegalArgumentException("of the nodes some start at once and some before");
     }
-    if (processes < 2) throw new IllegalArgumentException("two processes of hollow nodes, at the least");
+    if (processes < 2)
+      throw new IllegalArgumentException("two processes of hollow nodes, at the least");
   }
 
   /** Processes of the nodes that start first. */
--- a/src/main/java/saltlatch/lab/tiers/TierProcesses.java
+++ b/src/main/java/saltlatch/lab/tiers/TierProcesses.java
@@ -17,7 +17,10 @@
 import saltlatch.lab.rig.ProcessFigures;
 import saltlatch.lab.tiers.InForce.Put;
 
-/** The source and the relays of a run as processes of the built jar, and the agent that the nodes reach them by. */
+/**
+ * The source and the relays of a run as processes of the built jar, and the agent that the nodes
+ * reach them by.
+ */
 final class TierProcesses implements AutoCloseable {
   /** One process that nodes or relays follow, and its address. */
   record Server(String name, ChildJvm process, String address) {
@@ -35,7 +38,8 @@
   }
 
   private static final String QUIET = "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn";
-  private static final int ROOM = 200; // watchers that a relay may have beyond all nodes: other relays
+  // watchers that a relay may have beyond all nodes: other relays
+  private static final int ROOM = 200;
 
   private final TierPlan plan;
   private final Path jar;
@@ -56,7 +60,8 @@
     ChildJvm process = new ChildJvm(List.of("-Xmx" + plan.sourceHeapMb() + "m", QUIET), jar,
         List.of("lab", "scale", "source", "--entries", "" + plan.entries(), "--puts", "" + puts),
         dir.resolve("source.log"));
-    source = new Server("source", process, process.await("source of " + plan.entries() + " entries on "));
+    source = new Server("source", process,
+        process.await("source of " + plan.entries() + " entries on "));
     for (int i = 0; i < plan.upper(); i++) upper.add(relay("upper" + i, List.of(source)));
     for (int i = 0; i < plan.lower(); i++) {
       List<Server> above = new ArrayList<>(upper);
@@ -109,7 +114,8 @@
     HttpRequest request = HttpRequest
         .newBuilder(URI.create("http://" + source.address() + "/lab/rate?per_second=" + perSecond))
         .POST(HttpRequest.BodyPublishers.noBody()).build();
-    return json(http.send(request, HttpResponse.BodyHandlers.ofString()).body()).get("index").getAsLong();
+    return json(http.send(request, HttpResponse.BodyHandlers.ofString()).body()).get("index")
+        .getAsLong();
   }
 
   /** All changes so far. */
@@ -133,12 +139,13 @@
   }
 
   String info(Server relay, String name) throws IOException, InterruptedException {
-    return get(relay, "/info").lines().filter(line -> line.startsWith(name + "=")).findFirst().orElseThrow()
-        .substring(name.length() + 1);
+    return get(relay, "/info").lines().filter(line -> line.startsWith(name + "=")).findFirst()
+        .orElseThrow().substring(name.length() + 1);
   }
 
   private String get(Server server, String path) throws IOException, InterruptedException {
-    HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + server.address() + path)).build();
+    HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + server.address() + path))
+        .build();
     return http.send(request, HttpResponse.BodyHandlers.ofString()).body();
   }
 
--- a/src/main/java/saltlatch/membership/Membership.java
+++ b/src/main/java/saltlatch/membership/Membership.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,20 +11,22 @@
 import java.util.TreeMap;
 import saltlatch.api.GatewayEvent.MemberState;
 import saltlatch.api.GatewayEvent.MembershipChanged;
-import saltlatch.member.Message.Kind;
-import saltlatch.member.Message.News;
-import saltlatch.member.Message.State;
+import saltlatch.membership.MembershipMessage.Kind;
+import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.State;
 
 /**
- * Who of the roster is there: failure detection by gossip after the published SWIM and its Lifeguard extensions. Datagrams
- * and ticks of the clock go in, datagrams and changes of the view come out; no I/O, one seeded generator, one caller. What
- * it holds is bounded by the roster. A member's state changes by three ways alone: what it says itself, what others tell of
- * it, and a suspicion that runs out; a lower incarnation never overrides a higher one. docs/member-design.md tells why.
+ * Who of the roster is there: failure detection by gossip after the published SWIM and its
+ * Lifeguard extensions. Datagrams and ticks of the clock go in, datagrams and changes of the view
+ * come out; no I/O, one seeded generator, one caller. What it holds is bounded by the roster. A
+ * member's state changes by three ways alone: what it says itself, what others tell of it, and a
+ * suspicion that runs out; a lower incarnation never overrides a higher one. docs/member-design.md
+ * tells why.
  */
 public final class Membership {
   /** Where datagrams go and changes are told. */
   public interface Out {
-    void send(int to, Message m);
+    void send(int to, MembershipMessage m);
 
     void changed(int member, State state, long incarnation, long version);
   }
@@ -58,15 +60,17 @@
   private static final long SECOND = 10_000;
   public static final int MOST_NEWS = 24; // in a datagram of 256 bytes
 
-  private final Terms terms;
+  private final MembershipTimings terms;
   private final int me;
   private final SplittableRandom chance;
   private final Out out;
   private final Peer[] peers;
-  private final ArrayDeque<Integer> round = new ArrayDeque<>(); // whom this round of probes has still to meet
+  // whom this round of probes has still to meet
+  private final ArrayDeque<Integer> round = new ArrayDeque<>();
   private final Map<Integer, Relay> relays = new TreeMap<>(); // by this node's own number
   private final List<Integer> fresh = new ArrayList<>(); // members whose news is to be sent
-  private final Map<Integer, Long> differs = new HashMap<>(); // whose view was another lately, until when
+  // whose view was another lately, until when
+  private final Map<Integer, Long> differs = new HashMap<>();
   private long incarnation;
   private boolean leaving;
   private Probe probe;
@@ -82,10 +86,13 @@
   private long now;
   private final long startedAt;
   private final long startSecond; // its first incarnation
-  private final Leases leases;
+  private final QuotaLeases leases;
 
-  /** {@code incarnation}: above any that this name has had, such as seconds of the process' start. */
-  public Membership(Terms terms, int me, long incarnation, long seed, long now, Out out) {
+  /**
+   * {@code incarnation}: above any that this name has had, such as seconds of the process' start.
+   */
+  public Membership(MembershipTimings terms, int me, long incarnation, long seed, long now,
+      Out out) {
     this.terms = terms;
     this.me = me;
     this.incarnation = incarnation;
@@ -93,12 +100,13 @@
     this.now = now;
     startedAt = now;
     startSecond = incarnation;
-    leases = new Leases(terms);
+    leases = new QuotaLeases(terms);
     chance = new SplittableRandom(seed);
     peers = new Peer[terms.members()];
     for (int i = 0; i < peers.length; i++) peers[i] = new Peer();
     lastTick = now;
-    nextPeriod = now + (long) (chance.nextDouble() * terms.period()); // a fleet started at once does not probe at once
+    // a fleet started at once does not probe at once
+    nextPeriod = now + (long) (chance.nextDouble() * terms.period());
     set(me, State.ALIVE, incarnation);
   }
 
@@ -122,7 +130,10 @@
     return version;
   }
 
-  /** Equal where two views hold the same members live, and the others failed or left in the same incarnations. */
+  /**
+   * Equal where two views hold the same members live, and the others failed or left in the same
+   * incarnations.
+   */
   public long digest() {
     return digest;
   }
@@ -131,8 +142,8 @@
     return health;
   }
 
-  public Standing standing() {
-    return Standing.of(live(), count(State.LEFT), peers.length);
+  public FleetView standing() {
+    return FleetView.of(live(), count(State.LEFT), peers.length);
   }
 
   public int count(State state) {
@@ -148,17 +159,20 @@
     List<MemberState> lives = new ArrayList<>();
     for (Peer p : peers) {
       boolean gone = p.state == State.LEFT || p.state == State.FAILED && over;
-      lives.add(isLive(p) ? MemberState.LIVE : gone ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE);
+      lives.add(
+          isLive(p) ? MemberState.LIVE : gone ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE);
     }
     long holds = leaving ? 0 : leases.holdsUntil();
     long takes = leaving ? 0 : over ? failed : leases.takesUntil(now, 0);
     // A minority divides by all: those it does not see may do what it does.
-    return new MembershipChanged(lives, holds, takes, 2 * live() > peers.length ? live() : peers.length);
+    return new MembershipChanged(lives, holds, takes,
+        2 * live() > peers.length ? live() : peers.length);
   }
 
   /**
-   * Whether this node can say that it has not held that member failed or left for a lease. One that has not run for so long
-   * can't, unless all of the roster has just begun: then nobody can have taken anything over.
+   * Whether this node can say that it has not held that member failed or left for a lease. One that
+   * has not run for so long can't, unless all of the roster has just begun: then nobody can have
+   * taken anything over.
    */
   private boolean vouches(int member) {
     Peer p = peers[member];
@@ -166,7 +180,8 @@
     if (now - startedAt > terms.leaseOver()) return true;
     long second = startSecond + (now - startedAt) / SECOND;
     for (Peer other : peers) {
-      if (other.state == State.UNKNOWN || second - other.incarnation > terms.leaseOver() / 2 / SECOND)
+      if (other.state == State.UNKNOWN
+          || second - other.incarnation > terms.leaseOver() / 2 / SECOND)
         return false;
     }
     return true;
@@ -187,15 +202,17 @@
     leaving = true;
     set(me, State.LEFT, incarnation);
     List<Integer> to = others(true);
-    for (int i = 0; i < Math.min(terms.sends(), to.size()); i++) send(to.get(i), Kind.PING, ++seq, me);
+    for (int i = 0; i < Math.min(terms.sends(), to.size()); i++)
+      send(to.get(i), Kind.PING, ++seq, me);
   }
 
   // ---- time
 
   public void tick(long now) {
     this.now = now;
-    if (now - lastTick > Terms.AWAY * terms.period()) back(now);
-    else if (now - lastTick > Terms.DIRECT * terms.period()) slower(1); // starved: answers may have come and lie unread
+    if (now - lastTick > MembershipTimings.AWAY * terms.period()) back(now);
+    // starved: answers may have come and lie unread
+    else if (now - lastTick > MembershipTimings.DIRECT * terms.period()) slower(1);
     lastTick = now;
     if (leaving) return;
     if (probe != null && !probe.asked && now >= probe.directUntil) askOthers();
@@ -214,13 +231,13 @@
   }
 
   /**
-   * This node did not run: what it believes of others' silence is its own. Probes in the air blame nobody, every suspicion
-   * begins anew, and it trusts itself less for a while.
+   * This node did not run: what it believes of others' silence is its own. Probes in the air blame
+   * nobody, every suspicion begins anew, and it trusts itself less for a while.
    */
   private void back(long now) {
     probe = null;
     relays.clear();
-    health = Math.max(health, Terms.HEALTH_BACK);
+    health = Math.max(health, MembershipTimings.HEALTH_BACK);
     nextPeriod = now;
     for (Peer p : peers) {
       if (p.state != State.SUSPECT) continue;
@@ -230,7 +247,7 @@
   }
 
   private void slower(int by) {
-    health = Math.min(Terms.HEALTH_MOST, health + by);
+    health = Math.min(MembershipTimings.HEALTH_MOST, health + by);
   }
 
   private void period(long now) {
@@ -239,7 +256,7 @@
     if (probe != null) return; // its time is longer than the period that began it
     periods++;
     List<Integer> lost = others(false);
-    boolean recall = !lost.isEmpty() && (periods % Terms.RECALL == 0 || live() <= 1);
+    boolean recall = !lost.isEmpty() && (periods % MembershipTimings.RECALL == 0 || live() <= 1);
     int target = recall ? lost.get(chance.nextInt(lost.size())) : nextOfRound();
     if (target < 0) return;
     Probe p = new Probe();
@@ -247,7 +264,7 @@
     p.target = target;
     p.sentAt = now;
     p.recall = recall;
-    p.directUntil = now + (long) (Terms.DIRECT * length);
+    p.directUntil = now + (long) (MembershipTimings.DIRECT * length);
     p.until = now + length;
     probe = p;
     send(target, Kind.PING, p.seq, target);
@@ -270,7 +287,7 @@
     if (probe.recall) return;
     int asked = 0;
     for (int other : others(true)) {
-      if (asked == Terms.INDIRECT) break;
+      if (asked == MembershipTimings.INDIRECT) break;
       if (other == probe.target || peers[other].state == State.SUSPECT) continue;
       send(other, Kind.ASK, probe.seq, probe.target);
       asked++;
@@ -282,9 +299,10 @@
     Probe p = probe;
     probe = null;
     if (p.recall) return;
-    // Nobody has said a word lately, nor those that were asked: the fault may be this node's own. Lifeguard takes each
-    // missing word for it; where seven in ten die at once that slows all survivors ninefold, though they hear each other.
-    if (now - heardAt > Terms.AWAY * terms.period()) slower(Math.max(1, p.nacksOwed));
+    // Nobody has said a word lately, nor those that were asked: the fault may be this node's own.
+    // Lifeguard takes each missing word for it; where seven in ten die at once that slows all
+    // survivors ninefold, though they hear each other.
+    if (now - heardAt > MembershipTimings.AWAY * terms.period()) slower(Math.max(1, p.nacksOwed));
     Peer t = peers[p.target];
     if (t.state == State.ALIVE) suspect(p.target, t.incarnation, me, now);
     else if (t.state == State.SUSPECT) confirm(t, me, now);
@@ -292,36 +310,42 @@
 
   // ---- what others say
 
-  /** A datagram of member {@code from}; it is believed of others, and of itself by its incarnation. */
-  public void heard(long now, int from, Message m) {
+  /**
+   * A datagram of member {@code from}; it is believed of others, and of itself by its incarnation.
+   */
+  public void heard(long now, int from, MembershipMessage m) {
     if (from < 0 || from >= peers.length || from == me || leaving) return;
     this.now = now;
     heardAt = now;
     merge(new News(from, State.ALIVE, m.incarnation(), from), now);
     for (News n : m.news()) if (n.member() >= 0 && n.member() < peers.length) merge(n, now);
-    if (m.digest() != digest) differs.put(from, now + Terms.RECALL * terms.period());
+    if (m.digest() != digest) differs.put(from, now + MembershipTimings.RECALL * terms.period());
     else differs.remove(from);
     switch (m.kind()) {
       case PING -> send(from, Kind.ACK, m.seq(), me);
       case ASK -> {
-        if (m.target() < 0 || m.target() >= peers.length || m.target() == me || relays.size() >= peers.length)
+        if (m.target() < 0 || m.target() >= peers.length || m.target() == me
+            || relays.size() >= peers.length)
           return;
-        relays.put(++seq, new Relay(from, m.seq(), m.target(),
-            now + (long) ((Terms.RELAYED - Terms.DIRECT) * terms.period())));
+        relays.put(++seq, new Relay(from, m.seq(), m.target(), now
+            + (long) ((MembershipTimings.RELAYED - MembershipTimings.DIRECT) * terms.period())));
         send(m.target(), Kind.PING, seq, m.target());
       }
       case ACK -> acked(from, m);
       case NACK -> {
-        if (probe != null && probe.seq == m.seq()) probe.nacksOwed = Math.max(0, probe.nacksOwed - 1);
+        if (probe != null && probe.seq == m.seq())
+          probe.nacksOwed = Math.max(0, probe.nacksOwed - 1);
       }
     }
   }
 
-  private void acked(int from, Message m) {
+  private void acked(int from, MembershipMessage m) {
     Relay r = relays.remove(m.seq());
     if (r != null && r.target == from) send(r.requester, Kind.ACK, r.seq, r.target);
-    if (probe == null || probe.seq != m.seq() || probe.target != from && probe.target != m.target()) return;
-    if (probe.target == from) leases.answered(now, from, probe.sentAt, m.vouches(), m.digest() == digest);
+    if (probe == null || probe.seq != m.seq() || probe.target != from && probe.target != m.target())
+      return;
+    if (probe.target == from)
+      leases.answered(now, from, probe.sentAt, m.vouches(), m.digest() == digest);
     probe = null;
     health = Math.max(0, health - 1);
   }
@@ -337,8 +361,10 @@
       return;
     }
     Peer p = peers[n.member()];
-    if (n.state() == State.UNKNOWN || n.incarnation() < p.incarnation && p.state != State.UNKNOWN) return;
-    if (n.state() == State.SUSPECT && p.state == State.SUSPECT && n.incarnation() == p.incarnation) {
+    if (n.state() == State.UNKNOWN || n.incarnation() < p.incarnation && p.state != State.UNKNOWN)
+      return;
+    if (n.state() == State.SUSPECT && p.state == State.SUSPECT
+        && n.incarnation() == p.incarnation) {
       confirm(p, n.by(), now);
       return;
     }
@@ -359,7 +385,7 @@
   }
 
   private void confirm(Peer p, int by, long now) {
-    if (p.confirmed.size() > Terms.CONFIRMED || p.confirmed.contains(by)) return;
+    if (p.confirmed.size() > MembershipTimings.CONFIRMED || p.confirmed.contains(by)) return;
     p.confirmed.add(by);
     p.suspectUntil = Math.max(now, p.suspectedAt + terms.suspect(p.confirmed.size() - 1));
   }
@@ -370,7 +396,9 @@
     return p.state == State.ALIVE || p.state == State.SUSPECT;
   }
 
-  /** The others that are held alive, or those that are failed or unknown, in an order drawn anew. */
+  /**
+   * The others that are held alive, or those that are failed or unknown, in an order drawn anew.
+   */
   private List<Integer> others(boolean live) {
     List<Integer> all = new ArrayList<>();
     for (int i = 0; i < peers.length; i++) {
@@ -401,31 +429,35 @@
   }
 
   /**
-   * Views are the same where they hold the same members live, and the others failed or left in the same incarnations. A
-   * suspicion, and an incarnation that refuted one, is a matter between members: a large fleet on a lossy network always has
-   * some on their way, and its views would never be equal.
+   * Views are the same where they hold the same members live, and the others failed or left in the
+   * same incarnations. A suspicion, and an incarnation that refuted one, is a matter between
+   * members: a large fleet on a lossy network always has some on their way, and its views would
+   * never be equal.
    */
   private static long mark(int member, Peer p) {
     if (p.state == State.UNKNOWN) return 0;
-    long z = member * 0x9E3779B97F4A7C15L
-        + (isLive(p) ? State.ALIVE.ordinal() : p.incarnation * 0xBF58476D1CE4E5B9L + p.state.ordinal());
+    long z = member * 0x9E3779B97F4A7C15L + (isLive(p) ? State.ALIVE.ordinal()
+        : p.incarnation * 0xBF58476D1CE4E5B9L + p.state.ordinal());
     z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
     z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
     return z ^ z >>> 31;
   }
 
   private void send(int to, Kind kind, int number, int target) {
-    out.send(to, new Message(kind, number, target, incarnation, digest, vouches(to), news(to)));
+    out.send(to,
+        new MembershipMessage(kind, number, target, incarnation, digest, vouches(to), news(to)));
   }
 
   /**
-   * What rides on a datagram: first what is held of its receiver, if that is no good news (it refutes it), then what was
-   * sent least so far, then, where its view was another lately, a further piece of the whole view.
+   * What rides on a datagram: first what is held of its receiver, if that is no good news (it
+   * refutes it), then what was sent least so far, then, where its view was another lately, a
+   * further piece of the whole view.
    */
   private List<News> news(int to) {
     List<News> all = new ArrayList<>();
     if (peers[to].state == State.SUSPECT || peers[to].state == State.FAILED) all.add(of(to));
-    // Of news sent as often each node begins elsewhere: all would send the same of a fleet that starts at once.
+    // Of news sent as often each node begins elsewhere: all would send the same of a fleet that
+    // starts at once.
     int from = fresh.size() > MOST_NEWS ? chance.nextInt(peers.length) : 0;
     fresh.sort(Comparator.comparingInt((Integer i) -> -peers[i].sends)
         .thenComparing(i -> (i + from) % peers.length));
@@ -445,6 +477,7 @@
 
   private News of(int member) {
     Peer p = peers[member];
-    return new News(member, p.state, p.incarnation, p.state == State.SUSPECT ? p.confirmed.get(0) : member);
+    return new News(member, p.state, p.incarnation,
+        p.state == State.SUSPECT ? p.confirmed.get(0) : member);
   }
 }
--- a/src/main/java/saltlatch/membership/MembershipMessage.java
+++ b/src/main/java/saltlatch/membership/MembershipMessage.java
@@ -1,14 +1,14 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import java.util.List;
 
 /**
- * What members say to each other. {@code incarnation} is the sender's; {@code target} the member a probe by proxy is about;
- * {@code vouches}: it has not held the receiver failed or left for a lease; {@code digest} stands for the sender's whole view,
- * so that two that differ notice.
+ * What members say to each other. {@code incarnation} is the sender's; {@code target} the member a
+ * probe by proxy is about; {@code vouches}: it has not held the receiver failed or left for a
+ * lease; {@code digest} stands for the sender's whole view, so that two that differ notice.
  */
-public record Message(Kind kind, int seq, int target, long incarnation, long digest, boolean vouches,
-    List<News> news) {
+public record MembershipMessage(Kind kind, int seq, int target, long incarnation, long digest,
+    boolean vouches, List<News> news) {
   /** What a message asks or answers: a probe, its answer, a probe by proxy, a proxy's failure. */
   public enum Kind {
     PING,
@@ -17,7 +17,10 @@
     NACK
   }
 
-  /** What a member is held to be, in the order in which later ones override earlier ones of the same incarnation. */
+  /**
+   * What a member is held to be, in the order in which later ones override earlier ones of the same
+   * incarnation.
+   */
   public enum State {
     UNKNOWN,
     ALIVE,
--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import java.util.BitSet;
 import saltlatch.api.GatewayEvent.MemberState;
@@ -6,15 +6,17 @@
 import saltlatch.api.GossipMessage;
 
 /**
- * Which part of a quota this node may go by while the counter is silent. Shares are parts of the quota in service; a
- * customer's are divided by its set of nodes, so many of the roster from a first one on, whoever lives. A member's even share
- * is its floor, which is never another's, and its surplus, which it gives up by its own clock once it is not sure of the
- * fleet any more, and which the others take over only after that (Leases tells when). Where nodes tell each other what
- * they pass, those that hear exactly each other go by the sum of their shares, and nobody belongs to two such pools. No I/O,
- * no clock of its own; docs/member-design.md has the proof.
+ * Which part of a quota this node may go by while the counter is silent. Shares are parts of the
+ * quota in service; a customer's are divided by its set of nodes, so many of the roster from a
+ * first one on, whoever lives. A member's even share is its floor, which is never another's, and
+ * its surplus, which it gives up by its own clock once it is not sure of the fleet any more, and
+ * which the others take over only after that (Leases tells when). Where nodes tell each other what
+ * they pass, those that hear exactly each other go by the sum of their shares, and nobody belongs
+ * to two such pools. No I/O, no clock of its own; docs/member-design.md has the proof.
  */
-public final class Shares {
-  static final double FLOOR = 0.25; // of an even share: one cut off serves a little, the dead strand no more than that
+public final class QuotaShares {
+  // of an even share: one cut off serves a little, the dead strand no more than that
+  static final double FLOOR = 0.25;
 
   private final int me;
   private final int nodes;
@@ -22,7 +24,7 @@
   private final GossipMessage.Reachability[] heard; // what each said last of whom it hears
   private MembershipChanged view;
 
-  public Shares(int me, int nodes) {
+  public QuotaShares(int me, int nodes) {
     this.me = me;
     this.nodes = nodes;
     heardAt = new long[nodes];
@@ -51,7 +53,10 @@
     return holds(now) && now < view.takeoverUntilTicks();
   }
 
-  /** This node's own part of the quota of a customer whose set is {@code width} nodes from {@code first} on. */
+  /**
+   * This node's own part of the quota of a customer whose set is {@code width} nodes from
+   * {@code first} on.
+   */
   public double own(long now, int first, int width) {
     if (!inSet(me, first, width)) return 0;
     return part(holds(now), takes(now) ? taken(first, width) : 0, width);
@@ -65,7 +70,10 @@
     return Math.floorMod(member - first, nodes) < width;
   }
 
-  /** Of an even share, what each live member of the set has besides its own: the surplus of those that are gone. */
+  /**
+   * Of an even share, what each live member of the set has besides its own: the surplus of those
+   * that are gone.
+   */
   private double taken(int first, int width) {
     int live = 0;
     int gone = 0;
@@ -98,8 +106,9 @@
   }
 
   /**
-   * The part of a quota that those of the customer's set go by who hear exactly each other; at least this node's own. Equal
-   * sets of whom they hear make it a partition: no share is lent to two sides, whatever links are cut.
+   * The part of a quota that those of the customer's set go by who hear exactly each other; at
+   * least this node's own. Equal sets of whom they hear make it a partition: no share is lent to
+   * two sides, whatever links are cut.
    */
   public double pooled(long now, long within, int first, int width) {
     if (!inSet(me, first, width)) return 0;
@@ -116,7 +125,9 @@
     return Math.min(1, sum);
   }
 
-  /** Members of the set that still count as heard, but whose last word is older than {@code late}. */
+  /**
+   * Members of the set that still count as heard, but whose last word is older than {@code late}.
+   */
   public int silent(long now, long late, long within, int first, int width) {
     int silent = 0;
     for (int i = 0; i < Math.min(width, nodes); i++) {
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -18,41 +18,45 @@
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GatewaySettings;
 import saltlatch.history.History;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.HeapFull;
-import saltlatch.wire.ClientListener;
+import saltlatch.state.HeapExhaustion;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.wire.client.ClientListener;
 
 /** Start and stop of one edge node. */
-public final class Serve {
-  private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
-  private static final int BYTES_PART = 16; // part of the memory for what reqs hold; the heap is a third of it
-  private static final long LATE_MS = 500; // after SIGTERM new connections keep coming for up to 0.4 s
+public final class EdgeNode {
+  private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
+  // part of the memory for what reqs hold; the heap is a third of it
+  private static final int BYTES_PART = 16;
+  // after SIGTERM new connections keep coming for up to 0.4 s
+  private static final long LATE_MS = 500;
   private static final long LOOK_MS = 20; // between looks whether clients are done
-  private static final long MOST_WAIT_MS = 3_000; // SIGKILL comes no sooner than the longest client timeout, if that
+  // SIGKILL comes no sooner than the longest client timeout, if that
+  private static final long MOST_WAIT_MS = 3_000;
   private static final long KILL_MS = 700; // is no more, and so much on top after SIGTERM
   private static final long EXIT_MS = 400; // kept of that for the JVM's own end, on part of a core
 
   final Vertx vertx;
   final Context loop;
   private final NodeConfiguration configuration;
-  private final Counters counters = new Counters();
-  private final Pilot pilot;
+  private final NodeMetrics counters = new NodeMetrics();
+  private final EventLoopAdapter pilot;
   private final ClientListener listener;
   private final History history; // null: the configuration names no directory for it
-  private final Promise<Void> begun = Promise.promise(); // what a new configuration changes is there
+  // what a new configuration changes is there
+  private final Promise<Void> begun = Promise.promise();
   private boolean stopping;
 
-  Serve(NodeConfiguration configuration) {
+  EdgeNode(NodeConfiguration configuration) {
     this.configuration = configuration;
-    vertx = OneLoop.of(Vertx.builder()).with(options()).build();
+    vertx = SingleLoopTransport.of(Vertx.builder()).with(options()).build();
     vertx.exceptionHandler(this::unexpected);
     loop = vertx.getOrCreateContext();
     loop.exceptionHandler(this::unexpected);
     history = configuration.history() == null ? null : new History(configuration.history(),
         configuration.name(), ProcessHandle.current().pid() + "-" + System.nanoTime());
     if (history != null) history.add("started", "nodes", configuration.site().nodeCount());
-    pilot = new Pilot(vertx, loop, configuration, counters,
+    pilot = new EventLoopAdapter(vertx, loop, configuration, counters,
         configuration.memoryMb() * 1024L * 1024 / BYTES_PART, history);
     listener = new ClientListener(vertx, pilot, pilot, counters, configuration.clientLinks());
   }
@@ -60,18 +64,19 @@
   private static VertxOptions options() {
     return new VertxOptions().setPreferNativeTransport(true) // NIO's timers spin for half a ms each
         .setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
-        .setBlockedThreadCheckInterval(TimeUnit.HOURS.toMillis(1)).setFileSystemOptions(
-            new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false));
+        .setBlockedThreadCheckInterval(TimeUnit.HOURS.toMillis(1))
+        .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
+            .setClassPathResolvingEnabled(false));
   }
 
   /** Returns a code to end with, or 0 once the node serves. */
   public static int run(GatewayPolicy.Factory maker, String path, PrintStream err) {
-    Hangups hangups = new Hangups();
-    Serve serve;
+    ReloadSignal hangups = new ReloadSignal();
+    EdgeNode serve;
     try {
-      serve = new Serve(NodeConfiguration.of(Files.readString(Path.of(path))));
+      serve = new EdgeNode(NodeConfiguration.of(Files.readString(Path.of(path))));
     } catch (IOException | RuntimeException | OutOfMemoryError e) {
-      err.println("saltlatch serve: configuration " + path + ": " + HeapFull.explain(e));
+      err.println("saltlatch serve: configuration " + path + ": " + HeapExhaustion.explain(e));
       return 2;
     }
     serve.rereadOn(hangups, Path.of(path));
@@ -80,13 +85,17 @@
     try {
       serve.start(maker).toCompletionStage().toCompletableFuture().get();
     } catch (ExecutionException | InterruptedException e) {
-      err.println("saltlatch serve: " + serve.configuration.listen() + ": " + HeapFull.explain(e.getCause()));
-      return HeapFull.isCauseOf(e) ? 2 : 3;
+      err.println("saltlatch serve: " + serve.configuration.listen() + ": "
+          + HeapExhaustion.explain(e.getCause()));
+      return HeapExhaustion.isCauseOf(e) ? 2 : 3;
     }
     return 0;
   }
 
-  /** A node run inside another program (the laboratory): no signals, no hooks; stopped by {@link #stop()}. */
+  /**
+   * A node run inside another program (the laboratory): no signals, no hooks; stopped by
+   * {@link #stop()}.
+   */
   public interface Embedded {
     /** The port it listens on for clients. */
     int port();
@@ -101,11 +110,14 @@
     Future<Void> stop();
   }
 
-  /** Starts a node of the configuration's JSON text; done once it serves, failed for a bad text or no listener. */
+  /**
+   * Starts a node of the configuration's JSON text; done once it serves, failed for a bad text or
+   * no listener.
+   */
   public static Future<Embedded> embedded(GatewayPolicy.Factory maker, String json) {
-    Serve serve;
+    EdgeNode serve;
     try {
-      serve = new Serve(NodeConfiguration.of(json));
+      serve = new EdgeNode(NodeConfiguration.of(json));
     } catch (RuntimeException e) {
       return Future.failedFuture(e);
     }
@@ -125,8 +137,8 @@
       @Override
       public Future<Long> loopCpuNanos() {
         Promise<Long> out = Promise.promise();
-        serve.loop.runOnContext(x -> out
-            .complete(java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime()));
+        serve.loop.runOnContext(x -> out.complete(
+            java.lang.management.ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime()));
         return out.future();
       }
 
@@ -162,12 +174,13 @@
   }
 
   /** SIGHUP has the configuration read again, and a bad one leaves all as it is. */
-  void rereadOn(Hangups hangups, Path path) {
-    hangups.then(() -> loop.runOnContext(
-        v -> vertx.executeBlocking(() -> NodeConfiguration.of(Files.readString(path))).onFailure(e -> {
-          counters.add(Count.RELOADS_FAILED);
+  void rereadOn(ReloadSignal hangups, Path path) {
+    hangups.then(() -> loop.runOnContext(v -> vertx
+        .executeBlocking(() -> NodeConfiguration.of(Files.readString(path))).onFailure(e -> {
+          counters.add(Metric.RELOADS_FAILED);
           LOG.warn("configuration {} can't be used, the old one stays: {}", path, e.toString());
-        }).onSuccess(to -> begun.future().onSuccess(b -> pilot.move(to))))); // one that comes early waits for the start
+          // one that comes early waits for the start
+        }).onSuccess(to -> begun.future().onSuccess(b -> pilot.move(to)))));
   }
 
   int port() {
@@ -175,10 +188,11 @@
   }
 
   /**
-   * Takes in and answers for as long as SIGKILL leaves time, or until the clients are done; done then. Guards against
-   * clients that have no other connection until this node is up again: what they ask meanwhile would fail. The last
-   * part, one response target, is for what is out already; what is still owed then is aborted, since SIGKILL would lose it,
-   * and what comes in the last moment is denied, so that connections end with all read that has come.
+   * Takes in and answers for as long as SIGKILL leaves time, or until the clients are done; done
+   * then. Guards against clients that have no other connection until this node is up again: what
+   * they ask meanwhile would fail. The last part, one response target, is for what is out already;
+   * what is still owed then is aborted, since SIGKILL would lose it, and what comes in the last
+   * moment is denied, so that connections end with all read that has come.
    */
   Future<Void> stop() {
     long longest = 0;
@@ -215,7 +229,8 @@
     LOG.info("stops");
     if (history != null) history.add("stops");
     try {
-      stop().toCompletionStage().toCompletableFuture().get(MOST_WAIT_MS + KILL_MS, TimeUnit.MILLISECONDS);
+      stop().toCompletionStage().toCompletableFuture().get(MOST_WAIT_MS + KILL_MS,
+          TimeUnit.MILLISECONDS);
     } catch (ExecutionException | InterruptedException | TimeoutException e) {
       LOG.warn("not all clients were done: {}", e.toString());
     }
@@ -224,7 +239,7 @@
   }
 
   private void unexpected(Throwable e) {
-    counters.add(Count.EXCEPTIONS);
+    counters.add(Metric.EXCEPTIONS);
     LOG.error("unexpected", e);
   }
 }
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -6,24 +6,26 @@
 import java.util.List;
 import java.util.Set;
 import saltlatch.api.GatewayEvent;
-import saltlatch.state.Names;
-import saltlatch.wire.AppServers;
-import saltlatch.wire.Discovery;
-import saltlatch.wire.TargetList;
+import saltlatch.state.NumberedNames;
+import saltlatch.wire.appserver.AppServerClient;
+import saltlatch.wire.discovery.DiscoveryClient;
+import saltlatch.wire.discovery.EndpointList;
 
 /**
- * The app servers that discovery has named: their names mapped to the small numbers the module knows them by, and those
- * off the list whose number is still held by a connection in use. Owned by one event loop.
+ * The app servers that discovery has named: their names mapped to the small numbers the module
+ * knows them by, and those off the list whose number is still held by a connection in use. Owned by
+ * one event loop.
  */
-final class TargetDirectory {
-  private final AppServers appServers;
-  private final Names zones;
-  private final Names types;
-  private final Names names = new Names();
+final class EndpointDirectory {
+  private final AppServerClient appServers;
+  private final NumberedNames zones;
+  private final NumberedNames types;
+  private final NumberedNames names = new NumberedNames();
   private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // as told last, by number
-  private final Set<Integer> leaving = new LinkedHashSet<>(); // off the list, with something still out
+  // off the list, with something still out
+  private final Set<Integer> leaving = new LinkedHashSet<>();
 
-  TargetDirectory(AppServers appServers, Names zones, Names types) {
+  EndpointDirectory(AppServerClient appServers, NumberedNames zones, NumberedNames types) {
     this.appServers = appServers;
     this.zones = zones;
     this.types = types;
@@ -54,29 +56,29 @@
   }
 
   /** Takes a list or change in, and gives the module's event of it. */
-  GatewayEvent.EndpointsUpdated take(TargetList list, GatewayEvent.EndpointUpdateKind kind) {
+  GatewayEvent.EndpointsUpdated take(EndpointList list, GatewayEvent.EndpointUpdateKind kind) {
     List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     Set<Integer> named = new LinkedHashSet<>();
-    for (TargetList.Target target : list.targets()) {
+    for (EndpointList.Entry target : list.entries()) {
       GatewayEvent.Endpoint entry = take(target);
       entries.add(entry);
       named.add((int) entry.serverId());
     }
-    if (list.whole()) names.each(srv -> {
+    if (list.snapshot()) names.each(srv -> {
       if (!named.contains(srv)) leaving.add(srv);
     });
     return new GatewayEvent.EndpointsUpdated(kind, entries);
   }
 
   /** Takes one target in, and gives the module's entry of it. */
-  GatewayEvent.Endpoint take(TargetList.Target target) {
+  GatewayEvent.Endpoint take(EndpointList.Entry target) {
     int srv = names.number(target.name());
     if (target.address() != null) appServers.locate(srv, target.address());
-    if (target.condition() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
+    if (target.state() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
     else leaving.remove(srv);
-    GatewayEvent.Endpoint entry = new GatewayEvent.Endpoint(srv, target.sinceMs() * 10,
-        Math.max(0, zones.find(target.zone())), target.group(), target.condition(), target.weight(),
-        Math.max(0, types.find(target.type())));
+    GatewayEvent.Endpoint entry = new GatewayEvent.Endpoint(srv, target.startedAtMs() * 10,
+        Math.max(0, zones.find(target.zone())), target.keyGroup(), target.state(), target.weight(),
+        Math.max(0, types.find(target.machineType())));
     while (entries.size() <= srv) entries.add(null);
     entries.set(srv, entry);
     return entry;
@@ -90,10 +92,13 @@
         GatewayEvent.EndpointState.REMOVED, was.weight(), was.machineType());
   }
 
-  /** Gives the numbers free of app servers that are gone and have nothing out any more, a slice at once. */
+  /**
+   * Gives the numbers free of app servers that are gone and have nothing out any more, a slice at
+   * once.
+   */
   void release() {
     Iterator<Integer> each = leaving.iterator();
-    for (int freed = 0; freed < Discovery.SLICE && each.hasNext();) {
+    for (int freed = 0; freed < DiscoveryClient.SLICE && each.hasNext();) {
       int srv = each.next();
       if (!appServers.forget(srv)) continue;
       names.release(srv);
