--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -12,51 +12,52 @@
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GossipMessage;
 import saltlatch.history.History;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.Exchange;
-import saltlatch.state.Exchanges;
-import saltlatch.state.Names;
-import saltlatch.state.Timers;
-import saltlatch.wire.Answer;
-import saltlatch.wire.AppServers;
-import saltlatch.wire.ClientListener;
-import saltlatch.wire.CounterClient;
-import saltlatch.wire.Discovery;
-import saltlatch.wire.Ending;
-import saltlatch.wire.MemberForm;
-import saltlatch.wire.Peers;
-import saltlatch.wire.Request;
-import saltlatch.wire.Scheduler;
-import saltlatch.wire.SumsForm;
-import saltlatch.wire.TargetList;
+import saltlatch.state.ClientRequest;
+import saltlatch.state.InFlightRequests;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.NumberedNames;
+import saltlatch.state.RequestContext;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.appserver.AppServerClient;
+import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.client.ClientListener;
+import saltlatch.wire.counter.CounterClient;
+import saltlatch.wire.discovery.DiscoveryClient;
+import saltlatch.wire.discovery.EndpointList;
+import saltlatch.wire.peer.GossipCodec;
+import saltlatch.wire.peer.MembershipCodec;
+import saltlatch.wire.peer.PeerSocket;
+import saltlatch.wire.transport.CallResult;
+import saltlatch.wire.transport.Scheduler;
 
 /**
- * Makes the module's events of what the sockets bring, and does what the module wants. All of it runs on one event
- * loop: what one turn of the loop brings goes to the module in one batch. It decides nothing.
+ * Makes the module's events of what the sockets bring, and does what the module wants. All of it
+ * runs on one event loop: what one turn of the loop brings goes to the module in one batch. It
+ * decides nothing.
  */
-final class Pilot
+final class EventLoopAdapter
     implements
       GatewayActions,
       Scheduler,
-      ClientListener.Host,
-      AppServers.Host,
-      CounterClient.Host,
-      Discovery.Host,
-      Peers.Host {
-  private static final Logger LOG = LoggerFactory.getLogger(Pilot.class);
+      ClientListener.Handler,
+      AppServerClient.Listener,
+      CounterClient.Listener,
+      DiscoveryClient.Listener,
+      PeerSocket.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoopAdapter.class);
 
   private final Vertx vertx;
   private final Context loop;
   private final NodeConfiguration configuration;
-  private final Counters counters;
-  private final Clock clock = new Clock();
-  private final Timers timers = new Timers();
-  private final Exchanges exchanges;
-  private final Names frontends;
-  private final Names plans;
-  private final Names zones;
-  private final Names types;
+  private final NodeMetrics counters;
+  private final NodeClock clock = new NodeClock();
+  private final TimerQueue timers = new TimerQueue();
+  private final InFlightRequests exchanges;
+  private final NumberedNames frontends;
+  private final NumberedNames plans;
+  private final NumberedNames zones;
+  private final NumberedNames types;
   private List<GatewayEvent> batch = new ArrayList<>();
   private boolean scheduled;
   private long armedFor = Long.MAX_VALUE;
@@ -66,51 +67,58 @@
   private long awayFor;
   private final History history; // null: none is kept, and none of its classes are loaded
   private GatewayPolicy gateway;
-  private AppServers appServers;
-  private TargetDirectory directory;
-  private ListApplier lists;
+  private AppServerClient appServers;
+  private EndpointDirectory directory;
+  private EndpointListApplier lists;
   private LongConsumer onListed = index -> {};
-  private final List<Long> listsInBatch = new ArrayList<>(); // indices of those that the batch completes
+  // indices of those that the batch completes
+  private final List<Long> listsInBatch = new ArrayList<>();
   private boolean ended;
   private CounterClient counter;
-  private Discovery discovery;
-  private Peers peers;
-  private Roster roster; // null: nodes do not know each other, and none of membership's classes are loaded
+  private DiscoveryClient discovery;
+  private PeerSocket peers;
+  // null: nodes do not know each other, and none of membership's classes are loaded
+  private MembershipAdapter roster;
 
-  Pilot(Vertx vertx, Context loop, NodeConfiguration configuration, Counters counters, long mostBytes,
-      History history) {
+  EventLoopAdapter(Vertx vertx, Context loop, NodeConfiguration configuration, NodeMetrics counters,
+      long mostBytes, History history) {
     this.history = history;
     this.vertx = vertx;
     this.loop = loop;
     this.configuration = configuration;
     this.counters = counters;
-    exchanges = new Exchanges(mostBytes);
-    frontends = new Names(configuration.frontends());
-    plans = new Names(configuration.plans());
-    zones = new Names(configuration.zones());
-    types = new Names(configuration.types());
+    exchanges = new InFlightRequests(mostBytes);
+    frontends = new NumberedNames(configuration.frontends());
+    plans = new NumberedNames(configuration.plans());
+    zones = new NumberedNames(configuration.zones());
+    types = new NumberedNames(configuration.types());
   }
 
-  /** Starts the module on the list last known; the sockets of the client side open as they are needed. */
+  /**
+   * Starts the module on the list last known; the sockets of the client side open as they are
+   * needed.
+   */
   void start(GatewayPolicy.Factory maker) {
     ranAt = clock.now();
-    appServers = new AppServers(vertx, this, this, counters, configuration.connectTime(),
+    appServers = new AppServerClient(vertx, this, this, counters, configuration.connectTime(),
         configuration.idleTime(), configuration.appSrvLinks());
-    directory = new TargetDirectory(appServers, zones, types);
-    lists = new ListApplier(directory, this, this::add);
+    directory = new EndpointDirectory(appServers, zones, types);
+    lists = new EndpointListApplier(directory, this, this::add);
     if (configuration.counter() != null) {
       counter = new CounterClient(vertx, configuration.counter(), this, this, counters,
           configuration.countLimit());
     }
-    discovery = new Discovery(vertx, configuration.discovery(), this, this, counters, configuration.known());
+    discovery = new DiscoveryClient(vertx, configuration.discovery(), this, this, counters,
+        configuration.known());
     if (configuration.mayTell() && configuration.peerListen() != null) {
-      peers = new Peers(vertx, configuration.peerListen(), configuration.peers(), configuration.peersAll(),
-          this, counters);
+      peers = new PeerSocket(vertx, configuration.peerListen(), configuration.peers(),
+          configuration.peersAll(), this, counters);
     }
     gateway = maker.create(clock.now(), configuration.site(), this);
     listsInBatch.add(configuration.known().index());
     add(directory.take(configuration.known(), GatewayEvent.EndpointUpdateKind.CACHED_SNAPSHOT));
-    if (configuration.membership()) roster = new Roster(this, peers, history, configuration, this::add);
+    if (configuration.membership())
+      roster = new MembershipAdapter(this, peers, history, configuration, this::add);
   }
 
   /** The end is near, and planned: nothing is sent on any more, and the peers are told. */
@@ -129,7 +137,9 @@
     return directory.listed();
   }
 
-  /** Ends the watch and the timers, where the loop lives on (the laboratory's nodes share theirs). */
+  /**
+   * Ends the watch and the timers, where the loop lives on (the laboratory's nodes share theirs).
+   */
   void end() {
     leave();
     ended = true;
@@ -141,9 +151,12 @@
     if (!configuration.site().limits().mustOpenWatch()) discovery.follow();
   }
 
-  /** Takes over what a configuration read anew names: discovery and the counter. The rest holds from the start. */
+  /**
+   * Takes over what a configuration read anew names: discovery and the counter. The rest holds from
+   * the start.
+   */
   void move(NodeConfiguration to) {
-    counters.add(Count.RELOADS);
+    counters.add(Metric.RELOADS);
     LOG.info("discovery at {}, counter at {}", to.discovery(), to.counter());
     if (history != null) history.add("reloaded");
     discovery.move(to.discovery());
@@ -158,19 +171,24 @@
   }
 
   @Override
-  public Timers.Timer at(long when, Runnable then) {
-    Timers.Timer t = timers.add(when, then);
+  public TimerQueue.Timer at(long when, Runnable then) {
+    TimerQueue.Timer t = timers.add(when, then);
     if (when < armedFor) arm();
     return t;
   }
 
-  /** A turn's closes are told by tasks of their own, behind what was read: by the second hop they are. */
+  /**
+   * A turn's closes are told by tasks of their own, behind what was read: by the second hop they
+   * are.
+   */
   @Override
   public void afterTurn(Runnable then) {
     loop.runOnContext(v -> loop.runOnContext(w -> then.run()));
   }
 
-  /** Sets the one timer of the loop for what falls due first; dropped ones must not wake the loop. */
+  /**
+   * Sets the one timer of the loop for what falls due first; dropped ones must not wake the loop.
+   */
   private void arm() {
     if (ended) return;
     long next = timers.earliest();
@@ -187,26 +205,30 @@
   }
 
   /**
-   * Looks whether this loop has been away (stopped, or starved of its core): its timer is overdue by more than the module
-   * puts up with. Called before anything that was read meanwhile is told.
+   * Looks whether this loop has been away (stopped, or starved of its core): its timer is overdue
+   * by more than the module puts up with. Called before anything that was read meanwhile is told.
    */
   private void look() {
     long at = clock.now();
-    if (armedFor != Long.MAX_VALUE && at - Math.max(armedFor, ranAt) > gateway.stallThresholdTicks()) {
+    if (armedFor != Long.MAX_VALUE
+        && at - Math.max(armedFor, ranAt) > gateway.stallThresholdTicks()) {
       backAt = at;
       awayFor = at - ranAt;
-      counters.add(Count.AWAY);
-      counters.add(Count.AWAY_MS, awayFor / 10);
+      counters.add(Metric.AWAY);
+      counters.add(Metric.AWAY_MS, awayFor / 10);
       if (history != null) history.add("away", "for_ms", awayFor / 10);
     }
     ranAt = at;
   }
 
-  /** For how long a command that is read now has lain unread: known, and asked for, only in the wake of an absence. */
-  private long age(Exchange.Client client) {
+  /**
+   * For how long a command that is read now has lain unread: known, and asked for, only in the wake
+   * of an absence.
+   */
+  private long age(RequestContext.ResponseSink client) {
     if (backAt == 0 || clock.now() - backAt > awayFor) return 0;
-    long age = Math.min(client.unreadFor(), awayFor + clock.now() - backAt);
-    if (age > gateway.stallThresholdTicks()) counters.add(Count.READ_LATE);
+    long age = Math.min(client.unreadTicks(), awayFor + clock.now() - backAt);
+    if (age > gateway.stallThresholdTicks()) counters.add(Metric.READ_LATE);
     return age;
   }
 
@@ -216,7 +238,8 @@
     batch.add(e);
     if (scheduled) return;
     scheduled = true;
-    afterTurn(this::flush); // guards against reqs of clients that are gone already, read along with their close
+    // guards against reqs of clients that are gone already, read along with their close
+    afterTurn(this::flush);
   }
 
   private void flush() {
@@ -229,7 +252,7 @@
       gateway.handle(clock.now(), events);
     } catch (RuntimeException e) {
       LOG.error("the module failed", e);
-      counters.add(Count.EXCEPTIONS);
+      counters.add(Metric.EXCEPTIONS);
       for (GatewayEvent event : events) drop(event);
       listsInBatch.clear();
     }
@@ -242,106 +265,111 @@
     listsInBatch.clear();
   }
 
-  /** A req that the module failed on gets its final answer here, and the module is told that it is gone. */
+  /**
+   * A req that the module failed on gets its final answer here, and the module is told that it is
+   * gone.
+   */
   private void drop(GatewayEvent e) {
     long rid = e instanceof GatewayEvent.RequestArrived a ? a.requestId()
         : e instanceof GatewayEvent.AttemptEnded d ? d.requestId()
             : e instanceof GatewayEvent.TimerFired d ? d.timerId() : -1;
-    Exchange x = exchanges.find(rid);
-    if (x != null && !x.over()) abandon(x);
+    RequestContext x = exchanges.find(rid);
+    if (x != null && !x.isFinished()) abandon(x);
   }
 
   @Override
-  public void abandon(Exchange x) {
+  public void abandon(RequestContext x) {
     told(x, "aborted");
-    x.aborted();
+    x.fail();
     left(x);
   }
 
   @Override
-  public Exchange arrived(Request req, Exchange.Client client) {
+  public RequestContext arrived(ClientRequest req, RequestContext.ResponseSink client) {
     look();
-    int frontend = frontends.find(req.frontend);
+    int frontend = frontends.find(req.requestClass);
     int plan = plans.find(req.plan);
-    counters.add(Count.REQS);
-    // Guards against a stranger who uses the id of a req that is out: an app srv would take it for a second copy.
+    counters.add(Metric.REQS);
+    // Guards against a stranger who uses the id of a req that is out: an app srv would take it for
+    // a second copy.
     if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id)) {
-      counters.add(Count.REQS_UNKNOWN);
-      client.aborted();
+      counters.add(Metric.REQS_UNKNOWN);
+      client.fail();
       return null;
     }
-    Exchange x = exchanges.open(req, client);
+    RequestContext x = exchanges.open(req, client);
     if (x == null) {
-      counters.add(Count.REQS_OVER_LIMIT);
-      client.denied(0);
+      counters.add(Metric.REQS_OVER_LIMIT);
+      client.reject(0);
       return null;
     }
     long age = age(client);
     if (history != null) {
-      history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units", req.units,
-          "wait_ms", req.waitMs, "age_ms", age / 10, "query", req.query);
+      history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units",
+          req.units, "wait_ms", req.clientTimeoutMs, "age_ms", age / 10, "query", req.query);
     }
-    add(new GatewayEvent.RequestArrived(x.rid, frontend, plan, req.customer, req.waitMs * 10, req.units,
-        req.width, req.first, req.repeat, age));
+    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer,
+        req.clientTimeoutMs * 10, req.units, req.nodeCount, req.firstNode, req.retry, age));
     return x;
   }
 
   @Override
-  public void left(Exchange x) {
+  public void left(RequestContext x) {
     told(x, "left");
-    x.left();
-    counters.add(Count.CLIENTS_LEFT);
-    add(new GatewayEvent.ClientDisconnected(x.rid));
+    x.clientDisconnected();
+    counters.add(Metric.CLIENTS_LEFT);
+    add(new GatewayEvent.ClientDisconnected(x.requestId));
     exchanges.release(x);
   }
 
   @Override
-  public void ended(Exchange x, int dispatch, int srv, Answer answer, long spent) {
+  public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
     if (history != null) {
-      history.add("ended", "id", x.req.id, "srv", directory.name(srv), "dispatch", dispatch, "how",
-          answer.ending().name());
+      history.add("ended", "id", x.request.id, "srv", directory.name(srv), "dispatch", dispatch,
+          "how", answer.result().name());
     }
-    if (answer.ending() == Ending.ANSWERED) {
+    if (answer.result() == CallResult.ANSWERED) {
       told(x, "passed");
-      x.passed(answer.value());
+      x.succeed(answer.value());
     }
-    add(new GatewayEvent.AttemptEnded(x.rid, srv, dispatch, answer.ending().outcome(), x.over(), spent,
-        answer.actual(), answer.fleetUse(), load(answer)));
-    exchanges.ended(x);
+    add(new GatewayEvent.AttemptEnded(x.requestId, srv, dispatch, answer.result().outcome(),
+        x.isFinished(), spent, answer.actualUnits(), answer.fleetUtilization(), load(answer)));
+    exchanges.attemptEnded(x);
     directory.release();
   }
 
   /** Its one end, for the history. */
-  private void told(Exchange x, String how) {
-    if (history != null && !x.over()) history.add("answered", "id", x.req.id, "how", how);
+  private void told(RequestContext x, String how) {
+    if (history != null && !x.isFinished()) history.add("answered", "id", x.request.id, "how", how);
   }
 
   @Override
-  public boolean mayBegin(Exchange x, int dispatch) {
+  public boolean mayBegin(RequestContext x, int dispatch) {
     flush();
-    return !x.over() && gateway.mayStartAttempt(clock.now(), x.rid, dispatch);
+    return !x.isFinished() && gateway.mayStartAttempt(clock.now(), x.requestId, dispatch);
   }
 
   @Override
-  public void probed(int srv, Answer answer, long spent) {
-    add(new GatewayEvent.HealthChecked(srv, answer.ending().outcome(), spent, load(answer)));
+  public void probed(int srv, AppServerReply answer, long spent) {
+    add(new GatewayEvent.HealthChecked(srv, answer.result().outcome(), spent, load(answer)));
     directory.release();
   }
 
-  private List<Double> load(Answer answer) {
-    if (answer.load().isEmpty()) return List.of();
+  private List<Double> load(AppServerReply answer) {
+    if (answer.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
-    for (String field : configuration.loadFields()) values.add(Answer.field(answer.load(), field));
+    for (String field : configuration.loadFields())
+      values.add(AppServerReply.field(answer.loadReport(), field));
     return values;
   }
 
   @Override
-  public void counted(long name, Ending ending, double total, long spent) {
+  public void counted(long name, CallResult ending, double total, long spent) {
     add(new GatewayEvent.CounterReplied(name, ending.outcome(), total, spent));
   }
 
   @Override
-  public void listed(TargetList list, Runnable applied) {
+  public void listed(EndpointList list, Runnable applied) {
     lists.apply(list, () -> {
       applied.run();
       listsInBatch.add(list.index());
@@ -359,11 +387,11 @@
 
   @Override
   public void heard(int from, byte[] words) {
-    if (words.length > 0 && words[0] == MemberForm.FIRST) {
+    if (words.length > 0 && words[0] == MembershipCodec.FIRST) {
       if (roster != null) roster.heard(from, words);
       return;
     }
-    GossipMessage told = SumsForm.read(words);
+    GossipMessage told = GossipCodec.decode(words);
     if (told != null) add(new GatewayEvent.GossipReceived(from, told));
   }
 
@@ -377,44 +405,45 @@
 
   @Override
   public void startAttempt(long rid, long srv, long cap) {
-    Exchange x = exchanges.find(rid);
+    RequestContext x = exchanges.find(rid);
     if (x == null) return;
-    int dispatch = exchanges.begin(x);
+    int dispatch = exchanges.beginAttempt(x);
     if (history != null) {
-      history.add("dispatched", "id", x.req.id, "srv", directory.name((int) srv), "dispatch", dispatch,
-          "cap_ms", cap / 10);
+      history.add("dispatched", "id", x.request.id, "srv", directory.name((int) srv), "dispatch",
+          dispatch, "cap_ms", cap / 10);
     }
     try {
       appServers.dispatch(x, dispatch, (int) srv, cap);
     } catch (RuntimeException e) {
-      // Guards against a fault of this side that stops the module half-way through what it wants of other reqs.
+      // Guards against a fault of this side that stops the module half-way through what it wants of
+      // other reqs.
       LOG.error("dispatch failed", e);
-      counters.add(Count.EXCEPTIONS);
-      ended(x, dispatch, (int) srv, Answer.none(Ending.NO_DESCRIPTOR), 0);
+      counters.add(Metric.EXCEPTIONS);
+      ended(x, dispatch, (int) srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
     }
   }
 
   @Override
   public void reject(long rid, long pause) {
-    Exchange x = exchanges.find(rid);
+    RequestContext x = exchanges.find(rid);
     if (x == null) return;
     told(x, "denied");
-    x.denied(pause / 10);
+    x.reject(pause / 10);
     exchanges.release(x);
   }
 
   @Override
   public void fail(long rid) {
-    Exchange x = exchanges.find(rid);
+    RequestContext x = exchanges.find(rid);
     if (x == null) return;
     told(x, "aborted");
-    x.aborted();
+    x.fail();
     exchanges.release(x);
   }
 
   @Override
   public void cancelAttempt(long rid, int dispatch) {
-    Exchange x = exchanges.find(rid);
+    RequestContext x = exchanges.find(rid);
     if (x != null) appServers.cancel(x, dispatch);
   }
 
@@ -448,7 +477,7 @@
 
   @Override
   public void sendGossip(int peer, GossipMessage told) {
-    if (peers != null) peers.tell(peer, SumsForm.write(told));
+    if (peers != null) peers.send(peer, GossipCodec.encode(told));
   }
 
   @Override
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -5,27 +5,31 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongConsumer;
 import saltlatch.api.GatewayPolicy;
-import saltlatch.state.Counters;
+import saltlatch.state.NodeMetrics;
 
 /**
- * The control part of one edge node without its data path, for the laboratory: the classes that {@code serve} runs
- * (discovery's watch, the directory, connections to app servers, membership where configured, the module), but no
- * listener for clients. Many of them share one {@link Vertx}; each lives on its own context. The datagram socket, where
- * one is configured, closes with that context (a deployed verticle's) or with the {@link Vertx}.
+ * The control part of one edge node without its data path, for the laboratory: the classes that
+ * {@code serve} runs (discovery's watch, the directory, connections to app servers, membership
+ * where configured, the module), but no listener for clients. Many of them share one {@link Vertx};
+ * each lives on its own context. The datagram socket, where one is configured, closes with that
+ * context (a deployed verticle's) or with the {@link Vertx}.
  */
 public final class HollowNode {
-  private static final int BYTES_PART = 16; // part of the node's memory for what requests hold, as in Serve
+  // part of the node's memory for what requests hold, as in Serve
+  private static final int BYTES_PART = 16;
 
   private final Context loop;
-  private final Pilot pilot;
+  private final EventLoopAdapter pilot;
   private volatile long listIndex = -1;
   private volatile int listed;
   private volatile LongConsumer hook = index -> {};
 
-  /** Neither starts nor connects anything yet; {@code loop}: the event loop that it is to live on. */
+  /**
+   * Neither starts nor connects anything yet; {@code loop}: the event loop that it is to live on.
+   */
   public HollowNode(Vertx vertx, Context loop, NodeConfiguration configuration) {
     this.loop = loop;
-    pilot = new Pilot(vertx, loop, configuration, new Counters(),
+    pilot = new EventLoopAdapter(vertx, loop, configuration, new NodeMetrics(),
         configuration.memoryMb() * 1024L * 1024 / BYTES_PART, null);
     pilot.onListed(this::applied);
   }
@@ -38,12 +42,17 @@
     });
   }
 
-  /** Ends the watch and all timers; returns at once. A node that was stopped isn't started again. */
+  /**
+   * Ends the watch and all timers; returns at once. A node that was stopped isn't started again.
+   */
   public void stop() {
     loop.runOnContext(v -> pilot.end());
   }
 
-  /** Its counters, a {@code name=value} line each, as INFO gives them. Waits for its loop: not for another event loop. */
+  /**
+   * Its counters, a {@code name=value} line each, as INFO gives them. Waits for its loop: not for
+   * another event loop.
+   */
   public String figures() {
     if (Vertx.currentContext() == loop) return pilot.figures();
     CompletableFuture<String> text = new CompletableFuture<>();
@@ -51,7 +60,10 @@
     return text.join();
   }
 
-  /** The index of the newest list or change that the module has been handed whole; below 0: none yet. */
+  /**
+   * The index of the newest list or change that the module has been handed whole; below 0: none
+   * yet.
+   */
   public long listIndex() {
     return listIndex;
   }
@@ -61,7 +73,10 @@
     return listed;
   }
 
-  /** Called on its loop with the index once a list or change has been applied to the module; set before the start. */
+  /**
+   * Called on its loop with the index once a list or change has been applied to the module; set
+   * before the start.
+   */
   public void onListed(LongConsumer then) {
     hook = then;
   }
--- a/src/main/java/saltlatch/node/IncrementalListUpdate.java
+++ b/src/main/java/saltlatch/node/IncrementalListUpdate.java
@@ -6,14 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.api.GatewayEvent;
-import saltlatch.wire.Discovery;
-import saltlatch.wire.TargetList;
+import saltlatch.wire.discovery.DiscoveryClient;
+import saltlatch.wire.discovery.EndpointList;
 
 /**
- * A large list or change in steps that look at {@link Discovery#SLICE} entries at most: first what a whole list no longer
- * names is removed, then drains and removals are told, then the rest. The module is told all of it as changes.
+ * A large list or change in steps that look at {@link DiscoveryClient#SLICE} entries at most: first
+ * what a whole list no longer names is removed, then drains and removals are told, then the rest.
+ * The module is told all of it as changes.
  */
-final class SlicedUpdate {
+final class IncrementalListUpdate {
   /** What a step works on, in this order. */
   private enum Phase {
     INDEX,
@@ -23,14 +24,15 @@
     DONE
   }
 
-  private final TargetList list;
-  private final TargetDirectory directory;
-  private final Map<String, TargetList.Target> latest = new LinkedHashMap<>(); // of each name, the last entry
+  private final EndpointList list;
+  private final EndpointDirectory directory;
+  // of each name, the last entry
+  private final Map<String, EndpointList.Entry> latest = new LinkedHashMap<>();
   private Phase phase = Phase.INDEX;
   private int at; // of the phase's numbers or entries
-  private Iterator<TargetList.Target> targets;
+  private Iterator<EndpointList.Entry> targets;
 
-  SlicedUpdate(TargetList list, TargetDirectory directory) {
+  IncrementalListUpdate(EndpointList list, EndpointDirectory directory) {
     this.list = list;
     this.directory = directory;
   }
@@ -54,17 +56,17 @@
   }
 
   private void index() {
-    List<TargetList.Target> all = list.targets();
-    int end = Math.min(all.size(), at + Discovery.SLICE);
+    List<EndpointList.Entry> all = list.entries();
+    int end = Math.min(all.size(), at + DiscoveryClient.SLICE);
     for (; at < end; at++) latest.put(all.get(at).name(), all.get(at));
     if (at < all.size()) return;
     at = 0;
     targets = latest.values().iterator();
-    phase = list.whole() ? Phase.REMOVE_UNNAMED : Phase.NOT_READY;
+    phase = list.snapshot() ? Phase.REMOVE_UNNAMED : Phase.NOT_READY;
   }
 
   private void removeUnnamed(List<GatewayEvent.Endpoint> entries) {
-    int end = Math.min(directory.numbers(), at + Discovery.SLICE);
+    int end = Math.min(directory.numbers(), at + DiscoveryClient.SLICE);
     for (; at < end; at++) {
       String name = directory.name(at);
       if (name != null && !latest.containsKey(name) && directory.isListed(at))
@@ -74,9 +76,9 @@
   }
 
   private void take(boolean ready, List<GatewayEvent.Endpoint> entries) {
-    for (int looked = 0; looked < Discovery.SLICE && targets.hasNext(); looked++) {
-      TargetList.Target target = targets.next();
-      if (ready == (target.condition() == GatewayEvent.EndpointState.READY))
+    for (int looked = 0; looked < DiscoveryClient.SLICE && targets.hasNext(); looked++) {
+      EndpointList.Entry target = targets.next();
+      if (ready == (target.state() == GatewayEvent.EndpointState.READY))
         entries.add(directory.take(target));
     }
     if (targets.hasNext()) return;
--- a/src/main/java/saltlatch/node/NodeClock.java
+++ b/src/main/java/saltlatch/node/NodeClock.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 
 /** The node's one clock: Unix time in tenths of a ms, never backwards. */
-final class Clock {
+final class NodeClock {
   private long last;
 
   long now() {
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -9,14 +9,19 @@
   QuotaWindow window;
   int inFlight, nodeCount, firstNode;
   double othersUsage; // fading: what the others passed
-  double refillAllowance; // units this node may pass of a store that has no room for all that may come
+  // units this node may pass of a store that has no room for all that may come
+  double refillAllowance;
   long othersUsageAt, refillAllowanceAt;
-  double learnedShare; // learned part of its use that comes through this node, half an even one at least
-  double availableUnits; // units its quota has left, as the totals seen show it; the share of it while alone
+  // learned part of its use that comes through this node, half an even one at least
+  double learnedShare;
+  // units its quota has left, as the totals seen show it; the share of it while alone
+  double availableUnits;
   long availableUnitsAt;
-  double admittedWithoutCounter = -1; // units passed without the counter since its last answer; below 0: not alone
+  // units passed without the counter since its last answer; below 0: not alone
+  double admittedWithoutCounter = -1;
   double shareWithoutCounter; // part of the quota that the room stands for while alone
-  double startOffset; // units taken off that room for a place on the way to the next req; passed by nobody
+  // units taken off that room for a place on the way to the next req; passed by nobody
+  double startOffset;
   double gossipShare = 1; // the same while peers are heard: the part of those that hear each other
   double usageWhileSplit; // units they passed while that was below 1
   double admittedWhilePeersSilent; // units this node passed while some peer was overdue
--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -8,14 +8,15 @@
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GatewaySettings;
-import saltlatch.member.Shares;
+import saltlatch.membership.QuotaShares;
 
 /**
- * The decision module: every decision of an edge node. A host makes one Control an instance from what is read
- * at start ({@link GatewaySettings}), calls {@link #handle} with the events of one instant, and does what comes out
- * through {@link GatewayActions}; the interface stands in saltlatch.api. Event handlers only change what is wanted:
- * of a req (its next app srv, its end, its timer), of the instance (count calls);
- * {@link #bring} alone works out the difference to what is and emits it. docs/design.md tells the reasons.
+ * The decision module: every decision of an edge node. A host makes one Control an instance from
+ * what is read at start ({@link GatewaySettings}), calls {@link #handle} with the events of one
+ * instant, and does what comes out through {@link GatewayActions}; the interface stands in
+ * saltlatch.api. Event handlers only change what is wanted: of a req (its next app srv, its end,
+ * its timer), of the instance (count calls); {@link #bring} alone works out the difference to what
+ * is and emits it. docs/design.md tells the reasons.
  */
 public final class PolicyEngine implements GatewayPolicy {
   // Times in tenths of a ms. Reservation, hold cost, overrun cost, settle: the design's terms.
@@ -25,42 +26,63 @@
   static final long LONGEST_KEPT = 600_000; // 60 s: the longest time a counter keeps a name
   static final long ROUND = 1_000; // 100 ms between housekeepings: fine beside troubles of seconds
   static final double KEPT_BACK = 0.35; // part of the wait allowed that is kept from belated tries
-  static final double COUNT_WAIT = 0.05; // part of the shortest response target that a count is waited for
-  static final int MISSES = 2; // count calls in a row without answer before the counter is taken as bad
+  // part of the shortest response target that a count is waited for
+  static final double COUNT_WAIT = 0.05;
+  // count calls in a row without answer before the counter is taken as bad
+  static final int MISSES = 2;
   static final double GAP_FIRST = 100; // 10 ms between calls to a bad counter at first
-  static final double GAP_UP = 1.5; // the gap grows by this, once a round, while answers are missing
+  // the gap grows by this, once a round, while answers are missing
+  static final double GAP_UP = 1.5;
   static final double GAP_MOST = 2_000; // 200 ms: five tests a second find its return, load nothing
-  static final double GAP_NODES = 20; // nodes that may use these gaps together: 2,000 calls a second at first
-  static final double GAP_FADE = 3_300; // 0.33 s: time constant of the gap while calls use it, answered
-  static final double GAP_CLOSE = 10_000; // 1 s: the same where reqs come seldomer than the gap allows
-  static final double MEMORY = 40_000; // 4 s: an app srv's record fades; tens of dispatches, yet fresh
-  static final double TURNS = 3; // turns of the rotation that a record lasts at least: few reqs tell little
-  static final double PRIOR = 3; // dispatches at fleet speed assumed of every app srv, steadies the few
+  // nodes that may use these gaps together: 2,000 calls a second at first
+  static final double GAP_NODES = 20;
+  // 0.33 s: time constant of the gap while calls use it, answered
+  static final double GAP_FADE = 3_300;
+  // 1 s: the same where reqs come seldomer than the gap allows
+  static final double GAP_CLOSE = 10_000;
+  // 4 s: an app srv's record fades; tens of dispatches, yet fresh
+  static final double MEMORY = 40_000;
+  // turns of the rotation that a record lasts at least: few reqs tell little
+  static final double TURNS = 3;
+  // dispatches at fleet speed assumed of every app srv, steadies the few
+  static final double PRIOR = 3;
   static final double FAULT = 8; // mean dispatch times that a failed dispatch counts as lost time
   static final double LEARN = 0.02; // step of the mean time a unit takes: about 50 dispatches
-  static final double LEAST_UNIT = 0.1; // least units of a req and rating of an app srv: none is nothing
-  static final double FIRST_PACE = 0.25; // part of the response target a dispatch is first thought to take
-  static final double QUIET = 2; // mean dispatch times without any answer before an app srv may be pausing
-  static final double SICK = 3; // times the fleet's time: an app srv that bad tells nothing of the others
+  // least units of a req and rating of an app srv: none is nothing
+  static final double LEAST_UNIT = 0.1;
+  // part of the response target a dispatch is first thought to take
+  static final double FIRST_PACE = 0.25;
+  // mean dispatch times without any answer before an app srv may be pausing
+  static final double QUIET = 2;
+  // times the fleet's time: an app srv that bad tells nothing of the others
+  static final double SICK = 3;
   static final double DEAD = 5; // mean dispatch times without any answer that make an app srv sick
   static final double STUCK = 0.5; // part of the response target; longer on a sick app srv is stuck
   static final double CROWD = 2; // times its fair part of what is out that an app srv may hold
   static final double CROWD_FREE = 2; // dispatches out that never make an app srv crowded
-  static final double CREDIT = 2; // turns an app srv may be ahead or behind, so that none saves up a rush
-  static final double COLD_USE = 0.85; // part of the cold budget used: the bound holds in 99 of 100 draws
+  // turns an app srv may be ahead or behind, so that none saves up a rush
+  static final double CREDIT = 2;
+  // part of the cold budget used: the bound holds in 99 of 100 draws
+  static final double COLD_USE = 0.85;
   static final long WAY = 200; // 20 ms: a further dispatch's last byte is there by then, as a rule
   static final double RATE_TIME = 10_000; // 1 s: over this the rate of passed dispatches is taken
-  static final double WAIT_PART = 0.3; // part of the response target that dispatches may take on average
-  static final double FREE_OUT = 3; // dispatches out of all nodes for each warm app srv, free of pressure
-  static final double CHANCE_OUT = 4; // more dispatches out of a node while quick: so many meet by chance
+  // part of the response target that dispatches may take on average
+  static final double WAIT_PART = 0.3;
+  // dispatches out of all nodes for each warm app srv, free of pressure
+  static final double FREE_OUT = 3;
+  // more dispatches out of a node while quick: so many meet by chance
+  static final double CHANCE_OUT = 4;
   static final double CHANCE_ALL = 2; // of these for each warm app srv, over all nodes
-  static final double LONG_WAIT = 2; // times the wait allowed at which recent dispatches leave none of these
+  // times the wait allowed at which recent dispatches leave none of these
+  static final double LONG_WAIT = 2;
   static final double RECENT = 0.1; // step of the recent time of a dispatch: about ten
-  static final double PROMPT = 2; // mean dispatch times that a further try needs left of its response target
+  // mean dispatch times that a further try needs left of its response target
+  static final double PROMPT = 2;
   static final long VOTES = 100; // tries: how firmly the usual wait is held
   static final double VALUE_TILT = 0.3; // how much a req's value stretches the wait allowed
   static final double VALUE_STEP = 0.01; // step of the mean value: about 100 reqs
-  static final double AWAY = 0.5; // part of the shortest response target: overdue by more, it did not run
+  // part of the shortest response target: overdue by more, it did not run
+  static final double AWAY = 0.5;
   static final double SPREAD_BACK = 0.5; // part of a window over which come-back advice is spread
   static final long TICKS_SPARE = 2; // ticks before the client timeout that a final answer goes out
 
@@ -71,7 +93,7 @@
   private final SplittableRandom chance;
   private final QuotaGossip gossip;
   private final QuotaTracker quotas;
-  private Shares shares; // null: nodes do not know each other, and count as the settings say
+  private QuotaShares shares; // null: nodes do not know each other, and count as the settings say
   private final List<RequestClassStats> kinds = new ArrayList<>();
   private final SlotMap<RequestState> reqs = new SlotMap<>();
   private final SlotMap<ServerState> srvs = new SlotMap<>();
@@ -87,7 +109,8 @@
   private double passed, meanValue; // fading number of passed dispatches; of a unit
   private int out;
   private double memory = MEMORY; // over this an app srv's record fades
-  private double unitsSent, unitsAsked; // fading, over the cold rule's window; the latter: of what was wanted
+  // fading, over the cold rule's window; the latter: of what was wanted
+  private double unitsSent, unitsAsked;
   private double warmSeen; // app srvs, cold ones counted in part
   private int usable; // app srvs, cold ones in full
   private long followAt; // discovery is asked then; asked already: never
@@ -99,8 +122,8 @@
     this.to = to;
     rules = site.limits();
     chance = new SplittableRandom(site.seed());
-    gossip = new QuotaGossip(site.peers().ownIndex(), site.nodeCount(), site.peers().datagramsPerSecond(),
-        site.peers().datagramPrice());
+    gossip = new QuotaGossip(site.peers().ownIndex(), site.nodeCount(),
+        site.peers().datagramsPerSecond(), site.peers().datagramPrice());
     quotas = new QuotaTracker(now, site, gossip, chance);
     long shortest = Long.MAX_VALUE;
     for (GatewaySettings.RequestClass f : site.requestClasses()) {
@@ -141,9 +164,10 @@
   }
 
   /**
-   * Its round is long overdue: this node was stopped, or starved, since it last ran. Guards against beliefs
-   * that its own absence made: app srvs silent and slow, a counter without answers. Harms where the host's
-   * clock leaps. The time away is taken out of what is measured; what came meanwhile is as old as is told.
+   * Its round is long overdue: this node was stopped, or starved, since it last ran. Guards against
+   * beliefs that its own absence made: app srvs silent and slow, a counter without answers. Harms
+   * where the host's clock leaps. The time away is taken out of what is measured; what came
+   * meanwhile is as old as is told.
    */
   private void back(long ran) {
     backAt = now;
@@ -167,7 +191,7 @@
 
   private void members(GatewayEvent.MembershipChanged m) {
     if (shares == null) {
-      shares = new Shares(site.peers().ownIndex(), site.nodeCount());
+      shares = new QuotaShares(site.peers().ownIndex(), site.nodeCount());
       quotas.share(shares);
       gossip.share(shares);
     }
@@ -186,11 +210,14 @@
     r.arrival = a;
     r.stats = kinds.get(a.requestClass());
     r.customer = quotas.customer(a);
-    r.deadline = now + a.clientTimeoutTicks() - a.ageTicks() - TICKS_SPARE * site.clockResolutionTicks();
+    r.deadline = now + a.clientTimeoutTicks() - a.ageTicks()
+        - TICKS_SPARE * site.clockResolutionTicks();
     boolean usual = r.stats.isUsualTimeout(a.clientTimeoutTicks(), site.clockResolutionTicks());
-    long waited = usual ? longest : r.stats.requestClass.clientTimeoutTicks() - a.clientTimeoutTicks() + a.ageTicks();
+    long waited = usual ? longest
+        : r.stats.requestClass.clientTimeoutTicks() - a.clientTimeoutTicks() + a.ageTicks();
     boolean further = rules.clientsMarkRetries() ? a.retry() : !usual;
-    r.lateRetry = further && waited + PROMPT * pace(r) >= r.stats.requestClass.latencyObjectiveTicks();
+    r.lateRetry = further
+        && waited + PROMPT * pace(r) >= r.stats.requestClass.latencyObjectiveTicks();
     touch(r);
     if (r.deadline <= now) finish(r, RequestEnd.REJECTED, 0);
     else if (r.customer.plan.ratePerSecond() <= 0) decide(r, true);
@@ -198,21 +225,25 @@
   }
 
   private void ask(RequestState r) {
-    r.reservedUnits = site.counter().reportsActualUnits() ? learner(r)[0] : r.arrival.estimatedUnits();
+    r.reservedUnits = site.counter().reportsActualUnits() ? learner(r)[0]
+        : r.arrival.estimatedUnits();
     r.window = quotas.window(r.customer, misses == 0);
     quotas.fill(r.customer);
-    // Once its window is spent and no room is known, a req only reads: adds that are sure to be given back
-    // would make the customer look fuller to the other nodes than it is.
-    // Guards against client tries that come back past their response target and take room from first ones:
-    // none passes for a spent customer or in a jam. Harms nobody in time, unless a wait is told wrongly.
-    boolean full = r.customer.exhausted && r.customer.admittedWithoutCounter < 0 && r.customer.availableUnits < r.reservedUnits
+    // Once its window is spent and no room is known, a req only reads: adds that are sure to be
+    // given back would make the customer look fuller to the other nodes than it is. Guards against
+    // client tries that come back past their response target and take room from first ones: none
+    // passes for a spent customer or in a jam. Harms nobody in time, unless a wait is told wrongly.
+    boolean full = r.customer.exhausted && r.customer.admittedWithoutCounter < 0
+        && r.customer.availableUnits < r.reservedUnits
         || r.lateRetry && (r.customer.exhausted || !counterIsWell());
     // What peers tell is known without a call: calls are for reqs that it leaves room for.
     boolean heard = !counterIsWell() && gossip.isHeard(now, r.customer.nodeCount);
     if (heard) full = r.lateRetry || !quotas.hasLocalRoom(r.customer, r.reservedUnits);
-    // Guards against a counter that is silent, refusing, full or slow: a call goes out every gap, for the
-    // next req in time; a share decides the others. Harms a little where two calls are lost by chance.
-    if (counterIsWell() || site.counter().available() && !r.lateRetry && now >= nextCall && !(heard && full)) {
+    // Guards against a counter that is silent, refusing, full or slow: a call goes out every gap,
+    // for the next req in time; a share decides the others. Harms a little where two calls are lost
+    // by chance.
+    if (counterIsWell()
+        || site.counter().available() && !r.lateRetry && now >= nextCall && !(heard && full)) {
       nextCall = now + (long) gap;
       r.chargedUnits = full ? 0 : r.reservedUnits;
       r.awaitingCounter = true;
@@ -244,16 +275,17 @@
       if (r == null) return;
       boolean below = w.chargedTotal - r.chargedUnits < w.customer.plan.burstUnits();
       w.customer.exhausted |= !below || w.customer.availableUnits <= 0;
-      // Guards against windows that differ from the quota's store: a heavy customer would spend each window
-      // at its start, stand denied with room, and find a whole burst again at the turn.
+      // Guards against windows that differ from the quota's store: a heavy customer would spend
+      // each window at its start, stand denied with room, and find a whole burst again at the turn.
       boolean heard = gossip.isHeard(now, w.customer.nodeCount);
-      boolean room = heard ? quotas.hasLocalRoom(r.customer, r.reservedUnits) : w.customer.availableUnits >= r.reservedUnits;
+      boolean room = heard ? quotas.hasLocalRoom(r.customer, r.reservedUnits)
+          : w.customer.availableUnits >= r.reservedUnits;
       decide(r, w.customer.exhausted ? !r.lateRetry && room : below);
     } else if (r != null) {
       decide(r, quotas.hasLocalRoom(r.customer, r.reservedUnits));
     }
-    // A timed-out or broken add may have counted: it is taken as counted, and not as another node's when it
-    // shows in a total. What was turned away is owed again.
+    // A timed-out or broken add may have counted: it is taken as counted, and not as another node's
+    // when it shows in a total. What was turned away is owed again.
     if (c.outcome().neverExecuted()) w.uncarriedUnits += call.units();
     else if (!answered) w.unconfirmedUnits += call.units();
     if (r != null) {
@@ -268,10 +300,13 @@
 
   private void judgeCounter(boolean answered) {
     misses = answered ? 0 : misses + 1;
-    double crowd = Math.max(1, nodes() / GAP_NODES); // the nodes together must not test it into a jam
+    // the nodes together must not test it into a jam
+    double crowd = Math.max(1, nodes() / GAP_NODES);
     if (answered) {
-      // Guards against a gap that stays with a counter long well where reqs come seldomer than calls may.
-      gap *= Math.exp(-Math.max(gap / GAP_FADE, Math.min(ROUND, now - judgedAt) / GAP_CLOSE) / crowd);
+      // Guards against a gap that stays with a counter long well where reqs come seldomer than
+      // calls may.
+      gap *= Math
+          .exp(-Math.max(gap / GAP_FADE, Math.min(ROUND, now - judgedAt) / GAP_CLOSE) / crowd);
       gap = gap < site.clockResolutionTicks() ? 0 : gap;
     } else if ((misses >= MISSES || gap > 0) && now >= nextGap) {
       nextGap = now + ROUND;
@@ -285,7 +320,8 @@
   private void decide(RequestState r, boolean room) {
     if (r.finished || r.wantedEnd != RequestEnd.NONE) return;
     touch(r);
-    // Guards against a count's answer that was read long after it came: nobody waits for this req any more.
+    // Guards against a count's answer that was read long after it came: nobody waits for this req
+    // any more.
     if (r.deadline <= now) {
       finish(r, RequestEnd.REJECTED, 0);
       return;
@@ -321,8 +357,8 @@
   private double[] learner(RequestState r) {
     double[][] all = r.customer.estimates;
     int at = r.arrival.requestClass();
-    if (all[at] == null)
-      all[at] = new double[] {Math.min(r.arrival.estimatedUnits(), r.customer.plan.burstUnits()), 0};
+    if (all[at] == null) all[at] = new double[] {
+        Math.min(r.arrival.estimatedUnits(), r.customer.plan.burstUnits()), 0};
     return all[at];
   }
 
@@ -347,9 +383,9 @@
     s.decayedAt = now;
   }
 
-  // What it has been seen to manage: dispatches for the time they took, what is out counting as unfinished
-  // and a failed one as time lost. One judgement for slow, pausing, failing and dead app srvs alike. Harms
-  // one that drew a few very costly reqs.
+  // What it has been seen to manage: dispatches for the time they took, what is out counting as
+  // unfinished and a failed one as time lost. One judgement for slow, pausing, failing and dead app
+  // srvs alike. Harms one that drew a few very costly reqs.
   private double slowness(ServerState s) {
     fade(s);
     double age = Math.max(0, now * s.inverseExpectedSum - s.elapsedBase);
@@ -370,17 +406,20 @@
   private double warmth(ServerState s) {
     long age = now - s.startedAt;
     if (s.startedAt <= 0 || age >= rules.warmUpTicks()) return 1;
-    return rules.initialCapacity() + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpTicks();
+    return rules.initialCapacity()
+        + (1 - rules.initialCapacity()) * Math.max(0, age) / rules.warmUpTicks();
   }
 
   /**
-   * A cold app srv takes, in each window of the rule, a part of what warm ones get times the multiple. A
-   * node's part is a rate, begun at random: many nodes with a part below one req must not send it one each.
+   * A cold app srv takes, in each window of the rule, a part of what warm ones get times the
+   * multiple. A node's part is a rate, begun at random: many nodes with a part below one req must
+   * not send it one each.
    */
   private boolean coldAllows(ServerState s) {
     double warmth = warmth(s);
     if (warmth >= 1) return true;
-    // By number, not by warmth: of few warm ones each would seem to carry much, and most is cold then.
+    // By number, not by warmth: of few warm ones each would seem to carry much, and most is cold
+    // then.
     double carried = Math.max(unitsSent, unitsAsked) / Math.max(1, usable);
     double budget = COLD_USE * rules.warmUpBudgetFactor() * warmth * carried;
     double gained = budget * (now - s.warmUpBudgetAt) / Math.max(1, rules.warmUpWindowTicks());
@@ -389,13 +428,19 @@
     return s.warmUpBudgetLeft >= 1;
   }
 
-  /** It has just started, or is heard of so: this node begins anywhere on the way to its first dispatch. */
+  /**
+   * It has just started, or is heard of so: this node begins anywhere on the way to its first
+   * dispatch.
+   */
   private void chill(ServerState s) {
     s.warmUpBudgetLeft = chance.nextDouble();
     s.warmUpBudgetAt = now;
   }
 
-  /** The weighted rotation: each gains its part, the richest that is not crowded gets the turn and pays. */
+  /**
+   * The weighted rotation: each gains its part, the richest that is not crowded gets the turn and
+   * pays.
+   */
   private ServerState choose(RequestState r) {
     List<ServerState> able = new ArrayList<>();
     if (r.attemptCount == 0) unitsAsked += r.arrival.estimatedUnits();
@@ -415,7 +460,8 @@
       ServerState s = able.get(i);
       double part = weights[i] / all;
       s.rotationCredit = Math.max(-CREDIT, Math.min(CREDIT, s.rotationCredit + part));
-      if (!coldAllows(s)) continue; // its turn stays: else a cold one would wait for its part and then again
+      // its turn stays: else a cold one would wait for its part and then again
+      if (!coldAllows(s)) continue;
       if (best == null || s.rotationCredit > best.rotationCredit) best = s;
       boolean crowded = s.inFlight > CROWD_FREE && s.inFlight > CROWD * held * part;
       if (!crowded && (calm == null || s.rotationCredit > calm.rotationCredit)) calm = s;
@@ -427,10 +473,13 @@
 
   /** A uniqued req that may have run stays where its repeats are dropped. */
   private static boolean inGroup(RequestState r, ServerState s) {
-    if (r.stats.requestClass.retrySafety() != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY || r.possiblyExecutedAt < 0)
+    if (r.stats.requestClass.retrySafety() != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY
+        || r.possiblyExecutedAt < 0)
       return true;
-    if (r.stats.requestClass.keyScope() == GatewaySettings.KeyScope.ZONE) return s.zone == r.possiblyExecutedOn.zone;
-    return r.stats.requestClass.keyScope() == GatewaySettings.KeyScope.ALL || s.keyGroup == r.possiblyExecutedOn.keyGroup;
+    if (r.stats.requestClass.keyScope() == GatewaySettings.KeyScope.ZONE)
+      return s.zone == r.possiblyExecutedOn.zone;
+    return r.stats.requestClass.keyScope() == GatewaySettings.KeyScope.ALL
+        || s.keyGroup == r.possiblyExecutedOn.keyGroup;
   }
 
   private void listed(GatewayEvent.EndpointsUpdated l) {
@@ -445,7 +494,8 @@
         s = srvs.put(e.serverId(), new ServerState());
         s.id = e.serverId();
         s.decayedAt = now;
-        s.rotationCredit = chance.nextDouble(); // many nodes with few reqs each must not begin with the same app srvs
+        // many nodes with few reqs each must not begin with the same app srvs
+        s.rotationCredit = chance.nextDouble();
       } else if (e.startedAtTicks() != s.startedAt) {
         s.completed = s.spentTime = 0;
       }
@@ -486,7 +536,8 @@
     learn(r, d, e.outcome());
     touch(r);
     r.finished |= e.requestFinished();
-    if (e.outcome() == AttemptOutcome.SUCCEEDED && e.actualUnits() > 0 && site.counter().reportsActualUnits())
+    if (e.outcome() == AttemptOutcome.SUCCEEDED && e.actualUnits() > 0
+        && site.counter().reportsActualUnits())
       settle(r, e.actualUnits());
     if (!e.outcome().neverExecuted() && r.possiblyExecutedAt < 0) {
       r.possiblyExecutedAt = d.startedAt;
@@ -513,7 +564,8 @@
       passed++;
       s.completed++;
       double unit = spent / Math.max(LEAST_UNIT, r.arrival.estimatedUnits());
-      r.stats.ticksPerUnit += (r.stats.ticksPerUnit <= 0 ? 1 : LEARN) * (unit - r.stats.ticksPerUnit);
+      r.stats.ticksPerUnit += (r.stats.ticksPerUnit <= 0 ? 1 : LEARN)
+          * (unit - r.stats.ticksPerUnit);
     }
     r.stats.recentAttemptTicks += RECENT * (spent - r.stats.recentAttemptTicks);
     boolean time = how == AttemptOutcome.SUCCEEDED || how == AttemptOutcome.CANCELLED
@@ -523,33 +575,42 @@
     forget(s);
   }
 
-  /** Nothing is out any more, no answer has come: another dispatch where the frontend allows, or the end. */
+  /**
+   * Nothing is out any more, no answer has come: another dispatch where the frontend allows, or the
+   * end.
+   */
   private void again(RequestState r, AttemptOutcome how) {
     GatewaySettings.RequestClass f = r.stats.requestClass;
-    boolean harmless = r.possiblyExecutedAt < 0 || f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT
-        || remembers(r);
+    boolean harmless = r.possiblyExecutedAt < 0
+        || f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT || remembers(r);
     harmless &= !r.streaming && now < r.deadline && how != AttemptOutcome.NOT_SENT;
     r.nextServer = harmless && r.attemptCount < rules.maxAttempts() ? choose(r) : null;
     if (r.nextServer == null) finish(r, RequestEnd.REJECTED, rules.maxRetryAfterTicks());
   }
 
-  /** Uniqued, and its first dispatch that may have run is still known where a further one comes now. */
+  /**
+   * Uniqued, and its first dispatch that may have run is still known where a further one comes now.
+   */
   private boolean remembers(RequestState r) {
     GatewaySettings.RequestClass f = r.stats.requestClass;
     return f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY
         && now + WAY < r.possiblyExecutedAt + f.keyTtlTicks();
   }
 
-  // Guards against a connection that comes up when what allowed its dispatch is past: the client gone, the
-  // app srv told to drain or replaced, the repeat window over.
+  // Guards against a connection that comes up when what allowed its dispatch is past: the client
+  // gone, the app srv told to drain or replaced, the repeat window over.
   @Override
   public boolean mayStartAttempt(long at, long rid, int dispatch) {
     now = Math.max(now, at);
     RequestState r = reqs.find(rid);
-    if (r == null || r.finished || r.attempt == null || dispatch != r.attemptCount - 1 || now >= r.deadline) return false;
+    if (r == null || r.finished || r.attempt == null || dispatch != r.attemptCount - 1
+        || now >= r.deadline)
+      return false;
     ServerState s = r.attempt.server;
-    return s.ready && s.startedAt == r.attempt.serverStartedAt && (r.possiblyExecutedAt < 0
-        || r.stats.requestClass.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT || remembers(r));
+    return s.ready && s.startedAt == r.attempt.serverStartedAt
+        && (r.possiblyExecutedAt < 0
+            || r.stats.requestClass.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT
+            || remembers(r));
   }
 
   /** Wants the final answer; a denial becomes an abort where it could do harm. */
@@ -564,22 +625,24 @@
       quotas.pass(r.window, -r.reservedUnits);
     }
     r.wantedEnd = end == RequestEnd.REJECTED && !harmless ? RequestEnd.FAILED : end;
-    r.retryAfterTicks = rules.maySendRetryAfter() ? Math.min(rules.maxRetryAfterTicks(), Math.max(0, pause)) : 0;
+    r.retryAfterTicks = rules.maySendRetryAfter()
+        ? Math.min(rules.maxRetryAfterTicks(), Math.max(0, pause)) : 0;
     touch(r);
   }
 
   private void due(GatewayEvent.TimerFired d) {
     RequestState r = reqs.find(d.timerId());
     if (d.timerId() < 0) round();
-    else if (r != null && !r.finished && !r.streaming) finish(r, r.attemptCount == 0 ? RequestEnd.REJECTED : RequestEnd.FAILED, 0);
+    else if (r != null && !r.finished && !r.streaming)
+      finish(r, r.attemptCount == 0 ? RequestEnd.REJECTED : RequestEnd.FAILED, 0);
   }
 
   // ---- pressure and housekeeping
 
-  // Guards against queues that outlast the response target (overload, dead or slowed app srvs, retry storms):
-  // by Little's law what is out over what passes a second is how long a dispatch takes now. Beyond the part
-  // of the target allowed (of what its client still waits, if less) a req is denied at once, cheap ones
-  // sooner. Harms where app srvs answer in bursts.
+  // Guards against queues that outlast the response target (overload, dead or slowed app srvs,
+  // retry storms): by Little's law what is out over what passes a second is how long a dispatch
+  // takes now. Beyond the part of the target allowed (of what its client still waits, if less) a
+  // req is denied at once, cheap ones sooner. Harms where app srvs answer in bursts.
   private boolean pressed(RequestState r) {
     double value = r.customer.plan.priorityWeight() * r.stats.requestClass.priorityWeight();
     meanValue += (meanValue == 0 ? 1 : VALUE_STEP) * (value - meanValue);
@@ -601,10 +664,12 @@
     weighFleet();
     memory = Math.max(MEMORY, Math.min(AGEING, TURNS * warmSeen * RATE_TIME / Math.max(1, passed)));
     reqs.forEach(r -> {
-      // Guards against dispatches stuck on bad app srvs, or whose answers got lost on the way, taking up what
-      // may be out and denying the rest. Harms where one long req makes an app srv look silent.
+      // Guards against dispatches stuck on bad app srvs, or whose answers got lost on the way,
+      // taking up what may be out and denying the rest. Harms where one long req makes an app srv
+      // look silent.
       Attempt d = r.attempt;
-      if (d == null || d.abandoned || r.streaming || now - d.countedFrom <= STUCK * r.stats.requestClass.latencyObjectiveTicks())
+      if (d == null || d.abandoned || r.streaming
+          || now - d.countedFrom <= STUCK * r.stats.requestClass.latencyObjectiveTicks())
         return;
       if (slowness(d.server) < SICK && quiet(d.server) < DEAD) return;
       d.abandoned = true;
@@ -643,7 +708,8 @@
       r.finished |= r.wantedEnd != RequestEnd.NONE;
       if (!r.finished && r.nextServer != null) dispatch(r);
       r.nextServer = null;
-      if (r.attempt != null && r.finished && !r.streaming && !r.attempt.cancelled && rules.mayCancelAttempts()) {
+      if (r.attempt != null && r.finished && !r.streaming && !r.attempt.cancelled
+          && rules.mayCancelAttempts()) {
         r.attempt.cancelled = true;
         to.cancelAttempt(rid, r.attemptCount - 1);
       }
@@ -654,9 +720,9 @@
     touched.clear();
     for (CounterCall c : wantCalls) {
       long keep = Math.min(LONGEST_KEPT, Math.max(1, c.window().endsAt - now + longest));
-      // Guards against a busy counter whose answers all come a little late and are thrown away: they are
-      // waited for, as far as response targets leave time. Harms while it is silent: its test calls hold
-      // their reqs.
+      // Guards against a busy counter whose answers all come a little late and are thrown away:
+      // they are waited for, as far as response targets leave time. Harms while it is silent: its
+      // test calls hold their reqs.
       to.addToCounter(c.window().counterName, c.units(), keep, countWait);
     }
     wantCalls.clear();
--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -5,20 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.api.GossipMessage;
-import saltlatch.member.Shares;
+import saltlatch.membership.QuotaShares;
 
 /**
- * What edge nodes tell each other of the units they passed while the counter cannot take a call for each req:
- * for each customer's window the sum so far, so that a datagram lost or overtaken is made good by the next.
- * Decides when, to whom and what; does no I/O and reads no clock. Control asks it and acts; docs/design.md
- * has the reasons.
+ * What edge nodes tell each other of the units they passed while the counter cannot take a call for
+ * each req: for each customer's window the sum so far, so that a datagram lost or overtaken is made
+ * good by the next. Decides when, to whom and what; does no I/O and reads no clock. Control asks it
+ * and acts; docs/design.md has the reasons.
  */
 final class QuotaGossip {
   static final double PERIOD = 10_000; // 1 s between tellings: quotas refill less than a burst
-  static final double INTAKE = 0.5; // part of the datagrams that a node takes in which these may use
-  static final double SILENT = 3; // periods without any datagram after which peers are taken as unheard
+  // part of the datagrams that a node takes in which these may use
+  static final double INTAKE = 0.5;
+  // periods without any datagram after which peers are taken as unheard
+  static final double SILENT = 3;
   static final double LINGER = 5; // periods of telling after a jam: others may still be in one
-  static final double MOST_PRICE = 0.02; // of all worth, if each first try is told; in fact half that
+  // of all worth, if each first try is told; in fact half that
+  static final double MOST_PRICE = 0.02;
   static final int MOST_BYTES = 256; // of a datagram, by the protocol
   static final int ENTRY = 7; // bytes that a sum takes of it
   static final int TURNS = 128; // windows' numbers are told modulo this
@@ -29,13 +32,14 @@
   private final int me;
   private final int nodes;
   private final double intake; // datagrams a second; 0: nothing may be told
-  private final double mostWidth; // of a customer's set; wider ones cost more to tell than they bring
+  // of a customer's set; wider ones cost more to tell than they bring
+  private final double mostWidth;
   private final Map<Long, Own> changed = new LinkedHashMap<>(); // by window, in order of change
   private int widest = 1;
   private long jamAt = NEVER;
   private long heardAt = NEVER;
   private long toldAt = NEVER;
-  private Shares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null: nodes do not know each other
 
   QuotaGossip(int me, int nodes, double intake, double fee) {
     this.me = me;
@@ -44,13 +48,16 @@
     mostWidth = fee <= 0 ? nodes : 1 + MOST_PRICE / fee * MOST_BYTES / ENTRY;
   }
 
-  /** Those that share customers with this node are at most twice the widest set; all may tell at once. */
+  /**
+   * Those that share customers with this node are at most twice the widest set; all may tell at
+   * once.
+   */
   double period() {
     int tellers = Math.min((shares == null ? nodes : shares.counted()) - 1, 2 * (widest - 1));
     return Math.max(PERIOD, tellers * QuotaTracker.SECOND / Math.max(1, INTAKE * intake));
   }
 
-  void share(Shares with) { shares = with; }
+  void share(QuotaShares with) { shares = with; }
 
   /** How long a peer's last datagram says whom it hears, and that it is heard. */
   long within() {
@@ -81,7 +88,10 @@
     changed.put(name, new Own(sum, first, width));
   }
 
-  /** What is due now: a datagram for each peer with a customer whose sum has changed, the latest first. */
+  /**
+   * What is due now: a datagram for each peer with a customer whose sum has changed, the latest
+   * first.
+   */
   Map<Integer, GossipMessage> due(long now) {
     Map<Integer, GossipMessage> out = new LinkedHashMap<>();
     if (!isOn(now)) {
@@ -101,7 +111,8 @@
         Own o = latest.get(i);
         if (Math.floorMod(peer - o.first(), nodes) < o.width()) sums.add(o.sum());
       }
-      // One with no sums says that this node passed nothing: silence would look like a node cut off.
+      // One with no sums says that this node passed nothing: silence would look like a node cut
+      // off.
       int apart = Math.min(step, nodes - step);
       if (!sums.isEmpty() || apart < widest) out.put(peer, new GossipMessage(sums, hearing));
     }
--- a/src/main/java/saltlatch/policy/QuotaWindow.java
+++ b/src/main/java/saltlatch/policy/QuotaWindow.java
@@ -13,7 +13,8 @@
   double unconfirmedUnits; // units of timed-out adds since the last total
   double lostUnits; // units that the counter forgot, by what this node knows
   double admittedUnits; // units that this node passed, counted or not
-  double othersByCounter, othersByGossip, othersCharged; // what the others passed, by totals, by their telling, and as charged
+  // what the others passed, by totals, by their telling, and as charged
+  double othersByCounter, othersByGossip, othersCharged;
   double[] gossipByNode; // by each node of the customer's set
   final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
 }
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -7,7 +7,8 @@
   GatewayEvent.RequestArrived arrival;
   RequestClassStats stats;
   CustomerQuota customer;
-  boolean lateRetry; // a client's further try, by the wait left to it too late for its response target
+  // a client's further try, by the wait left to it too late for its response target
+  boolean lateRetry;
   long deadline; // wanted: the final answer by then
   QuotaWindow window; // charged there; null where the plan has no quota
   double reservedUnits;
--- a/src/main/java/saltlatch/policy/SlotMap.java
+++ b/src/main/java/saltlatch/policy/SlotMap.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Gives outside ids small indices that are used again once released; walks go by index, never by hash. */
+/**
+ * Gives outside ids small indices that are used again once released; walks go by index, never by
+ * hash.
+ */
 public final class SlotMap<T> {
   private final Map<Long, Integer> slotById = new HashMap<>();
   private final List<T> slots = new ArrayList<>();
--- a/src/main/java/saltlatch/relay/Connection.java
+++ b/src/main/java/saltlatch/relay/Connection.java
@@ -10,7 +10,10 @@
 
 /** A connection of the relay's listener, and what its other side may cost. */
 final class Connection {
-  /** Bytes that may come before what was asked is answered: a request, or a few written one behind the other. */
+  /**
+   * Bytes that may come before what was asked is answered: a request, or a few written one behind
+   * the other.
+   */
   static final int MAX_UNANSWERED_BYTES = 16 * 1024;
 
   private final ChannelHandlerContext first;
@@ -28,8 +31,9 @@
   }
 
   /**
-   * Ends it without waiting until what was written is taken, as Vert.x and a close of its channel do: whoever takes nothing
-   * would stay for ever. From the pipeline's first handler on, a close meets nobody that holds it up.
+   * Ends it without waiting until what was written is taken, as Vert.x and a close of its channel
+   * do: whoever takes nothing would stay for ever. From the pipeline's first handler on, a close
+   * meets nobody that holds it up.
    */
   void close() {
     first.close();
--- a/src/main/java/saltlatch/relay/EncodedMessage.java
+++ b/src/main/java/saltlatch/relay/EncodedMessage.java
@@ -11,8 +11,9 @@
 import saltlatch.distribution.Message;
 
 /**
- * A message as it goes over the wire, encoded once for all watchers, piece by piece as the first of them gets there. The
- * pieces lie outside the heap, since sockets would copy them for each watcher otherwise, and are freed once nobody uses them.
+ * A message as it goes over the wire, encoded once for all watchers, piece by piece as the first of
+ * them gets there. The pieces lie outside the heap, since sockets would copy them for each watcher
+ * otherwise, and are freed once nobody uses them.
  */
 final class EncodedMessage {
   /** Bytes from which on a piece is full: the encoding of one takes a fraction of a ms. */
@@ -35,7 +36,10 @@
     return message;
   }
 
-  /** The piece of a place, null behind the last. It must not be released, and is there while its user is. */
+  /**
+   * The piece of a place, null behind the last. It must not be released, and is there while its
+   * user is.
+   */
   ByteBuf piece(int place) {
     if (place == pieces.size() && !complete) encodePiece();
     return place < pieces.size() ? pieces.get(place) : null;
@@ -71,7 +75,8 @@
       complete = true;
     } else {
       if (pieces.isEmpty()) writeText(piece, head());
-      while (nextEntry < message.entries().size() && piece.readableBytes() < PIECE_BYTES) writeEntry(piece);
+      while (nextEntry < message.entries().size() && piece.readableBytes() < PIECE_BYTES)
+        writeEntry(piece);
       complete = nextEntry == message.entries().size();
       if (complete) writeText(piece, "]}\n");
     }
@@ -101,7 +106,10 @@
     nextEntry++;
   }
 
-  /** A removed entry says so, also where it was only missing in a whole list and its JSON is the last that was heard. */
+  /**
+   * A removed entry says so, also where it was only missing in a whole list and its JSON is the
+   * last that was heard.
+   */
   private static String goneJson(Entry entry) {
     JsonObject json = JsonParser.parseString(entry.json()).getAsJsonObject();
     if (json.get("status").getAsString().equalsIgnoreCase("Gone")) return entry.json();
--- a/src/main/java/saltlatch/relay/EntryParser.java
+++ b/src/main/java/saltlatch/relay/EntryParser.java
@@ -8,15 +8,19 @@
 import saltlatch.distribution.Entry;
 import saltlatch.distribution.Version;
 
-/** Reads, with the JSON library's streaming parser, what a relay has to know of an entry and of a line around its entries. */
+/**
+ * Reads, with the JSON library's streaming parser, what a relay has to know of an entry and of a
+ * line around its entries.
+ */
 final class EntryParser {
   /** What a line says beside its entries. */
   record Envelope(Version version, boolean whole) {}
 
   private static final String GONE = "Gone";
 
-  private final JsonFactory json = JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-      .build(); // names come from outside: none is kept for good
+  private final JsonFactory json = JsonFactory.builder()
+      // names come from outside: none is kept for good
+      .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
 
   /** An entry of the list: its JSON is checked as a whole and kept as it is. */
   Entry entry(byte[] text, int length) throws MalformedWatchException {
@@ -80,7 +84,8 @@
   }
 
   private static boolean flag(JsonToken value) throws MalformedWatchException {
-    expect(value == JsonToken.VALUE_TRUE || value == JsonToken.VALUE_FALSE, "snapshot that is no boolean");
+    expect(value == JsonToken.VALUE_TRUE || value == JsonToken.VALUE_FALSE,
+        "snapshot that is no boolean");
     return value == JsonToken.VALUE_TRUE;
   }
 
--- a/src/main/java/saltlatch/relay/MessageEncoder.java
+++ b/src/main/java/saltlatch/relay/MessageEncoder.java
@@ -6,8 +6,8 @@
 import saltlatch.distribution.Message;
 
 /**
- * Gives the one encoded form of each message to all who send it. The latest of each kind is kept between its watchers, so that
- * those who come one after the other share it as well.
+ * Gives the one encoded form of each message to all who send it. The latest of each kind is kept
+ * between its watchers, so that those who come one after the other share it as well.
  */
 final class MessageEncoder {
   private final Map<Message, EncodedMessage> used = new IdentityHashMap<>();
--- a/src/main/java/saltlatch/relay/Relay.java
+++ b/src/main/java/saltlatch/relay/Relay.java
@@ -23,13 +23,14 @@
 import saltlatch.distribution.Version;
 
 /**
- * One relay on one event loop: turns sockets into events of a {@link Distributor} and its actions into sockets. What to do is
- * decided there alone.
+ * One relay on one event loop: turns sockets into events of a {@link Distributor} and its actions
+ * into sockets. What to do is decided there alone.
  */
 public final class Relay {
   private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
   private static final int CONNECT_MS = 2_000; // an upstream is a machine or two away
-  private static final int MAX_CHUNK_BYTES = 64 * 1024; // of an upstream's answer, read in one turn of the loop
+  // of an upstream's answer, read in one turn of the loop
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
   private static final long FIGURES_MS = 60_000; // between lines of figures in the log
 
   private final RelayConfig config;
@@ -39,7 +40,8 @@
   private final HttpClient client;
   private final Distributor distributor;
   private final WatcherServer server;
-  private final Deque<Runnable> events = new ArrayDeque<>(); // those that came while one was being told
+  // those that came while one was being told
+  private final Deque<Runnable> events = new ArrayDeque<>();
   private boolean telling;
   private UpstreamWatch watch; // null while none is open
   private long timer = -1;
@@ -55,14 +57,17 @@
     this.config = config;
     this.clock = clock;
     vertx = Vertx.vertx(new VertxOptions().setPreferNativeTransport(true).setEventLoopPoolSize(1)
-        .setWorkerPoolSize(1).setInternalBlockingPoolSize(1).setFileSystemOptions(
-            new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false)));
+        .setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
+        .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
+            .setClassPathResolvingEnabled(false)));
     loop = vertx.getOrCreateContext();
     loop.exceptionHandler(e -> LOG.error("unexpected", e));
     client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS)
         .setMaxChunkSize(MAX_CHUNK_BYTES).setDecompressionSupported(false).setIdleTimeout(0));
-    distributor = new Distributor(config.limits(), config.upstreams().size(), config.seed(), actions);
-    server = new WatcherServer(vertx, loop, config.limits().watchers(), clock, this::figures, watcherEvents);
+    distributor = new Distributor(config.limits(), config.upstreams().size(), config.seed(),
+        actions);
+    server = new WatcherServer(vertx, loop, config.limits().watchers(), clock, this::figures,
+        watcherEvents);
   }
 
   /** Listens, then follows; failed if it can't listen. */
@@ -114,11 +119,15 @@
 
   private String figures() {
     Status status = distributor.status(now());
-    String upstream = status.upstream() < 0 ? "none" : config.upstreams().get(status.upstream()).toString();
+    String upstream = status.upstream() < 0 ? "none"
+        : config.upstreams().get(status.upstream()).toString();
     return RelayFigures.text(status, upstream, server);
   }
 
-  /** Tells one event after the other: what an action brings about at once comes behind the event that caused it. */
+  /**
+   * Tells one event after the other: what an action brings about at once comes behind the event
+   * that caused it.
+   */
   private void tell(Runnable event) {
     events.add(event);
     if (telling) return;
--- a/src/main/java/saltlatch/relay/RelayConfig.java
+++ b/src/main/java/saltlatch/relay/RelayConfig.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import saltlatch.distribution.Limits;
-import saltlatch.wire.Dial;
+import saltlatch.wire.transport.TcpConnector;
 
 /**
  * A relay's configuration, read from one JSON object.
@@ -21,8 +21,8 @@
  * @param limits    its bounds
  * @param seed      of the jitter of its retries
  */
-public record RelayConfig(String name, SocketAddress listen, List<SocketAddress> upstreams, Limits limits,
-    long seed) {
+public record RelayConfig(String name, SocketAddress listen, List<SocketAddress> upstreams,
+    Limits limits, long seed) {
 
   /** A configuration that can't be used; the message names the key. */
   public static final class InvalidConfigException extends Exception {
@@ -38,7 +38,10 @@
       "snapshot_bytes_per_second");
   private static final int MAX_PORT = 65_535;
 
-  /** Bounds for keys that are left out: what seven machines need for 2,700 nodes and 34,000 entries, with room. */
+  /**
+   * Bounds for keys that are left out: what seven machines need for 2,700 nodes and 34,000 entries,
+   * with room.
+   */
   private static final Limits DEFAULTS = new Limits(3_000, 65_536, 65_536, 64L * 1024 * 1024);
 
   /** Reads and checks a configuration's text. */
@@ -60,8 +63,8 @@
     rejectUnknown(limits, "limits.", LIMIT_KEYS);
     return new Limits((int) limit(limits, "watchers", DEFAULTS.watchers(), Integer.MAX_VALUE),
         (int) limit(limits, "entries", DEFAULTS.entries(), Integer.MAX_VALUE),
-        (int) limit(limits, "log_changes", DEFAULTS.logChanges(), Integer.MAX_VALUE),
-        limit(limits, "snapshot_bytes_per_second", DEFAULTS.snapshotBytesPerSecond(), Long.MAX_VALUE));
+        (int) limit(limits, "log_changes", DEFAULTS.logChanges(), Integer.MAX_VALUE), limit(limits,
+            "snapshot_bytes_per_second", DEFAULTS.snapshotBytesPerSecond(), Long.MAX_VALUE));
   }
 
   private static long limit(JsonObject limits, String key, long otherwise, long most)
@@ -70,7 +73,8 @@
   }
 
   private static List<SocketAddress> upstreams(JsonElement element) throws InvalidConfigException {
-    if (!element.isJsonArray()) throw new InvalidConfigException("upstreams is no list of HOST:PORT");
+    if (!element.isJsonArray())
+      throw new InvalidConfigException("upstreams is no list of HOST:PORT");
     JsonArray array = element.getAsJsonArray();
     if (array.isEmpty()) throw new InvalidConfigException("upstreams is empty");
     List<SocketAddress> all = new ArrayList<>();
@@ -106,7 +110,8 @@
   }
 
   private static String string(JsonElement element, String key) throws InvalidConfigException {
-    if (element.isJsonPrimitive() && element.getAsJsonPrimitive().isString()) return element.getAsString();
+    if (element.isJsonPrimitive() && element.getAsJsonPrimitive().isString())
+      return element.getAsString();
     throw new InvalidConfigException(key + " is no string");
   }
 
@@ -114,7 +119,7 @@
       throws InvalidConfigException {
     String text = string(element, key);
     try {
-      SocketAddress address = Dial.address(text);
+      SocketAddress address = TcpConnector.parseAddress(text);
       if (address.port() >= leastPort && address.port() <= MAX_PORT) return address;
     } catch (IllegalArgumentException e) {
       throw new InvalidConfigException(key + " is no HOST:PORT: " + text);
--- a/src/main/java/saltlatch/relay/RelayFigures.java
+++ b/src/main/java/saltlatch/relay/RelayFigures.java
@@ -43,7 +43,8 @@
   }
 
   private static long cpuMs() {
-    var system = (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+    var system = (com.sun.management.OperatingSystemMXBean) ManagementFactory
+        .getOperatingSystemMXBean();
     return system.getProcessCpuTime() / NANOS_PER_MS;
   }
 }
--- a/src/main/java/saltlatch/relay/UpstreamWatch.java
+++ b/src/main/java/saltlatch/relay/UpstreamWatch.java
@@ -11,7 +11,10 @@
 import saltlatch.distribution.Update;
 import saltlatch.distribution.Version;
 
-/** One watch at one upstream, from its opening to its end; it ends once, and nothing is told of it behind that. */
+/**
+ * One watch at one upstream, from its opening to its end; it ends once, and nothing is told of it
+ * behind that.
+ */
 final class UpstreamWatch {
   /** Whom its events are told to, on the event loop. */
   interface Host {
--- a/src/main/java/saltlatch/relay/WatchParser.java
+++ b/src/main/java/saltlatch/relay/WatchParser.java
@@ -7,8 +7,9 @@
 import saltlatch.distribution.Update;
 
 /**
- * Cuts the stream of a watch into entries as its bytes come, so that no more of a line is held than its entries and one
- * that has begun. A line may be spread over several, as when its sender indents. Bounds hold from the first byte beyond.
+ * Cuts the stream of a watch into entries as its bytes come, so that no more of a line is held than
+ * its entries and one that has begun. A line may be spread over several, as when its sender
+ * indents. Bounds hold from the first byte beyond.
  */
 final class WatchParser {
   /** Whom the stream's content is told to, in its order. */
@@ -23,13 +24,19 @@
   /** Bytes of one entry; discovery's have about 125. */
   static final int MAX_ENTRY_BYTES = 8 * 1024;
 
-  /** Bytes of a line around its entries: index, snapshot, series and what a later version may add. */
+  /**
+   * Bytes of a line around its entries: index, snapshot, series and what a later version may add.
+   */
   static final int MAX_ENVELOPE_BYTES = 8 * 1024;
 
-  /** Mean bytes of an entry up to which as many as are allowed may come: bounds the memory that a line can take. */
+  /**
+   * Mean bytes of an entry up to which as many as are allowed may come: bounds the memory that a
+   * line can take.
+   */
   static final int MAX_MEAN_ENTRY_BYTES = 512;
 
-  private static final byte[] ENTRIES_KEY = {'"', 'e', 'n', 'd', 'p', 'o', 'i', 'n', 't', 's', '"', ':'};
+  private static final byte[] ENTRIES_KEY = {'"', 'e', 'n', 'd', 'p', 'o', 'i', 'n', 't', 's', '"',
+      ':'};
   private static final int LIST_DEPTH = 2; // braces and brackets open around an entry
 
   private final int maxEntries;
@@ -140,7 +147,10 @@
     }
   }
 
-  /** True if what came before the bracket is the key of the entries, and no longer string that ends like it. */
+  /**
+   * True if what came before the bracket is the key of the entries, and no longer string that ends
+   * like it.
+   */
   private boolean endsWithEntriesKey() {
     int from = envelopeLength - 1 - ENTRIES_KEY.length;
     if (from < 1) return false;
@@ -157,13 +167,17 @@
       entry[entryLength++] = b;
     } else {
       if (envelopeLength == MAX_ENVELOPE_BYTES) {
-        throw new MalformedWatchException("more than " + MAX_ENVELOPE_BYTES + " bytes beside the entries");
+        throw new MalformedWatchException(
+            "more than " + MAX_ENVELOPE_BYTES + " bytes beside the entries");
       }
       envelope[envelopeLength++] = b;
     }
   }
 
-  /** Lines that were broken become one; around the entries as little is kept as tells two values apart. */
+  /**
+   * Lines that were broken become one; around the entries as little is kept as tells two values
+   * apart.
+   */
   private void keepSpace() throws MalformedWatchException {
     if (inList || !isOneOf(envelope[envelopeLength - 1], " {[,:")) keep((byte) ' ');
   }
@@ -177,7 +191,8 @@
   }
 
   private void countByte() throws MalformedWatchException {
-    if (++lineBytes > maxLineBytes) throw new MalformedWatchException("more than " + maxLineBytes + " bytes");
+    if (++lineBytes > maxLineBytes)
+      throw new MalformedWatchException("more than " + maxLineBytes + " bytes");
   }
 
   private static boolean isSpace(byte b) {
--- a/src/main/java/saltlatch/relay/Watcher.java
+++ b/src/main/java/saltlatch/relay/Watcher.java
@@ -9,9 +9,9 @@
 import saltlatch.distribution.Message;
 
 /**
- * One watch of this relay, or one request for the whole list, which is a watch that ends behind it. It writes one piece at a
- * time and the next once the socket has taken it: a watcher that reads nothing holds no bytes of its own but those that the
- * system holds for its socket.
+ * One watch of this relay, or one request for the whole list, which is a watch that ends behind it.
+ * It writes one piece at a time and the next once the socket has taken it: a watcher that reads
+ * nothing holds no bytes of its own but those that the system holds for its socket.
  */
 final class Watcher {
   /** Whom its events are told to, on the event loop. */
@@ -42,8 +42,8 @@
   private boolean ended;
   private long bytesTaken;
 
-  Watcher(long id, boolean follows, Connection connection, HttpServerResponse response, Context loop,
-      MessageEncoder encoder, Host host) {
+  Watcher(long id, boolean follows, Connection connection, HttpServerResponse response,
+      Context loop, MessageEncoder encoder, Host host) {
     this.id = id;
     this.follows = follows;
     this.connection = connection;
@@ -81,7 +81,9 @@
     response.setStatusCode(UNAVAILABLE).putHeader("retry-after", RETRY_AFTER_S).end();
   }
 
-  /** Ends it; a watch with nothing on the way ends as a whole answer does, else the connection does. */
+  /**
+   * Ends it; a watch with nothing on the way ends as a whole answer does, else the connection does.
+   */
   void close(boolean politely) {
     boolean whole = follows && unsent.isEmpty();
     ended = true;
@@ -113,7 +115,8 @@
       if (!ended && !message.isLast(nextPiece)) {
         nextPiece++;
         host.progressed(this);
-        loop.runOnContext(v -> continueMessage()); // one piece a turn: others wait for no whole list
+        // one piece a turn: others wait for no whole list
+        loop.runOnContext(v -> continueMessage());
       } else {
         finish(message);
       }
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -20,7 +20,10 @@
 import saltlatch.distribution.Message;
 import saltlatch.distribution.Version;
 
-/** The relay's listener: watches, whole lists and figures over HTTP/1.1, and what a connection may cost. */
+/**
+ * The relay's listener: watches, whole lists and figures over HTTP/1.1, and what a connection may
+ * cost.
+ */
 final class WatcherServer {
   /** Whom its events are told to, on the event loop. */
   interface Host {
@@ -40,13 +43,16 @@
   /** Ms without a whole request after which a connection is closed, also between requests. */
   static final long IDLE_MS = 5_000;
 
-  /** Connections beside those of the watchers: silent ones, and such as ask for lists or figures. */
+  /**
+   * Connections beside those of the watchers: silent ones, and such as ask for lists or figures.
+   */
   static final int SPARE_CONNECTIONS = 64;
 
   private static final long SWEEP_MS = 250; // between looks for idle connections
   private static final int MAX_LINE_BYTES = 1_024; // of a request's first line
   private static final int MAX_HEADER_BYTES = 8 * 1_024; // of a request's headers
-  private static final int SEND_BUFFER_BYTES = 256 * 1_024; // the system's part of a watcher that reads nothing
+  // the system's part of a watcher that reads nothing
+  private static final int SEND_BUFFER_BYTES = 256 * 1_024;
   private static final int BACKLOG = 1_024; // a zone of nodes that connects at once
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
@@ -67,16 +73,16 @@
   private long bytesOfClosed;
   private long connectionsRefused;
 
-  WatcherServer(Vertx vertx, Context loop, int maxWatchers, LongSupplier clock, Supplier<String> figures,
-      Host host) {
+  WatcherServer(Vertx vertx, Context loop, int maxWatchers, LongSupplier clock,
+      Supplier<String> figures, Host host) {
     this.vertx = vertx;
     this.loop = loop;
     this.host = host;
     this.clock = clock;
     this.figures = figures;
     this.maxConnections = maxWatchers + SPARE_CONNECTIONS;
-    server = vertx
-        .createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false).setTcpNoDelay(true)
+    server = vertx.createHttpServer(
+        new HttpServerOptions().setHttp2ClearTextEnabled(false).setTcpNoDelay(true)
             .setReuseAddress(true).setAcceptBacklog(BACKLOG).setSendBufferSize(SEND_BUFFER_BYTES)
             .setMaxInitialLineLength(MAX_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES));
     server.connectionHandler(this::accept);
@@ -141,7 +147,10 @@
     if (connections.size() > maxConnections) closeOldestIdle();
   }
 
-  /** Guards against silent connections that crowd out watchers: the oldest silent one goes, which may be the new one. */
+  /**
+   * Guards against silent connections that crowd out watchers: the oldest silent one goes, which
+   * may be the new one.
+   */
   private void closeOldestIdle() {
     connectionsRefused++;
     Connection oldest = idle.keySet().iterator().next();
@@ -166,8 +175,8 @@
     HttpServerResponse response = request.response();
     response.endHandler(v -> answered(request.connection()));
     if (request.method() != HttpMethod.GET) {
-      response.putHeader("allow", "GET").putHeader("connection", "close").setStatusCode(METHOD_NOT_ALLOWED)
-          .end();
+      response.putHeader("allow", "GET").putHeader("connection", "close")
+          .setStatusCode(METHOD_NOT_ALLOWED).end();
     } else if (hasBody(request)) {
       response.putHeader("connection", "close").setStatusCode(BAD_REQUEST).end();
     } else if (request.path().equals("/info")) {
@@ -188,7 +197,8 @@
 
   private static boolean hasBody(HttpServerRequest request) {
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-    return length != null && !length.equals("0") || request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
+    return length != null && !length.equals("0")
+        || request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
   }
 
   private void targets(HttpServerRequest request, Connection connection) {
@@ -200,7 +210,8 @@
       request.response().setStatusCode(BAD_REQUEST).end();
       return;
     }
-    Watcher watcher = new Watcher(++lastId, follows, connection, request.response(), loop, encoder, events);
+    Watcher watcher = new Watcher(++lastId, follows, connection, request.response(), loop, encoder,
+        events);
     watchers.put(watcher.id(), watcher);
     request.response().closeHandler(v -> lost(watcher));
     host.opened(watcher.id(), since);
--- a/src/main/java/saltlatch/settings/SettingsReader.java
+++ b/src/main/java/saltlatch/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package saltlatch.simhost;
+package saltlatch.settings;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -7,12 +7,16 @@
 import java.util.List;
 import java.util.function.Function;
 import saltlatch.api.GatewaySettings;
+import saltlatch.api.Ticks;
 
-/** Decodes the settings, which the simulator's first message and a node's configuration hold; unknown keys are skipped. */
-public final class Reader {
-  private Reader() {}
+/**
+ * Decodes the settings, which the simulator's first message and a node's configuration hold;
+ * unknown keys are skipped.
+ */
+public final class SettingsReader {
+  private SettingsReader() {}
 
-  static GatewaySettings site(String text, long seed) {
+  public static GatewaySettings site(String text, long seed) {
     return site(JsonParser.parseString(text).getAsJsonObject(), seed);
   }
 
@@ -22,25 +26,30 @@
     JsonObject family = part(all, "familyInfo");
     List<GatewaySettings.RequestClass> frontends = new ArrayList<>();
     for (JsonObject c : objects(all, "categories")) {
-      frontends.add(new GatewaySettings.RequestClass(effect(word(c, "effect")), group(word(c, "keyScope")),
-          time(c, "window"), time(c, "aim"), time(c, "deadline"), number(c, "importance")));
+      frontends.add(
+          new GatewaySettings.RequestClass(effect(word(c, "effect")), group(word(c, "keyScope")),
+              time(c, "window"), time(c, "aim"), time(c, "deadline"), number(c, "importance")));
     }
     List<GatewaySettings.QuotaPlan> plans = new ArrayList<>();
     if (all.has("contracts")) {
       for (JsonObject c : objects(all, "contracts")) {
         plans.add(new GatewaySettings.QuotaPlan(number(c, "refill"), number(c, "peakUnits"),
-            (int) number(c, "parallel"), number(c, "capRate"), number(c, "hardBurst"), number(c, "pays")));
+            (int) number(c, "parallel"), number(c, "capRate"), number(c, "hardBurst"),
+            number(c, "pays")));
       }
     }
-    GatewaySettings.Limits rules = new GatewaySettings.Limits(word(all, "discovery").equals("subscribe"),
-        flag(limits, "cancelling"), (int) number(limits, "sendCap"), flag(limits, "retryAfter"),
-        time(limits, "maxRetryAfter"), flag(part(all, "clients"), "marksRetry"), time(guard, "cold"),
-        number(guard, "coldFrom"), number(guard, "fallMultiple"), time(guard, "tipAfter"));
-    GatewaySettings.CounterSettings counting = new GatewaySettings.CounterSettings(flag(family, "counter"),
-        flag(family, "costAfter"));
-    return new GatewaySettings(seed, (int) number(all, "peersTotal"), time(all, "quantum"), rules, counting,
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(
+        word(all, "discovery").equals("subscribe"), flag(limits, "cancelling"),
+        (int) number(limits, "sendCap"), flag(limits, "retryAfter"), time(limits, "maxRetryAfter"),
+        flag(part(all, "clients"), "marksRetry"), time(guard, "cold"), number(guard, "coldFrom"),
+        number(guard, "fallMultiple"), time(guard, "tipAfter"));
+    GatewaySettings.CounterSettings counting = new GatewaySettings.CounterSettings(
+        flag(family, "counter"), flag(family, "costAfter"));
+    return new GatewaySettings(seed, (int) number(all, "peersTotal"), time(all, "quantum"), rules,
+        counting,
         new GatewaySettings.PeerSettings((int) number(all, "me"),
-            flag(limits, "mayTell") ? number(family, "peerInPerS") : 0, number(part(all, "fees"), "peer")),
+            flag(limits, "mayTell") ? number(family, "peerInPerS") : 0,
+            number(part(all, "fees"), "peer")),
         frontends, plans);
   }
 
@@ -61,16 +70,17 @@
   }
 
   public static JsonObject part(JsonObject from, String key) {
-    return from.has(key) ? typed(from, key, "object", JsonElement::getAsJsonObject) : new JsonObject();
+    return from.has(key) ? typed(from, key, "object", JsonElement::getAsJsonObject)
+        : new JsonObject();
   }
 
   private static double number(JsonObject from, String key) {
-    return from.has(key) && !from.get(key).isJsonNull() ? typed(from, key, "number", JsonElement::getAsDouble)
-        : 0;
+    return from.has(key) && !from.get(key).isJsonNull()
+        ? typed(from, key, "number", JsonElement::getAsDouble) : 0;
   }
 
   private static long time(JsonObject from, String key) {
-    return Reply.tenths(number(from, key));
+    return Ticks.ofMillis(number(from, key));
   }
 
   public static boolean flag(JsonObject from, String key) {
--- a/src/main/java/saltlatch/simhost/ReplyFrame.java
+++ b/src/main/java/saltlatch/simhost/ReplyFrame.java
@@ -8,23 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import saltlatch.api.GatewayActions;
 import saltlatch.api.GossipMessage;
-import saltlatch.wire.SumsForm;
+import saltlatch.api.Ticks;
+import saltlatch.wire.peer.GossipCodec;
 
 /** The reply frame under construction. */
-final class Reply {
+final class ReplyFrame {
   private static final int RECORD = 24;
   private ByteBuffer records = ByteBuffer.allocate(RECORD * 256).order(ByteOrder.LITTLE_ENDIAN);
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
   private int count;
 
-  static long tenths(double ms) {
-    return (long) Math.floor(ms * 10 + 1e-6);
-  }
-
-  private static double ms(long tenths) {
-    return tenths / 10.0;
-  }
-
   void clear() {
     tail.reset();
     count = 0;
@@ -39,7 +32,10 @@
     tail.writeTo(out);
   }
 
-  /** The place of a new record. To be called before {@code records} is read, which it may replace by a larger one. */
+  /**
+   * The place of a new record. To be called before {@code records} is read, which it may replace by
+   * a larger one.
+   */
   private int next(int code, int inst) {
     int at = count++ * RECORD;
     if (at + RECORD > records.capacity()) {
@@ -78,13 +74,14 @@
     @Override
     public void startAttempt(long rid, long srv, long cap) {
       int at = next(259, inst);
-      records.putInt(at + 4, (int) rid).putDouble(at + 8, ms(cap)).putInt(at + 16, (int) srv);
+      records.putInt(at + 4, (int) rid).putDouble(at + 8, Ticks.toMillis(cap)).putInt(at + 16,
+          (int) srv);
     }
 
     @Override
     public void reject(long rid, long pause) {
       int at = next(260, inst);
-      records.putInt(at + 4, (int) rid).putDouble(at + 8, ms(pause));
+      records.putInt(at + 4, (int) rid).putDouble(at + 8, Ticks.toMillis(pause));
     }
 
     @Override
@@ -102,7 +99,7 @@
     @Override
     public void setTimer(long when, long handle) {
       int at = next(265, inst);
-      records.putDouble(at + 4, ms(when)).putLong(at + 12, handle);
+      records.putDouble(at + 4, Ticks.toMillis(when)).putLong(at + 12, handle);
     }
 
     @Override
@@ -120,7 +117,8 @@
     @Override
     public void addToCounter(long name, double units, long keep, long cap) {
       int at = next(267, inst);
-      records.putLong(at + 4, name).putFloat(at + 12, (float) units).putDouble(at + 16, ms(keep));
+      records.putLong(at + 4, name).putFloat(at + 12, (float) units).putDouble(at + 16,
+          Ticks.toMillis(keep));
     }
 
     @Override
@@ -133,7 +131,7 @@
     public void sendGossip(int peer, GossipMessage told) {
       int at = next(263, inst);
       records.putShort(at + 4, (short) peer);
-      attachBytes(at + 6, SumsForm.write(told));
+      attachBytes(at + 6, GossipCodec.encode(told));
     }
 
     @Override
--- a/src/main/java/saltlatch/simhost/SimulatorHost.java
+++ b/src/main/java/saltlatch/simhost/SimulatorHost.java
@@ -18,16 +18,21 @@
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GatewaySettings;
 import saltlatch.api.GossipMessage;
-import saltlatch.wire.SumsForm;
+import saltlatch.api.Ticks;
+import saltlatch.settings.SettingsReader;
+import saltlatch.wire.peer.GossipCodec;
 
 /** Hosts module instances on the simulator's wire: frames in, frames out. It decides nothing. */
-public final class SimHost {
+public final class SimulatorHost {
   private static final int HEADER = 12;
   private static final int RECORD = 48;
   private static final int ENTRY = 23;
-  private static final GatewayEvent.EndpointState[] CONDITIONS = GatewayEvent.EndpointState.values();
-  private static final GatewayEvent.EndpointUpdateKind[] LISTS = GatewayEvent.EndpointUpdateKind.values();
-  private static final GatewayEvent.AttemptOutcome[] OUTCOMES = GatewayEvent.AttemptOutcome.values();
+  private static final GatewayEvent.EndpointState[] CONDITIONS = GatewayEvent.EndpointState
+      .values();
+  private static final GatewayEvent.EndpointUpdateKind[] LISTS = GatewayEvent.EndpointUpdateKind
+      .values();
+  private static final GatewayEvent.AttemptOutcome[] OUTCOMES = GatewayEvent.AttemptOutcome
+      .values();
 
   private static final class Malformed extends Exception {
     private static final long serialVersionUID = 1;
@@ -39,9 +44,9 @@
 
   private final GatewayPolicy.Factory maker;
   private final Map<Integer, GatewayPolicy> gateways = new HashMap<>();
-  private final Reply reply = new Reply();
+  private final ReplyFrame reply = new ReplyFrame();
 
-  public SimHost(GatewayPolicy.Factory maker) {
+  public SimulatorHost(GatewayPolicy.Factory maker) {
     this.maker = maker;
   }
 
@@ -76,7 +81,7 @@
   }
 
   private void answer(ByteBuffer in, OutputStream out) throws Malformed, IOException {
-    long now = Reply.tenths(in.getDouble(0));
+    long now = Ticks.ofMillis(in.getDouble(0));
     long count = in.getInt(8) & 0xffffffffL;
     long tail = HEADER + count * RECORD;
     if (tail > in.capacity()) {
@@ -109,7 +114,7 @@
   private void attach(long now, int inst, long seed, String text) throws Malformed {
     GatewaySettings site;
     try {
-      site = Reader.site(text, seed);
+      site = SettingsReader.site(text, seed);
     } catch (RuntimeException e) {
       throw new Malformed("settings: " + e);
     }
@@ -136,42 +141,48 @@
       case 257 :
         return listed(in, at, tail);
       case 258 :
-        return new GatewayEvent.RequestArrived(rid, in.get(at + 22) & 255, in.getShort(at + 8) & 0xffff,
-            in.getLong(at + 23), Reply.tenths(in.getDouble(at + 10)), in.getFloat(at + 33),
+        return new GatewayEvent.RequestArrived(rid, in.get(at + 22) & 255,
+            in.getShort(at + 8) & 0xffff, in.getLong(at + 23),
+            Ticks.ofMillis(in.getDouble(at + 10)), in.getFloat(at + 33),
             Math.round(in.getFloat(at + 18)), Math.round(in.getFloat(at + 37)),
             (in.getShort(at + 31) & 2) != 0, 0);
       case 259 :
-        return new GatewayEvent.ResponseStarted(rid, in.getInt(at + 16) & 0xffffffffL, in.get(at + 20) & 255,
-            Reply.tenths(in.getDouble(at + 8)));
+        return new GatewayEvent.ResponseStarted(rid, in.getInt(at + 16) & 0xffffffffL,
+            in.get(at + 20) & 255, Ticks.ofMillis(in.getDouble(at + 8)));
       case 260 :
-        return new GatewayEvent.AttemptEnded(rid, in.getInt(at + 11) & 0xffffffffL, in.get(at + 26) & 255,
-            pick(OUTCOMES, in.get(at + 15)), in.get(at + 8) != 0, Reply.tenths(in.getDouble(at + 18)),
-            in.getShort(at + 16) & 0xffff, in.getShort(at + 9) & 0xffff, load(in, at + 27));
+        return new GatewayEvent.AttemptEnded(rid, in.getInt(at + 11) & 0xffffffffL,
+            in.get(at + 26) & 255, pick(OUTCOMES, in.get(at + 15)), in.get(at + 8) != 0,
+            Ticks.ofMillis(in.getDouble(at + 18)), in.getShort(at + 16) & 0xffff,
+            in.getShort(at + 9) & 0xffff, load(in, at + 27));
       case 261 :
         return new GatewayEvent.ClientDisconnected(rid);
       case 262 :
         return new GatewayEvent.TimerFired(in.getLong(at + 4));
       case 263 :
         return new GatewayEvent.HealthChecked(in.getInt(at + 12) & 0xffffffffL,
-            pick(OUTCOMES, in.get(at + 16)), Reply.tenths(in.getDouble(at + 4)), load(in, at + 17));
+            pick(OUTCOMES, in.get(at + 16)), Ticks.ofMillis(in.getDouble(at + 4)),
+            load(in, at + 17));
       case 264 :
-        GossipMessage told = SumsForm.read(bytes(in, at + 6, tail, 1));
-        return told == null ? null : new GatewayEvent.GossipReceived(in.getShort(at + 4) & 0xffff, told);
+        GossipMessage told = GossipCodec.decode(bytes(in, at + 6, tail, 1));
+        return told == null ? null
+            : new GatewayEvent.GossipReceived(in.getShort(at + 4) & 0xffff, told);
       case 266 :
         return new GatewayEvent.CounterReplied(in.getLong(at + 4), pick(OUTCOMES, in.get(at + 12)),
-            in.getFloat(at + 13), Reply.tenths(in.getDouble(at + 17)));
+            in.getFloat(at + 13), Ticks.ofMillis(in.getDouble(at + 17)));
       default :
         throw new Malformed("unknown event code " + code);
     }
   }
 
   private static GatewayEvent listed(ByteBuffer in, int at, int tail) throws Malformed {
-    ByteBuffer data = ByteBuffer.wrap(bytes(in, at + 9, tail, ENTRY)).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer data = ByteBuffer.wrap(bytes(in, at + 9, tail, ENTRY))
+        .order(ByteOrder.LITTLE_ENDIAN);
     List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     for (int e = 0; e < data.capacity(); e += ENTRY) {
-      entries.add(new GatewayEvent.Endpoint(data.getInt(e) & 0xffffffffL, Reply.tenths(data.getDouble(e + 4)),
-          data.getShort(e + 12) & 0xffff, data.getShort(e + 14) & 0xffff, pick(CONDITIONS, data.get(e + 16)),
-          data.getFloat(e + 17), data.getShort(e + 21) & 0xffff));
+      entries.add(new GatewayEvent.Endpoint(data.getInt(e) & 0xffffffffL,
+          Ticks.ofMillis(data.getDouble(e + 4)), data.getShort(e + 12) & 0xffff,
+          data.getShort(e + 14) & 0xffff, pick(CONDITIONS, data.get(e + 16)), data.getFloat(e + 17),
+          data.getShort(e + 21) & 0xffff));
     }
     return new GatewayEvent.EndpointsUpdated(pick(LISTS, in.get(at + 4)), entries);
   }
--- a/src/main/java/saltlatch/state/ClientRequest.java
+++ b/src/main/java/saltlatch/state/ClientRequest.java
@@ -1,26 +1,31 @@
-package saltlatch.wire;
+package saltlatch.state;
 
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import saltlatch.wire.resp.DecimalFormat;
+import saltlatch.wire.resp.RespValue;
 
-/** A client's command, decoded once; it is passed on with another {@code d} and otherwise as it came. */
-public final class Request {
+/**
+ * A client's command, decoded once; it is passed on with another {@code d} and otherwise as it
+ * came.
+ */
+public final class ClientRequest {
   private static final int LONGEST_TERMS = 1024; // bytes; with more it is no command of ours
 
   public final String id; // no two reqs have the same
   public final long customer;
-  public final String frontend;
+  public final String requestClass;
   public final String plan;
-  public final long waitMs;
+  public final long clientTimeoutMs;
   public final double units;
-  public final int width;
-  public final int first;
-  public final boolean repeat;
+  public final int nodeCount;
+  public final int firstNode;
+  public final boolean retry;
   public final boolean query; // else a submit
-  public final boolean keyed;
+  public final boolean hasIdempotencyKey;
   private final byte[] verb;
   private final byte[] customerText;
   private final byte[] idText;
@@ -29,17 +34,17 @@
   private final byte[] body; // null: none
 
   /** Null if the command is not one of ours or is malformed. */
-  static Request of(List<Resp> words) {
+  public static ClientRequest of(List<RespValue> words) {
     try {
-      return new Request(words);
+      return new ClientRequest(words);
     } catch (IllegalArgumentException e) {
       return null;
     }
   }
 
-  private Request(List<Resp> words) {
+  private ClientRequest(List<RespValue> words) {
     must(words.size() == 4 || words.size() == 5);
-    for (Resp w : words) must(w instanceof Resp.Bulk b && b.bytes() != null);
+    for (RespValue w : words) must(w instanceof RespValue.Bulk b && b.bytes() != null);
     verb = bytes(words, 0);
     customerText = bytes(words, 1);
     idText = bytes(words, 2);
@@ -77,14 +82,14 @@
         case "c" -> frontend = value;
         case "t" -> plan = value;
         case "d" -> {
-          wait = Decimal.whole(value);
+          wait = DecimalFormat.parseWhole(value);
           cut = is + 1;
           cutEnd = end;
         }
         case "r" -> repeat = value.equals("1");
-        case "units" -> units = Decimal.of(value);
-        case "spread" -> width = Decimal.whole(value);
-        case "first" -> first = Decimal.whole(value);
+        case "units" -> units = DecimalFormat.parse(value);
+        case "spread" -> width = DecimalFormat.parseWhole(value);
+        case "first" -> first = DecimalFormat.parseWhole(value);
         case "k" -> keyed = !value.isEmpty();
         default -> {}
       }
@@ -92,41 +97,42 @@
     }
     must(frontend != null && plan != null && wait >= 0 && wait < 1L << 31);
     must(!seen.contains("spread") || width > 0);
-    must(units > 0 && units < 1e9 && width >= 0 && width < 1 << 20 && first >= 0 && first < 1 << 20);
-    this.frontend = frontend;
+    must(
+        units > 0 && units < 1e9 && width >= 0 && width < 1 << 20 && first >= 0 && first < 1 << 20);
+    this.requestClass = frontend;
     this.plan = plan;
     this.units = units;
-    this.width = (int) width;
-    this.first = (int) first;
-    this.repeat = repeat;
-    this.keyed = keyed;
-    waitMs = wait;
+    this.nodeCount = (int) width;
+    this.firstNode = (int) first;
+    this.retry = repeat;
+    this.hasIdempotencyKey = keyed;
+    clientTimeoutMs = wait;
     termsBefore = terms.substring(0, cut).getBytes(StandardCharsets.ISO_8859_1);
     termsAfter = terms.substring(cutEnd).getBytes(StandardCharsets.ISO_8859_1);
   }
 
   /** The command for an app srv, which is to know how long this node waits. */
-  Buffer forward(long waitMs) {
+  public Buffer forward(long waitMs) {
     byte[] wait = Long.toString(Math.max(1, waitMs)).getBytes(StandardCharsets.ISO_8859_1);
-    Buffer out = Buffer.buffer(160 + size());
+    Buffer out = Buffer.buffer(160 + sizeBytes());
     out.appendString(body == null ? "*4\r\n" : "*5\r\n");
-    Resp.bulk(out, verb);
-    Resp.bulk(out, customerText);
-    Resp.bulk(out, idText);
+    RespValue.bulk(out, verb);
+    RespValue.bulk(out, customerText);
+    RespValue.bulk(out, idText);
     out.appendString("$" + (termsBefore.length + wait.length + termsAfter.length) + "\r\n");
     out.appendBytes(termsBefore).appendBytes(wait).appendBytes(termsAfter).appendString("\r\n");
-    if (body != null) Resp.bulk(out, body);
+    if (body != null) RespValue.bulk(out, body);
     return out;
   }
 
   /** Bytes that it holds in memory. */
-  public int size() {
-    return verb.length + customerText.length + idText.length + termsBefore.length + termsAfter.length
-        + (body == null ? 0 : body.length);
+  public int sizeBytes() {
+    return verb.length + customerText.length + idText.length + termsBefore.length
+        + termsAfter.length + (body == null ? 0 : body.length);
   }
 
-  private static byte[] bytes(List<Resp> words, int at) {
-    return ((Resp.Bulk) words.get(at)).bytes();
+  private static byte[] bytes(List<RespValue> words, int at) {
+    return ((RespValue.Bulk) words.get(at)).bytes();
   }
 
   private static void must(boolean holds) {
--- a/src/main/java/saltlatch/state/ConnectionPool.java
+++ b/src/main/java/saltlatch/state/ConnectionPool.java
@@ -5,8 +5,10 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** An app srv's idle connections; the one used last is taken first, so that the others can grow old. */
-public final class Pool<L> {
+/**
+ * An app srv's idle connections; the one used last is taken first, so that the others can grow old.
+ */
+public final class ConnectionPool<L> {
   private record Idle<L>(L link, long since) {}
 
   private final ArrayDeque<Idle<L>> idle = new ArrayDeque<>();
--- a/src/main/java/saltlatch/state/HeapExhaustion.java
+++ b/src/main/java/saltlatch/state/HeapExhaustion.java
@@ -1,10 +1,10 @@
 package saltlatch.state;
 
 /** Says plainly that the heap is full, where a library wraps that into an error of its own. */
-public final class HeapFull {
+public final class HeapExhaustion {
   private static final int MB = 1 << 20;
 
-  private HeapFull() {}
+  private HeapExhaustion() {}
 
   /** Whether the heap's end is behind a failure. */
   public static boolean isCauseOf(Throwable failure) {
--- a/src/main/java/saltlatch/state/InFlightRequests.java
+++ b/src/main/java/saltlatch/state/InFlightRequests.java
@@ -4,28 +4,28 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import saltlatch.wire.Request;
 
 /** The reqs that are not over or have a dispatch out, by the number each got at the listener. */
-public final class Exchanges {
-  private static final int OWN_BYTES = 1024; // that the node and the module hold for a req beside its command
+public final class InFlightRequests {
+  // that the node and the module hold for a req beside its command
+  private static final int OWN_BYTES = 1024;
 
-  private final Map<Long, Exchange> all = new HashMap<>();
+  private final Map<Long, RequestContext> all = new HashMap<>();
   private final Set<String> ids = new HashSet<>();
   private final long mostBytes;
   private long bytes;
   private long next;
 
-  public Exchanges(long mostBytes) {
+  public InFlightRequests(long mostBytes) {
     this.mostBytes = mostBytes;
   }
 
   /** Null when no more can be held. */
-  public Exchange open(Request req, Exchange.Client client) {
-    if (bytes + req.size() + OWN_BYTES > mostBytes) return null;
-    Exchange x = new Exchange(next++, req, client);
-    bytes += req.size() + OWN_BYTES;
-    all.put(x.rid, x);
+  public RequestContext open(ClientRequest req, RequestContext.ResponseSink client) {
+    if (bytes + req.sizeBytes() + OWN_BYTES > mostBytes) return null;
+    RequestContext x = new RequestContext(next++, req, client);
+    bytes += req.sizeBytes() + OWN_BYTES;
+    all.put(x.requestId, x);
     ids.add(req.id);
     return x;
   }
@@ -35,24 +35,24 @@
     return ids.contains(id);
   }
 
-  public Exchange find(long rid) {
+  public RequestContext find(long rid) {
     return all.get(rid);
   }
 
-  public int begin(Exchange x) {
-    return x.begin();
+  public int beginAttempt(RequestContext x) {
+    return x.beginAttempt();
   }
 
-  public void ended(Exchange x) {
-    x.ended();
+  public void attemptEnded(RequestContext x) {
+    x.attemptEnded();
     release(x);
   }
 
   /** Forgets it once it is over and nothing of it is out. */
-  public void release(Exchange x) {
-    if (!x.idle() || all.remove(x.rid) == null) return;
-    bytes -= x.req.size() + OWN_BYTES;
-    ids.remove(x.req.id);
+  public void release(RequestContext x) {
+    if (!x.isReleasable() || all.remove(x.requestId) == null) return;
+    bytes -= x.request.sizeBytes() + OWN_BYTES;
+    ids.remove(x.request.id);
   }
 
   public int size() {
--- a/src/main/java/saltlatch/state/NodeMetrics.java
+++ b/src/main/java/saltlatch/state/NodeMetrics.java
@@ -3,9 +3,9 @@
 import java.util.Locale;
 
 /** What the node has taken in, sent and answered since its start. */
-public final class Counters {
+public final class NodeMetrics {
   /** One thing that is counted. */
-  public enum Count {
+  public enum Metric {
     CLIENTS_ACCEPTED,
     CLIENTS_OVER_LIMIT,
     CLIENTS_BROKEN,
@@ -48,21 +48,22 @@
     EXCEPTIONS
   }
 
-  private final long[] all = new long[Count.values().length];
+  private final long[] all = new long[Metric.values().length];
 
-  public void add(Count what) {
+  public void add(Metric what) {
     add(what, 1);
   }
 
-  public void add(Count what, long n) {
+  public void add(Metric what, long n) {
     all[what.ordinal()] += n;
   }
 
   /** A line each, those at nought too. */
   public String text() {
     StringBuilder out = new StringBuilder();
-    for (Count c : Count.values()) {
-      out.append(c.name().toLowerCase(Locale.ROOT)).append('=').append(all[c.ordinal()]).append('\n');
+    for (Metric c : Metric.values()) {
+      out.append(c.name().toLowerCase(Locale.ROOT)).append('=').append(all[c.ordinal()])
+          .append('\n');
     }
     return out.toString();
   }
--- a/src/main/java/saltlatch/state/NumberedNames.java
+++ b/src/main/java/saltlatch/state/NumberedNames.java
@@ -7,14 +7,14 @@
 import java.util.function.IntConsumer;
 
 /** Gives names small numbers, and a number free again once its name is released. */
-public final class Names {
+public final class NumberedNames {
   private final Map<String, Integer> numbers = new HashMap<>();
   private final List<String> names = new ArrayList<>();
   private int lowestFree;
 
-  public Names() {}
+  public NumberedNames() {}
 
-  public Names(List<String> known) {
+  public NumberedNames(List<String> known) {
     known.forEach(this::number);
   }
 
--- a/src/main/java/saltlatch/state/RequestContext.java
+++ b/src/main/java/saltlatch/state/RequestContext.java
@@ -1,72 +1,74 @@
 package saltlatch.state;
 
-import saltlatch.wire.Request;
-
-/** One req, from its last byte to its final answer: the only thing that both sides of the node know. */
-public final class Exchange {
+/**
+ * One req, from its last byte to its final answer: the only thing that both sides of the node know.
+ */
+public final class RequestContext {
   /** Where the final answer goes. */
-  public interface Client {
-    void passed(byte[] value);
+  public interface ResponseSink {
+    void succeed(byte[] value);
 
-    void denied(long pauseMs);
+    void reject(long pauseMs);
 
-    void aborted();
+    void fail();
 
-    /** How long ago the last bytes came on its connection, by the system; 0 if that is not known. */
-    long unreadFor();
+    /**
+     * How long ago the last bytes came on its connection, by the system; 0 if that is not known.
+     */
+    long unreadTicks();
   }
 
-  public final long rid;
-  public final Request req;
-  private final Client client;
-  private boolean over;
+  public final long requestId;
+  public final ClientRequest request;
+  private final ResponseSink client;
+  private boolean isFinished;
   private int dispatches;
   private int out;
 
-  Exchange(long rid, Request req, Client client) {
-    this.rid = rid;
-    this.req = req;
+  RequestContext(long rid, ClientRequest req, ResponseSink client) {
+    this.requestId = rid;
+    this.request = req;
     this.client = client;
   }
 
-  public boolean over() {
-    return over;
+  public boolean isFinished() {
+    return isFinished;
   }
 
-  public void passed(byte[] value) {
-    if (end()) client.passed(value);
+  public void succeed(byte[] value) {
+    if (end()) client.succeed(value);
   }
 
-  public void denied(long pauseMs) {
-    if (end()) client.denied(pauseMs);
+  public void reject(long pauseMs) {
+    if (end()) client.reject(pauseMs);
   }
 
-  public void aborted() {
-    if (end()) client.aborted();
+  public void fail() {
+    if (end()) client.fail();
   }
 
   /** Nobody waits for an answer any more. */
-  public void left() {
-    over = true;
+  public void clientDisconnected() {
+    isFinished = true;
   }
 
   private boolean end() {
-    boolean first = !over;
-    over = true;
+    boolean first = !isFinished;
+    isFinished = true;
     return first;
   }
 
   /** The number of the dispatch that begins. */
-  int begin() {
+  int beginAttempt() {
     out++;
     return dispatches++;
   }
 
-  void ended() {
+  void attemptEnded() {
     out--;
   }
 
-  boolean idle() {
-    return over && out == 0;
+  boolean isReleasable() {
+    return isFinished && out == 0;
   }
 }
--- a/src/main/java/saltlatch/state/TimerQueue.java
+++ b/src/main/java/saltlatch/state/TimerQueue.java
@@ -2,8 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** What falls due, in order of time and, within one instant, of asking. Times are tenths of a ms. */
-public final class Timers {
+/**
+ * What falls due, in order of time and, within one instant, of asking. Times are tenths of a ms.
+ */
+public final class TimerQueue {
   /** One thing that falls due, unless it is dropped before. */
   public static final class Timer {
     private final long at;
@@ -16,7 +18,7 @@
       this.then = then;
     }
 
-    public void drop() {
+    public void cancel() {
       then = null;
     }
   }
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.appserver;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -8,24 +8,28 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.Exchange;
-import saltlatch.state.Pool;
+import saltlatch.state.ConnectionPool;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.RequestContext;
+import saltlatch.wire.transport.CallResult;
+import saltlatch.wire.transport.Scheduler;
+import saltlatch.wire.transport.TcpConnector;
 
 /**
- * The client side towards app srvs. A connection carries one dispatch at a time, since giving one up ends its
- * connection, and an answer must not wait for another's; it is used again once its dispatch was answered.
+ * The client side towards app srvs. A connection carries one dispatch at a time, since giving one
+ * up ends its connection, and an answer must not wait for another's; it is used again once its
+ * dispatch was answered.
  */
-public final class AppServers {
+public final class AppServerClient {
   /** Whom the ends of dispatches are told to. */
-  public interface Host {
-    void ended(Exchange x, int dispatch, int srv, Answer answer, long spent);
+  public interface Listener {
+    void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent);
 
-    void probed(int srv, Answer answer, long spent);
+    void probed(int srv, AppServerReply answer, long spent);
 
     /** Whether a dispatch whose connection has just come up may still begin. */
-    boolean mayBegin(Exchange x, int dispatch);
+    boolean mayBegin(RequestContext x, int dispatch);
   }
 
   /** An app srv that the list names. */
@@ -36,38 +40,40 @@
 
   /** The connections to one app srv. */
   private static final class Links {
-    private final Pool<AppLink> pool = new Pool<>();
-    private final List<AppLink> busy = new ArrayList<>();
+    private final ConnectionPool<AppServerConnection> pool = new ConnectionPool<>();
+    private final List<AppServerConnection> busy = new ArrayList<>();
 
     boolean isEmpty() {
       return busy.isEmpty() && pool.oldest() == Long.MAX_VALUE;
     }
   }
 
-  private static final long SETTLING = 30; // 3 ms: what was sent behind an answer, unasked, has come by then
+  // 3 ms: what was sent behind an answer, unasked, has come by then
+  private static final long SETTLING = 30;
   private static final long SWEEP = 5_000; // 0.5 s between looks for idle connections
 
   private final NetClient client;
   private final Scheduler scheduler;
-  private final Host host;
-  private final Counters counters;
+  private final Listener host;
+  private final NodeMetrics counters;
   private final List<Srv> srvs = new ArrayList<>(); // by number; null: none has it
-  private final Set<Srv> linked = new LinkedHashSet<>(); // those with connections, the only ones walked
+  // those with connections, the only ones walked
+  private final Set<Srv> linked = new LinkedHashSet<>();
   private final long connectTime;
   private final long idleTime;
   private final int mostLinks;
   private int links;
 
   /** {@code idleTime}: an app srv closes a connection that has stood idle for so long. */
-  public AppServers(Vertx vertx, Scheduler scheduler, Host host, Counters counters, long connectTime,
-      long idleTime, int mostLinks) {
+  public AppServerClient(Vertx vertx, Scheduler scheduler, Listener host, NodeMetrics counters,
+      long connectTime, long idleTime, int mostLinks) {
     this.scheduler = scheduler;
     this.host = host;
     this.counters = counters;
     this.mostLinks = mostLinks;
     this.connectTime = connectTime;
     this.idleTime = Math.max(idleTime / 2, idleTime - 4 * SWEEP); // before the other side does
-    client = Dial.client(vertx, Math.max(1, connectTime / 10));
+    client = TcpConnector.client(vertx, Math.max(1, connectTime / 10));
     sweep();
   }
 
@@ -94,28 +100,28 @@
     return srv >= 0 && srv < srvs.size() ? srvs.get(srv) : null;
   }
 
-  public void dispatch(Exchange x, int dispatch, int srv, long cap) {
-    counters.add(Count.DISPATCHED);
-    AppLink link = link(srv);
+  public void dispatch(RequestContext x, int dispatch, int srv, long cap) {
+    counters.add(Metric.DISPATCHED);
+    AppServerConnection link = link(srv);
     if (link == null) {
-      host.ended(x, dispatch, srv, Answer.none(Ending.NO_DESCRIPTOR), 0);
+      host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
       return;
     }
-    link.send(x.req::forward, x, dispatch, cap);
+    link.send(x.request::forward, x, dispatch, cap);
   }
 
   public void probe(int srv, long cap) {
-    counters.add(Count.PROBED);
-    AppLink link = link(srv);
-    if (link == null) host.probed(srv, Answer.none(Ending.NO_DESCRIPTOR), 0);
+    counters.add(Metric.PROBED);
+    AppServerConnection link = link(srv);
+    if (link == null) host.probed(srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
     else link.send(left -> Buffer.buffer("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"), null, 0, cap);
   }
 
-  public void cancel(Exchange x, int dispatch) {
+  public void cancel(RequestContext x, int dispatch) {
     for (Srv s : linked) {
-      for (AppLink link : s.links.busy) {
+      for (AppServerConnection link : s.links.busy) {
         if (link.carries(x, dispatch)) {
-          link.end(Answer.none(Ending.OWN_CANCEL));
+          link.end(AppServerReply.withoutValue(CallResult.OWN_CANCEL));
           return;
         }
       }
@@ -128,7 +134,7 @@
   }
 
   private void closeOlder(Srv s, long than) {
-    s.links.pool.takeOlder(than).forEach(AppLink::close);
+    s.links.pool.takeOlder(than).forEach(AppServerConnection::close);
     settle(s);
   }
 
@@ -139,16 +145,18 @@
     linked.remove(s);
   }
 
-  private AppLink link(int srv) {
+  private AppServerConnection link(int srv) {
     Srv s = find(srv);
     if (s == null) return null;
-    // Guards against a second copy or noise right behind an answer that is taken for that of the next dispatch.
-    AppLink link = s.links == null ? null : s.links.pool.take(scheduler.now() - SETTLING);
+    // Guards against a second copy or noise right behind an answer that is taken for that of the
+    // next dispatch.
+    AppServerConnection link = s.links == null ? null
+        : s.links.pool.take(scheduler.now() - SETTLING);
     if (link == null) {
       if (links >= mostLinks && !closeOldest()) return null;
       links++;
-      counters.add(Count.CONNECTIONS_OPENED);
-      link = new AppLink(this, srv);
+      counters.add(Metric.CONNECTIONS_OPENED);
+      link = new AppServerConnection(this, srv);
       link.open(client, s.address);
     }
     if (s.links == null) s.links = new Links();
@@ -174,7 +182,7 @@
     scheduler.at(scheduler.now() + SWEEP, this::sweep);
   }
 
-  boolean mayBegin(Exchange x, int dispatch) {
+  boolean mayBegin(RequestContext x, int dispatch) {
     return host.mayBegin(x, dispatch);
   }
 
@@ -187,23 +195,24 @@
     return scheduler;
   }
 
-  Counters counters() {
+  NodeMetrics counters() {
     return counters;
   }
 
   /** A dispatch or probe has ended on this connection, which may be used again or is gone. */
-  void ended(AppLink link, boolean open, Exchange x, int dispatch, Answer answer, long spent) {
+  void ended(AppServerConnection link, boolean open, RequestContext x, int dispatch,
+      AppServerReply answer, long spent) {
     Srv s = find(link.srv);
     s.links.busy.remove(link);
     if (open) s.links.pool.put(link, scheduler.now());
     settle(s);
-    counters
-        .add(answer.ending() == Ending.ANSWERED ? Count.DISPATCHES_PASSED : Count.DISPATCHES_ENDED_OTHERWISE);
+    counters.add(answer.result() == CallResult.ANSWERED ? Metric.DISPATCHES_PASSED
+        : Metric.DISPATCHES_ENDED_OTHERWISE);
     if (x == null) host.probed(link.srv, answer, spent);
     else host.ended(x, dispatch, link.srv, answer, spent);
   }
 
-  void gone(AppLink link) {
+  void gone(AppServerConnection link) {
     links--;
     Srv s = find(link.srv);
     if (s == null || s.links == null) return;
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -1,41 +1,54 @@
-package saltlatch.wire;
+package saltlatch.wire.client;
 
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.Exchange;
-
-/** One client's connection. Commands are handed on as they come; answers go out in the order of the commands. */
-final class ClientLink {
-  private static final int MOST_OWED = 64; // commands without answer on a connection before reading stops: 4 MB of answers
-  private static final long LINGER = 2_000; // 0.2 s: a client's end that crosses this side's has come by then
-  private static final long UNTAKEN = 20_000; // 2 s: a client that has not taken its answers by then takes none
-  private static final int LINGER_BYTES = 128 * 1024; // of what crosses: two of the longest commands
+import saltlatch.state.ClientRequest;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.RequestContext;
+import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
+import saltlatch.wire.transport.SocketCloser;
+import saltlatch.wire.transport.UnreadAge;
+
+/**
+ * One client's connection. Commands are handed on as they come; answers go out in the order of the
+ * commands.
+ */
+final class ClientConnection {
+  // commands without answer on a connection before reading stops: 4 MB of answers
+  private static final int MOST_OWED = 64;
+  // 0.2 s: a client's end that crosses this side's has come by then
+  private static final long LINGER = 2_000;
+  // 2 s: a client that has not taken its answers by then takes none
+  private static final long UNTAKEN = 20_000;
+  // of what crosses: two of the longest commands
+  private static final int LINGER_BYTES = 128 * 1024;
 
   /** The place of one command's answer in the order. */
-  private final class PendingReply implements Exchange.Client {
-    private Exchange x;
+  private final class PendingReply implements RequestContext.ResponseSink {
+    private RequestContext x;
     private Buffer answer;
 
     @Override
-    public void passed(byte[] value) {
-      listener.counters().add(Count.ANSWERED_PASSED);
-      fill(Answer.passed(value));
+    public void succeed(byte[] value) {
+      listener.counters().add(Metric.ANSWERED_PASSED);
+      fill(AppServerReply.passed(value));
     }
 
     @Override
-    public void denied(long pauseMs) {
-      listener.counters().add(Count.ANSWERED_DENIED);
-      fill(Answer.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
+    public void reject(long pauseMs) {
+      listener.counters().add(Metric.ANSWERED_DENIED);
+      fill(AppServerReply.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
     }
 
     @Override
-    public void aborted() {
-      listener.counters().add(Count.ANSWERED_ABORTED);
-      fill(Answer.line("-ERR aborted"));
+    public void fail() {
+      listener.counters().add(Metric.ANSWERED_ABORTED);
+      fill(AppServerReply.line("-ERR aborted"));
     }
 
     /** Its req is held and has no final answer yet. */
@@ -44,8 +57,8 @@
     }
 
     @Override
-    public long unreadFor() {
-      return Unread.time(socket);
+    public long unreadTicks() {
+      return UnreadAge.ofSocketTicks(socket);
     }
 
     private void fill(Buffer text) {
@@ -56,7 +69,7 @@
 
   private final ClientListener listener;
   private final NetSocket socket;
-  private final RespReader in = new RespReader();
+  private final RespDecoder in = new RespDecoder();
   private final ArrayDeque<PendingReply> owed = new ArrayDeque<>();
   private boolean broken; // its framing is lost: nothing more is read
   private boolean closed;
@@ -65,12 +78,12 @@
   private int crossed; // bytes that came after this side's end
   private long usedAt; // acceptance, the last whole command, or the first byte of the next one
 
-  ClientLink(ClientListener listener, NetSocket socket) {
+  ClientConnection(ClientListener listener, NetSocket socket) {
     this.listener = listener;
     this.socket = socket;
     usedAt = listener.scheduler().now();
     socket.handler(this::read);
-    socket.exceptionHandler(e -> listener.counters().add(Count.CLIENTS_BROKEN));
+    socket.exceptionHandler(e -> listener.counters().add(Metric.CLIENTS_BROKEN));
     socket.closeHandler(v -> ended());
     socket.drainHandler(v -> resume());
   }
@@ -83,17 +96,21 @@
     return usedAt;
   }
 
-  /** At once: whatever is unread makes the system reset the connection, and the client sends that again elsewhere. */
+  /**
+   * At once: whatever is unread makes the system reset the connection, and the client sends that
+   * again elsewhere.
+   */
   void close() {
     closed = true;
     listener.gone(this);
-    Closing.atOnce(socket);
+    SocketCloser.closeNow(socket);
   }
 
   /**
-   * Ends this side only, and waits within bounds for the client's end. Guards against a close over unread bytes, with which the
-   * system resets the connection and the answers just written go. What crosses stays unread, so that its client knows that it
-   * was not taken; behind broken framing it is read and thrown away, since a client in the middle of it would not look up.
+   * Ends this side only, and waits within bounds for the client's end. Guards against a close over
+   * unread bytes, with which the system resets the connection and the answers just written go. What
+   * crosses stays unread, so that its client knows that it was not taken; behind broken framing it
+   * is read and thrown away, since a client in the middle of it would not look up.
    */
   private void linger() {
     closed = true;
@@ -101,29 +118,29 @@
     endsWithin(listener.isRefusing() ? LINGER : UNTAKEN);
     socket.handler(more -> {
       crossed += more.length();
-      if (crossed > LINGER_BYTES) Closing.atOnce(socket);
+      if (crossed > LINGER_BYTES) SocketCloser.closeNow(socket);
     });
     takeWhatCrosses();
     socket.write(Buffer.buffer()).onComplete(v -> { // behind the answers
       takeWhatCrosses(); // once more: behind what was pending the library reads again
-      Closing.ownSide(socket);
+      SocketCloser.shutdownOutput(socket);
       endsWithin(LINGER);
     });
   }
 
   private void takeWhatCrosses() {
     if (broken) socket.resume();
-    else Closing.leaveUnread(socket);
+    else SocketCloser.stopReading(socket);
   }
 
   private void endsWithin(long time) {
-    listener.scheduler().at(listener.scheduler().now() + time, () -> Closing.atOnce(socket));
+    listener.scheduler().at(listener.scheduler().now() + time, () -> SocketCloser.closeNow(socket));
   }
 
   /** Ends it if it has sent no whole command, or half of one, since long before. */
   void closeIfMute(long since) {
     if (closed || usedAt > since || !owed.isEmpty() || spoke && in.isEmpty()) return;
-    listener.counters().add(Count.CLIENTS_MUTE);
+    listener.counters().add(Metric.CLIENTS_MUTE);
     broken = true;
     if (in.isEmpty()) close();
     else say("-ERR command incomplete");
@@ -144,14 +161,14 @@
     in.feed(more);
     reading = true;
     try {
-      for (Resp command = in.next(); command != null; command = in.next()) {
+      for (RespValue command = in.next(); command != null; command = in.next()) {
         usedAt = listener.scheduler().now();
         spoke = true;
         listener.spoke(this);
         take(command);
       }
-    } catch (RespReader.Lost e) {
-      listener.counters().add(Count.COMMANDS_LOST_FRAMING);
+    } catch (RespDecoder.RespFramingException e) {
+      listener.counters().add(Metric.COMMANDS_LOST_FRAMING);
       broken = true;
       say("-ERR Protocol error: " + e.getMessage());
     }
@@ -160,30 +177,32 @@
     endIfDue();
   }
 
-  private void take(Resp command) throws RespReader.Lost {
-    if (!(command instanceof Resp.Many m)) throw new RespReader.Lost("a command is an array");
-    List<Resp> words = m.items() == null ? List.of() : m.items();
-    String verb = !words.isEmpty() && words.get(0) instanceof Resp.Bulk b ? b.text() : "";
+  private void take(RespValue command) throws RespDecoder.RespFramingException {
+    if (!(command instanceof RespValue.Array m))
+      throw new RespDecoder.RespFramingException("a command is an array");
+    List<RespValue> words = m.elements() == null ? List.of() : m.elements();
+    String verb = !words.isEmpty() && words.get(0) instanceof RespValue.Bulk b ? b.text() : "";
     if (verb.startsWith("SVC.")) {
-      serve(Request.of(words));
+      serve(ClientRequest.of(words));
     } else if (verb.equalsIgnoreCase("PING")) {
       say(listener.isReady() ? "+PONG" : "-ERR not ready");
     } else if (verb.equalsIgnoreCase("INFO")) {
-      pendingReply().fill(Answer.passed(listener.host().figures().getBytes(StandardCharsets.ISO_8859_1)));
+      pendingReply().fill(
+          AppServerReply.passed(listener.host().figures().getBytes(StandardCharsets.ISO_8859_1)));
     } else {
-      listener.counters().add(Count.COMMANDS_UNKNOWN);
+      listener.counters().add(Metric.COMMANDS_UNKNOWN);
       say("-ERR unknown command");
     }
   }
 
-  private void serve(Request req) {
+  private void serve(ClientRequest req) {
     if (req == null) {
-      listener.counters().add(Count.COMMANDS_MALFORMED);
+      listener.counters().add(Metric.COMMANDS_MALFORMED);
       say("-ERR malformed command");
       return;
     }
     PendingReply pendingReply = pendingReply();
-    if (listener.isRefusing()) pendingReply.denied(0);
+    if (listener.isRefusing()) pendingReply.reject(0);
     else pendingReply.x = listener.host().arrived(req, pendingReply);
   }
 
@@ -194,7 +213,7 @@
   }
 
   private void say(String line) {
-    pendingReply().fill(Answer.line(line));
+    pendingReply().fill(AppServerReply.line(line));
   }
 
   private void flush() {
@@ -204,7 +223,10 @@
     endIfDue();
   }
 
-  /** Guards, while this node ends, against commands that were read with the one just answered: they get their answers too. */
+  /**
+   * Guards, while this node ends, against commands that were read with the one just answered: they
+   * get their answers too.
+   */
   private void endIfDue() {
     if (closed || reading || !owed.isEmpty()) return;
     if (broken || listener.isClosing() && in.isEmpty()) linger();
--- a/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.configuration;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -18,16 +18,16 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 import saltlatch.api.GatewaySettings;
-import saltlatch.rules.Follower;
-import saltlatch.rules.RuleSet;
-import saltlatch.rules.Version;
+import saltlatch.configuration.ConfigurationFollower;
+import saltlatch.configuration.ConfigurationVersion;
+import saltlatch.configuration.SharedConfiguration;
 
 /**
- * The form of rule sets, of nodes' reports and of keepers' answers: JSON, times in ms, customers in hexadecimal. What is
- * unknown, missing or of another kind is refused with its key: a misspelt rule must not pass quietly. One rule set has one
- * text, and so one hash.
+ * The form of rule sets, of nodes' reports and of keepers' answers: JSON, times in ms, customers in
+ * hexadecimal. What is unknown, missing or of another kind is refused with its key: a misspelt rule
+ * must not pass quietly. One rule set has one text, and so one hash.
  */
-public final class RulesForm {
+public final class ConfigurationCodec {
   /** What is wrong, and at which key. */
   public static final class Malformed extends Exception {
     private static final long serialVersionUID = 1;
@@ -38,49 +38,55 @@
   }
 
   private static final double TENTHS = 10; // of a ms in one
-  private static final int LONGEST = 1 << 20; // characters of one rule set: far above any fleet's, far below a keeper's memory
+  // characters of one rule set: far above any fleet's, far below a keeper's memory
+  private static final int LONGEST = 1 << 20;
 
   /** The form's words for the values that have other names in the code. */
   private static final Map<Enum<?>, String> WORDS = Map.of(GatewaySettings.RetrySafety.IDEMPOTENT,
       "replayable", GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY, "uniqued",
-      GatewaySettings.RetrySafety.NOT_IDEMPOTENT, "non_replayable", GatewaySettings.KeyScope.GROUP, "cell");
+      GatewaySettings.RetrySafety.NOT_IDEMPOTENT, "non_replayable", GatewaySettings.KeyScope.GROUP,
+      "cell");
 
-  private RulesForm() {}
+  private ConfigurationCodec() {}
 
   // ---- rule sets
 
-  public static RuleSet read(String text) throws Malformed {
+  public static SharedConfiguration read(String text) throws Malformed {
     if (text.length() > LONGEST) throw new Malformed("longer than " + LONGEST + " characters");
     return rules(new Part("", parsed(text)));
   }
 
-  private static RuleSet rules(Part p) throws Malformed {
-    p.only("epoch", "number", "expired", "pins", "plans", "frontends", "limits", "held_out", "barred",
-        "exempt", "roster");
+  private static SharedConfiguration rules(Part p) throws Malformed {
+    p.only("epoch", "number", "expired", "pins", "plans", "frontends", "limits", "held_out",
+        "barred", "exempt", "roster");
     Map<String, GatewaySettings.QuotaPlan> plans = new TreeMap<>();
     for (Part e : p.part("plans").parts()) plans.put(e.name(), plan(e));
     Map<String, GatewaySettings.RequestClass> frontends = new TreeMap<>();
     for (Part e : p.part("frontends").parts()) frontends.put(e.name(), frontend(e));
     Part limits = p.part("limits");
     limits.only("send_cap", "longest_pause_ms");
-    return new RuleSet(new Version(p.whole("epoch"), p.has("number") ? p.whole("number") : 0), plans,
-        frontends, new RuleSet.Limits((int) limits.whole("send_cap"), limits.tenths("longest_pause_ms")),
+    return new SharedConfiguration(
+        new ConfigurationVersion(p.whole("epoch"), p.has("number") ? p.whole("number") : 0), plans,
+        frontends,
+        new SharedConfiguration.Limits((int) limits.whole("send_cap"),
+            limits.tenths("longest_pause_ms")),
         p.words("held_out"), customers(p, "barred"), customers(p, "exempt"), p.words("roster"),
-        p.words("pins"),
-        p.has("expired") ? p.one("expired", RuleSet.Expired.values()) : RuleSet.Expired.DENY);
+        p.words("pins"), p.has("expired") ? p.one("expired", SharedConfiguration.Expired.values())
+            : SharedConfiguration.Expired.DENY);
   }
 
   private static GatewaySettings.QuotaPlan plan(Part p) throws Malformed {
     p.only("rate", "burst", "parallel", "ceiling_rate", "ceiling_burst", "price");
-    return new GatewaySettings.QuotaPlan(p.number("rate"), p.number("burst"), (int) p.whole("parallel"),
-        p.number("ceiling_rate"), p.number("ceiling_burst"), p.number("price"));
+    return new GatewaySettings.QuotaPlan(p.number("rate"), p.number("burst"),
+        (int) p.whole("parallel"), p.number("ceiling_rate"), p.number("ceiling_burst"),
+        p.number("price"));
   }
 
   private static GatewaySettings.RequestClass frontend(Part p) throws Malformed {
     p.only("effect", "group", "remembered_ms", "target_ms", "client_timeout_ms", "value");
     return new GatewaySettings.RequestClass(p.one("effect", GatewaySettings.RetrySafety.values()),
-        p.one("group", GatewaySettings.KeyScope.values()), p.tenths("remembered_ms"), p.tenths("target_ms"),
-        p.tenths("client_timeout_ms"), p.number("value"));
+        p.one("group", GatewaySettings.KeyScope.values()), p.tenths("remembered_ms"),
+        p.tenths("target_ms"), p.tenths("client_timeout_ms"), p.number("value"));
   }
 
   private static SortedSet<Long> customers(Part p, String key) throws Malformed {
@@ -95,11 +101,11 @@
     return out;
   }
 
-  public static String write(RuleSet r) {
+  public static String write(SharedConfiguration r) {
     return object(r).toString();
   }
 
-  private static JsonObject object(RuleSet r) {
+  private static JsonObject object(SharedConfiguration r) {
     JsonObject o = new JsonObject();
     o.addProperty("epoch", r.version().epoch());
     o.addProperty("number", r.version().number());
@@ -141,10 +147,10 @@
   }
 
   /** Of the text without its version: two versions of one hash hold the same rules. */
-  public static String hash(RuleSet r) {
+  public static String hash(SharedConfiguration r) {
     try {
       byte[] sum = MessageDigest.getInstance("SHA-256")
-          .digest(write(r.as(Version.NONE)).getBytes(StandardCharsets.UTF_8));
+          .digest(write(r.as(ConfigurationVersion.NONE)).getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(sum, 0, 8);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // every JDK has it
@@ -153,7 +159,7 @@
 
   // ---- renewals
 
-  public static String write(Follower.Report r) {
+  public static String write(ConfigurationFollower.Report r) {
     JsonObject o = new JsonObject();
     o.addProperty("node", r.node());
     o.addProperty("acts", r.acts().toString());
@@ -165,15 +171,16 @@
     return o.toString();
   }
 
-  public static Follower.Report report(String text) throws Malformed {
+  public static ConfigurationFollower.Report report(String text) throws Malformed {
     Part p = new Part("", parsed(text));
     p.only("node", "acts", "prepared", "rejected", "reason");
     boolean rejects = p.has("rejected");
-    return new Follower.Report(p.word("node"), version(p, "acts"), version(p, "prepared"),
-        rejects ? version(p, "rejected") : null, rejects ? p.word("reason") : null);
+    return new ConfigurationFollower.Report(p.word("node"), version(p, "acts"),
+        version(p, "prepared"), rejects ? version(p, "rejected") : null,
+        rejects ? p.word("reason") : null);
   }
 
-  public static String write(Follower.Answer a) {
+  public static String write(ConfigurationFollower.Answer a) {
     JsonObject o = new JsonObject();
     o.addProperty("in_force", a.inForce().toString());
     if (a.text() != null) o.add("rules", object(a.text()));
@@ -181,10 +188,11 @@
     return o.toString();
   }
 
-  public static Follower.Answer answer(String text) throws Malformed {
+  public static ConfigurationFollower.Answer answer(String text) throws Malformed {
     Part p = new Part("", parsed(text));
     p.only("in_force", "rules", "offered");
-    return new Follower.Answer(version(p, "in_force"), p.has("rules") ? rules(p.part("rules")) : null,
+    return new ConfigurationFollower.Answer(version(p, "in_force"),
+        p.has("rules") ? rules(p.part("rules")) : null,
         p.has("offered") ? rules(p.part("offered")) : null);
   }
 
@@ -196,9 +204,9 @@
     }
   }
 
-  private static Version version(Part p, String key) throws Malformed {
+  private static ConfigurationVersion version(Part p, String key) throws Malformed {
     try {
-      return Version.of(p.word(key));
+      return ConfigurationVersion.of(p.word(key));
     } catch (IllegalArgumentException e) {
       throw new Malformed(p.at(key) + ": " + e.getMessage());
     }
@@ -229,7 +237,8 @@
     }
 
     private JsonObject object() throws Malformed {
-      if (!element.isJsonObject()) throw new Malformed((path.isEmpty() ? "the whole" : path) + ": no object");
+      if (!element.isJsonObject())
+        throw new Malformed((path.isEmpty() ? "the whole" : path) + ": no object");
       return element.getAsJsonObject();
     }
 
@@ -284,9 +293,9 @@
 
     <E extends Enum<E>> E one(String key, E[] of) throws Malformed {
       String word = word(key);
-      for (E e : of) if (RulesForm.word(e).equals(word)) return e;
-      throw new Malformed(
-          at(key) + ": " + word + " is none of " + List.of(of).stream().map(RulesForm::word).toList());
+      for (E e : of) if (ConfigurationCodec.word(e).equals(word)) return e;
+      throw new Malformed(at(key) + ": " + word + " is none of "
+          + List.of(of).stream().map(ConfigurationCodec::word).toList());
     }
 
     SortedSet<String> words(String key) throws Malformed {
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.counter;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -7,23 +7,35 @@
 import io.vertx.core.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.Timers;
-
-/** The client side towards the counter. A name's calls go over one connection, so that they are answered in order. */
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.resp.DecimalFormat;
+import saltlatch.wire.transport.CallResult;
+import saltlatch.wire.transport.Scheduler;
+import saltlatch.wire.transport.SocketCloser;
+import saltlatch.wire.transport.TcpConnector;
+
+/**
+ * The client side towards the counter. A name's calls go over one connection, so that they are
+ * answered in order.
+ */
 public final class CounterClient {
   /** Whom the ends of calls are told to. */
-  public interface Host {
-    void counted(long name, Ending ending, double total, long spent);
+  public interface Listener {
+    void counted(long name, CallResult ending, double total, long spent);
   }
 
-  private static final int LINKS = 8; // of the 32 that the counter holds: names on its busy parts hold up few others
-  private static final long IDLE = 40_000; // 4 s: the counter closes idle connections after 10 s or less
+  // of the 32 that the counter holds: names on its busy parts hold up few others
+  private static final int LINKS = 8;
+  // 4 s: the counter closes idle connections after 10 s or less
+  private static final long IDLE = 40_000;
   private static final long SWEEP = 10_000; // 1 s between looks for idle ones
   private static final int LONGEST_LINE = 256; // bytes of an answer
-  private static final long STUCK = 10; // time limits without any answer after which a connection is given up
-  private static final long STUCK_CAPS = 4; // or so many times its oldest call was to be waited for, where that is longer
+  // time limits without any answer after which a connection is given up
+  private static final long STUCK = 10;
+  // or so many times its oldest call was to be waited for, where that is longer
+  private static final long STUCK_CAPS = 4;
 
   /** One call; its place in the order of answers stays after it has timed out. */
   private static final class Call {
@@ -32,43 +44,44 @@
     private long cap;
     private boolean written;
     private boolean told;
-    private Timers.Timer limit;
+    private TimerQueue.Timer limit;
     private Buffer text;
   }
 
   private final NetClient client;
   private SocketAddress address;
   private final Scheduler scheduler;
-  private final Host host;
-  private final Counters counters;
+  private final Listener host;
+  private final NodeMetrics counters;
   private final long limit;
   private final Link[] links = new Link[LINKS];
 
-  public CounterClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Host host, Counters counters,
-      long limit) {
+  public CounterClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener host,
+      NodeMetrics counters, long limit) {
     this.address = address;
     this.scheduler = scheduler;
     this.host = host;
     this.counters = counters;
     this.limit = limit;
-    client = Dial.client(vertx, Math.max(100, limit)); // ten limits
+    client = TcpConnector.client(vertx, Math.max(100, limit)); // ten limits
     sweep();
   }
 
   /** {@code cap}: waited for so long, or for the time in the settings if that is longer. */
   public void add(long name, double units, long keep, long cap) {
-    counters.add(Count.COUNTED);
+    counters.add(Metric.COUNTED);
     int at = (int) Math.floorMod(name ^ name >>> 31, (long) LINKS);
     Link link = links[at];
     if (link != null && link.isStuck()) link.end();
     if (links[at] == null) links[at] = new Link(at, null);
-    links[at].call(name, Math.max(limit, cap),
-        "bump " + Long.toHexString(name) + " " + Decimal.text(units) + " " + Math.max(1, keep / 10) + "\r\n");
+    links[at].call(name, Math.max(limit, cap), "bump " + Long.toHexString(name) + " "
+        + DecimalFormat.format(units) + " " + Math.max(1, keep / 10) + "\r\n");
   }
 
   /**
-   * Calls go to another address from now on. Guards against a name's answers that overtake each other: what is out on
-   * an old connection is told before the first call of that name goes out on the new one.
+   * Calls go to another address from now on. Guards against a name's answers that overtake each
+   * other: what is out on an old connection is told before the first call of that name goes out on
+   * the new one.
    */
   public void move(SocketAddress to) {
     if (address.equals(to)) return;
@@ -84,7 +97,8 @@
 
   private void sweep() {
     for (Link link : links) {
-      if (link != null && (link.calls.isEmpty() && scheduler.now() - link.usedAt > IDLE || link.isStuck()))
+      if (link != null
+          && (link.calls.isEmpty() && scheduler.now() - link.usedAt > IDLE || link.isStuck()))
         link.end();
     }
     scheduler.at(scheduler.now() + SWEEP, this::sweep);
@@ -111,14 +125,14 @@
           end();
           return;
         }
-        counters.add(Count.COUNTER_OPENED);
+        counters.add(Metric.COUNTER_OPENED);
         socket = done.result();
         if (closed) {
-          Closing.atOnce(socket);
+          SocketCloser.closeNow(socket);
           return;
         }
         socket.handler(this::read);
-        socket.exceptionHandler(e -> counters.add(Count.COUNTER_BROKEN));
+        socket.exceptionHandler(e -> counters.add(Metric.COUNTER_BROKEN));
         socket.closeHandler(v -> end());
         start();
       });
@@ -139,7 +153,8 @@
     /** Its oldest call is long overdue: the counter has gone silent, or this connection has. */
     boolean isStuck() {
       if (calls.isEmpty()) return false;
-      return scheduler.now() - calls.peek().sent > Math.max(STUCK * limit, STUCK_CAPS * calls.peek().cap);
+      return scheduler.now() - calls.peek().sent > Math.max(STUCK * limit,
+          STUCK_CAPS * calls.peek().cap);
     }
 
     void call(long name, long cap, String text) {
@@ -149,8 +164,9 @@
       c.cap = cap;
       c.text = Buffer.buffer(text);
       c.limit = scheduler.at(c.sent + cap, () -> {
-        tell(c, c.written ? Ending.TIMED_OUT : Ending.TIMED_OUT_UNWRITTEN, 0);
-        if (length > 0) end(); // half a line for so long is none: nothing behind it would be answered
+        tell(c, c.written ? CallResult.TIMED_OUT : CallResult.TIMED_OUT_UNWRITTEN, 0);
+        // half a line for so long is none: nothing behind it would be answered
+        if (length > 0) end();
       });
       calls.add(c);
       usedAt = c.sent;
@@ -184,27 +200,31 @@
       if (c == null) {
         end();
       } else {
-        double total = text.startsWith("ok ") ? Decimal.of(text.substring(3)) : Double.NaN;
-        Ending ending = Double.isNaN(total) ? withoutTotal(text) : Ending.ANSWERED;
-        tell(c, ending, ending == Ending.ANSWERED ? total : 0);
-        if (ending == Ending.SPOILT_ANSWER) end();
+        double total = text.startsWith("ok ") ? DecimalFormat.parse(text.substring(3)) : Double.NaN;
+        CallResult ending = Double.isNaN(total) ? withoutTotal(text) : CallResult.ANSWERED;
+        tell(c, ending, ending == CallResult.ANSWERED ? total : 0);
+        if (ending == CallResult.SPOILT_ANSWER) end();
       }
     }
 
-    /** Guards against a spoilt answer that is taken for a refusal, so that its amount, which was added, is added again. */
-    private static Ending withoutTotal(String text) {
+    /**
+     * Guards against a spoilt answer that is taken for a refusal, so that its amount, which was
+     * added, is added again.
+     */
+    private static CallResult withoutTotal(String text) {
       return switch (text) {
-        case "busy" -> Ending.BUSY_ANSWER;
-        case "error" -> Ending.REFUSED_CALL;
-        default -> Ending.SPOILT_ANSWER;
+        case "busy" -> CallResult.BUSY_ANSWER;
+        case "error" -> CallResult.REFUSED_CALL;
+        default -> CallResult.SPOILT_ANSWER;
       };
     }
 
-    private void tell(Call c, Ending ending, double total) {
+    private void tell(Call c, CallResult ending, double total) {
       if (c.told) return;
       c.told = true;
-      c.limit.drop();
-      counters.add(ending == Ending.ANSWERED ? Count.COUNTS_ANSWERED : Count.COUNTS_ENDED_OTHERWISE);
+      c.limit.cancel();
+      counters.add(
+          ending == CallResult.ANSWERED ? Metric.COUNTS_ANSWERED : Metric.COUNTS_ENDED_OTHERWISE);
       host.counted(c.name, ending, total, scheduler.now() - c.sent);
       if (retired && !owes()) end();
     }
@@ -213,8 +233,9 @@
       if (closed) return;
       closed = true;
       if (links[at] == this) links[at] = null;
-      if (socket != null) Closing.atOnce(socket);
-      for (Call c : calls) tell(c, c.written ? Ending.BROKE_WRITTEN : Ending.CONNECT_FAILED, 0);
+      if (socket != null) SocketCloser.closeNow(socket);
+      for (Call c : calls)
+        tell(c, c.written ? CallResult.BROKE_WRITTEN : CallResult.CONNECT_FAILED, 0);
       if (after == null) return;
       after.before = null;
       after.start();
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.discovery;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -10,38 +10,49 @@
 import io.vertx.core.net.SocketAddress;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
-import saltlatch.state.HeapFull;
-import saltlatch.state.Timers;
+import saltlatch.state.HeapExhaustion;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.transport.Scheduler;
 
 /**
- * Follows the list of app srvs. What discovery has and can tell is known here within {@link #SILENT} and one round trip:
- * a watch that says nothing for so long is given up, one that does not begin within {@link #BEGINS} sooner, and the next
- * opens at once, or {@link #APART} behind the last one's opening. That stays under the 6 s after which a change counts as
- * told. A list that is too large is the exception: the same would come again, so it is asked for ever more seldom.
+ * Follows the list of app srvs. What discovery has and can tell is known here within
+ * {@link #SILENT} and one round trip: a watch that says nothing for so long is given up, one that
+ * does not begin within {@link #BEGINS} sooner, and the next opens at once, or {@link #APART}
+ * behind the last one's opening. That stays under the 6 s after which a change counts as told. A
+ * list that is too large is the exception: the same would come again, so it is asked for ever more
+ * seldom.
  */
-public final class Discovery {
+public final class DiscoveryClient {
   /** Whom the list is told to. */
-  public interface Host {
+  public interface Listener {
     /** Runs {@code applied} once all of the list is in force, in the same turn or a later one. */
-    void listed(TargetList list, Runnable applied);
+    void listed(EndpointList list, Runnable applied);
 
-    /** Followed again at once by {@link Discovery#follow()} where changes come unasked. */
+    /** Followed again at once by {@link DiscoveryClient#follow()} where changes come unasked. */
     void watchEnded();
   }
 
-  private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
+  private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
   // Pacing; times are tenths of a ms.
   private static final long SILENT = 45_000; // 4.5 s: two of the empty lines that come every 2 s
-  private static final long BEGINS = 20_000; // 2 s: the agent is on this machine and answers at once, or it is down
-  private static final long APART = 10_000; // 1 s between openings: an agent that resets each must not be stormed
-  private static final long REFUSED_FIRST = 10_000; // 1 s after a list too large: it may be cut down at once
-  private static final long REFUSED_MOST = 3_000_000; // 5 min: 4 MB read for nothing each time are 14 KB/s by then
-  private static final int READ_AT_ONCE = 32 << 10; // bytes decoded in a row: some 260 entries, about 1 ms
+  // 2 s: the agent is on this machine and answers at once, or it is down
+  private static final long BEGINS = 20_000;
+  // 1 s between openings: an agent that resets each must not be stormed
+  private static final long APART = 10_000;
+  // 1 s after a list too large: it may be cut down at once
+  private static final long REFUSED_FIRST = 10_000;
+  // 5 min: 4 MB read for nothing each time are 14 KB/s by then
+  private static final long REFUSED_MOST = 3_000_000;
+  // bytes decoded in a row: some 260 entries, about 1 ms
+  private static final int READ_AT_ONCE = 32 << 10;
   private static final long READ_PAUSE = 10; // 1 ms for the loop's other work, between such rows
-  /** Entries that go to the module in one event, and at most are looked at in one turn: well under 5 ms, all told. */
+  /**
+   * Entries that go to the module in one event, and at most are looked at in one turn: well under 5
+   * ms, all told.
+   */
   public static final int SLICE = 512;
   /** Between the slices of a large list: 1 ms for the loop's other work. */
   public static final long SLICE_PAUSE = 10;
@@ -50,8 +61,8 @@
   private HttpClient client; // made when first used, which is after the node serves
   private SocketAddress address;
   private final Scheduler scheduler;
-  private final Host host;
-  private final Counters counters;
+  private final Listener host;
+  private final NodeMetrics counters;
   private long series; // of the newest list taken
   private long newest; // its index; it may be on its way to being applied
   private long index; // of the newest list applied in full: the watch goes on from there
@@ -62,12 +73,13 @@
   private long notBefore = Long.MIN_VALUE / 2; // the next opening, for that pause
   private int readInRow; // bytes
   private HttpClientRequest watch;
-  private Timers.Timer limit; // of what must come next: the opening, the first line, another line; null: no watch is on
+  // of what must come next: the opening, the first line, another line; null: no watch is on
+  private TimerQueue.Timer limit;
   private long openedAt = Long.MIN_VALUE / 2;
   private int turn; // of the watches, so that what comes late from an ended one is passed over
 
-  public Discovery(Vertx vertx, SocketAddress address, Scheduler scheduler, Host host, Counters counters,
-      TargetList known) {
+  public DiscoveryClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener host,
+      NodeMetrics counters, EndpointList known) {
     this.address = address;
     this.scheduler = scheduler;
     this.host = host;
@@ -81,10 +93,14 @@
   public void follow() {
     stop();
     int mine = ++turn;
-    limit = scheduler.at(Math.max(scheduler.now(), Math.max(openedAt + APART, notBefore)), () -> open(mine));
+    limit = scheduler.at(Math.max(scheduler.now(), Math.max(openedAt + APART, notBefore)),
+        () -> open(mine));
   }
 
-  /** The list is asked for at another address from now on; a watch that is on goes on there, at once. */
+  /**
+   * The list is asked for at another address from now on; a watch that is on goes on there, at
+   * once.
+   */
   public void move(SocketAddress to) {
     if (address.equals(to)) return;
     address = to;
@@ -96,7 +112,7 @@
 
   public void stop() {
     turn++;
-    if (limit != null) limit.drop();
+    if (limit != null) limit.cancel();
     limit = null;
     whenApplied = null;
     if (watch != null) watch.reset();
@@ -114,7 +130,7 @@
           .setDecompressionSupported(false).setIdleTimeout(0));
     }
     openedAt = scheduler.now();
-    counters.add(Count.WATCHES);
+    counters.add(Metric.WATCHES);
     expect(mine, BEGINS);
     client.request(HttpMethod.GET, address.port(), address.host(), path()).onComplete(made -> {
       if (mine != turn) {
@@ -141,7 +157,7 @@
       broke(mine, new IllegalStateException("status " + response.statusCode()));
       return;
     }
-    ListReader lists = new ListReader();
+    EndpointListParser lists = new EndpointListParser();
     readInRow = 0;
     response.exceptionHandler(e -> broke(mine, e));
     response.endHandler(v -> broke(mine, null));
@@ -153,23 +169,26 @@
   }
 
   /** What can't be read is asked for again: the changes it held would never be told otherwise. */
-  private void feed(ListReader lists, Buffer more, int mine) {
+  private void feed(EndpointListParser lists, Buffer more, int mine) {
     try {
       // Guards against a line that never ends: only what is whole says that the watch is well.
       boolean whole = lists.feed(more, list -> take(list, mine));
       if (whole && mine == turn) expect(mine, SILENT);
-    } catch (ListReader.Unreadable e) {
+    } catch (EndpointListParser.Unreadable e) {
       if (e.isTooLarge()) refuse(e.getMessage(), mine);
       else {
-        counters.add(Count.LISTS_MALFORMED);
+        counters.add(Metric.LISTS_MALFORMED);
         broke(mine, e);
       }
     } catch (OutOfMemoryError e) {
-      refuse(HeapFull.explain(e), mine);
+      refuse(HeapExhaustion.explain(e), mine);
     }
   }
 
-  /** Guards against a long list that holds the loop up: between rows of it the loop does what else there is. */
+  /**
+   * Guards against a long list that holds the loop up: between rows of it the loop does what else
+   * there is.
+   */
   private void rest(HttpClientResponse response, int bytes, int mine) {
     readInRow += bytes;
     if (readInRow < READ_AT_ONCE) return;
@@ -183,33 +202,35 @@
   private void refuse(String why, int mine) {
     refusedPause = Math.min(REFUSED_MOST, refusedPause == 0 ? REFUSED_FIRST : 2 * refusedPause);
     notBefore = scheduler.now() + refusedPause;
-    counters.add(Count.LISTS_REFUSED);
+    counters.add(Metric.LISTS_REFUSED);
     LOG.warn("list refused, asked for again in {} s: {}", refusedPause / 10_000, why);
     broke(mine, new IllegalStateException("a list too large"));
   }
 
-  private void take(TargetList list, int mine) {
+  private void take(EndpointList list, int mine) {
     if (mine != turn) return;
-    // Guards against an agent that is behind the one asked before (SIGHUP, a return): its list would turn drains back.
+    // Guards against an agent that is behind the one asked before (SIGHUP, a return): its list
+    // would turn drains back.
     if (list.series() < series || list.series() == series && list.index() < newest) {
-      counters.add(Count.LISTS_OLD);
+      counters.add(Metric.LISTS_OLD);
       return;
     }
-    if (list.series() > series && !list.whole()) {
+    if (list.series() > series && !list.snapshot()) {
       wantsWhole = true;
-      broke(mine, new IllegalStateException("a change of series " + list.series() + ", not known yet"));
+      broke(mine,
+          new IllegalStateException("a change of series " + list.series() + ", not known yet"));
       return;
     }
-    wantsWhole = wantsWhole && !list.whole();
+    wantsWhole = wantsWhole && !list.snapshot();
     series = list.series();
     newest = list.index();
     refusedPause = 0;
-    counters.add(Count.LISTS);
+    counters.add(Metric.LISTS);
     beingApplied++;
     host.listed(list, () -> applied(list));
   }
 
-  private void applied(TargetList list) {
+  private void applied(EndpointList list) {
     index = list.index();
     beingApplied--;
     if (beingApplied > 0 || whenApplied == null) return;
@@ -219,13 +240,13 @@
   }
 
   private void expect(int mine, long within) {
-    if (limit != null) limit.drop();
+    if (limit != null) limit.cancel();
     limit = scheduler.at(scheduler.now() + within, () -> broke(mine, null));
   }
 
   private void broke(int mine, Throwable why) {
     if (mine != turn) return;
-    counters.add(Count.WATCHES_BROKEN);
+    counters.add(Metric.WATCHES_BROKEN);
     LOG.info("watch ended: {}", why == null ? "silent or closed" : why.toString());
     stop();
     host.watchEnded();
--- a/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.discovery;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -10,14 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import saltlatch.state.HeapFull;
+import saltlatch.state.HeapExhaustion;
 
 /**
- * Reads a watch's stream of JSON objects: one a line, or one over several lines that are indented. A line that begins
- * with a brace begins an object, whatever came before it. Each entry of {@code endpoints} is decoded as its last byte
- * comes, so that an object's whole text is never held, whatever the order of its fields.
+ * Reads a watch's stream of JSON objects: one a line, or one over several lines that are indented.
+ * A line that begins with a brace begins an object, whatever came before it. Each entry of
+ * {@code endpoints} is decoded as its last byte comes, so that an object's whole text is never
+ * held, whatever the order of its fields.
  */
-final class ListReader {
+final class EndpointListParser {
   /** The stream can't be read on: what is wrong with it, and whether it is merely too large. */
   static final class Unreadable extends Exception {
     private static final long serialVersionUID = 1;
@@ -28,10 +29,13 @@
       this.tooLarge = tooLarge;
     }
 
-    /** An entry that can't be decoded; the JSON library wraps the heap's end, which is no fault of the text. */
+    /**
+     * An entry that can't be decoded; the JSON library wraps the heap's end, which is no fault of
+     * the text.
+     */
     Unreadable(RuntimeException cause) {
-      super(HeapFull.explain(cause), cause, false, false);
-      tooLarge = HeapFull.isCauseOf(cause);
+      super(HeapExhaustion.explain(cause), cause, false, false);
+      tooLarge = HeapExhaustion.isCauseOf(cause);
     }
 
     /** Beyond a bound on entries, or beyond the heap: the same when it is asked for again. */
@@ -47,17 +51,23 @@
     ENTRY
   }
 
-  /** Entries of one object: twice the 34,000 app servers that are expected; the least heap holds as many. */
+  /**
+   * Entries of one object: twice the 34,000 app servers that are expected; the least heap holds as
+   * many.
+   */
   static final int MOST_ENTRIES = 65_536;
-  /** Bytes of one entry, and of all that stands outside entries: 60 times an ordinary entry's 125. */
+  /**
+   * Bytes of one entry, and of all that stands outside entries: 60 times an ordinary entry's 125.
+   */
   static final int LONGEST_PART = 8 << 10;
-  private static final int MOST_WORDS = 4_096; // recurring words kept to be used again: zones, types, hosts
+  // recurring words kept to be used again: zones, types, hosts
+  private static final int MOST_WORDS = 4_096;
   private static final byte[] ENDPOINTS = "\"endpoints\"".getBytes(StandardCharsets.US_ASCII);
 
   private final Part outside = new Part();
   private final Part entry = new Part();
   private final Map<String, String> words = new HashMap<>();
-  private List<TargetList.Target> targets = new ArrayList<>();
+  private List<EndpointList.Entry> targets = new ArrayList<>();
   private int depth; // of open braces and brackets
   private boolean quoted;
   private boolean escaped;
@@ -97,17 +107,18 @@
   }
 
   /**
-   * Takes in what has come; true if a whole object, a whole entry of one, or an empty line was in it.
+   * Takes in what has come; true if a whole object, a whole entry of one, or an empty line was in
+   * it.
    *
    * @throws Unreadable the object is malformed or too large; nothing can be read on from there
    */
-  boolean feed(Buffer more, Consumer<TargetList> use) throws Unreadable {
+  boolean feed(Buffer more, Consumer<EndpointList> use) throws Unreadable {
     progress = false;
     for (int i = 0; i < more.length(); i++) take(more.getByte(i), use);
     return progress;
   }
 
-  private void take(byte b, Consumer<TargetList> use) throws Unreadable {
+  private void take(byte b, Consumer<EndpointList> use) throws Unreadable {
     // Guards against an object that was cut off and takes the next one in.
     if (lineBegins && b == '{' && bytes > 0) give(use);
     if (b == '\n' && depth <= 0) {
@@ -144,7 +155,8 @@
     write(entry, b, true);
     if (depth != 2) return;
     try {
-      targets.add(TargetList.target(JsonParser.parseString(entry.text()).getAsJsonObject(), this::word));
+      targets.add(
+          EndpointList.target(JsonParser.parseString(entry.text()).getAsJsonObject(), this::word));
     } catch (RuntimeException e) {
       throw new Unreadable(e);
     }
@@ -155,12 +167,14 @@
 
   private void betweenEntries(byte b) throws Unreadable {
     if (isSpace(b)) return;
-    if (b != ',' || next != Next.COMMA_OR_END) throw new Unreadable("no object among endpoints", false);
+    if (b != ',' || next != Next.COMMA_OR_END)
+      throw new Unreadable("no object among endpoints", false);
     next = Next.ENTRY;
   }
 
   private void endOfEndpoints(byte b) throws Unreadable {
-    if (b != ']' || next == Next.ENTRY) throw new Unreadable("endpoints end with a comma or a brace", false);
+    if (b != ']' || next == Next.ENTRY)
+      throw new Unreadable("endpoints end with a comma or a brace", false);
     inEndpoints = false;
   }
 
@@ -173,7 +187,8 @@
   }
 
   private Unreadable tooLarge(String why) {
-    return new Unreadable(why + ", read up to " + targets.size() + " entries and " + bytes + " bytes", true);
+    return new Unreadable(
+        why + ", read up to " + targets.size() + " entries and " + bytes + " bytes", true);
   }
 
   private void follow(byte b) {
@@ -196,11 +211,11 @@
     return word;
   }
 
-  private void give(Consumer<TargetList> use) throws Unreadable {
-    TargetList list;
+  private void give(Consumer<EndpointList> use) throws Unreadable {
+    EndpointList list;
     try {
       JsonObject rest = JsonParser.parseString(outside.text()).getAsJsonObject();
-      list = TargetList.of(rest, targets, this::word);
+      list = EndpointList.of(rest, targets, this::word);
     } catch (RuntimeException e) {
       throw new Unreadable(e);
     }
--- a/src/main/java/saltlatch/wire/peer/GossipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/GossipCodec.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.peer;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,22 +7,24 @@
 import saltlatch.api.GossipMessage;
 
 /**
- * The form of a datagram of sums: a byte, then entries of 7 bytes each: 33 bits of the customer, 7 of the window's number, 16
- * of units. Whom the sender hears goes in entries of its own under customers' ids that no sum is told of (the highest 16),
- * so that nodes from before, which know none of these, pass them over.
+ * The form of a datagram of sums: a byte, then entries of 7 bytes each: 33 bits of the customer, 7
+ * of the window's number, 16 of units. Whom the sender hears goes in entries of its own under
+ * customers' ids that no sum is told of (the highest 16), so that nodes from before, which know
+ * none of these, pass them over.
  */
-public final class SumsForm {
+public final class GossipCodec {
   static final byte FIRST = 0x51;
   private static final int ENTRY = 7;
   private static final double GRAIN = 16; // parts of a unit that sums are told in
   private static final long CUSTOMERS = 1L << 33;
-  private static final long HEARING = CUSTOMERS - 16; // from this customer on an entry is of the nodes heard
+  // from this customer on an entry is of the nodes heard
+  private static final long HEARING = CUSTOMERS - 16;
   private static final int FLAGS = 2; // bits of the first such entry: holds, takes; each has 23
   private static final int BITS = GossipMessage.NODES_PER_ENTRY;
 
-  private SumsForm() {}
+  private GossipCodec() {}
 
-  public static byte[] write(GossipMessage told) {
+  public static byte[] encode(GossipMessage told) {
     byte[] words = new byte[1 + GossipMessage.MAX_ENTRIES * ENTRY];
     words[0] = FIRST;
     int at = 1;
@@ -61,9 +63,9 @@
   }
 
   /** Null for what is not of this form. */
-  public static GossipMessage read(byte[] words) {
-    if (words.length == 0 || words.length > 1 + GossipMessage.MAX_ENTRIES * ENTRY || words[0] != FIRST
-        || (words.length - 1) % ENTRY != 0) {
+  public static GossipMessage decode(byte[] words) {
+    if (words.length == 0 || words.length > 1 + GossipMessage.MAX_ENTRIES * ENTRY
+        || words[0] != FIRST || (words.length - 1) % ENTRY != 0) {
       return null;
     }
     List<GossipMessage.WindowUsage> sums = new ArrayList<>();
@@ -83,8 +85,7 @@
       for (int b = 0; b < BITS; b++)
         if ((part >>> b & 1) != 0) bits.set((int) (customer - HEARING) * BITS + b);
     }
-    return new GossipMessage(sums,
-        bits == null ? null : new GossipMessage.Reachability(bits.get(FLAGS, Math.max(FLAGS, bits.length())),
-            bits.get(0), bits.get(1)));
+    return new GossipMessage(sums, bits == null ? null : new GossipMessage.Reachability(
+        bits.get(FLAGS, Math.max(FLAGS, bits.length())), bits.get(0), bits.get(1)));
   }
 }
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -1,20 +1,20 @@
-package saltlatch.wire;
+package saltlatch.wire.peer;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import saltlatch.member.Membership;
-import saltlatch.member.Message;
-import saltlatch.member.Message.Kind;
-import saltlatch.member.Message.News;
-import saltlatch.member.Message.State;
+import saltlatch.membership.Membership;
+import saltlatch.membership.MembershipMessage;
+import saltlatch.membership.MembershipMessage.Kind;
+import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.State;
 
 /**
- * The form of a membership datagram: a byte that no datagram of sums begins with, version, kind, a check sum, number, target,
- * incarnation, digest, and pieces of news of 9 bytes each; 243 bytes at the most. Whatever is not of this form costs that
- * datagram only.
+ * The form of a membership datagram: a byte that no datagram of sums begins with, version, kind, a
+ * check sum, number, target, incarnation, digest, and pieces of news of 9 bytes each; 243 bytes at
+ * the most. Whatever is not of this form costs that datagram only.
  */
-public final class MemberForm {
+public final class MembershipCodec {
   public static final byte FIRST = (byte) 0xB7;
   private static final byte VERSION = 1;
   private static final int VOUCHES = 0x40; // in the byte of the kind
@@ -24,14 +24,14 @@
   private static final Kind[] KINDS = Kind.values();
   private static final State[] STATES = State.values();
 
-  private MemberForm() {}
+  private MembershipCodec() {}
 
-  public static byte[] write(Message m) {
+  public static byte[] encode(MembershipMessage m) {
     int n = Math.min(m.news().size(), Math.min(Membership.MOST_NEWS, (LONGEST - HEAD) / NEWS));
     ByteBuffer b = ByteBuffer.allocate(HEAD + n * NEWS);
-    b.put(FIRST).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0))).putInt(0)
-        .putInt(m.seq()).putShort((short) m.target()).putInt((int) m.incarnation()).putLong(m.digest())
-        .put((byte) n);
+    b.put(FIRST).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0)))
+        .putInt(0).putInt(m.seq()).putShort((short) m.target()).putInt((int) m.incarnation())
+        .putLong(m.digest()).put((byte) n);
     for (int i = 0; i < n; i++) {
       News x = m.news().get(i);
       b.putShort((short) x.member()).put((byte) x.state().ordinal()).putInt((int) x.incarnation())
@@ -41,7 +41,7 @@
   }
 
   /** Null for what is no membership datagram: another's, truncated, spoilt. */
-  public static Message read(byte[] bytes) {
+  public static MembershipMessage decode(byte[] bytes) {
     if (bytes.length < HEAD || bytes[0] != FIRST || bytes[1] != VERSION) return null;
     ByteBuffer b = ByteBuffer.wrap(bytes.clone());
     int told = b.getInt(3);
@@ -63,7 +63,7 @@
       if (state < 0 || state >= STATES.length) return null;
       news.add(new News(member, STATES[state], b.getInt() & 0xffffffffL, b.getShort() & 0xffff));
     }
-    return new Message(KINDS[kind], seq, target, incarnation, digest, vouches, news);
+    return new MembershipMessage(KINDS[kind], seq, target, incarnation, digest, vouches, news);
   }
 
   private static int sum(byte[] bytes) {
--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.peer;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -6,13 +6,13 @@
 import io.vertx.core.datagram.DatagramSocketOptions;
 import io.vertx.core.net.SocketAddress;
 import java.util.List;
-import saltlatch.state.Counters;
-import saltlatch.state.Counters.Count;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
 
 /** Datagrams between edge nodes. */
-public final class Peers {
+public final class PeerSocket {
   /** Whom datagrams are told to. */
-  public interface Host {
+  public interface Listener {
     void heard(int from, byte[] words);
   }
 
@@ -21,30 +21,31 @@
   private final DatagramSocket socket;
   private final List<SocketAddress> peers;
   private final SocketAddress all;
-  private final Counters counters;
+  private final NodeMetrics counters;
 
-  public Peers(Vertx vertx, SocketAddress listen, List<SocketAddress> peers, SocketAddress all, Host host,
-      Counters counters) {
+  public PeerSocket(Vertx vertx, SocketAddress listen, List<SocketAddress> peers, SocketAddress all,
+      Listener host, NodeMetrics counters) {
     this.peers = peers;
     this.all = all;
     this.counters = counters;
     socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-    socket.exceptionHandler(e -> counters.add(Count.PEERS_FAILED));
+    socket.exceptionHandler(e -> counters.add(Metric.PEERS_FAILED));
     socket.handler(packet -> {
-      counters.add(Count.PEERS_HEARD);
+      counters.add(Metric.PEERS_HEARD);
       host.heard(peers.indexOf(packet.sender()), packet.data().getBytes());
     });
-    socket.listen(listen.port(), listen.host()).onFailure(e -> counters.add(Count.PEERS_FAILED));
+    socket.listen(listen.port(), listen.host()).onFailure(e -> counters.add(Metric.PEERS_FAILED));
   }
 
   /** {@code peer} below 0: all of them. */
-  public void tell(int peer, byte[] words) {
+  public void send(int peer, byte[] words) {
     SocketAddress to = peer < 0 ? all : peer < peers.size() ? peers.get(peer) : null;
     if (to == null || words.length > LONGEST) {
-      counters.add(Count.PEERS_FAILED);
+      counters.add(Metric.PEERS_FAILED);
       return;
     }
-    counters.add(Count.PEERS_TOLD);
-    socket.send(Buffer.buffer(words), to.port(), to.host()).onFailure(e -> counters.add(Count.PEERS_FAILED));
+    counters.add(Metric.PEERS_TOLD);
+    socket.send(Buffer.buffer(words), to.port(), to.host())
+        .onFailure(e -> counters.add(Metric.PEERS_FAILED));
   }
 }
--- a/src/test/java/saltlatch/cli/LabCommandTest.java
+++ b/src/test/java/saltlatch/cli/LabCommandTest.java
@@ -27,9 +27,8 @@
   @Test
   void namesTheScaleTests() {
     assertEquals(2, run("lab", "scale", "nonsense"));
-    assertTrue(
-        errors.toString().contains(
-            "TEST is one of list, watchers, plans, counter, members, requests, sums, hollow, fleet, module"),
+    assertTrue(errors.toString().contains(
+        "TEST is one of list, watchers, plans, counter, members, requests, sums, hollow, fleet, module"),
         errors.toString());
   }
 
--- a/src/test/java/saltlatch/distribution/DecisionTrace.java
+++ b/src/test/java/saltlatch/distribution/DecisionTrace.java
@@ -17,9 +17,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Plays the events of a trace into one distributor and writes them down again with the actions that follow, each as
- * {@code -> ...} below its event. Watchers take what they are sent at once, except those that have stopped. Messages are
- * numbered by instance; a keep-alive while time runs is only counted.
+ * Plays the events of a trace into one distributor and writes them down again with the actions that
+ * follow, each as {@code -> ...} below its event. Watchers take what they are sent at once, except
+ * those that have stopped. Messages are numbered by instance; a keep-alive while time runs is only
+ * counted.
  */
 final class DecisionTrace implements Actions {
   private static final String ACTION = "  -> ";
@@ -37,7 +38,8 @@
 
   /** The text of a trace. */
   static String read(String name) {
-    try (InputStream in = DecisionTrace.class.getResourceAsStream("/distribution/" + name + ".trace")) {
+    try (InputStream in = DecisionTrace.class
+        .getResourceAsStream("/distribution/" + name + ".trace")) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -96,8 +98,8 @@
       case "opened" -> distributor.upstreamOpened(number, now);
       case "alive" -> distributor.upstreamAlive(number, now);
       case "whole", "changes" -> distributor.upstreamTold(number, update(words), now);
-      case "failed" ->
-        distributor.upstreamFailed(number, Distributor.Failure.valueOf(words[3].toUpperCase()), now);
+      case "failed" -> distributor.upstreamFailed(number,
+          Distributor.Failure.valueOf(words[3].toUpperCase()), now);
       case "watcher" -> distributor.watcherOpened(number, version(words[4]), now);
       case "stops" -> stopped.add((long) number);
       case "progressed" -> distributor.watcherProgressed(number, now);
@@ -136,7 +138,8 @@
     Status status = distributor.status(now);
     String all = status.toString().replaceAll("Version.series=(\\d+), index=(\\d+).", "$1/$2");
     Map<String, String> values = new HashMap<>();
-    for (String field : all.substring(all.indexOf('[') + 1, all.length() - 1).split(", (?=[a-zA-Z]+=)")) {
+    for (String field : all.substring(all.indexOf('[') + 1, all.length() - 1)
+        .split(", (?=[a-zA-Z]+=)")) {
       values.put(field.substring(0, field.indexOf('=')), field.substring(field.indexOf('=') + 1));
     }
     List<String> asked = new ArrayList<>();
@@ -155,7 +158,8 @@
     List<Entry> entries = new ArrayList<>();
     for (int word = 4; word < words.length; word++) {
       boolean removed = words[word].endsWith("-");
-      String[] parts = removed ? new String[] {words[word].substring(0, words[word].length() - 1), ""}
+      String[] parts = removed
+          ? new String[] {words[word].substring(0, words[word].length() - 1), ""}
           : words[word].split("=");
       entries.add(new Entry(parts[0], removed, parts[1]));
     }
@@ -195,8 +199,8 @@
     String entries = message.entries().stream()
         .map(entry -> entry.name() + (entry.removed() ? "-" : "=" + entry.json()))
         .collect(Collectors.joining(" "));
-    return message.kind().name().toLowerCase() + " #" + numbers.get(message) + " " + text(message.version())
-        + " [" + entries + "]";
+    return message.kind().name().toLowerCase() + " #" + numbers.get(message) + " "
+        + text(message.version()) + " [" + entries + "]";
   }
 
   private void act(String action) {
--- a/src/test/java/saltlatch/distribution/DistributionModelTest.java
+++ b/src/test/java/saltlatch/distribution/DistributionModelTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two tiers of distributors under random faults, in virtual time. The invariants are checked at every message. More and longer
- * runs: {@code -Ddistribution.seeds=200 -Ddistribution.minutes=30}.
+ * Two tiers of distributors under random faults, in virtual time. The invariants are checked at
+ * every message. More and longer runs: {@code -Ddistribution.seeds=200 -Ddistribution.minutes=30}.
  */
 class DistributionModelTest {
   private static final long SECOND = 1_000;
@@ -37,8 +37,8 @@
       assertTrue(took >= 0, "seed " + seed + " did not converge");
       longest = Math.max(longest, took);
     }
-    System.out.println(
-        "simulated, " + SEEDS + " seeds of " + MINUTES + " minutes: converged within " + longest + " ms");
+    System.out.println("simulated, " + SEEDS + " seeds of " + MINUTES
+        + " minutes: converged within " + longest + " ms");
   }
 
   @Test
@@ -47,22 +47,26 @@
       @Override
       public Message onTheWay(ModelLink link, Message message) {
         boolean several = message.kind() == Message.Kind.CHANGES && message.entries().size() > 1;
-        return several ? withEntries(message, message.entries().subList(1, message.entries().size()))
+        return several
+            ? withEntries(message, message.entries().subList(1, message.entries().size()))
             : message;
       }
     });
   }
 
-  /** Dropped on the way to one relay only: its watchers, and those of whoever follows it, hold the wrong list. */
+  /**
+   * Dropped on the way to one relay only: its watchers, and those of whoever follows it, hold the
+   * wrong list.
+   */
   @Test
   void checkerFindsARemovalLostOnTheWayToARelay() {
     assertFound("holds another list", new ModelFleet.Plant() {
       @Override
       public Message onTheWay(ModelLink link, Message message) {
-        boolean toRelay = link.from.toString().equals("second1") && message.kind() == Message.Kind.CHANGES;
-        return toRelay
-            ? withEntries(message, message.entries().stream().filter(entry -> !entry.removed()).toList())
-            : message;
+        boolean toRelay = link.from.toString().equals("second1")
+            && message.kind() == Message.Kind.CHANGES;
+        return toRelay ? withEntries(message,
+            message.entries().stream().filter(entry -> !entry.removed()).toList()) : message;
       }
     });
   }
@@ -150,15 +154,15 @@
   }
 
   /**
-   * The size that is coming, simulated: 7 relays in two tiers, 2,700 watchers and 34,000 entries; all start at once, then two
-   * changes a second for a minute, and a relay of the second tier killed in another minute. Links delay by 1 to 30 ms and
-   * carry 10 MB a second.
+   * The size that is coming, simulated: 7 relays in two tiers, 2,700 watchers and 34,000 entries;
+   * all start at once, then two changes a second for a minute, and a relay of the second tier
+   * killed in another minute. Links delay by 1 to 30 ms and carry 10 MB a second.
    */
   @Test
   void sizeThatIsComing() {
     Limits limits = new Limits(1_500, 60_000, 4_096, 20_000_000);
-    ModelFleet fleet = new ModelFleet(new ModelFleet.Shape(2, 5, 2_700, 45_333, 85, limits), 10_000, 7,
-        NOTHING);
+    ModelFleet fleet = new ModelFleet(new ModelFleet.Shape(2, 5, 2_700, 45_333, 85, limits), 10_000,
+        7, NOTHING);
     long started = System.nanoTime();
     long all = timeUntilWatchersHaveIt(fleet);
     report("start of all: " + all / SECOND + " s", fleet, started);
@@ -194,8 +198,10 @@
   private static void report(String phase, ModelFleet fleet, long started) {
     List<Long> times = new ArrayList<>(fleet.timesToForce);
     Collections.sort(times);
-    String force = times.isEmpty() ? "" : ", in force p50 " + times.get(times.size() / 2) + " ms, p99 "
-        + times.get(times.size() * 99 / 100) + " ms, max " + times.get(times.size() - 1) + " ms";
+    String force = times.isEmpty() ? ""
+        : ", in force p50 " + times.get(times.size() / 2) + " ms, p99 "
+            + times.get(times.size() * 99 / 100) + " ms, max " + times.get(times.size() - 1)
+            + " ms";
     System.out.println("simulated, " + phase + force + ", " + fleet.messages + ", "
         + (System.nanoTime() - started) / 1_000_000 + " ms of the model's run");
   }
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -79,20 +79,23 @@
   void manyThatStartAtOnceAreServedWithinTheBudget() {
     Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
-    long listBytes = 64 + IntStream.range(0, 100).map(number -> entry(number, 0).json().length() + 1).sum();
+    long listBytes = 64
+        + IntStream.range(0, 100).map(number -> entry(number, 0).json().length() + 1).sum();
     for (int watcher = 0; watcher < WATCHERS; watcher++) {
-      host.distributor.watcherOpened(watcher, watcher % 3 == 0 ? new Version(6, 5) : Version.NONE, host.now);
+      host.distributor.watcherOpened(watcher, watcher % 3 == 0 ? new Version(6, 5) : Version.NONE,
+          host.now);
     }
     run(host, 60 * SECOND);
     List<Sent> snapshots = host.snapshots();
     assertEquals(WATCHERS, snapshots.stream().map(Sent::watcher).distinct().count());
     assertEquals(WATCHERS, snapshots.size());
     for (Sent first : snapshots) {
-      long inASecond = snapshots.stream().filter(one -> one.at >= first.at && one.at <= first.at + SECOND)
-          .count();
+      long inASecond = snapshots.stream()
+          .filter(one -> one.at >= first.at && one.at <= first.at + SECOND).count();
       assertTrue(inASecond * listBytes <= BUDGET + listBytes, inASecond + " lists in a second");
     }
-    // Budget in use throughout, and who had none was first; but for the very first, before the others were there.
+    // Budget in use throughout, and who had none was first; but for the very first, before the
+    // others were there.
     long seconds = snapshots.get(WATCHERS - 1).at / SECOND;
     assertTrue(seconds <= WATCHERS * listBytes / (BUDGET * 9 / 10) + 1, seconds + " s");
     Set<Long> early = new HashSet<>();
@@ -132,7 +135,8 @@
     }
     host.sent.clear();
     host.distributor.upstreamTold(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))), 1);
-    assertEquals(LongStream.range(0, many).boxed().toList(), host.sent.stream().map(Sent::watcher).toList());
+    assertEquals(LongStream.range(0, many).boxed().toList(),
+        host.sent.stream().map(Sent::watcher).toList());
   }
 
   @Test
@@ -161,7 +165,9 @@
     assertTrue(host.now >= 119 * SECOND && host.now <= 121 * SECOND, host.now + " ms");
   }
 
-  /** A stream of changes while whole lists go out: few are made, and all reach the latest version. */
+  /**
+   * A stream of changes while whole lists go out: few are made, and all reach the latest version.
+   */
   @Test
   void snapshotIsReusedWhileChangesGoOn() {
     Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
--- a/src/test/java/saltlatch/distribution/Faults.java
+++ b/src/test/java/saltlatch/distribution/Faults.java
@@ -53,7 +53,8 @@
     over = Math.max(over, fleet.simulation.now() + duration);
     switch (random.nextInt(10)) {
       case 0 -> fleet.killRelay(random.nextInt(fleet.relays.size()), Math.min(duration, 10_000));
-      case 1 -> fleet.killWatcher(random.nextInt(fleet.watchers.size()), Math.min(duration, 10_000));
+      case 1 ->
+        fleet.killWatcher(random.nextInt(fleet.watchers.size()), Math.min(duration, 10_000));
       case 2 -> fleet.cut(any(fleet.relayNodes), any(fleet.agentNodes), duration);
       case 3, 4 -> fleet.cut(any(fleet.relayNodes), any(fleet.relayNodes), duration);
       case 5 -> fleet.cut(any(fleet.watcherNodes), any(fleet.relayNodes), duration);
@@ -68,7 +69,8 @@
     switch (random.nextInt(4)) {
       case 0 -> fleet.source.beginSeries(fleet.simulation.now());
       case 1 -> fleet.agents.get(0).babble();
-      case 2 -> fleet.watcherNodes.forEach(node -> fleet.killWatcher(fleet.watcherNodes.indexOf(node), 100));
+      case 2 -> fleet.watcherNodes
+          .forEach(node -> fleet.killWatcher(fleet.watcherNodes.indexOf(node), 100));
       default -> fleet.freeze(0, duration);
     }
   }
--- a/src/test/java/saltlatch/distribution/ModelAgent.java
+++ b/src/test/java/saltlatch/distribution/ModelAgent.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Discovery as a relay of the first tier sees it: may be frozen, then it tells older lists to who comes anew. */
+/**
+ * Discovery as a relay of the first tier sees it: may be frozen, then it tells older lists to who
+ * comes anew.
+ */
 final class ModelAgent implements ModelLink.Server {
   private static final long KEEP_ALIVE_MS = 2_000;
 
@@ -45,7 +48,8 @@
       whole.forEach(entry -> list.put(entry.name(), entry));
       logBegin = to.index();
       // Every other series is told to open watches by a change alone.
-      tell(to.series() % 2 == 0 ? whole() : new Message(Message.Kind.CHANGES, to, whole.subList(0, 1)));
+      tell(to.series() % 2 == 0 ? whole()
+          : new Message(Message.Kind.CHANGES, to, whole.subList(0, 1)));
     });
   }
 
--- a/src/test/java/saltlatch/distribution/ModelFleet.java
+++ b/src/test/java/saltlatch/distribution/ModelFleet.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A source with two agents, two tiers of relays and watchers of the second, over a network that delays and breaks. */
+/**
+ * A source with two agents, two tiers of relays and watchers of the second, over a network that
+ * delays and breaks.
+ */
 final class ModelFleet {
   /** What a fault planted in the model alters. */
   interface Plant {
--- a/src/test/java/saltlatch/distribution/ModelLink.java
+++ b/src/test/java/saltlatch/distribution/ModelLink.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One watch on the model's network: in order, delayed, and with nothing told to anybody while the path is cut. */
+/**
+ * One watch on the model's network: in order, delayed, and with nothing told to anybody while the
+ * path is cut.
+ */
 final class ModelLink {
   /** Who serves watches. */
   interface Server {
