--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A host around a Distributor on the model's network, which holds it to its bounds at every action. */
+/**
+ * A host around a Distributor on the model's network, which holds it to its bounds at every action.
+ */
 final class ModelRelay implements ModelLink.Server, ModelLink.Client, Actions {
   private static final long SECOND = 1_000;
   private static final long KEEP_ALIVE_MS = 2_000;
@@ -98,8 +100,8 @@
     } else {
       boolean whole = message.kind() == Message.Kind.SNAPSHOT;
       Version before = status().version();
-      distributor.upstreamTold(upstreamNumber, new Update(message.version(), whole, message.entries()),
-          now());
+      distributor.upstreamTold(upstreamNumber,
+          new Update(message.version(), whole, message.entries()), now());
       fleet.check(status().version().compareTo(before) >= 0, node + " went back from " + before);
     }
     next();
--- a/src/test/java/saltlatch/distribution/ModelSource.java
+++ b/src/test/java/saltlatch/distribution/ModelSource.java
@@ -93,8 +93,8 @@
   }
 
   private Entry entry(int name) {
-    String json = "{\"name\":\"s" + name + "\",\"state\":" + written++ + ",\"x\":\"" + "x".repeat(fill)
-        + "\"}";
+    String json = "{\"name\":\"s" + name + "\",\"state\":" + written++ + ",\"x\":\""
+        + "x".repeat(fill) + "\"}";
     return new Entry("s" + name, false, json);
   }
 
--- a/src/test/java/saltlatch/distribution/ModelWatcher.java
+++ b/src/test/java/saltlatch/distribution/ModelWatcher.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A node that follows one of several relays and holds the list; every list it ever holds is compared with the true one. */
+/**
+ * A node that follows one of several relays and holds the list; every list it ever holds is
+ * compared with the true one.
+ */
 final class ModelWatcher implements ModelLink.Client {
   private static final long SILENT_MS = 4_500;
   private static final long LOOK_MS = 500;
@@ -95,7 +98,8 @@
   }
 
   private void put(Entry entry) {
-    Entry former = changed.containsKey(entry.name()) ? changed.get(entry.name()) : base.get(entry.name());
+    Entry former = changed.containsKey(entry.name()) ? changed.get(entry.name())
+        : base.get(entry.name());
     checksum -= former == null ? 0 : ModelSource.checksum(former);
     checksum += entry.removed() ? 0 : ModelSource.checksum(entry);
     changed.put(entry.name(), entry.removed() ? null : entry);
@@ -118,7 +122,8 @@
   }
 
   private void look() {
-    if (node.alive() && node.reads() && link != null && fleet.simulation.now() - heardAt > SILENT_MS) {
+    if (node.alive() && node.reads() && link != null
+        && fleet.simulation.now() - heardAt > SILENT_MS) {
       link.closeByClient();
       leave();
     }
--- a/src/test/java/saltlatch/distribution/Simulation.java
+++ b/src/test/java/saltlatch/distribution/Simulation.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time in ms: steps in the order of their times, and of their being set where these are equal. */
+/**
+ * Virtual time in ms: steps in the order of their times, and of their being set where these are
+ * equal.
+ */
 final class Simulation {
   private record Step(long at, long order, Runnable action) {}
 
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -22,7 +22,10 @@
 import saltlatch.lab.check.Property;
 import saltlatch.lab.check.Recovery;
 
-/** A checker that can't fail is a defect: each property is shown a sound history, and one with its violation planted. */
+/**
+ * A checker that can't fail is a defect: each property is shown a sound history, and one with its
+ * violation planted.
+ */
 class CheckTest {
   private final List<Line> history = new ArrayList<>();
   private long ms;
@@ -69,7 +72,10 @@
     finds(new Properties.Answered(), 1); // it ended by itself
   }
 
-  /** Killed between the answer to its client and its next line of history: the schedule explains the open req. */
+  /**
+   * Killed between the answer to its client and its next line of history: the schedule explains the
+   * open req.
+   */
   @Test
   void killedBeforeItsNextLine() {
     add("n0", "arrived", "id", "b");
@@ -161,15 +167,18 @@
     assertEquals("2", all.get(2).incarnation());
     assertTrue(all.get(0).monoNs() > 0 && all.get(0).monoNs() <= all.get(2).monoNs());
     Files.writeString(file, Files.readString(file).replaceFirst("\n", "\nnot an event\n"));
-    assertThrows(IOException.class, () -> Line.readAll(dir)); // torn where nothing ended: not passed over
+    // torn where nothing ended: not passed over
+    assertThrows(IOException.class, () -> Line.readAll(dir));
   }
 
   private void share(String node, String is, String part, String holdsMs) {
-    add(node, "share", "is", is, "part", part, "whole", "0.5", "floor", "0.125", "holds_ms", holdsMs,
-        "takes_ms", holdsMs);
+    add(node, "share", "is", is, "part", part, "whole", "0.5", "floor", "0.125", "holds_ms",
+        holdsMs, "takes_ms", holdsMs);
   }
 
-  /** Shares above one are found; one whose lease ran out unsaid, or that was killed, does not count. */
+  /**
+   * Shares above one are found; one whose lease ran out unsaid, or that was killed, does not count.
+   */
   @Test
   void sharesAboveTheQuota() {
     share("n0", "whole", "0.5", "1000");
@@ -203,8 +212,8 @@
     MemberTimes t = MemberTimes.of(history);
     assertEquals(List.of(2.001, 3.002), t.failed());
     assertEquals(1, t.falselyFailed());
-    add("director", "planned", "what", "cut n0 - n1", "from_ns", "" + (killed * 1_000_000 + 500), "until_ns",
-        "" + (ms + 10) * 1_000_000);
+    add("director", "planned", "what", "cut n0 - n1", "from_ns", "" + (killed * 1_000_000 + 500),
+        "until_ns", "" + (ms + 10) * 1_000_000);
     ms += 500;
     add("n1", "member", "member", "n0", "state", "alive");
     assertEquals(1, MemberTimes.of(history).equal().size());
--- a/src/test/java/saltlatch/lab/EmulatorTest.java
+++ b/src/test/java/saltlatch/lab/EmulatorTest.java
@@ -16,7 +16,10 @@
 import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.scenario.Scenario;
 
-/** The counter stand-in on loopback: a split keeps two stores, a silence holds answers, an empty forgets. */
+/**
+ * The counter stand-in on loopback: a split keeps two stores, a silence holds answers, an empty
+ * forgets.
+ */
 class EmulatorTest {
   @Test
   void counterSplitsFallsSilentAndComesBackEmpty() throws Exception {
@@ -49,7 +52,8 @@
         assertEquals("ok 3", two.call("bump c1 3 60000")); // the other side does not see the 2
         Thread.sleep(Math.max(0, 1_700 - (long) clock.nowMs()));
         long sent = System.nanoTime();
-        assertEquals("ok 3", one.call("bump c1 1 60000")); // healed: side one's store; held to the silence's end
+        // healed: side one's store; held to the silence's end
+        assertEquals("ok 3", one.call("bump c1 1 60000"));
         double heldMs = (System.nanoTime() - sent) / 1e6;
         assertTrue(heldMs > 500, "held " + heldMs + " ms");
         Thread.sleep(Math.max(0, 3_200 - (long) clock.nowMs()));
@@ -60,7 +64,10 @@
     }
   }
 
-  /** A server's cold start reaches a watch only after a {@code late} fault's delay; a plain fetch shows it then too. */
+  /**
+   * A server's cold start reaches a watch only after a {@code late} fault's delay; a plain fetch
+   * shows it then too.
+   */
   @Test
   void discoveryTellsAColdStartLate() throws Exception {
     Scenario s = Scenario.parse("""
@@ -90,13 +97,15 @@
       try (Socket watch = new Socket(InetAddress.getLoopbackAddress(),
           Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
         watch.setSoTimeout(5_000);
-        watch.getOutputStream().write("GET /api/targets?follow=1&since=1 HTTP/1.1\r\nHost: x\r\n\r\n"
-            .getBytes(StandardCharsets.ISO_8859_1));
+        watch.getOutputStream()
+            .write("GET /api/targets?follow=1&since=1 HTTP/1.1\r\nHost: x\r\n\r\n"
+                .getBytes(StandardCharsets.ISO_8859_1));
         BufferedReader in = new BufferedReader(
             new InputStreamReader(watch.getInputStream(), StandardCharsets.ISO_8859_1));
         double toldAt = -1;
         for (String line = in.readLine(); line != null && toldAt < 0; line = in.readLine()) {
-          if (line.contains("\"s-2\"") && line.contains("Ready") && line.contains("\"snapshot\":false"))
+          if (line.contains("\"s-2\"") && line.contains("Ready")
+              && line.contains("\"snapshot\":false"))
             toldAt = clock.nowMs();
         }
         assertTrue(toldAt >= 1_500 && toldAt < 2_500, "told at " + toldAt + " ms");
@@ -106,7 +115,10 @@
     }
   }
 
-  /** A counter of ten calls a second, with three that may wait: of eight at once it serves three in turn. */
+  /**
+   * A counter of ten calls a second, with three that may wait: of eight at once it serves three in
+   * turn.
+   */
   @Test
   void counterServesInTurn() throws Exception {
     Scenario s = Scenario.parse("""
@@ -126,8 +138,8 @@
       for (int i = 0; i < 8; i++) seen.append(one.in.readLine()).append(' ');
       assertEquals("ok 1 ok 2 ok 3 busy busy busy busy busy ", seen.toString());
       assertTrue(clock.nowMs() - from >= 300, "in turn");
-      assertEquals(5L, e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS)
-          .get("counter_turned_away"));
+      assertEquals(5L, e.figures().toCompletionStage().toCompletableFuture()
+          .get(5, TimeUnit.SECONDS).get("counter_turned_away"));
     } finally {
       e.stop();
     }
@@ -148,7 +160,8 @@
     Line(int port) throws Exception {
       socket = new Socket(InetAddress.getLoopbackAddress(), port);
       socket.setSoTimeout(5_000);
-      in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+      in = new BufferedReader(
+          new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
       out = socket.getOutputStream();
     }
 
--- a/src/test/java/saltlatch/lab/LabTest.java
+++ b/src/test/java/saltlatch/lab/LabTest.java
@@ -20,8 +20,9 @@
 /** Real edge nodes against the emulator on loopback, with the faults the issue names. */
 class LabTest {
   /**
-   * Twenty seconds, four nodes: app servers that close idle connections after 1.5 s while reqs are in flight, a cold
-   * server started at 6 s with a fifth of its capacity, the counter emptied at the burst's peak, lossy peers.
+   * Twenty seconds, four nodes: app servers that close idle connections after 1.5 s while reqs are
+   * in flight, a cold server started at 6 s with a fifth of its capacity, the counter emptied at
+   * the burst's peak, lossy peers.
    */
   static final String FAULTY = """
       name = "ci-faults"
@@ -76,15 +77,20 @@
     RunResult r = Lab.run(Scenario.parse(FAULTY), 0);
     assertTrue(r.passed(), r.checks().toString());
     long answered = r.outcomes().get(Outcome.PASSED) + r.outcomes().get(Outcome.DENIED);
-    assertTrue(answered > r.tries() * 0.9, "answered " + answered + " of " + r.tries() + ": " + r.outcomes());
-    assertTrue(r.outcomes().get(Outcome.PASSED) > r.tries() * 0.2, "a good part passes: " + r.outcomes());
+    assertTrue(answered > r.tries() * 0.9,
+        "answered " + answered + " of " + r.tries() + ": " + r.outcomes());
+    assertTrue(r.outcomes().get(Outcome.PASSED) > r.tries() * 0.2,
+        "a good part passes: " + r.outcomes());
     assertTrue(r.outcomes().get(Outcome.DENIED) > 0,
         "a plan of 6 units a second denies some: " + r.outcomes());
     String html = Report.html(r, r);
     assertTrue(html.contains("<svg") && html.contains("ratio") && !html.contains("FAILED"));
   }
 
-  /** No answer ever comes: the load still sends every try at its time, and each ends at its client timeout. */
+  /**
+   * No answer ever comes: the load still sends every try at its time, and each ends at its client
+   * timeout.
+   */
   @Test
   void loadKeepsItsScheduleWhenNoAnswerComes() throws Exception {
     Vertx vertx = Vertx.vertx();
--- a/src/test/java/saltlatch/lab/MembersIT.java
+++ b/src/test/java/saltlatch/lab/MembersIT.java
@@ -19,12 +19,14 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Processes that know each other, with membership's hard cases on them and between them; the stated times are those that
- * the nodes give in INFO. Every run is also checked for shares that sum above the quota.
+ * Processes that know each other, with membership's hard cases on them and between them; the stated
+ * times are those that the nodes give in INFO. Every run is also checked for shares that sum above
+ * the quota.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class MembersIT {
-  private static final double BUSY_S = 2; // what a busy machine may add to a stated time: ticks and datagrams late
+  // what a busy machine may add to a stated time: ticks and datagrams late
+  private static final double BUSY_S = 2;
   private static final String COMMON = """
       name = "members"
       seed = 21
@@ -75,7 +77,8 @@
 
   private RunResult run(int seconds, int nodes, String faults, double firstAtS) throws Exception {
     RunResult r = Lab.run(Scenario.parse(COMMON.formatted(seconds, nodes) + faults), 0,
-        Processes.Program.of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"), dir));
+        Processes.Program.of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"),
+            dir));
     history = Line.readAll(dir.resolve("history"));
     assertTrue(r.passed(), r.checks() + " " + r.violations());
     assertTrue(history.stream().anyMatch(l -> l.kind().equals("share")), "no node told its share");
@@ -95,14 +98,16 @@
     for (Line l : history) {
       if (l.kind().equals("member") && l.name().equals(observer) && l.get("member").equals(member)
           && seconds(l) <= atS) {
-        state = l.get("state").equals("suspect") ? "alive" : l.get("state"); // a suspect counts as live
+        // a suspect counts as live
+        state = l.get("state").equals("suspect") ? "alive" : l.get("state");
       }
     }
     return state;
   }
 
   private double first(String kind, Predicate<Line> which, double afterS) {
-    return history.stream().filter(l -> l.kind().equals(kind) && seconds(l) >= afterS && which.test(l))
+    return history.stream()
+        .filter(l -> l.kind().equals(kind) && seconds(l) >= afterS && which.test(l))
         .mapToDouble(this::seconds).findFirst().orElse(Double.POSITIVE_INFINITY);
   }
 
@@ -111,8 +116,9 @@
   }
 
   /**
-   * One killed and back at once with an older configuration; then seven in ten killed at one instant, for good; then one of
-   * the rest ended as planned, which the others know without a suspicion.
+   * One killed and back at once with an older configuration; then seven in ten killed at one
+   * instant, for good; then one of the rest ended as planned, which the others know without a
+   * suspicion.
    */
   @Test
   void killedOnes() throws Exception {
@@ -153,8 +159,10 @@
           observer + " does not know its standing");
     }
     for (String observer : List.of("n0", "n1")) {
-      for (int i = 0; i < 2; i++) assertEquals("alive", held(observer, "n" + i, 34), observer + " of n" + i);
-      assertEquals("left", held(observer, "n2", 34)); // it serves on for 2.3 s after SIGTERM, and then says so
+      for (int i = 0; i < 2; i++)
+        assertEquals("alive", held(observer, "n" + i, 34), observer + " of n" + i);
+      // it serves on for 2.3 s after SIGTERM, and then says so
+      assertEquals("left", held(observer, "n2", 34));
       assertTrue(
           history.stream()
               .noneMatch(l -> l.kind().equals("member") && l.name().equals(observer)
@@ -168,13 +176,15 @@
   }
 
   private String last(String node, String kind) {
-    return history.stream().filter(l -> l.kind().equals(kind) && l.name().equals(node) && seconds(l) <= 33.5)
+    return history.stream()
+        .filter(l -> l.kind().equals(kind) && l.name().equals(node) && seconds(l) <= 33.5)
         .reduce((a, b) -> b).map(l -> l.get("is")).orElse("");
   }
 
   /**
-   * Split in three and two, the counter lost at the same instant: the minority is back at its floor by its own clock before
-   * the majority takes anything of it; after the heal all hold all alive within T3, and nobody dispatches what may have run.
+   * Split in three and two, the counter lost at the same instant: the minority is back at its floor
+   * by its own clock before the majority takes anything of it; after the heal all hold all alive
+   * within T3, and nobody dispatches what may have run.
    */
   @Test
   void splitWithTheCounterLost() throws Exception {
@@ -199,29 +209,34 @@
           history.stream().noneMatch(
               l -> l.kind().equals("share") && l.name().equals(lost) && l.get("is").equals("more")),
           lost + " took over the majority's");
-      assertTrue(first("standing", l -> l.name().equals(lost) && l.get("is").equals("minority"), 4) <= 4
-          + stated("members_t1_ms"), lost + " does not know its standing");
+      assertTrue(first("standing", l -> l.name().equals(lost) && l.get("is").equals("minority"),
+          4) <= 4 + stated("members_t1_ms"), lost + " does not know its standing");
     }
-    assertTrue(took <= 34, "the majority took nothing over in 30 s"); // 19 s in the model's mean; stated: takeover_ms
+    // 19 s in the model's mean; stated: takeover_ms
+    assertTrue(took <= 34, "the majority took nothing over in 30 s");
     assertTrue(34 + stated("members_t3_ms") <= 74, "T3 does not fit the run");
     for (int i = 0; i < 5; i++) for (int k = 0; k < 5; k++) {
-      assertEquals("alive", held("n" + i, "n" + k, 34 + stated("members_t3_ms")), "n" + i + " of n" + k);
+      assertEquals("alive", held("n" + i, "n" + k, 34 + stated("members_t3_ms")),
+          "n" + i + " of n" + k);
     }
-    // A bound of its own for this load: every customer's whole quota is 40 units, and the sides share one.
+    // A bound of its own for this load: every customer's whole quota is 40 units, and the sides
+    // share one.
     double worst = r.customers().stream().mapToDouble(RunResult.Customer::beyond).max().orElse(0);
     assertTrue(worst <= 40, worst + " units beyond a quota");
   }
 
   /**
-   * A one-way cut, a bridge and a flapping link fail nobody, with duplicates and reordering; one that is stopped for longer
-   * than T1 is failed, blames nobody on waking and is held alive within T2; one starved of its core blames itself.
+   * A one-way cut, a bridge and a flapping link fail nobody, with duplicates and reordering; one
+   * that is stopped for longer than T1 is failed, blames nobody on waking and is held alive within
+   * T2; one starved of its core blames itself.
    */
   @Test
   void brokenLinksAndAbsences() throws Exception {
     StringBuilder starved = new StringBuilder();
     for (int i = 0; i < 12; i++) { // runs for a third of each 0.9 s
-      starved.append("[[processes.faults]]\nkind = \"pause\"\nat_s = %.1f\nfor_s = 0.6\nnodes = \"n0\"\n"
-          .formatted(2 + 0.9 * i));
+      starved.append(
+          "[[processes.faults]]\nkind = \"pause\"\nat_s = %.1f\nfor_s = 0.6\nnodes = \"n0\"\n"
+              .formatted(2 + 0.9 * i));
     }
     run(56, 5, starved + NOISE + """
         [[links.faults]]
@@ -249,7 +264,8 @@
         """, 0);
     for (Line l : history) {
       if (!l.kind().equals("member") || !l.get("state").equals("failed")) continue;
-      assertTrue(l.get("member").equals("n4") && seconds(l) >= 14 && !l.name().equals("n4"), "failed: " + l);
+      assertTrue(l.get("member").equals("n4") && seconds(l) >= 14 && !l.name().equals("n4"),
+          "failed: " + l);
     }
     for (String observer : List.of("n0", "n1", "n2", "n3")) {
       assertTrue(
@@ -265,7 +281,10 @@
         "n4 was never away");
   }
 
-  /** Two halves of three for 10 s, 30 % loss with duplicates and reordering throughout: neither side takes anything over. */
+  /**
+   * Two halves of three for 10 s, 30 % loss with duplicates and reordering throughout: neither side
+   * takes anything over.
+   */
   @Test
   void equalHalvesUnderLoss() throws Exception {
     run(60, 6, NOISE + """
@@ -282,11 +301,13 @@
         from = "n0-2"
         to = "n3-5"
         """, 0);
-    assertTrue(history.stream().noneMatch(l -> l.kind().equals("share") && l.get("is").equals("more")),
+    assertTrue(
+        history.stream().noneMatch(l -> l.kind().equals("share") && l.get("is").equals("more")),
         "one took over");
     assertTrue(16 + stated("members_t3_ms") <= 60, "T3 does not fit the run");
     for (int i = 0; i < 6; i++) for (int k = 0; k < 6; k++) {
-      assertEquals("alive", held("n" + i, "n" + k, 16 + stated("members_t3_ms")), "n" + i + " of n" + k);
+      assertEquals("alive", held("n" + i, "n" + k, 16 + stated("members_t3_ms")),
+          "n" + i + " of n" + k);
     }
   }
 }
--- a/src/test/java/saltlatch/lab/PlanTest.java
+++ b/src/test/java/saltlatch/lab/PlanTest.java
@@ -65,7 +65,8 @@
   void burstsRaiseTheOfferedRate() throws IOException {
     List<Offered.Arrival> a = Offered.of(Scenario.parse(BASE));
     long calm = a.stream().filter(x -> x.atUs() < 5_000_000).count(); // 5 s at 500/s
-    long burst = a.stream().filter(x -> x.atUs() >= 10_000_000 && x.atUs() < 15_000_000).count(); // 5 s at 1500/s
+    // 5 s at 1500/s
+    long burst = a.stream().filter(x -> x.atUs() >= 10_000_000 && x.atUs() < 15_000_000).count();
     assertTrue(Math.abs(calm - 2500) < 250, "calm " + calm);
     assertTrue(Math.abs(burst - 7500) < 450, "burst " + burst);
     for (int i = 1; i < a.size(); i++) assertTrue(a.get(i).atUs() >= a.get(i - 1).atUs());
@@ -78,7 +79,10 @@
         () -> Scenario.parse(BASE.replace("\"slow\"", "\"slowly\"")));
   }
 
-  /** A cold box that twenty nodes pile onto tips over, fails for a while, then serves at its ramped capacity. */
+  /**
+   * A cold box that twenty nodes pile onto tips over, fails for a while, then serves at its ramped
+   * capacity.
+   */
   @Test
   void coldBoxTrace() throws IOException {
     Scenario s = Scenario.parse(BASE);
@@ -94,7 +98,8 @@
         if (k == 0 && t.verdict() == Box.Verdict.SERVE)
           verdicts.append(String.format(Locale.ROOT, "(%.0fms)", t.latencyMs()));
       }
-      trace.append(String.format(Locale.ROOT, "t=%5.0f cap=%5.2f %s%n", ms, box.capacity(ms), verdicts));
+      trace.append(
+          String.format(Locale.ROOT, "t=%5.0f cap=%5.2f %s%n", ms, box.capacity(ms), verdicts));
     }
     assertEquals(kept("box-cold.txt"), trace.toString());
   }
--- a/src/test/java/saltlatch/lab/ProcessesIT.java
+++ b/src/test/java/saltlatch/lab/ProcessesIT.java
@@ -48,11 +48,12 @@
   private List<Line> history;
 
   private RunResult run(String faults) throws Exception {
-    RunResult r = Lab.run(Scenario.parse(COMMON + faults), 0,
-        Processes.Program.of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"), dir));
+    RunResult r = Lab.run(Scenario.parse(COMMON + faults), 0, Processes.Program
+        .of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"), dir));
     history = Line.readAll(dir.resolve("history"));
     assertTrue(r.passed(), r.checks() + " " + r.violations());
-    // Faults take one node of four for half the run, 0.125 of the tries, if the front did not notice: 0.7 leaves as much.
+    // Faults take one node of four for half the run, 0.125 of the tries, if the front did not
+    // notice: 0.7 leaves as much.
     assertTrue(r.outcomes().get(Outcome.PASSED) > 0.7 * r.tries(), r.outcomes().toString());
     return r;
   }
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Stopped for 8 s with reqs queued at its sockets, then continued: it knows for how long it was away, and sends out
-   * nothing whose client's time was over when it was read.
+   * Stopped for 8 s with reqs queued at its sockets, then continued: it knows for how long it was
+   * away, and sends out nothing whose client's time was over when it was read.
    */
   @Test
   void pausedNodeSendsOutNothingThatNobodyWaitsFor() throws Exception {
@@ -71,19 +72,25 @@
     List<Line> away = of("n1", "away");
     assertTrue(!away.isEmpty(), "n1 does not know that it was away");
     double longest = away.stream().mapToDouble(l -> l.number("for_ms")).max().orElse(0);
-    assertTrue(longest > 7_800 && longest < 9_500, "away for " + longest + " ms"); // 8 s, a round and a busy machine
+    // 8 s, a round and a busy machine
+    assertTrue(longest > 7_800 && longest < 9_500, "away for " + longest + " ms");
     Map<String, Line> late = new HashMap<>();
     for (Line l : of("n1", "arrived"))
       if (l.number("age_ms") >= l.number("wait_ms")) late.put(l.get("id"), l);
-    // The front deals it a quarter of 60 reqs/s for the 2 s until it notices; half of those is far below that.
+    // The front deals it a quarter of 60 reqs/s for the 2 s until it notices; half of those is far
+    // below that.
     assertTrue(late.size() >= 15,
         late.size() + " reqs were read too late: the test did not cause its failure");
     for (Line l : of("n1", "dispatched")) {
-      assertTrue(!late.containsKey(l.get("id")), "sent out too late: " + late.get(l.get("id")) + " " + l);
+      assertTrue(!late.containsKey(l.get("id")),
+          "sent out too late: " + late.get(l.get("id")) + " " + l);
     }
   }
 
-  /** Killed, and back at once under the same name with an older plan, while its old connections are open elsewhere. */
+  /**
+   * Killed, and back at once under the same name with an older plan, while its old connections are
+   * open elsewhere.
+   */
   @Test
   void killedAndBackAtOnce() throws Exception {
     run("[[processes.faults]]\nkind = \"kill\"\nat_s = 4\nnodes = \"n2\"\nrestart = true\nold_config = true\n"
@@ -93,15 +100,20 @@
     List<Line> started = of("n2", "started");
     assertEquals(2, started.size());
     assertTrue(!started.get(0).incarnation().equals(started.get(1).incarnation()));
-    double took = (of("n2", "ready").get(1).monoNs() - of("director", "fault").get(0).monoNs()) / 1e9;
-    assertTrue(took < 6, "ready again after " + took + " s"); // 0.5 s by itself; others use the cores meanwhile
-    double served = of("n2", "answered").stream()
-        .filter(l -> l.incarnation().equals(started.get(1).incarnation()) && l.get("how").equals("passed"))
+    double took = (of("n2", "ready").get(1).monoNs() - of("director", "fault").get(0).monoNs())
+        / 1e9;
+    // 0.5 s by itself; others use the cores meanwhile
+    assertTrue(took < 6, "ready again after " + took + " s");
+    double served = of("n2", "answered").stream().filter(
+        l -> l.incarnation().equals(started.get(1).incarnation()) && l.get("how").equals("passed"))
         .count();
     assertTrue(served > 20, "the new process passed " + served);
   }
 
-  /** A one-way cut between nodes with the counter silent, and a link to the counter that flaps faster than its time-out. */
+  /**
+   * A one-way cut between nodes with the counter silent, and a link to the counter that flaps
+   * faster than its time-out.
+   */
   @Test
   void oneWayCutAndFlappingLink() throws Exception {
     RunResult r = run("""
--- a/src/test/java/saltlatch/lab/RelayIT.java
+++ b/src/test/java/saltlatch/lab/RelayIT.java
@@ -30,8 +30,9 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * Three relays in two tiers, 50 hollow nodes and 2 real ones, all of them processes of the built jar, changes going on and one
- * of the lower relays killed: every node ends where the source does, none went backwards, and all was in force in time.
+ * Three relays in two tiers, 50 hollow nodes and 2 real ones, all of them processes of the built
+ * jar, changes going on and one of the lower relays killed: every node ends where the source does,
+ * none went backwards, and all was in force in time.
  */
 @Timeout(120)
 class RelayIT {
@@ -42,10 +43,14 @@
   private static final int REAL = 2;
   private static final int CHANGES_PER_SECOND = 20;
   private static final long BEFORE_KILL = 40; // changes: 2 s of them
-  private static final long IN_ALL = 160; // changes: 6 s more, in which the nodes of the killed one move
+  // changes: 6 s more, in which the nodes of the killed one move
+  private static final long IN_ALL = 160;
   private static final long LOOK_MS = 20;
 
-  /** The operators' bound is 4 s, and a node whose relay was killed asks anew within 1 s; twice that for a busy machine. */
+  /**
+   * The operators' bound is 4 s, and a node whose relay was killed asks anew within 1 s; twice that
+   * for a busy machine.
+   */
   private static final double MAX_IN_FORCE_S = 8;
 
   @TempDir Path dir;
@@ -68,11 +73,12 @@
     ChildJvm left = relay("left", topAddress);
     ChildJvm right = relay("right", topAddress);
     String rightAddress = right.await("relay on ");
-    AgentForwarder agent = new AgentForwarder(List.of(port(left.await("relay on ")), port(rightAddress)));
+    AgentForwarder agent = new AgentForwarder(
+        List.of(port(left.await("relay on ")), port(rightAddress)));
     open.push(agent);
     Path report = dir.resolve("report");
-    ChildJvm hollow = child("hollow", "lab", "hollow", "--nodes", "" + HOLLOW, "--discovery", agent.address(),
-        "--report", "" + report);
+    ChildJvm hollow = child("hollow", "lab", "hollow", "--nodes", "" + HOLLOW, "--discovery",
+        agent.address(), "--report", "" + report);
     List<Process> real = realNodes(agent.address());
     hollow.await("hollow: " + HOLLOW + " of " + HOLLOW + " nodes have a list");
     while (agent.asked() < HOLLOW + REAL) Thread.sleep(LOOK_MS);
@@ -83,7 +89,8 @@
     awaitIndex(IN_ALL);
     long last = rate(0);
 
-    hollow.await("hollow: " + HOLLOW + " of " + HOLLOW + " nodes have a list, all of them index " + last);
+    hollow.await(
+        "hollow: " + HOLLOW + " of " + HOLLOW + " nodes have a list, all of them index " + last);
     while (!info(rightAddress, "behind").equals("0")) Thread.sleep(LOOK_MS);
     assertEquals("" + (HOLLOW + REAL), info(rightAddress, "watchers"));
     assertEquals("" + last, info(rightAddress, "version"));
@@ -156,8 +163,8 @@
   }
 
   private String info(String relay, String name) throws Exception {
-    return get(relay, "/info").lines().filter(line -> line.startsWith(name + "=")).findFirst().orElseThrow()
-        .substring(name.length() + 1);
+    return get(relay, "/info").lines().filter(line -> line.startsWith(name + "=")).findFirst()
+        .orElseThrow().substring(name.length() + 1);
   }
 
   private String get(String address, String path) throws Exception {
@@ -165,7 +172,10 @@
         HttpResponse.BodyHandlers.ofString()).body();
   }
 
-  /** Of each hollow node: upwards only, up to the last, and each change in force in time, itself or within a later one. */
+  /**
+   * Of each hollow node: upwards only, up to the last, and each change in force in time, itself or
+   * within a later one.
+   */
   private void checkApplied(Path report, long last) throws IOException {
     Map<String, List<JsonObject>> byNode = new HashMap<>();
     for (JsonObject line : lines(report)) {
@@ -194,7 +204,8 @@
 
   private static List<JsonObject> lines(Path file) throws IOException {
     List<JsonObject> all = new ArrayList<>();
-    for (String line : Files.readAllLines(file)) all.add(JsonParser.parseString(line).getAsJsonObject());
+    for (String line : Files.readAllLines(file))
+      all.add(JsonParser.parseString(line).getAsJsonObject());
     return all;
   }
 }
--- a/src/test/java/saltlatch/lab/RigTest.java
+++ b/src/test/java/saltlatch/lab/RigTest.java
@@ -30,8 +30,8 @@
 
 /** The rig's parts alone: what the schedule says, and what a relay makes of it on real sockets. */
 class RigTest {
-  private static LinkFault link(String kind, double atS, double forS, String from, String to, boolean oneWay,
-      double share, double extraMs, double periodMs) {
+  private static LinkFault link(String kind, double atS, double forS, String from, String to,
+      boolean oneWay, double share, double extraMs, double periodMs) {
     return new LinkFault(kind, atS, forS, from, to, oneWay, share, extraMs, periodMs);
   }
 
@@ -52,12 +52,15 @@
     Links l = new Links(List.of(link("cut", 1, 2, "n1", "n2", true, 0, 0, 0),
         link("flap", 10, 2, "n3", "counter", false, 0, 0, 100)), 5);
     assertTrue(l.cut("n1", "n2", 1_000) && !l.cut("n2", "n1", 1_000) && !l.cut("n1", "n2", 3_000));
-    assertTrue(
-        l.cut("counter", "n3", 10_049) && !l.cut("n3", "counter", 10_051) && l.cut("n3", "counter", 10_101));
+    assertTrue(l.cut("counter", "n3", 10_049) && !l.cut("n3", "counter", 10_051)
+        && l.cut("n3", "counter", 10_101));
     assertTrue(l.everTouches("n2", "n1") && !l.everTouches("n1", "n3"));
   }
 
-  /** One seed, one fate; another link's traffic changes nothing; loss and duplicates come at their shares. */
+  /**
+   * One seed, one fate; another link's traffic changes nothing; loss and duplicates come at their
+   * shares.
+   */
   @Property(tries = 50, seed = "17")
   void fatesAreReproducible(@ForAll long seed, @ForAll @IntRange(min = 1, max = 9) int tenths) {
     List<LinkFault> faults = List.of(link("loss", 0, 0, "n0", "n1", true, tenths / 10.0, 0, 0),
@@ -82,14 +85,15 @@
 
   @Test
   void rollingRestart() {
-    List<Timeline.Step> t = Timeline.of(List.of(new ProcessFault("term", 2, 0, "n0-2", 5, true, 4.5, true),
-        new ProcessFault("pause", 3, 8, "nodes", 0, false, 0, false)), 3);
+    List<Timeline.Step> t = Timeline
+        .of(List.of(new ProcessFault("term", 2, 0, "n0-2", 5, true, 4.5, true),
+            new ProcessFault("pause", 3, 8, "nodes", 0, false, 0, false)), 3);
     assertEquals(
         List.of("2000 TERM [0]", "3000 STOP [0, 1, 2]", "6500 START_OLD [0]", "7000 TERM [1]",
             "11000 CONT [0, 1, 2]", "11500 START_OLD [1]", "12000 TERM [2]", "16500 START_OLD [2]"),
         t.stream().map(s -> (long) s.atMs() + " " + s.act() + " " + s.nodes()).toList());
-    assertEquals(Act.KILL,
-        Timeline.of(List.of(new ProcessFault("kill", 0, 0, "n1", 0, false, 0, false)), 3).get(0).act());
+    assertEquals(Act.KILL, Timeline
+        .of(List.of(new ProcessFault("kill", 0, 0, "n1", 0, false, 0, false)), 3).get(0).act());
   }
 
   @Test
@@ -106,7 +110,10 @@
     assertTrue(f.isIn(1, 4_000) && !f.isIn(2, 4_000));
   }
 
-  /** A cut is silent: what was written before it heals arrives then, in order, nothing ends, and nobody new gets in. */
+  /**
+   * A cut is silent: what was written before it heals arrives then, in order, nothing ends, and
+   * nobody new gets in.
+   */
   @Test
   void cutConnectionIsSilentAndHeals() throws Exception {
     LabClock clock = new LabClock();
@@ -118,7 +125,8 @@
             relays.port("n0", "counter", target.getLocalPort()));
         Socket t = target.accept()) {
       InetSocketAddress relay = (InetSocketAddress) s.getRemoteSocketAddress();
-      assertEquals(target.getLocalPort(), relays.port("n1", "counter", target.getLocalPort())); // no fault, no relay
+      // no fault, no relay
+      assertEquals(target.getLocalPort(), relays.port("n1", "counter", target.getLocalPort()));
       t.setSoTimeout(300);
       s.getOutputStream().write('a');
       assertEquals('a', t.getInputStream().read());
@@ -142,7 +150,10 @@
     }
   }
 
-  /** One way only: what the cut-off side says arrives, what it is told does not. A dead target resets. */
+  /**
+   * One way only: what the cut-off side says arrives, what it is told does not. A dead target
+   * resets.
+   */
   @Test
   void oneWayCutAndDeadTarget() throws Exception {
     LabClock clock = new LabClock();
@@ -152,7 +163,9 @@
     try (Relays relays = new Relays(links, clock);
         ServerSocket target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       int port = target.getLocalPort();
-      try (Socket s = new Socket(InetAddress.getLoopbackAddress(), relays.port("n0", "counter", port));
+      try (
+          Socket s = new Socket(InetAddress.getLoopbackAddress(),
+              relays.port("n0", "counter", port));
           Socket t = target.accept()) {
         while (clock.nowMs() < cutAt * 1000 + 50) Thread.sleep(5);
         s.getOutputStream().write('x');
--- a/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
@@ -55,8 +55,8 @@
   @Test
   void aChangedMeasurementIsFound() throws Exception {
     copyData();
-    Files.writeString(copy.resolve("more.jsonl"), Sample.one("list.start", 123_456, 99).toJson() + "\n"
-        + Sample.one("list.start", 234_567, 98).toJson() + "\n");
+    Files.writeString(copy.resolve("more.jsonl"), Sample.one("list.start", 123_456, 99).toJson()
+        + "\n" + Sample.one("list.start", 234_567, 98).toJson() + "\n");
     List<String> different = CapacityPage.different(Files.readString(Sample.PAGE),
         CapacityTables.of(CapacityData.read(copy)));
     assertTrue(different.containsAll(List.of("slopes", "edge-node")), different.toString());
@@ -81,8 +81,8 @@
     try {
       Locale.setDefault(Locale.forLanguageTag("ar-EG-u-nu-arab"));
       TimeZone.setDefault(TimeZone.getTimeZone("Asia/Kathmandu"));
-      assertEquals(here,
-          CapacityTables.of(new CapacityData(data.inputs(), turned, data.before(), data.benchDays())));
+      assertEquals(here, CapacityTables
+          .of(new CapacityData(data.inputs(), turned, data.before(), data.benchDays())));
     } finally {
       Locale.setDefault(locale);
       TimeZone.setDefault(zone);
@@ -119,7 +119,8 @@
     Path inputs = copy.resolve("assumptions.toml");
     String whole = Files.readString(inputs);
     Files.writeString(inputs, whole.replace("[zones]", "[zonse]"));
-    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage().contains("zones"));
+    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage()
+        .contains("zones"));
     Files.writeString(inputs, whole.replace("value = 650000", "value = -1"));
     assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage()
         .contains("requests_per_second"));
--- a/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
@@ -16,7 +16,8 @@
 
   private static int run(Path page, Path data, String... more) {
     CommandLine commands = new CommandLine(new Commands());
-    String[] arguments = {"lab", "scale", "report", "--page", page.toString(), "--data", data.toString()};
+    String[] arguments = {"lab", "scale", "report", "--page", page.toString(), "--data",
+        data.toString()};
     String[] all = java.util.Arrays.copyOf(arguments, arguments.length + more.length);
     System.arraycopy(more, 0, all, arguments.length, more.length);
     return commands.execute(all);
--- a/src/test/java/saltlatch/lab/capacity/FitsTest.java
+++ b/src/test/java/saltlatch/lab/capacity/FitsTest.java
@@ -98,7 +98,8 @@
     Figure assumed = Figure.assumed(5, "a");
     assertEquals(new Figure(50, 15, Standing.ASSUMED, List.of("a", "b")), measured.times(assumed));
     assertEquals(new Figure(2, 0.6, Standing.ASSUMED, List.of("a", "b")), measured.over(assumed));
-    assertEquals(5, measured.plus(new Figure(1, 4, Standing.EXTRAPOLATED, List.of())).error(), EXACT);
+    assertEquals(5, measured.plus(new Figure(1, 4, Standing.EXTRAPOLATED, List.of())).error(),
+        EXACT);
     assertFalse(measured.plus(Figure.missing("c")).known());
     assertFalse(measured.over(Figure.exact(0)).known());
   }
--- a/src/test/java/saltlatch/lab/capacity/RolesTest.java
+++ b/src/test/java/saltlatch/lab/capacity/RolesTest.java
@@ -10,15 +10,18 @@
 import saltlatch.api.GossipMessage;
 import saltlatch.lab.scale.Measurement;
 import saltlatch.lab.scale.Quantity;
-import saltlatch.member.Terms;
+import saltlatch.membership.MembershipTimings;
 
-/** The roles' formulas and the walls: what doubles when an input doubles, what is said where nothing was measured. */
+/**
+ * The roles' formulas and the walls: what doubles when an input doubles, what is said where nothing
+ * was measured.
+ */
 class RolesTest {
   private static final double CLOSE = 1e-9;
 
   private static Row row(Role role, Basis basis, String what, Moment moment) {
-    return role.rows(basis).stream().filter(row -> row.what().equals(what) && row.moment() == moment)
-        .findFirst().orElseThrow();
+    return role.rows(basis).stream()
+        .filter(row -> row.what().equals(what) && row.moment() == moment).findFirst().orElseThrow();
   }
 
   /** How much a figure grows when an input doubles. */
@@ -28,7 +31,8 @@
     return row(role, more, what, moment).figure().value() / before.value();
   }
 
-  private static double growth(Role role, String what, Moment moment, Input doubled) throws Exception {
+  private static double growth(Role role, String what, Moment moment, Input doubled)
+      throws Exception {
     return growth(Sample.whole(), role, what, moment, doubled);
   }
 
@@ -39,7 +43,8 @@
     assertEquals(0.5, growth(node, calls, Moment.PEAK, Input.EDGE_NODES), CLOSE);
     assertEquals(2, growth(node, calls, Moment.PEAK, Input.REQUESTS_PER_SECOND), CLOSE);
     assertEquals(2, growth(node, calls, Moment.ORDINARY, Input.DAY_MEAN_OVER_PEAK), CLOSE);
-    assertEquals(2, growth(node, "list of app servers, heap", Moment.ORDINARY, Input.APP_SERVERS), CLOSE);
+    assertEquals(2, growth(node, "list of app servers, heap", Moment.ORDINARY, Input.APP_SERVERS),
+        CLOSE);
     assertEquals(2, growth(node, "plans of tenants, heap", Moment.ORDINARY, Input.TENANTS), CLOSE);
   }
 
@@ -49,34 +54,40 @@
     Basis assumed = Sample.withoutMeasurements();
     assertEquals(2 * 650_000, row(counter, assumed, "calls", Moment.PEAK).figure().value(), 1e-3);
     assertEquals(1, growth(assumed, counter, "calls", Moment.PEAK, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(assumed, counter, "calls", Moment.PEAK, Input.REQUESTS_PER_SECOND), CLOSE);
-    double perNode = Sample.AT_ZERO + Sample.SLOPE * 650_000 / 2700;
-    assertEquals(2700 * perNode, row(counter, Sample.whole(), "calls", Moment.PEAK).figure().value(), 1e-3);
-    assertEquals(0.5,
-        growth(counter, "processes that the calls want", Moment.PEAK, Input.COUNTER_CALLS_PER_PROCESS),
+    assertEquals(2, growth(assumed, counter, "calls", Moment.PEAK, Input.REQUESTS_PER_SECOND),
         CLOSE);
+    double perNode = Sample.AT_ZERO + Sample.SLOPE * 650_000 / 2700;
+    assertEquals(2700 * perNode,
+        row(counter, Sample.whole(), "calls", Moment.PEAK).figure().value(), 1e-3);
+    assertEquals(0.5, growth(counter, "processes that the calls want", Moment.PEAK,
+        Input.COUNTER_CALLS_PER_PROCESS), CLOSE);
   }
 
   @Test
   void watchersAndTheirMessagesGrowWithTheNodes() throws Exception {
     Role control = new ControlMachines();
-    assertEquals(2, growth(control, "watchers of a relay", Moment.ORDINARY, Input.EDGE_NODES), CLOSE);
-    double changes = growth(new EdgeNode(), "changes", Moment.PEAK, Input.EDGE_NODES); // fewer restarts are app servers'
-    assertEquals(2 * changes, growth(control, "messages to watchers", Moment.PEAK, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(control, "whole lists sent by a relay", Moment.ZONE_STARTS, Input.ZONE_STARTS),
+    assertEquals(2, growth(control, "watchers of a relay", Moment.ORDINARY, Input.EDGE_NODES),
+        CLOSE);
+    // fewer restarts are app servers'
+    double changes = growth(new EdgeNode(), "changes", Moment.PEAK, Input.EDGE_NODES);
+    assertEquals(2 * changes,
+        growth(control, "messages to watchers", Moment.PEAK, Input.EDGE_NODES), CLOSE);
+    assertEquals(2,
+        growth(control, "whole lists sent by a relay", Moment.ZONE_STARTS, Input.ZONE_STARTS),
         CLOSE);
     Basis basis = Sample.whole();
-    double lost = row(control, basis, "watchers of each relay left", Moment.MACHINE_LOST).figure().value();
+    double lost = row(control, basis, "watchers of each relay left", Moment.MACHINE_LOST).figure()
+        .value();
     assertEquals(basis.inputs().value(Input.EDGE_NODES) / 4, lost, CLOSE);
   }
 
   @Test
   void whatConnectionsWantDependsOnPairsAndRequests() throws Exception {
     Role server = new AppServer();
-    assertEquals(2,
-        growth(server, "nodes that send to it, subsets", Moment.PEAK, Input.SERVERS_KEPT_PER_SERVICE), CLOSE);
-    assertEquals(0.5, growth(server, "nodes that send to it, subsets", Moment.PEAK, Input.APP_SERVERS),
-        CLOSE);
+    assertEquals(2, growth(server, "nodes that send to it, subsets", Moment.PEAK,
+        Input.SERVERS_KEPT_PER_SERVICE), CLOSE);
+    assertEquals(0.5,
+        growth(server, "nodes that send to it, subsets", Moment.PEAK, Input.APP_SERVERS), CLOSE);
     Row all = row(server, Sample.whole(), "a request of one of these nodes, each", Moment.PEAK);
     assertEquals(2700 / (650_000 / 34_000.0), all.figure().value(), CLOSE);
   }
@@ -92,11 +103,11 @@
   @Test
   void whatWasNotMeasuredIsMissingAndNeverANumber() throws Exception {
     Basis nothing = Sample.withoutMeasurements();
-    assertFalse(
-        row(new EdgeNode(), nothing, "process with list and plans, resident, at its highest", Moment.ORDINARY)
-            .figure().known());
+    assertFalse(row(new EdgeNode(), nothing,
+        "process with list and plans, resident, at its highest", Moment.ORDINARY).figure().known());
     CapacityData data = new CapacityData(nothing.inputs(), List.of(), List.of(), List.of());
-    for (Table table : CapacityTables.of(data)) assertFalse(table.markdown().contains("NaN"), table.name());
+    for (Table table : CapacityTables.of(data))
+      assertFalse(table.markdown().contains("NaN"), table.name());
     for (Role role : Role.all()) {
       for (Row row : role.rows(nothing)) {
         boolean measures = row.figure().sources().stream().anyMatch(RolesTest::isTest);
@@ -117,7 +128,8 @@
         basis.at(Series.MEMBERS_REST, Quantity.CPU_MS, Input.EDGE_NODES).standing());
     assertEquals(Standing.EXTRAPOLATED,
         basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.APP_SERVERS).standing());
-    assertEquals(Standing.ASSUMED, basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.ZONE_STARTS).standing());
+    assertEquals(Standing.ASSUMED,
+        basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.ZONE_STARTS).standing());
   }
 
   @Test
@@ -127,22 +139,25 @@
       List<Double> known = new ArrayList<>();
       for (Wall wall : walls) if (wall.part().known()) known.add(wall.part().value());
       assertEquals(known.stream().sorted().toList(), known);
-      for (int i = 0; i < walls.size(); i++) assertEquals(i < known.size(), walls.get(i).part().known());
+      for (int i = 0; i < walls.size(); i++)
+        assertEquals(i < known.size(), walls.get(i).part().known());
     }
   }
 
   @Test
   void whatStopsNodesIsNeededBeforeWhatCosts() throws Exception {
-    List<Measurement> lists = List.of(Sample.one("list.start", 1, 100), Sample.one("list.start", 2, 200));
+    List<Measurement> lists = List.of(Sample.one("list.start", 1, 100),
+        Sample.one("list.start", 2, 200));
     CapacityData data = new CapacityData(Sample.inputs(), lists, List.of(), List.of());
-    Table mechanisms = CapacityTables.of(data).stream().filter(table -> table.name().equals("mechanisms"))
-        .findFirst().orElseThrow();
+    Table mechanisms = CapacityTables.of(data).stream()
+        .filter(table -> table.name().equals("mechanisms")).findFirst().orElseThrow();
     assertEquals(Mechanism.BOUNDED_LIST.title(), mechanisms.rows().get(0).get(1));
     assertEquals(Mechanism.RUNNING_SETTINGS.title(), mechanisms.rows().get(1).get(1));
   }
 
   private static Wall wall(Basis basis, List<BenchDay> days, String term) {
-    return Walls.of(basis, days).stream().filter(wall -> wall.term().equals(term)).findFirst().orElseThrow();
+    return Walls.of(basis, days).stream().filter(wall -> wall.term().equals(term)).findFirst()
+        .orElseThrow();
   }
 
   @Test
@@ -150,9 +165,10 @@
     Basis basis = Sample.withoutMeasurements();
     double datagrams = basis.inputs().value(Input.DATAGRAMS_PER_SECOND);
     long bound = (long) (10_000 * basis.inputs().value(Input.TAKEOVER_WITHIN_SECONDS));
-    int holds = (int) wall(basis, List.of(), "a dead node's share is in use again in time").holds().value();
-    assertTrue(Terms.of(holds, datagrams).takenOverWithin() <= bound);
-    assertTrue(Terms.of(holds + 1, datagrams).takenOverWithin() > bound);
+    int holds = (int) wall(basis, List.of(), "a dead node's share is in use again in time").holds()
+        .value();
+    assertTrue(MembershipTimings.of(holds, datagrams).takenOverWithin() <= bound);
+    assertTrue(MembershipTimings.of(holds + 1, datagrams).takenOverWithin() > bound);
     assertEquals(GossipMessage.MAX_NODES_WITH_REACHABILITY,
         wall(basis, List.of(), "a datagram tells whom a node hears").holds().value());
   }
@@ -181,18 +197,19 @@
     Basis basis = Sample.whole();
     String bytes = "sums told and taken in, at the most";
     assertEquals(1, growth(new EdgeNode(), bytes, Moment.COUNTER_EMPTY, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(new EdgeNode(), bytes, Moment.COUNTER_EMPTY, Input.DATAGRAMS_PER_SECOND), CLOSE);
-    assertEquals(2 * 0.5 * 60, row(new EdgeNode(), basis, bytes, Moment.COUNTER_EMPTY).figure().value(),
+    assertEquals(2, growth(new EdgeNode(), bytes, Moment.COUNTER_EMPTY, Input.DATAGRAMS_PER_SECOND),
         CLOSE);
+    assertEquals(2 * 0.5 * 60,
+        row(new EdgeNode(), basis, bytes, Moment.COUNTER_EMPTY).figure().value(), CLOSE);
     String round = "a round of sums, if all nodes share customers";
-    assertEquals(2700 / (0.5 * 60), row(new EdgeNode(), basis, round, Moment.COUNTER_EMPTY).figure().value(),
-        CLOSE);
+    assertEquals(2700 / (0.5 * 60),
+        row(new EdgeNode(), basis, round, Moment.COUNTER_EMPTY).figure().value(), CLOSE);
   }
 
   private static Measurement run(String what, long nodes, int entries, double value) {
     Measurement values = Sample.one(what, nodes, value);
-    return new Measurement(what, "hollow nodes before " + entries + " app servers", nodes, 1, values.values(),
-        "0000000");
+    return new Measurement(what, "hollow nodes before " + entries + " app servers", nodes, 1,
+        values.values(), "0000000");
   }
 
   @Test
@@ -201,36 +218,41 @@
         List.of(run("relay.change", 2700, 3500, 5000), run("relay.change", 330, 34_000, 70),
             run("relay.start300", 2700, 3500, 9), run("relay.start300", 330, 34_000, 80)));
     Role control = new ControlMachines();
-    Figure changes = row(control, basis, "a change until in force, everywhere", Moment.PEAK).figure();
+    Figure changes = row(control, basis, "a change until in force, everywhere", Moment.PEAK)
+        .figure();
     assertEquals(5000, changes.value());
     assertEquals(Standing.EXTRAPOLATED, changes.standing());
-    assertEquals(List.of("relay.change max_ms (2,700 nodes, 3,500 app servers)"), changes.sources());
-    assertEquals(80,
-        row(control, basis, "a start until the last of these nodes has the list", Moment.ZONE_STARTS).figure()
-            .value());
+    assertEquals(List.of("relay.change max_ms (2,700 nodes, 3,500 app servers)"),
+        changes.sources());
+    assertEquals(80, row(control, basis, "a start until the last of these nodes has the list",
+        Moment.ZONE_STARTS).figure().value());
     Basis small = Basis.of(Sample.inputs(),
         List.of(run("relay.start300", 2700, 3500, 9), run("relay.change", 330, 34_000, 7)));
-    assertFalse(row(control, small, "a change until in force, everywhere", Moment.PEAK).figure().known());
-    assertFalse(row(control, small, "a start until the last of these nodes has the list", Moment.ZONE_STARTS)
-        .figure().known());
+    assertFalse(
+        row(control, small, "a change until in force, everywhere", Moment.PEAK).figure().known());
+    assertFalse(row(control, small, "a start until the last of these nodes has the list",
+        Moment.ZONE_STARTS).figure().known());
     Basis whole = Basis.of(Sample.inputs(), List.of(run("relay.change", 2700, 34_000, 70)));
     assertEquals(Standing.MEASURED,
-        row(control, whole, "a change until in force, everywhere", Moment.PEAK).figure().standing());
+        row(control, whole, "a change until in force, everywhere", Moment.PEAK).figure()
+            .standing());
   }
 
   @Test
   void plansEndWhereTheSmallestMeasuredEndIs() throws Exception {
-    Basis basis = Basis.of(Sample.inputs(),
-        List.of(Sample.one("plans.ends", 30_000, 30_000), Sample.one("plans.ends", 29_000, 29_000)));
+    Basis basis = Basis.of(Sample.inputs(), List.of(Sample.one("plans.ends", 30_000, 30_000),
+        Sample.one("plans.ends", 29_000, 29_000)));
     Wall wall = wall(basis, List.of(), "plans in the settings fill the heap");
-    assertEquals(new Figure(29_000, 0, Standing.MEASURED, List.of("plans.ends count")), wall.holds());
+    assertEquals(new Figure(29_000, 0, Standing.MEASURED, List.of("plans.ends count")),
+        wall.holds());
   }
 
   @Test
   void quotasHoldUpToTheLargestFleetBelowTheFirstThatSlipped() throws Exception {
     Basis basis = Sample.withoutMeasurements();
     String term = "units beyond quotas on a calm day, on the bench";
-    List<BenchDay> days = List.of(day(6, 0.02), day(20, 0.01), day(100, 0.07), day(60, 0.04), day(120, 0.02));
+    List<BenchDay> days = List.of(day(6, 0.02), day(20, 0.01), day(100, 0.07), day(60, 0.04),
+        day(120, 0.02));
     assertEquals(20, wall(basis, days, term).holds().value());
     assertFalse(wall(basis, List.of(), term).holds().known());
     assertEquals(0, wall(basis, List.of(day(6, 0.5)), term).holds().value());
--- a/src/test/java/saltlatch/lab/capacity/SubsetTest.java
+++ b/src/test/java/saltlatch/lab/capacity/SubsetTest.java
@@ -36,22 +36,24 @@
 
   @Test
   void deterministicSubsetsAreEvenWhereRoundsAreWhole() {
-    SubsetSimulation.Outcome even = SubsetSimulation.play(SubsetPolicy.DETERMINISTIC, NODES, 60, KEPT, SEED);
+    SubsetSimulation.Outcome even = SubsetSimulation.play(SubsetPolicy.DETERMINISTIC, NODES, 60,
+        KEPT, SEED);
     assertEquals(1, even.max(), 1e-9);
     assertEquals(NODES * KEPT / 60, even.connections());
   }
 
   @Test
   void rendezvousMovesNoMoreThanItMust() {
-    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.RENDEZVOUS, NODES, 60, KEPT, SEED);
+    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.RENDEZVOUS, NODES, 60,
+        KEPT, SEED);
     assertEquals(outcome.least(), outcome.moved(), 1e-12);
     assertTrue(SubsetSimulation.play(SubsetPolicy.RANDOM, NODES, 60, KEPT, SEED).moved() > 0.5);
   }
 
   @Test
   void theBoundedRingKeepsItsBound() {
-    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.BOUNDED_RING, NODES, 60, KEPT,
-        SEED);
+    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.BOUNDED_RING, NODES, 60,
+        KEPT, SEED);
     assertTrue(outcome.connections() <= Math.ceil(SubsetPolicy.BOUND * NODES * KEPT / 60));
     assertTrue(outcome.moved() < 0.2, "moved " + outcome.moved());
   }
--- a/src/test/java/saltlatch/lab/hollow/HollowIT.java
+++ b/src/test/java/saltlatch/lab/hollow/HollowIT.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import saltlatch.lab.rig.ChildJvm;
 
-/** A process of hollow nodes follows a source process: each node applies each change, and ends where the source does. */
+/**
+ * A process of hollow nodes follows a source process: each node applies each change, and ends where
+ * the source does.
+ */
 class HollowIT {
   private static final Path JAR = Path.of("target/saltlatch.jar");
   private static final int NODES = 3;
@@ -26,15 +29,16 @@
   @Test
   void hollowNodesReportTheIndexOfTheSource() throws Exception {
     Path report = dir.resolve("report");
-    try (
-        ChildJvm source = new ChildJvm(List.of("-Xmx64m"), JAR,
-            List.of("lab", "scale", "source", "--entries", "" + ENTRIES, "--listen", "127.0.0.1:0",
-                "--changes-per-second", "20", "--puts", "" + dir.resolve("puts")),
-            dir.resolve("source.log"))) {
+    try (ChildJvm source = new ChildJvm(List.of("-Xmx64m"), JAR,
+        List.of("lab", "scale", "source", "--entries", "" + ENTRIES, "--listen", "127.0.0.1:0",
+            "--changes-per-second", "20", "--puts", "" + dir.resolve("puts")),
+        dir.resolve("source.log"))) {
       String address = source.await("source of " + ENTRIES + " entries on ");
-      try (ChildJvm hollow = new ChildJvm(List.of("-Xmx128m"), JAR, List.of("lab", "hollow", "--nodes",
-          "" + NODES, "--discovery", address, "--seconds", "4", "--report", "" + report),
-          dir.resolve("hollow.log"))) {
+      try (
+          ChildJvm hollow = new ChildJvm(
+              List.of("-Xmx128m"), JAR, List.of("lab", "hollow", "--nodes", "" + NODES,
+                  "--discovery", address, "--seconds", "4", "--report", "" + report),
+              dir.resolve("hollow.log"))) {
         assertEquals(0, hollow.waitFor(), () -> "see " + dir);
       }
     }
@@ -48,11 +52,15 @@
     long newest = summary.get("newest_index").getAsLong();
     assertTrue(newest > 20 && puts.containsKey(newest),
         "index " + newest + " of " + puts.size() + " changes");
-    for (int node = 0; node < NODES; node++) checkApplied(told, NodeConfig.name(node), puts, newest);
+    for (int node = 0; node < NODES; node++)
+      checkApplied(told, NodeConfig.name(node), puts, newest);
   }
 
-  /** Each change from the first list on, once and in order, and none before the source had put it. */
-  private static void checkApplied(List<JsonObject> told, String node, Map<Long, Long> puts, long newest) {
+  /**
+   * Each change from the first list on, once and in order, and none before the source had put it.
+   */
+  private static void checkApplied(List<JsonObject> told, String node, Map<Long, Long> puts,
+      long newest) {
     List<Long> indexes = new ArrayList<>();
     for (JsonObject line : told) {
       if (!line.has("node") || !line.get("node").getAsString().equals(node)) continue;
@@ -64,12 +72,14 @@
     }
     assertTrue(newest - indexes.get(indexes.size() - 1) <= 1,
         node + " ends at " + indexes + ", newest " + newest);
-    for (int i = 1; i < indexes.size(); i++) assertEquals(indexes.get(i - 1) + 1, indexes.get(i), node);
+    for (int i = 1; i < indexes.size(); i++)
+      assertEquals(indexes.get(i - 1) + 1, indexes.get(i), node);
   }
 
   private static List<JsonObject> lines(Path file) throws Exception {
     List<JsonObject> all = new ArrayList<>();
-    for (String line : Files.readAllLines(file)) all.add(JsonParser.parseString(line).getAsJsonObject());
+    for (String line : Files.readAllLines(file))
+      all.add(JsonParser.parseString(line).getAsJsonObject());
     return all;
   }
 }
--- a/src/test/java/saltlatch/lab/scale/HollowTableTest.java
+++ b/src/test/java/saltlatch/lab/scale/HollowTableTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.lab.scale.HollowComparison.Row;
 
-/** The comparison's verdict: 10 % of the real node's bytes and messages either way, CPU and memory told alone. */
+/**
+ * The comparison's verdict: 10 % of the real node's bytes and messages either way, CPU and memory
+ * told alone.
+ */
 class HollowTableTest {
   @Test
   void tellsWhatDiffersByMoreThanATenth() {
--- a/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
+++ b/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
@@ -5,22 +5,26 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import saltlatch.member.Terms;
+import saltlatch.membership.MembershipTimings;
 
-/** The scale test of members: its network in memory plays one seed the same, and its times keep the stated ones. */
+/**
+ * The scale test of members: its network in memory plays one seed the same, and its times keep the
+ * stated ones.
+ */
 class MembersScaleTest {
   private static final int MEMBERS = 40;
 
   @Test
   void measuresWhatTheTermsState() {
-    Terms terms = new MemberNetwork(MEMBERS, 1).terms();
+    MembershipTimings terms = new MemberNetwork(MEMBERS, 1).terms();
     Map<String, Values> measured = new MembersScale().measure(MEMBERS, 1);
     double failedWithin = (double) terms.failedWithin() / MemberNetwork.SECOND;
     double failed = measured.get("members.failure").map().get(Quantity.SECONDS);
     assertTrue(failed > 0 && failed <= failedWithin, failed + " s, stated " + failedWithin);
     Map<Quantity, Double> rest = measured.get("members.rest").map();
     assertTrue(rest.get(Quantity.MESSAGES_IN) <= terms.datagramsPerSecond(), rest.toString());
-    assertTrue(rest.get(Quantity.BYTES_IN) <= 256 * rest.get(Quantity.MESSAGES_IN), rest.toString());
+    assertTrue(rest.get(Quantity.BYTES_IN) <= 256 * rest.get(Quantity.MESSAGES_IN),
+        rest.toString());
   }
 
   @Test
--- a/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
+++ b/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The run of a scale test: the largest size is foretold before it is measured; what exceeds the machine never runs. */
+/**
+ * The run of a scale test: the largest size is foretold before it is measured; what exceeds the
+ * machine never runs.
+ */
 class ScaleRunTest {
   private static final long GIB = 1L << 30;
 
@@ -22,7 +25,8 @@
 
   /** CPU grows by 2 a size up to 100, and steeper beyond; a size takes a MiB and a process. */
   private final class Made implements ScaleTest {
-    private final List<String> shownBefore = new ArrayList<>(); // the table as it stood when a size was measured
+    // the table as it stood when a size was measured
+    private final List<String> shownBefore = new ArrayList<>();
 
     @Override
     public String name() {
@@ -74,7 +78,8 @@
     assertTrue(shown.contains("4010") && shown.contains("-85 %"), shown); // 585 foretold of 4,010
     List<Measurement> lines = measurements.toString().lines().map(Measurement::parse).toList();
     assertEquals(9, lines.size());
-    assertEquals(new Measurement("made.thing", "things", 10, 2, Map.of(Quantity.CPU_MS, 25.0), "abc"),
+    assertEquals(
+        new Measurement("made.thing", "things", 10, 2, Map.of(Quantity.CPU_MS, 25.0), "abc"),
         lines.get(3));
     assertEquals("made.ends", lines.get(8).what());
     assertEquals(777, lines.get(8).size());
@@ -84,7 +89,8 @@
   void refusesWhatExceedsHalfOfTheMemoryBeforeAnythingRuns() {
     Machine.TooMuch refused = assertThrows(Machine.TooMuch.class,
         () -> run(new Made(), GIB / 2, List.of(1L, 100L, 257L)));
-    assertTrue(refused.getMessage().contains("half of this machine's is 0.3 GiB"), refused.getMessage());
+    assertTrue(refused.getMessage().contains("half of this machine's is 0.3 GiB"),
+        refused.getMessage());
     assertEquals(List.of(), measured);
   }
 
@@ -92,7 +98,8 @@
   void refusesMoreProcessesThanAMachineShares() {
     Machine.TooMuch refused = assertThrows(Machine.TooMuch.class,
         () -> run(new Made(), 16 * GIB, List.of(301L)));
-    assertTrue(refused.getMessage().contains("301 processes; the most is 300"), refused.getMessage());
+    assertTrue(refused.getMessage().contains("301 processes; the most is 300"),
+        refused.getMessage());
   }
 
   @Test
--- a/src/test/java/saltlatch/lab/scale/SourceTest.java
+++ b/src/test/java/saltlatch/lab/scale/SourceTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The stand-in for discovery at size, over real HTTP: what a watch's first line holds, and what is counted. */
+/**
+ * The stand-in for discovery at size, over real HTTP: what a watch's first line holds, and what is
+ * counted.
+ */
 class SourceTest {
   private static final int ENTRIES = 50;
 
@@ -32,7 +35,8 @@
 
   private void start(long series) throws Exception {
     source = new Source(new SourceList(ENTRIES, 1, series), 0, puts);
-    port = source.start("127.0.0.1", 0).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    port = source.start("127.0.0.1", 0).toCompletionStage().toCompletableFuture().get(10,
+        TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -45,9 +49,8 @@
   }
 
   private JsonObject figures() throws Exception {
-    return JsonParser
-        .parseString(
-            http.send(HttpRequest.newBuilder(uri("/lab/figures")).build(), BodyHandlers.ofString()).body())
+    return JsonParser.parseString(http
+        .send(HttpRequest.newBuilder(uri("/lab/figures")).build(), BodyHandlers.ofString()).body())
         .getAsJsonObject();
   }
 
@@ -111,7 +114,10 @@
     assertEquals(1, figures().get("snapshots").getAsLong());
   }
 
-  /** Every byte that comes over the socket is counted, headers too: answers are added up as they are read. */
+  /**
+   * Every byte that comes over the socket is counted, headers too: answers are added up as they are
+   * read.
+   */
   @Test
   void countsEveryByteOfTheWire() throws Exception {
     start(0);
--- a/src/test/java/saltlatch/lab/tiers/InForceTest.java
+++ b/src/test/java/saltlatch/lab/tiers/InForceTest.java
@@ -19,7 +19,8 @@
   @Test
   void countsEachChangeAtEachNode() {
     Map<String, List<Applied>> nodes = new TreeMap<>();
-    nodes.put("each", List.of(new Applied(4, 0), new Applied(5, 110 * MS), new Applied(6, 202 * MS)));
+    nodes.put("each",
+        List.of(new Applied(4, 0), new Applied(5, 110 * MS), new Applied(6, 202 * MS)));
     nodes.put("both in one", List.of(new Applied(4, 0), new Applied(7, 300 * MS)));
     assertEquals(new Times(4, 0, 0, 100, 200, 200), InForce.of(PUTS, nodes));
   }
@@ -39,12 +40,16 @@
   @Test
   void startsEndWithTheFirstList() {
     Map<String, List<Applied>> nodes = new TreeMap<>();
-    nodes.put("a", List.of(new Applied(0, 10 * MS), new Applied(9, 30 * MS), new Applied(10, 90 * MS)));
+    nodes.put("a",
+        List.of(new Applied(0, 10 * MS), new Applied(9, 30 * MS), new Applied(10, 90 * MS)));
     nodes.put("b", List.of(new Applied(0, 10 * MS)));
     assertEquals(new Times(1, 1, 0, 20, 20, 20), InForce.ofStarts(nodes));
   }
 
-  /** What is asked of the machine grows with nodes and entries, and a plan that makes no sense says why. */
+  /**
+   * What is asked of the machine grows with nodes and entries, and a plan that makes no sense says
+   * why.
+   */
   @Test
   void plans() {
     long small = new TierPlan(2, 5, 3_500, 2_700, 300, 6).bytes();
--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,10 +8,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
-import saltlatch.member.Message.State;
-import saltlatch.wire.MemberForm;
+import saltlatch.membership.MembershipMessage.State;
+import saltlatch.wire.peer.MembershipCodec;
 
-/** A fleet of members in virtual time over a network with loss, delay and cuts; every datagram goes through its form. */
+/**
+ * A fleet of members in virtual time over a network with loss, delay and cuts; every datagram goes
+ * through its form.
+ */
 final class Fleet {
   static final long SECOND = 10_000;
   private static final long TICK = 500; // 50 ms, as a node's housekeeping
@@ -19,16 +22,17 @@
 
   private record Step(long at, long order, Runnable then) {}
 
-  final Terms terms;
+  final MembershipTimings terms;
   final Membership[] members;
-  final Shares[] shares;
+  final QuotaShares[] shares;
   double mostShared; // the sum of shares of one quota in use over all processes, at its highest
   double leastShared = 9;
   final boolean[] dead;
   final boolean[] paused;
   final double[] drift; // how fast a member's clock runs
   final StringBuilder history = new StringBuilder();
-  final Map<String, Long> failedAt = new HashMap<>(); // "observer>member": when it was last held failed
+  // "observer>member": when it was last held failed
+  final Map<String, Long> failedAt = new HashMap<>();
   long now;
   long sent;
   int falseFailures;
@@ -46,9 +50,9 @@
   Fleet(int n, long seed) {
     this.seed = seed;
     chance = new SplittableRandom(seed);
-    terms = Terms.of(n, 60);
+    terms = MembershipTimings.of(n, 60);
     members = new Membership[n];
-    shares = new Shares[n];
+    shares = new QuotaShares[n];
     dead = new boolean[n];
     paused = new boolean[n];
     drift = new double[n];
@@ -66,8 +70,8 @@
     self[0] = members[i] = new Membership(terms, i, 1 + now / SECOND, seed * 1000 + i, clock(i),
         new Membership.Out() {
           @Override
-          public void send(int to, Message m) {
-            byte[] bytes = MemberForm.write(m);
+          public void send(int to, MembershipMessage m) {
+            byte[] bytes = MembershipCodec.encode(m);
             if (bytes.length > 256) throw new IllegalStateException(bytes.length + " bytes");
             sent++;
             burst = Math.max(burst, ++lately);
@@ -75,7 +79,7 @@
             long at = now + 1 + (long) (REORDER * chance.nextDouble());
             after(at, () -> {
               if (!dead[to] && reach.test(i, to)) run(to, () -> {
-                members[to].heard(clock(to), i, MemberForm.read(bytes));
+                members[to].heard(clock(to), i, MembershipCodec.decode(bytes));
                 shares[to].follow(members[to].members());
               });
             });
@@ -83,23 +87,27 @@
 
           @Override
           public void changed(int member, State state, long inc, long version) {
-            history.append(now).append(' ').append(i).append(' ').append(member).append(state).append(inc)
-                .append('\n');
+            history.append(now).append(' ').append(i).append(' ').append(member).append(state)
+                .append(inc).append('\n');
             if (state != State.FAILED) return;
             failedAt.put(i + ">" + member, now);
             if (!dead[member] && !paused[member] && reach.test(i, member) && reach.test(member, i))
               falseFailures++;
           }
         });
-    shares[i] = new Shares(i, terms.members());
+    shares[i] = new QuotaShares(i, terms.members());
     shares[i].follow(self[0].members());
     tick(i, self[0]);
   }
 
-  /** What all processes together may use of a quota of so many nodes; one that is stopped counts as if it decided now. */
+  /**
+   * What all processes together may use of a quota of so many nodes; one that is stopped counts as
+   * if it decided now.
+   */
   double shared(int first, int width) {
     double sum = 0;
-    for (int i = 0; i < members.length; i++) if (!dead[i]) sum += shares[i].own(clock(i), first, width);
+    for (int i = 0; i < members.length; i++)
+      if (!dead[i]) sum += shares[i].own(clock(i), first, width);
     return sum;
   }
 
--- a/src/test/java/saltlatch/membership/MembershipMeasure.java
+++ b/src/test/java/saltlatch/membership/MembershipMeasure.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,9 +6,12 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
-import saltlatch.member.Message.State;
+import saltlatch.membership.MembershipMessage.State;
 
-/** The long measurements behind docs/member-design.md, out of CI: mvn test -Dtest=MembershipMeasure -Dsaltlatch.measure=true. */
+/**
+ * The long measurements behind docs/member-design.md, out of CI: mvn test -Dtest=MembershipMeasure
+ * -Dsaltlatch.measure=true.
+ */
 @EnabledIfSystemProperty(named = "saltlatch.measure", matches = "true")
 class MembershipMeasure {
   @Test
@@ -18,7 +21,7 @@
       double[] failed = new double[runs];
       double[] equal = new double[runs];
       double cost = 0;
-      Terms terms = Terms.of(n, 60);
+      MembershipTimings terms = MembershipTimings.of(n, 60);
       for (int seed = 0; seed < runs; seed++) {
         Fleet f = new Fleet(n, seed);
         f.loss = 0.1;
@@ -36,8 +39,9 @@
       }
       print(n, "T1", failed, terms.failedWithin());
       print(n, "T3", equal, terms.equalWithin());
-      System.out.printf(Locale.ROOT, "MEASURED %d members: %.2f datagrams a second each sent, %.1f stated%n",
-          n, cost, terms.datagramsPerSecond());
+      System.out.printf(Locale.ROOT,
+          "MEASURED %d members: %.2f datagrams a second each sent, %.1f stated%n", n, cost,
+          terms.datagramsPerSecond());
     }
   }
 
@@ -74,8 +78,9 @@
 
   private static void print(int n, String what, double[] times, long stated) {
     Arrays.sort(times);
-    System.out.printf(Locale.ROOT, "MEASURED %d members, %s: p50 %.1f s, max %.1f s of %d; stated %.1f s%n",
-        n, what, times[times.length / 2] / Fleet.SECOND, times[times.length - 1] / Fleet.SECOND, times.length,
-        (double) stated / Fleet.SECOND);
+    System.out.printf(Locale.ROOT,
+        "MEASURED %d members, %s: p50 %.1f s, max %.1f s of %d; stated %.1f s%n", n, what,
+        times[times.length / 2] / Fleet.SECOND, times[times.length - 1] / Fleet.SECOND,
+        times.length, (double) stated / Fleet.SECOND);
   }
 }
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,16 +10,19 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import saltlatch.member.Message.Kind;
-import saltlatch.member.Message.News;
-import saltlatch.member.Message.State;
-import saltlatch.wire.MemberForm;
+import saltlatch.membership.MembershipMessage.Kind;
+import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.State;
+import saltlatch.wire.peer.MembershipCodec;
 
-/** Membership as a model in virtual time: deterministic, every fault caused, every stated time held. */
+/**
+ * Membership as a model in virtual time: deterministic, every fault caused, every stated time held.
+ */
 class MembershipTest {
   private static Fleet joined(int n, long seed) {
     Fleet f = new Fleet(n, seed);
-    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0, n + " members did not find each other");
+    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0,
+        n + " members did not find each other");
     return f;
   }
 
@@ -46,7 +49,10 @@
     assertTrue(f.members[0].incarnation(2) > 1);
   }
 
-  /** Killed, and back at once: nobody had noticed, and the old process' incarnation does not come back. */
+  /**
+   * Killed, and back at once: nobody had noticed, and the old process' incarnation does not come
+   * back.
+   */
   @Test
   void backAtOnce() {
     Fleet f = joined(5, 2);
@@ -66,7 +72,10 @@
     assertEquals(6, f.members[19].live());
   }
 
-  /** Stopped for longer than any suspicion: it blames nobody on waking, and is held alive again within T2. */
+  /**
+   * Stopped for longer than any suspicion: it blames nobody on waking, and is held alive again
+   * within T2.
+   */
   @Test
   void pausedMemberBlamesNobody() {
     Fleet f = joined(8, 5);
@@ -91,7 +100,10 @@
     assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
   }
 
-  /** Majority and minority, then equal halves: each side sees itself whole, and all agree within T3 of the heal. */
+  /**
+   * Majority and minority, then equal halves: each side sees itself whole, and all agree within T3
+   * of the heal.
+   */
   @Test
   void splitsHeal() {
     Fleet f = joined(10, 7);
@@ -101,7 +113,8 @@
       assertEquals(cut, f.members[0].live());
       assertEquals(10 - cut, f.members[9].live());
       f.reach = (a, b) -> true;
-      assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0, "sides of " + cut + " did not agree again");
+      assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0,
+          "sides of " + cut + " did not agree again");
     }
   }
 
@@ -117,17 +130,22 @@
     f.reach = (a, b) -> true;
     f.burst = 0;
     f.pass(f.terms.equalWithin());
-    assertTrue(f.agree() && f.burst <= 3 * calm, f.burst + " at once after the heal, " + calm + " before");
+    assertTrue(f.agree() && f.burst <= 3 * calm,
+        f.burst + " at once after the heal, " + calm + " before");
   }
 
-  /** One way: member 0 hears member 1 and is not heard by it. Others vouch for both: nobody is failed. */
+  /**
+   * One way: member 0 hears member 1 and is not heard by it. Others vouch for both: nobody is
+   * failed.
+   */
   @Test
   void oneWayCutAndBridgeFailNobody() {
     Fleet f = joined(6, 8);
     f.reach = (a, b) -> !(a == 0 && b == 1);
     f.pass(120 * Fleet.SECOND);
     assertTrue(f.agree(), "a one-way cut between two failed someone");
-    f.reach = (a, b) -> a == 2 || b == 2 || a < 2 == b < 2; // member 2 hears both sides, which don't hear each other
+    // member 2 hears both sides, which don't hear each other
+    f.reach = (a, b) -> a == 2 || b == 2 || a < 2 == b < 2;
     f.pass(120 * Fleet.SECOND);
     f.reach = (a, b) -> true;
     assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
@@ -141,7 +159,10 @@
     assertEquals(0, f.falseFailures);
   }
 
-  /** The cost for each member does not grow with the fleet, and stays under half of what a node takes in. */
+  /**
+   * The cost for each member does not grow with the fleet, and stays under half of what a node
+   * takes in.
+   */
   @Test
   void costIsFlat() {
     for (int n : new int[] {5, 20, 100}) {
@@ -155,7 +176,10 @@
     }
   }
 
-  /** Random kills, pauses, cuts and loss; after all is healed, views are equal within T3, and the dead are failed. */
+  /**
+   * Random kills, pauses, cuts and loss; after all is healed, views are equal within T3, and the
+   * dead are failed.
+   */
   @Property(tries = 12, seed = "31")
   void randomFaultsEndInAgreement(@ForAll @IntRange(min = 5, max = 30) int n,
       @ForAll @IntRange(max = 1_000_000) int seed) {
@@ -180,7 +204,10 @@
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
 
-  /** Kills, restarts, pauses, splits, one-way cuts and bridges that last as long as leases do: shares never sum above 1. */
+  /**
+   * Kills, restarts, pauses, splits, one-way cuts and bridges that last as long as leases do:
+   * shares never sum above 1.
+   */
   @Property(tries = 150, seed = "34")
   void sharesNeverSumAboveTheQuota(@ForAll @IntRange(min = 2, max = 9) int n,
       @ForAll @IntRange(max = 1_000_000) int seed) {
@@ -206,14 +233,17 @@
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
 
-  /** A dead member's surplus goes to the others within the stated time, and back to it when it returns. */
+  /**
+   * A dead member's surplus goes to the others within the stated time, and back to it when it
+   * returns.
+   */
   @Test
   void deadMembersSurplusIsTakenOver() {
     Fleet f = joined(5, 11);
     f.pass(f.terms.lease());
     assertEquals(1, f.shared(0, 5), 1e-9);
     f.dead[3] = true;
-    double full = 1 - Shares.FLOOR / 5;
+    double full = 1 - QuotaShares.FLOOR / 5;
     long took = f.until(() -> f.shared(0, 5) > full - 1e-9,
         f.terms.failedWithin() + f.terms.takenOverWithin());
     assertTrue(took > 0, f.shared(0, 5) + " of " + full);
@@ -223,17 +253,20 @@
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
 
-  /** Of a split the majority ends with all but the others' floors, the minority with its floors, and equal halves with halves. */
+  /**
+   * Of a split the majority ends with all but the others' floors, the minority with its floors, and
+   * equal halves with halves.
+   */
   @Test
   void sidesOfASplitShareOneQuota() {
     Fleet f = joined(5, 12);
     f.pass(f.terms.lease());
     f.reach = (a, b) -> a < 2 == b < 2;
     f.pass(f.terms.failedWithin() + f.terms.takenOverWithin());
-    assertEquals(Standing.MINORITY, f.members[0].standing());
-    assertEquals(Standing.MAJORITY, f.members[4].standing());
-    assertEquals(Shares.FLOOR / 5, f.shares[0].own(f.now, 0, 5), 1e-9);
-    assertEquals((1 - 2 * Shares.FLOOR / 5) / 3, f.shares[4].own(f.now, 0, 5), 1e-9);
+    assertEquals(FleetView.MINORITY, f.members[0].standing());
+    assertEquals(FleetView.MAJORITY, f.members[4].standing());
+    assertEquals(QuotaShares.FLOOR / 5, f.shares[0].own(f.now, 0, 5), 1e-9);
+    assertEquals((1 - 2 * QuotaShares.FLOOR / 5) / 3, f.shares[4].own(f.now, 0, 5), 1e-9);
     f.reach = (a, b) -> true;
     assertTrue(f.until(() -> f.agree() && f.shared(0, 5) > 1 - 1e-9,
         f.terms.equalWithin() + 2 * f.terms.leaseOver()) > 0);
@@ -241,7 +274,8 @@
     g.reach = (a, b) -> a < 3 == b < 3;
     g.pass(g.terms.failedWithin() + g.terms.takenOverWithin());
     assertEquals(1, g.shared(0, 6), 1e-9);
-    assertTrue(f.mostShared <= 1 + 1e-9 && g.mostShared <= 1 + 1e-9, f.mostShared + " " + g.mostShared);
+    assertTrue(f.mostShared <= 1 + 1e-9 && g.mostShared <= 1 + 1e-9,
+        f.mostShared + " " + g.mostShared);
   }
 
   /** A planned end is followed by the others at once: it has given up its surplus itself. */
@@ -253,7 +287,8 @@
     f.shares[1].follow(f.members[1].members());
     f.pass(Fleet.SECOND);
     f.dead[1] = true;
-    assertTrue(f.until(() -> f.shared(0, 5) > 1 - Shares.FLOOR / 5 - 1e-9, f.terms.lease()) > 0);
+    assertTrue(
+        f.until(() -> f.shared(0, 5) > 1 - QuotaShares.FLOOR / 5 - 1e-9, f.terms.lease()) > 0);
     f.start(1);
     f.pass(f.terms.equalWithin() + f.terms.leaseOver());
     assertEquals(1, f.shared(0, 5), 1e-9);
@@ -264,10 +299,10 @@
   @Property(tries = 40, seed = "32")
   void incarnationsNeverFall(@ForAll @IntRange(max = 1_000_000) int seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    List<Message> sent = new ArrayList<>();
-    Membership m = new Membership(Terms.of(6, 60), 0, 5, seed, 0, new Membership.Out() {
+    List<MembershipMessage> sent = new ArrayList<>();
+    Membership m = new Membership(MembershipTimings.of(6, 60), 0, 5, seed, 0, new Membership.Out() {
       @Override
-      public void send(int to, Message x) {
+      public void send(int to, MembershipMessage x) {
         sent.add(x);
       }
 
@@ -279,8 +314,9 @@
       List<News> news = List.of(new News(chance.nextInt(8), State.values()[chance.nextInt(5)],
           chance.nextInt(9), chance.nextInt(8)));
       int from = chance.nextInt(8) - 1;
-      m.heard(i * 100, from, new Message(Kind.values()[chance.nextInt(4)], chance.nextInt(9),
-          chance.nextInt(9), chance.nextInt(9), chance.nextLong(), chance.nextBoolean(), news));
+      m.heard(i * 100, from,
+          new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(9),
+              chance.nextInt(9), chance.nextInt(9), chance.nextLong(), chance.nextBoolean(), news));
       m.tick(i * 100);
       for (int k = 0; k < 6; k++) {
         assertTrue(m.incarnation(k) >= high[k],
@@ -291,24 +327,28 @@
     }
   }
 
-  /** Any bytes cost that datagram only; what is written is read back; a spoilt or truncated one is none. */
+  /**
+   * Any bytes cost that datagram only; what is written is read back; a spoilt or truncated one is
+   * none.
+   */
   @Property(tries = 200, seed = "33")
   void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
-    assertTrue(MemberForm.read(noise) == null);
+    assertTrue(MembershipCodec.decode(noise) == null);
     SplittableRandom chance = new SplittableRandom(seed);
     List<News> news = new ArrayList<>();
     for (int i = chance.nextInt(Membership.MOST_NEWS + 1); i > 0; i--) {
-      news.add(new News(chance.nextInt(65_536), State.values()[chance.nextInt(5)], chance.nextLong(1L << 32),
-          chance.nextInt(65_536)));
+      news.add(new News(chance.nextInt(65_536), State.values()[chance.nextInt(5)],
+          chance.nextLong(1L << 32), chance.nextInt(65_536)));
     }
-    Message m = new Message(Kind.values()[chance.nextInt(4)], chance.nextInt(), chance.nextInt(65_536),
-        chance.nextLong(1L << 32), chance.nextLong(), chance.nextBoolean(), news);
-    byte[] bytes = MemberForm.write(m);
+    MembershipMessage m = new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(),
+        chance.nextInt(65_536), chance.nextLong(1L << 32), chance.nextLong(), chance.nextBoolean(),
+        news);
+    byte[] bytes = MembershipCodec.encode(m);
     assertTrue(bytes.length <= 256);
-    assertEquals(m, MemberForm.read(bytes));
+    assertEquals(m, MembershipCodec.decode(bytes));
     byte[] spoilt = bytes.clone();
     spoilt[chance.nextInt(bytes.length)] ^= 1 << chance.nextInt(8);
-    assertTrue(MemberForm.read(spoilt) == null);
-    assertTrue(MemberForm.read(java.util.Arrays.copyOf(bytes, bytes.length - 1)) == null);
+    assertTrue(MembershipCodec.decode(spoilt) == null);
+    assertTrue(MembershipCodec.decode(java.util.Arrays.copyOf(bytes, bytes.length - 1)) == null);
   }
 }
--- a/src/test/java/saltlatch/membership/QuotaSharesTest.java
+++ b/src/test/java/saltlatch/membership/QuotaSharesTest.java
@@ -1,4 +1,4 @@
-package saltlatch.member;
+package saltlatch.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,27 +15,33 @@
 import saltlatch.api.GatewayEvent.MemberState;
 import saltlatch.api.GatewayEvent.MembershipChanged;
 import saltlatch.api.GossipMessage;
-import saltlatch.wire.SumsForm;
+import saltlatch.wire.peer.GossipCodec;
 
-/** Which part of a quota a node goes by: its own, and that of those that hear exactly each other. */
-class SharesTest {
+/**
+ * Which part of a quota a node goes by: its own, and that of those that hear exactly each other.
+ */
+class QuotaSharesTest {
   private static final long WITHIN = 30_000;
 
-  private static Shares node(int me, int n, long holdsUntil) {
-    Shares s = new Shares(me, n);
+  private static QuotaShares node(int me, int n, long holdsUntil) {
+    QuotaShares s = new QuotaShares(me, n);
     s.follow(new MembershipChanged(Collections.nCopies(n, MemberState.LIVE), holdsUntil, 0, n));
     return s;
   }
 
-  /** Each tells the others whom it hears, through the form, a few rounds long; {@code reach[a][b]}: a's words come to b. */
-  private static List<Shares> told(boolean[][] reach) {
+  /**
+   * Each tells the others whom it hears, through the form, a few rounds long; {@code reach[a][b]}:
+   * a's words come to b.
+   */
+  private static List<QuotaShares> told(boolean[][] reach) {
     int n = reach.length;
-    List<Shares> all = new ArrayList<>();
+    List<QuotaShares> all = new ArrayList<>();
     for (int i = 0; i < n; i++) all.add(node(i, n, Long.MAX_VALUE));
     for (long now = 10_000; now <= 60_000; now += 10_000) {
       List<GossipMessage> words = new ArrayList<>();
-      for (Shares s : all)
-        words.add(SumsForm.read(SumsForm.write(new GossipMessage(List.of(), s.hearing(now, WITHIN)))));
+      for (QuotaShares s : all)
+        words.add(GossipCodec
+            .decode(GossipCodec.encode(new GossipMessage(List.of(), s.hearing(now, WITHIN)))));
       for (int a = 0; a < n; a++) {
         for (int b = 0; b < n; b++)
           if (a != b && reach[a][b]) all.get(b).heard(now, a, words.get(a).reachability());
@@ -52,57 +58,71 @@
 
   @Test
   void thoseThatHearEachOtherGoByAllOfTheirShares() {
-    for (Shares s : told(links(5, (a, b) -> true))) assertEquals(1, s.pooled(60_000, WITHIN, 0, 5), 1e-9);
-    List<Shares> split = told(links(5, (a, b) -> a < 2 == b < 2));
+    for (QuotaShares s : told(links(5, (a, b) -> true)))
+      assertEquals(1, s.pooled(60_000, WITHIN, 0, 5), 1e-9);
+    List<QuotaShares> split = told(links(5, (a, b) -> a < 2 == b < 2));
     assertEquals(0.4, split.get(0).pooled(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.6, split.get(4).pooled(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.5, split.get(4).pooled(60_000, WITHIN, 4, 2), 1e-9); // the set is nodes 4 and 0
     assertEquals(0, split.get(1).pooled(60_000, WITHIN, 2, 3)); // not of the set
   }
 
-  /** Node 2 hears both sides, which do not hear each other: it lends to neither. One that is not heard lends nothing. */
+  /**
+   * Node 2 hears both sides, which do not hear each other: it lends to neither. One that is not
+   * heard lends nothing.
+   */
   @Test
   void aBridgeAndAOneWayCutLendNothingTwice() {
-    List<Shares> bridge = told(links(5, (a, b) -> a == 2 || b == 2 || a < 2 == b < 2));
+    List<QuotaShares> bridge = told(links(5, (a, b) -> a == 2 || b == 2 || a < 2 == b < 2));
     assertEquals(0.4, bridge.get(0).pooled(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.2, bridge.get(2).pooled(60_000, WITHIN, 0, 5), 1e-9);
-    List<Shares> deaf = told(links(3, (a, b) -> a != 0));
+    List<QuotaShares> deaf = told(links(3, (a, b) -> a != 0));
     assertEquals(1 / 3.0, deaf.get(0).pooled(60_000, WITHIN, 0, 3), 1e-9);
     assertEquals(2 / 3.0, deaf.get(1).pooled(60_000, WITHIN, 0, 3), 1e-9);
   }
 
-  /** Whatever links are cut, and in which direction: what all pools may use sums to no more than one. */
+  /**
+   * Whatever links are cut, and in which direction: what all pools may use sums to no more than
+   * one.
+   */
   @Property(tries = 300, seed = "41")
   void poolsArePartition(@ForAll @IntRange(min = 2, max = 12) int n,
       @ForAll @IntRange(max = 1_000_000) int seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     double cut = 0.5 * chance.nextDouble();
     boolean[][] reach = links(n, (a, b) -> chance.nextDouble() >= cut);
-    List<Shares> all = told(reach);
+    List<QuotaShares> all = told(reach);
     double sum = 0;
-    for (Shares s : all) { // each of a pool of k has k even shares: all of them together count it once
+    // each of a pool of k has k even shares: all of them together count it once
+    for (QuotaShares s : all) {
       double part = s.pooled(60_000, WITHIN, 0, n);
       sum += part / Math.round(part * n);
     }
     assertTrue(sum <= 1 + 1e-9, "" + sum);
   }
 
-  /** A node from before says nothing of whom it hears: it is listened to and lends nothing; it reads what is new as sums. */
+  /**
+   * A node from before says nothing of whom it hears: it is listened to and lends nothing; it reads
+   * what is new as sums.
+   */
   @Test
   void olderNodesLendNothing() {
-    List<Shares> all = told(links(3, (a, b) -> true));
+    List<QuotaShares> all = told(links(3, (a, b) -> true));
     all.get(0).heard(60_000, 2, null);
     assertEquals(2 / 3.0, all.get(0).pooled(60_000, WITHIN, 0, 3), 1e-9);
-    byte[] words = SumsForm.write(new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
-        all.get(0).hearing(60_000, WITHIN)));
+    byte[] words = GossipCodec.encode(new GossipMessage(
+        List.of(new GossipMessage.WindowUsage(7, 2, 4.5)), all.get(0).hearing(60_000, WITHIN)));
     assertTrue(words[0] == 0x51 && (words.length - 1) % 7 == 0 && words.length <= 256);
-    for (int at = 1; at + 7 < words.length; at += 7) assertEquals(-1, words[at], "an id that customers have");
+    for (int at = 1; at + 7 < words.length; at += 7)
+      assertEquals(-1, words[at], "an id that customers have");
   }
 
-  /** Any bytes are sums or refused; what is written is read back, however many nodes are told of. */
+  /**
+   * Any bytes are sums or refused; what is written is read back, however many nodes are told of.
+   */
   @Property(tries = 300, seed = "42")
   void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
-    SumsForm.read(noise);
+    GossipCodec.decode(noise);
     SplittableRandom chance = new SplittableRandom(seed);
     int nodes = 1 + chance.nextInt(GossipMessage.MAX_NODES_WITH_REACHABILITY);
     BitSet heard = new BitSet();
@@ -113,12 +133,12 @@
       sums.add(new GossipMessage.WindowUsage(chance.nextInt(), chance.nextInt(128),
           chance.nextInt(65_536) / 16.0));
     }
-    sums.replaceAll(
-        s -> new GossipMessage.WindowUsage(s.customer() & 0xffffffffL, s.windowNumber(), s.units()));
+    sums.replaceAll(s -> new GossipMessage.WindowUsage(s.customer() & 0xffffffffL, s.windowNumber(),
+        s.units()));
     GossipMessage told = new GossipMessage(sums,
         new GossipMessage.Reachability(heard, chance.nextBoolean(), chance.nextBoolean()));
-    byte[] words = SumsForm.write(told);
+    byte[] words = GossipCodec.encode(told);
     assertTrue(words.length <= 256);
-    assertEquals(told, SumsForm.read(words));
+    assertEquals(told, GossipCodec.decode(words));
   }
 }
--- a/src/test/java/saltlatch/node/AcceptTest.java
+++ b/src/test/java/saltlatch/node/AcceptTest.java
@@ -26,7 +26,10 @@
     }
   }
 
-  /** No more is accepted than clients may hold, and the few of one look: else a crowd takes the descriptors of the others. */
+  /**
+   * No more is accepted than clients may hold, and the few of one look: else a crowd takes the
+   * descriptors of the others.
+   */
   @Test
   void acceptsNoMoreThanItMayHold() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
@@ -47,7 +50,8 @@
     long accepted = 0;
     for (int i = 0; i < 20 && accepted <= 256; i++) {
       accepted = open() - before - 400;
-      Thread.sleep(50); // the accepting thread's own time: what it has not taken in a second it leaves
+      // the accepting thread's own time: what it has not taken in a second it leaves
+      Thread.sleep(50);
     }
     go.countDown();
     assertTrue(accepted <= 110 + 32, accepted + " accepted, and clients may hold 110");
--- a/src/test/java/saltlatch/node/ClosingTest.java
+++ b/src/test/java/saltlatch/node/ClosingTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
 
-/** Closes on real connections whose other side does not take what is written, or writes in that very moment. */
+/**
+ * Closes on real connections whose other side does not take what is written, or writes in that very
+ * moment.
+ */
 @Timeout(60)
 class ClosingTest extends NodeHarness {
   private static final String LONG = "x".repeat(60_000);
@@ -34,7 +37,9 @@
     return req(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
   }
 
-  /** A command given up while half of it is written never comes whole: it was told as never begun. */
+  /**
+   * A command given up while half of it is written never comes whole: it was told as never begun.
+   */
   @Test
   void givenUpHalfWritten() throws Exception {
     script = e -> {
@@ -54,7 +59,10 @@
     }
   }
 
-  /** Commands read in one piece while this node ends: a first answer at once does not end the connection in front of the rest. */
+  /**
+   * Commands read in one piece while this node ends: a first answer at once does not end the
+   * connection in front of the rest.
+   */
   @Test
   void commandsBehindOneAnsweredAtOnce() throws Exception {
     script = e -> to.reject(rid(e), 0);
@@ -75,7 +83,10 @@
     stopped = true;
   }
 
-  /** An app srv that reads nothing until asked, with segments so short that the node's system holds few bytes. */
+  /**
+   * An app srv that reads nothing until asked, with segments so short that the node's system holds
+   * few bytes.
+   */
   private static final class Narrow implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1,
         EpollIoHandler.newFactory());
@@ -87,7 +98,8 @@
       new ServerBootstrap().group(loop).channel(EpollServerSocketChannel.class)
           .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_RCVBUF, 2_048)
           .option(new IntegerUnixChannelOption("TCP_MAXSEG", 6, 2), 128)
-          .childOption(ChannelOption.AUTO_READ, false).childHandler(new ChannelInboundHandlerAdapter() {
+          .childOption(ChannelOption.AUTO_READ, false)
+          .childHandler(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelActive(ChannelHandlerContext at) {
               peer.complete(at.channel());
--- a/src/test/java/saltlatch/node/CrossingTest.java
+++ b/src/test/java/saltlatch/node/CrossingTest.java
@@ -16,8 +16,8 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * Two events that cross, on real connections, in the bad order every time: the node's loop is held by the scripted module, or
- * a listener's backlog is full, until both have happened.
+ * Two events that cross, on real connections, in the bad order every time: the node's loop is held
+ * by the scripted module, or a listener's backlog is full, until both have happened.
  */
 @Timeout(60)
 class CrossingTest extends NodeHarness {
@@ -65,7 +65,10 @@
     assertEquals("-ERR aborted", line(c));
   }
 
-  /** An app srv is told what is left of the wait when its command is written, not what was left before its connection came up. */
+  /**
+   * An app srv is told what is left of the wait when its command is written, not what was left
+   * before its connection came up.
+   */
   @Test
   void lateConnectionIsToldWhatIsLeft() throws Exception {
     Hold hold = new Hold();
@@ -93,7 +96,10 @@
     return lines.toString();
   }
 
-  /** The client leaves while the connection comes up, and the settings know no cancelling: nothing is written. */
+  /**
+   * The client leaves while the connection comes up, and the settings know no cancelling: nothing
+   * is written.
+   */
   @Test
   void clientLeavesBeforeTheConnectionIsUp() throws Exception {
     Hold hold = new Hold();
@@ -108,10 +114,14 @@
     closeAndAwaitEnd(c);
     hold.over.countDown();
     assertEquals("closed", line(accept(appSrv)));
-    assertEquals("arrived 0 waits 900 left 0 ended 0/0 WITHDRAWN over", next() + " " + next() + " " + next());
+    assertEquals("arrived 0 waits 900 left 0 ended 0/0 WITHDRAWN over",
+        next() + " " + next() + " " + next());
   }
 
-  /** A req that is read in the turn in which its client's close is seen comes to the module with the close. */
+  /**
+   * A req that is read in the turn in which its client's close is seen comes to the module with the
+   * close.
+   */
   @Test
   void closeSeenWithTheReqInFront() throws Exception {
     Hold hold = new Hold();
@@ -141,7 +151,9 @@
     return s;
   }
 
-  /** A client with so much owed that reading has stopped goes away, its close behind unread bytes. */
+  /**
+   * A client with so much owed that reading has stopped goes away, its close behind unread bytes.
+   */
   @Test
   void closeBehindUnreadBytes() throws Exception {
     Socket c = usualConnection();
@@ -177,7 +189,10 @@
     }
   }
 
-  /** Half a line, or a second answer, on a connection that rests ends it: it is not the next dispatch's answer. */
+  /**
+   * Half a line, or a second answer, on a connection that rests ends it: it is not the next
+   * dispatch's answer.
+   */
   @Test
   void bytesOnARestingConnection() throws Exception {
     script = e -> {
@@ -204,7 +219,10 @@
     }
   }
 
-  /** What comes behind broken framing is thrown away, and the error arrives: no reset takes it along. */
+  /**
+   * What comes behind broken framing is thrown away, and the error arrives: no reset takes it
+   * along.
+   */
   @Test
   void errorArrivesThoughMoreWasSent() throws Exception {
     script = e -> to.reject(rid(e), 0);
@@ -220,7 +238,8 @@
     say(c, req(1) + "nonsense\r\n" + "x".repeat(60_000));
     hold.over.countDown();
     assertEquals("-ERR Protocol error: no RESP2 value -BUSY".split(" -BUSY")[0], errorAfter(c));
-    say(c, "y".repeat(20_000)); // to a connection that was reset this fails, and what had come is gone
+    // to a connection that was reset this fails, and what had come is gone
+    say(c, "y".repeat(20_000));
     assertEquals("closed", line(c));
   }
 
--- a/src/test/java/saltlatch/node/HeapFullTest.java
+++ b/src/test/java/saltlatch/node/HeapFullTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import saltlatch.state.HeapFull;
+import saltlatch.state.HeapExhaustion;
 
 /** A heap that is full is called so, whatever a library makes of it. */
 @Timeout(60)
@@ -22,10 +22,11 @@
   void isToldFromOtherFailures() {
     Throwable wrapped = new JsonParseException("Failed parsing JSON source",
         new OutOfMemoryError("Java heap space"));
-    assertTrue(HeapFull.explain(wrapped).matches("the heap of \\d+ MB is full.*"), HeapFull.explain(wrapped));
+    assertTrue(HeapExhaustion.explain(wrapped).matches("the heap of \\d+ MB is full.*"),
+        HeapExhaustion.explain(wrapped));
     assertEquals("java.lang.IllegalStateException: other",
-        HeapFull.explain(new IllegalStateException("other")));
-    assertFalse(HeapFull.isCauseOf(new IllegalStateException(new RuntimeException())));
+        HeapExhaustion.explain(new IllegalStateException("other")));
+    assertFalse(HeapExhaustion.isCauseOf(new IllegalStateException(new RuntimeException())));
   }
 
   /** Plans that don't fit into the heap: one line that says so, and code 2. */
@@ -42,8 +43,9 @@
     Path config = Files.writeString(dir.resolve("config.json"), text.replace(plan, plans + plan));
     Path log = dir.resolve("log.txt");
     ProcessBuilder command = new ProcessBuilder(
-        Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx24m", "-XX:+UseSerialGC",
-        "-cp", System.getProperty("java.class.path"), "saltlatch.Main", "serve");
+        Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx24m",
+        "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "saltlatch.Main",
+        "serve");
     command.environment().put("LB_CONFIG", config.toString());
     Process process = command.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
--- a/src/test/java/saltlatch/node/HollowNodeTest.java
+++ b/src/test/java/saltlatch/node/HollowNodeTest.java
@@ -45,7 +45,8 @@
           loop.complete(context);
           return Future.succeededFuture();
         });
-        HollowNode node = new HollowNode(vertx, loop.get(20, TimeUnit.SECONDS), NodeConfiguration.of(config));
+        HollowNode node = new HollowNode(vertx, loop.get(20, TimeUnit.SECONDS),
+            NodeConfiguration.of(config));
         BlockingQueue<Long> indices = new LinkedBlockingQueue<>();
         node.onListed(indices::add);
         node.start(PolicyEngine::new);
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
-import saltlatch.wire.Discovery;
+import saltlatch.wire.discovery.DiscoveryClient;
 
 /** Lists of the size that is coming, from discovery's socket to the module. */
 @Timeout(60)
@@ -26,13 +26,13 @@
 
   private static String target(String name, String status) {
     return "{\"name\":\"" + name
-        + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"" + status
-        + "\",\"weight\":1.0,\"since_ms\":1764651600000}";
+        + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\""
+        + status + "\",\"weight\":1.0,\"since_ms\":1764651600000}";
   }
 
   private static String list(int index, boolean whole, List<String> targets) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", targets)
-        + "]}\n";
+    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
+        + String.join(",", targets) + "]}\n";
   }
 
   private static List<String> ready(int from, int to) {
@@ -54,26 +54,35 @@
     say(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
-  /** Takes in events until so many entries have come; each event is a slice, and alone among lists in its batch. */
+  /**
+   * Takes in events until so many entries have come; each event is a slice, and alone among lists
+   * in its batch.
+   */
   private void until(int count) throws InterruptedException {
     while (entries.size() < count) {
       GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
       assertEquals(GatewayEvent.EndpointUpdateKind.DELTA, event.kind());
-      assertTrue(event.endpoints().size() <= Discovery.SLICE, event.endpoints().size() + " in one event");
+      assertTrue(event.endpoints().size() <= DiscoveryClient.SLICE,
+          event.endpoints().size() + " in one event");
       entries.addAll(event.endpoints());
     }
     assertEquals(count, entries.size());
-    for (List<String> batch : batches) assertTrue(batch.size() == 1, () -> batch.size() + " events at once");
+    for (List<String> batch : batches)
+      assertTrue(batch.size() == 1, () -> batch.size() + " events at once");
   }
 
   private int distinct(GatewayEvent.EndpointState condition) {
     BitSet numbers = new BitSet();
-    entries.stream().filter(e -> e.state() == condition).forEach(e -> numbers.set((int) e.serverId()));
+    entries.stream().filter(e -> e.state() == condition)
+        .forEach(e -> numbers.set((int) e.serverId()));
     return numbers.cardinality();
   }
 
-  /** All of it is known in the end: what left the list first, then what drains, then the rest; a newer change behind it. */
+  /**
+   * All of it is known in the end: what left the list first, then what drains, then the rest; a
+   * newer change behind it.
+   */
   @Test
   void wholeListInSlices() throws Exception {
     Socket s = watch("1");
@@ -82,7 +91,8 @@
     stream(s, list(2, true, targets));
     more(s, list(3, false, List.of(target("s-5", "Terminating"))));
     until(MANY + 2);
-    assertEquals(GatewayEvent.EndpointState.REMOVED, entries.get(0).state()); // s-0, of the list last known
+    // s-0, of the list last known
+    assertEquals(GatewayEvent.EndpointState.REMOVED, entries.get(0).state());
     assertEquals(0, entries.get(0).serverId());
     assertEquals(GatewayEvent.EndpointState.DRAINING, entries.get(1).state());
     assertEquals(MANY - 1, distinct(GatewayEvent.EndpointState.READY));
@@ -93,7 +103,10 @@
     watch("3");
   }
 
-  /** A whole list that names few removes thousands, a slice at a time; the last entry of a name counts. */
+  /**
+   * A whole list that names few removes thousands, a slice at a time; the last entry of a name
+   * counts.
+   */
   @Test
   void shrinksAndGrows() throws Exception {
     Socket s = watch("1");
@@ -118,20 +131,23 @@
   @Test
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(1, 1 + Discovery.SLICE)));
+    stream(s, list(2, true, ready(1, 1 + DiscoveryClient.SLICE)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
-    assertEquals(Discovery.SLICE, event.endpoints().size());
+    assertEquals(DiscoveryClient.SLICE, event.endpoints().size());
   }
 
-  /** The agent ends while the slices go: what was read is applied, and the next watch goes on behind it. */
+  /**
+   * The agent ends while the slices go: what was read is applied, and the next watch goes on behind
+   * it.
+   */
   @Test
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(0, MANY)));
-    assertEquals(Discovery.SLICE, events.take().endpoints().size());
+    assertEquals(DiscoveryClient.SLICE, events.take().endpoints().size());
     s.close();
-    while (distinct(GatewayEvent.EndpointState.READY) < MANY - Discovery.SLICE) {
+    while (distinct(GatewayEvent.EndpointState.READY) < MANY - DiscoveryClient.SLICE) {
       entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
     watch("2");
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -29,8 +29,8 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * A whole node on loopback sockets, with a scripted module in it. The test's own thread is the client, the app srv,
- * the counter and discovery, each in its turn, so that nothing races.
+ * A whole node on loopback sockets, with a scripted module in it. The test's own thread is the
+ * client, the app srv, the counter and discovery, each in its turn, so that nothing races.
  */
 abstract class NodeHarness {
   private static final Pattern WAIT = Pattern.compile("\\$(\\d+) c=\\S*\\bd=(\\d+)");
@@ -42,11 +42,12 @@
   ServerSocket counter;
   ServerSocket discovery;
   DatagramSocket peer;
-  Serve node;
+  EdgeNode node;
   volatile GatewayActions to;
   boolean stopped;
   volatile Consumer<GatewayEvent> script = e -> {};
-  volatile boolean permit = true; // what the module says of a dispatch whose connection comes up late
+  // what the module says of a dispatch whose connection comes up late
+  volatile boolean permit = true;
   final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
   final BlockingQueue<List<String>> batches = new LinkedBlockingQueue<>();
 
@@ -56,7 +57,7 @@
     counter = listen();
     discovery = listen();
     peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    node = new Serve(NodeConfiguration.of(config()));
+    node = new EdgeNode(NodeConfiguration.of(config()));
     node.start(this::module).toCompletionStage().toCompletableFuture().get();
     assertEquals("listed CACHED_SNAPSHOT [0 READY]", next());
   }
@@ -92,11 +93,13 @@
   }
 
   String config() throws IOException {
-    return Files.readString(Path.of("deploy/sample.json")).replace("\"countLimit\":30", "\"countLimit\":1000")
+    return Files.readString(Path.of("deploy/sample.json"))
+        .replace("\"countLimit\":30", "\"countLimit\":1000")
         .replace("\"connectTimeout\":250", "\"connectTimeout\":5000")
         .replace("\"listen\":\"127.0.0.1:16379\"", "\"listen\":\"127.0.0.1:0\"")
         .replace("\"peer_listen\":\"127.0.0.1:16379\"", "\"peer_listen\":\"127.0.0.1:0\"")
-        .replace("\"peers\":[\"127.0.0.1:16379\"]", "\"peers\":[\"127.0.0.1:" + peer.getLocalPort() + "\"]")
+        .replace("\"peers\":[\"127.0.0.1:16379\"]",
+            "\"peers\":[\"127.0.0.1:" + peer.getLocalPort() + "\"]")
         .replace("\"discovery\":\"127.0.0.1:16379\"",
             "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\"")
         .replace("\"counter\":\"127.0.0.1:16379\"",
@@ -108,17 +111,19 @@
   static String text(GatewayEvent e) {
     if (e instanceof GatewayEvent.RequestArrived a)
       return "arrived " + a.requestId() + " waits " + a.clientTimeoutTicks() / 10;
-    if (e instanceof GatewayEvent.AttemptEnded d) return "ended " + d.requestId() + "/" + d.attempt() + " "
-        + d.outcome() + (d.requestFinished() ? " over" : "");
+    if (e instanceof GatewayEvent.AttemptEnded d) return "ended " + d.requestId() + "/"
+        + d.attempt() + " " + d.outcome() + (d.requestFinished() ? " over" : "");
     if (e instanceof GatewayEvent.CounterReplied c)
       return "counted " + c.counterName() + " " + c.outcome() + " " + c.total();
     if (e instanceof GatewayEvent.ClientDisconnected c) return "left " + c.requestId();
-    if (e instanceof GatewayEvent.HealthChecked p) return "probed " + p.outcome() + " " + p.loadReport();
+    if (e instanceof GatewayEvent.HealthChecked p)
+      return "probed " + p.outcome() + " " + p.loadReport();
     if (e instanceof GatewayEvent.EndpointsUpdated l) {
       return "listed " + l.kind() + " "
           + l.endpoints().stream().map(x -> x.serverId() + " " + x.state()).toList();
     }
-    if (e instanceof GatewayEvent.GossipReceived h) return "heard " + h.sender() + " " + h.message().usage();
+    if (e instanceof GatewayEvent.GossipReceived h)
+      return "heard " + h.sender() + " " + h.message().usage();
     return e.getClass().getSimpleName();
   }
 
@@ -141,8 +146,9 @@
   }
 
   /**
-   * Closes a client's connection and returns once its end has reached the node's socket: on a busy machine the system
-   * delivers it some time after the close, and a node that is held until then must find it there.
+   * Closes a client's connection and returns once its end has reached the node's socket: on a busy
+   * machine the system delivers it some time after the close, and a node that is held until then
+   * must find it there.
    */
   void closeAndAwaitEnd(Socket client) throws IOException, InterruptedException {
     int port = client.getLocalPort();
@@ -219,8 +225,9 @@
   }
 
   /**
-   * A command as an app server got it, with the time it was told put at {@code capMs} where that is what was left of it: less
-   * by what has passed since {@code saidAt} (the clock in ns) at the most, never more. Else it stays as it is.
+   * A command as an app server got it, with the time it was told put at {@code capMs} where that is
+   * what was left of it: less by what has passed since {@code saidAt} (the clock in ns) at the
+   * most, never more. Else it stays as it is.
    */
   static String withWaitOf(long capMs, String command, long saidAt) {
     long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - saidAt) + 1;
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -54,7 +54,10 @@
     assertEquals("-ERR aborted -BUSY", lines(good, 2));
   }
 
-  /** A count call is waited for as long as the module says, where that is longer than the settings' time of 1 s. */
+  /**
+   * A count call is waited for as long as the module says, where that is longer than the settings'
+   * time of 1 s.
+   */
   @Test
   void waitsForTheCounter() throws Exception {
     script = e -> {
@@ -75,7 +78,10 @@
     assertEquals("counted 255 TIMED_OUT 0.0", next());
   }
 
-  /** What the settings don't know, or a stranger with the id of a req that is out, gets an error and nothing else. */
+  /**
+   * What the settings don't know, or a stranger with the id of a req that is out, gets an error and
+   * nothing else.
+   */
   @Test
   void strangers() throws Exception {
     script = e -> {
@@ -86,7 +92,8 @@
     accept(counter);
     assertEquals("arrived 0 waits 900", next());
     Socket bad = client();
-    String[] wrong = {req(0), req(1).replace("units=1", "units=9"), req(1).replace("spread=1", "spread=2"),
+    String[] wrong = {req(0), req(1).replace("units=1", "units=9"),
+        req(1).replace("spread=1", "spread=2"),
         req(1).replace("$9\r\nSVC.QUERY", "$10\r\nSVC.SUBMIT"),
         req(1).replace("$39", "$44").replace(",n=", ",first=1")};
     for (String one : wrong) {
@@ -96,7 +103,9 @@
     assertEquals(null, seen.peek());
   }
 
-  /** A connection that says nothing, or half a command, ends within 3 s; one that has spoken stays. */
+  /**
+   * A connection that says nothing, or half a command, ends within 3 s; one that has spoken stays.
+   */
   @Test
   void muteClients() throws Exception {
     Socket usual = usual();
@@ -110,7 +119,10 @@
     assertEquals("-BUSY", line(usual));
   }
 
-  /** Clients are not crowded out by as many silent connections as the node may have; the oldest of those make room. */
+  /**
+   * Clients are not crowded out by as many silent connections as the node may have; the oldest of
+   * those make room.
+   */
   @Test
   void silentCrowd() throws Exception {
     Socket usual = usual();
@@ -123,7 +135,9 @@
     assertEquals("-BUSY", line(usual));
   }
 
-  /** An app srv's connection is used again, and each way it can end tells the module what it must. */
+  /**
+   * An app srv's connection is used again, and each way it can end tells the module what it must.
+   */
   @Test
   void dispatchesAndTheirEnds() throws Exception {
     script = e -> {
@@ -141,8 +155,10 @@
       say(c, req(i));
       assertEquals("arrived " + i + " waits 900", next());
       if (s == null) s = accept(appSrv);
-      assertEquals("*4 $9 SVC.QUERY $16 0000000000000007 $2 " + (10 + i)
-          + " $40 c=read,t=plan,d=8000,units=1,spread=1,n=", withWaitOf(8_000, lines(s, 9), saidAt));
+      assertEquals(
+          "*4 $9 SVC.QUERY $16 0000000000000007 $2 " + (10 + i)
+              + " $40 c=read,t=plan,d=8000,units=1,spread=1,n=",
+          withWaitOf(8_000, lines(s, 9), saidAt));
       if (answers[i] == null) s.close();
       else say(s, answers[i]);
       assertEquals("ended " + i + "/0 " + told[i], next());
@@ -153,7 +169,10 @@
     assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", next() + " " + next());
   }
 
-  /** An answer that can't be read is a failed dispatch that may have run, and nothing more goes out on its connection. */
+  /**
+   * An answer that can't be read is a failed dispatch that may have run, and nothing more goes out
+   * on its connection.
+   */
   @Test
   void spoiltAnswers() throws Exception {
     script = e -> {
@@ -161,8 +180,8 @@
       if (e instanceof GatewayEvent.AttemptEnded d) to.fail(d.requestId());
     };
     Socket c = client();
-    String[] answers = {"+OK\r\n", ":7\r\n", "*2\r\n$-1\r\n$-1\r\n", "-BUSYX\r\n", "*1\r\n$3000000000\r\nxx",
-        "\0\1\r\n", "*1\r\n$9\r\nhalf of it"};
+    String[] answers = {"+OK\r\n", ":7\r\n", "*2\r\n$-1\r\n$-1\r\n", "-BUSYX\r\n",
+        "*1\r\n$3000000000\r\nxx", "\0\1\r\n", "*1\r\n$9\r\nhalf of it"};
     for (int i = 0; i < answers.length; i++) {
       say(c, req(i));
       Socket s = accept(appSrv);
@@ -174,7 +193,10 @@
     }
   }
 
-  /** A counter's answer with no number in it may have been added; its connection ends, and so does half a line's. */
+  /**
+   * A counter's answer with no number in it may have been added; its connection ends, and so does
+   * half a line's.
+   */
   @Test
   void spoiltCounterAnswers() throws Exception {
     script = e -> {
@@ -182,24 +204,29 @@
     };
     Socket c = client();
     String[] answers = {"ok NaN\r\n", "noise\r\n", "ok 0x1p3\r\n", "ok", "busy\r\n", "error\r\n"};
-    String[] told = {"CONNECTION_LOST", "CONNECTION_LOST", "CONNECTION_LOST", "TIMED_OUT", "SERVER_BUSY",
-        "NOT_SENT"};
+    String[] told = {"CONNECTION_LOST", "CONNECTION_LOST", "CONNECTION_LOST", "TIMED_OUT",
+        "SERVER_BUSY", "NOT_SENT"};
     Socket s = null;
     for (int i = 0; i < answers.length; i++) {
       say(c, req(i));
       if (i < 5) s = accept(counter);
       line(s);
       say(s, answers[i]);
-      assertEquals("arrived " + i + " waits 900 counted 255 " + told[i] + " 0.0", next() + " " + next());
+      assertEquals("arrived " + i + " waits 900 counted 255 " + told[i] + " 0.0",
+          next() + " " + next());
       if (i < 4) assertEquals("closed", line(s));
     }
   }
 
-  /** A dispatch given up ends its connection; an answer that comes with too much is not kept for the next one. */
+  /**
+   * A dispatch given up ends its connection; an answer that comes with too much is not kept for the
+   * next one.
+   */
   @Test
   void givenUpAndLeftOver() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, rid(e) == 0 ? 5_000 : 80_000);
+      if (e instanceof GatewayEvent.RequestArrived)
+        to.startAttempt(rid(e), 0, rid(e) == 0 ? 5_000 : 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d && d.requestId() == 0) to.fail(0);
       if (e instanceof GatewayEvent.ClientDisconnected l) to.cancelAttempt(l.requestId(), 0);
     };
@@ -226,7 +253,10 @@
     assertEquals("left 2 ended 2/0 CANCELLED over closed", next() + " " + next() + " " + line(s));
   }
 
-  /** A call that has timed out keeps its place: its late answer is not taken for that of the call behind it. */
+  /**
+   * A call that has timed out keeps its place: its late answer is not taken for that of the call
+   * behind it.
+   */
   @Test
   void lateCounterAnswers() throws Exception {
     script = e -> {
@@ -257,11 +287,16 @@
     say(c, req(4));
     assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", next() + " " + next());
     List<String> figures = info(c);
-    assertTrue(figures.containsAll(List.of("reqs=5", "counted=5", "counts_answered=1", "counter_opened=1")),
+    assertTrue(
+        figures
+            .containsAll(List.of("reqs=5", "counted=5", "counts_answered=1", "counter_opened=1")),
         figures.toString());
   }
 
-  /** A watch that ends is taken up again from the version last told, as after a line that makes no sense. */
+  /**
+   * A watch that ends is taken up again from the version last told, as after a line that makes no
+   * sense.
+   */
   @Test
   void discoveryComesAndGoes() throws Exception {
     Socket s = accept(discovery);
@@ -276,20 +311,23 @@
     s.close();
     s = accept(discovery);
     assertEquals("GET /api/targets?follow=1&since=7 HTTP/1.1", line(s));
-    String body = line.replace("false", "true").replace("Terminating", "Ready").replace("s-1", "s-2")
-        .replace("7", "8");
+    String body = line.replace("false", "true").replace("Terminating", "Ready")
+        .replace("s-1", "s-2").replace("7", "8");
     stream(s, body);
     assertEquals("listed SNAPSHOT [2 READY]", next());
   }
 
-  /** SIGHUP moves discovery and the counter, and no answer of a name overtakes another; a bad file changes nothing. */
+  /**
+   * SIGHUP moves discovery and the counter, and no answer of a name overtakes another; a bad file
+   * changes nothing.
+   */
   @Test
   void hangup(@TempDir Path dir) throws Exception {
     script = e -> {
       if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
     };
     Path path = dir.resolve("config.json");
-    node.rereadOn(new Hangups(), path);
+    node.rereadOn(new ReloadSignal(), path);
     Socket oldWatch = accept(discovery);
     Socket c = client();
     say(c, req(0));
@@ -323,18 +361,20 @@
   @Test
   void hangupBeforeTheStart(@TempDir Path dir) throws Exception {
     Path path = Files.writeString(dir.resolve("config.json"), config());
-    Serve early = new Serve(NodeConfiguration.of(config()));
+    EdgeNode early = new EdgeNode(NodeConfiguration.of(config()));
     ServerSocket was = discovery;
     discovery = listen();
     Files.writeString(path, config());
-    Hangups hangups = new Hangups();
+    ReloadSignal hangups = new ReloadSignal();
     Signal.raise(new Signal("HUP"));
     while (!hangups.waits()) Thread.onSpinWait();
     early.rereadOn(hangups, path);
     CountDownLatch read = new CountDownLatch(1); // the file, and what it says was handed over
-    early.loop.runOnContext(v -> early.vertx.executeBlocking(() -> 0).onSuccess(x -> read.countDown()));
+    early.loop
+        .runOnContext(v -> early.vertx.executeBlocking(() -> 0).onSuccess(x -> read.countDown()));
     assertTrue(read.await(20, TimeUnit.SECONDS));
-    early.start((now, site, out) -> (at, events) -> {}).toCompletionStage().toCompletableFuture().get();
+    early.start((now, site, out) -> (at, events) -> {}).toCompletionStage().toCompletableFuture()
+        .get();
     assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(accept(discovery)));
     was.close();
     early.stop().toCompletionStage().toCompletableFuture().get();
@@ -353,23 +393,29 @@
     assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", next() + " " + next());
   }
 
-  /** A datagram goes out from the address at which the node listens, and a peer is known by the one it sends from. */
+  /**
+   * A datagram goes out from the address at which the node listens, and a peer is known by the one
+   * it sends from.
+   */
   @Test
   void datagrams() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived)
-        to.sendGossip(0, new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 1.5)), null));
+      if (e instanceof GatewayEvent.RequestArrived) to.sendGossip(0,
+          new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 1.5)), null));
     };
     say(client(), req(0));
     DatagramPacket packet = new DatagramPacket(new byte[300], 300);
     peer.receive(packet);
-    peer.send(
-        new DatagramPacket("hello".getBytes(StandardCharsets.ISO_8859_1), 5, packet.getSocketAddress()));
+    peer.send(new DatagramPacket("hello".getBytes(StandardCharsets.ISO_8859_1), 5,
+        packet.getSocketAddress()));
     peer.send(packet);
-    assertEquals("arrived 0 waits 900 heard 0 [WindowUsage[customer=7, windowNumber=2, units=1.5]]", next() + " " + next());
+    assertEquals("arrived 0 waits 900 heard 0 [WindowUsage[customer=7, windowNumber=2, units=1.5]]",
+        next() + " " + next());
   }
 
-  /** Guards against a fault in the module that ends the process: it costs the req that it came with. */
+  /**
+   * Guards against a fault in the module that ends the process: it costs the req that it came with.
+   */
   @Test
   void moduleFails() throws Exception {
     script = e -> {
@@ -382,7 +428,8 @@
     assertEquals("-ERR aborted", line(c));
     say(c, req(1));
     assertEquals("-BUSY", line(c));
-    assertEquals("arrived 0 waits 900 left 0 arrived 1 waits 900", next() + " " + next() + " " + next());
+    assertEquals("arrived 0 waits 900 left 0 arrived 1 waits 900",
+        next() + " " + next() + " " + next());
   }
 
   /** After SIGTERM connections are served while time allows; what is owed at the end is aborted. */
@@ -413,24 +460,30 @@
   @Test
   void badConfiguration(@TempDir Path dir) throws IOException {
     ByteArrayOutputStream err = new ByteArrayOutputStream();
-    String[] keys = {"name", "seed", "listen", "discovery", "settings", "limits", "known", "sockets",
-        "memory_mb", "categories", "peers", "counter", "connIdle", "aim", "refill", "cancelling", "effect"};
+    String[] keys = {"name", "seed", "listen", "discovery", "settings", "limits", "known",
+        "sockets", "memory_mb", "categories", "peers", "counter", "connIdle", "aim", "refill",
+        "cancelling", "effect"};
     for (String key : keys) {
       String wrong = config().replaceFirst("\"" + key + "\":", "\"" + key + "\":[[]],\"was\":");
       Path path = Files.writeString(dir.resolve("config.json"), wrong);
       ByteArrayOutputStream one = new ByteArrayOutputStream();
-      assertEquals(2, Serve.run((now, site, out) -> null, path.toString(), new PrintStream(one)), key);
-      assertTrue(one.toString().lines().count() == 1 && one.toString().contains(key), one.toString());
+      assertEquals(2, EdgeNode.run((now, site, out) -> null, path.toString(), new PrintStream(one)),
+          key);
+      assertTrue(one.toString().lines().count() == 1 && one.toString().contains(key),
+          one.toString());
     }
     String[] texts = {"", "{", "{}", config().replace("1024", "100"),
-        config().replace("0000000000000001", "seed"), config().replace("127.0.0.1:0\"", "127.0.0.1\"")};
+        config().replace("0000000000000001", "seed"),
+        config().replace("127.0.0.1:0\"", "127.0.0.1\"")};
     for (String text : texts) {
       Path path = Files.writeString(dir.resolve("config.json"), text);
-      assertEquals(2, Serve.run((now, site, out) -> null, path.toString(), new PrintStream(err)));
+      assertEquals(2,
+          EdgeNode.run((now, site, out) -> null, path.toString(), new PrintStream(err)));
     }
-    assertEquals(2,
-        Serve.run((now, site, out) -> null, dir.resolve("none").toString(), new PrintStream(err)));
-    assertTrue(err.toString().lines().allMatch(l -> l.startsWith("saltlatch serve: configuration ")),
+    assertEquals(2, EdgeNode.run((now, site, out) -> null, dir.resolve("none").toString(),
+        new PrintStream(err)));
+    assertTrue(
+        err.toString().lines().allMatch(l -> l.startsWith("saltlatch serve: configuration ")),
         err.toString());
   }
 }
--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process of the built jar with its real module; the test is its clients, counter, discovery and app srv. */
+/**
+ * One process of the built jar with its real module; the test is its clients, counter, discovery
+ * and app srv.
+ */
 @Timeout(120)
 class ProcessIT {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
@@ -45,7 +48,8 @@
         .replace("\"sockets\":1024", "\"sockets\":" + DESCRIPTORS)
         .replace("\"countLimit\":30", "\"countLimit\":5000")
         .replace("\"listen\":\"127.0.0.1:16379\"", "\"listen\":\"127.0.0.1:" + port + "\"")
-        .replace("\"peer_listen\":\"127.0.0.1:16379\"", "\"peer_listen\":\"127.0.0.1:" + port + "\"")
+        .replace("\"peer_listen\":\"127.0.0.1:16379\"",
+            "\"peer_listen\":\"127.0.0.1:" + port + "\"")
         .replace("\"peers\":[\"127.0.0.1:16379\"]", "\"peers\":[\"127.0.0.1:" + port + "\"]")
         .replace("\"discovery\":\"127.0.0.1:16379\"",
             "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\"")
@@ -54,10 +58,12 @@
         .replace("\"address\":\"127.0.0.1:16379\"", "\"address\":\"127.0.0.1:9\"");
     Path file = Files.writeString(dir.resolve("config.json"), config);
     ProcessBuilder command = new ProcessBuilder("sh", "-c",
-        "ulimit -n " + DESCRIPTORS + "; exec " + Path.of(System.getProperty("java.home"), "bin", "java")
+        "ulimit -n " + DESCRIPTORS + "; exec "
+            + Path.of(System.getProperty("java.home"), "bin", "java")
             + " -XX:+UseSerialGC -Xmx64m -jar target/saltlatch.jar serve");
     command.environment().put("LB_CONFIG", file.toString());
-    process = command.redirectErrorStream(true).redirectOutput(dir.resolve("log.txt").toFile()).start();
+    process = command.redirectErrorStream(true).redirectOutput(dir.resolve("log.txt").toFile())
+        .start();
   }
 
   @AfterEach
@@ -102,7 +108,10 @@
     }
   }
 
-  /** Idle clients fill all that clients may have while discovery is silent: at its return all partners are still reached. */
+  /**
+   * Idle clients fill all that clients may have while discovery is silent: at its return all
+   * partners are still reached.
+   */
   @Test
   void idleClientsWhileDiscoveryIsDown() throws Exception {
     ready();
@@ -114,7 +123,8 @@
     Socket watch = accept(discovery);
     discovery.setSoTimeout(200);
     try {
-      while (true) watch = accept(discovery); // the newest: earlier ones were given up, each 2 s behind the last
+      // the newest: earlier ones were given up, each 2 s behind the last
+      while (true) watch = accept(discovery);
     } catch (java.net.SocketTimeoutException e) {
       // the one in hand is waited for still
     }
@@ -138,7 +148,10 @@
     assertTrue(System.nanoTime() - back < 30_000_000_000L);
   }
 
-  /** The counter's first connection; a node that was starved of its core denies reqs that lay unread: then it asks again. */
+  /**
+   * The counter's first connection; a node that was starved of its core denies reqs that lay
+   * unread: then it asks again.
+   */
   private Socket counted(Socket c) throws IOException {
     counter.setSoTimeout(2_000);
     for (int id = 1; id <= 10; id++) {
@@ -152,7 +165,10 @@
     throw new IOException("no count call");
   }
 
-  /** SIGTERM in the instant of readiness and once more: what is asked is still answered, and the process ends by itself. */
+  /**
+   * SIGTERM in the instant of readiness and once more: what is asked is still answered, and the
+   * process ends by itself.
+   */
   @Test
   void endsWhenJustReady() throws Exception {
     ready();
@@ -169,6 +185,7 @@
     assertTrue(answered > 0);
     assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     assertEquals(143, process.exitValue());
-    assertTrue(System.nanoTime() - since < 4_500_000_000L, Files.readString(dir.resolve("log.txt")));
+    assertTrue(System.nanoTime() - since < 4_500_000_000L,
+        Files.readString(dir.resolve("log.txt")));
   }
 }
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
 
-/** A planned end that crosses with what clients do just then. Nothing that was read goes unanswered, or is sent on afterwards. */
+/**
+ * A planned end that crosses with what clients do just then. Nothing that was read goes unanswered,
+ * or is sent on afterwards.
+ */
 @Timeout(60)
 class ShutdownTest extends NodeHarness {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
@@ -30,7 +33,10 @@
     return node.stop().toCompletionStage().toCompletableFuture();
   }
 
-  /** Hundreds of connections wait to be accepted, each with a req, when the end begins: all are served. */
+  /**
+   * Hundreds of connections wait to be accepted, each with a req, when the end begins: all are
+   * served.
+   */
   @Test
   void crowdInTheBacklog() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
@@ -61,7 +67,10 @@
     done.get(5, TimeUnit.SECONDS);
   }
 
-  /** Clients that go on asking until their connection ends: each answer but none of the unanswered was read. */
+  /**
+   * Clients that go on asking until their connection ends: each answer but none of the unanswered
+   * was read.
+   */
   @Test
   void askedUpToTheLastTurn() throws Exception {
     script = e -> {
@@ -81,10 +90,14 @@
     }
     done.get(5, TimeUnit.SECONDS);
     long arrived = seen.stream().filter(text -> text.startsWith("arrived")).count();
-    assertTrue(arrived <= answered, arrived + " read and " + answered + " answered"); // the last ones the listener denies itself
+    // the last ones the listener denies itself
+    assertTrue(arrived <= answered, arrived + " read and " + answered + " answered");
   }
 
-  /** Answers that a client has not taken yet when the end comes still reach it, whole, before its connection ends. */
+  /**
+   * Answers that a client has not taken yet when the end comes still reach it, whole, before its
+   * connection ends.
+   */
   @Test
   void answersInTheWriteQueue() throws Exception {
     Socket c = client();
@@ -92,12 +105,15 @@
     for (int i = 0; i < 2_000; i++) say(c, info);
     CompletableFuture<Void> done = ending();
     int got = 0;
-    for (String line = line(c); !line.equals("closed"); line = line(c)) if (line.startsWith("held=")) got++;
+    for (String line = line(c); !line.equals("closed"); line = line(c))
+      if (line.startsWith("held=")) got++;
     assertEquals(2_000, got);
     done.get(5, TimeUnit.SECONDS);
   }
 
-  /** An app srv that hangs just then: the req is aborted in time, and its late answer is nobody's. */
+  /**
+   * An app srv that hangs just then: the req is aborted in time, and its late answer is nobody's.
+   */
   @Test
   void appSrvHangs() throws Exception {
     script = e -> {
@@ -111,7 +127,8 @@
     CompletableFuture<Void> done = ending();
     assertEquals("-ERR aborted closed", lines(c, 2));
     long took = (System.nanoTime() - since) / 1_000_000;
-    assertTrue(took < 3_400, took + " ms"); // SIGKILL comes 1.7 s after SIGTERM at the soonest, 3.7 s where deadlines are long
+    // SIGKILL comes 1.7 s after SIGTERM at the soonest, 3.7 s where deadlines are long
+    assertTrue(took < 3_400, took + " ms");
     say(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
     done.get(5, TimeUnit.SECONDS);
   }
@@ -119,10 +136,10 @@
   /** The end is told before the node is ready: it never gets ready, and is over at once. */
   @Test
   void beforeItIsReady() throws Exception {
-    Serve early = new Serve(NodeConfiguration.of(config()));
+    EdgeNode early = new EdgeNode(NodeConfiguration.of(config()));
     CompletableFuture<Void> done = early.stop().toCompletionStage().toCompletableFuture();
-    CompletableFuture<Void> open = early.start((now, site, out) -> (at, events) -> {}).toCompletionStage()
-        .toCompletableFuture();
+    CompletableFuture<Void> open = early.start((now, site, out) -> (at, events) -> {})
+        .toCompletionStage().toCompletableFuture();
     assertThrows(ExecutionException.class, () -> open.get(5, TimeUnit.SECONDS));
     done.get(5, TimeUnit.SECONDS);
   }
@@ -153,7 +170,10 @@
     done.get(5, TimeUnit.SECONDS);
   }
 
-  /** What a client sends on a connection that this node has just ended stays unread: a reset tells that it was not taken. */
+  /**
+   * What a client sends on a connection that this node has just ended stays unread: a reset tells
+   * that it was not taken.
+   */
   @Test
   void askedBehindTheEnd() throws Exception {
     try (SocketChannel c = SocketChannel.open(new InetSocketAddress("127.0.0.1", node.port()))) {
@@ -164,7 +184,8 @@
       assertEquals(-1, c.read(got));
       c.write(ByteBuffer.wrap(req(0).getBytes(StandardCharsets.ISO_8859_1)));
       done.get(5, TimeUnit.SECONDS);
-      assertThrows(IOException.class, () -> c.write(ByteBuffer.allocate(1))); // else the system takes it: no reset has come
+      // else the system takes it: no reset has come
+      assertThrows(IOException.class, () -> c.write(ByteBuffer.allocate(1)));
     }
   }
 }
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -14,8 +14,9 @@
 import sun.misc.Signal;
 
 /**
- * A list watch that goes wrong, each way on a real connection. A change counts as told 6 s after discovery had it and could be
- * reached, so the next watch has to be open before that: 4.5 s of silence, or 2 s without a beginning, and at most 1 s apart.
+ * A list watch that goes wrong, each way on a real connection. A change counts as told 6 s after
+ * discovery had it and could be reached, so the next watch has to be open before that: 4.5 s of
+ * silence, or 2 s without a beginning, and at most 1 s apart.
  */
 @Timeout(60)
 class WatchTest extends NodeHarness {
@@ -24,8 +25,8 @@
 
   private static String list(int index, boolean whole, String name, String status) {
     return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[{\"name\":\"" + name
-        + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"" + status
-        + "\",\"weight\":1.0,\"since_ms\":0}]}\n";
+        + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\""
+        + status + "\",\"weight\":1.0,\"since_ms\":0}]}\n";
   }
 
   private static void chunk(Socket s, String body) throws IOException {
@@ -141,23 +142,30 @@
     assertEquals("listed SNAPSHOT [1 READY]", next());
   }
 
-  /** A list over several lines, as when discovery indents what it writes, in pieces that cut it anywhere. */
+  /**
+   * A list over several lines, as when discovery indents what it writes, in pieces that cut it
+   * anywhere.
+   */
   @Test
   void indented() throws Exception {
     Socket s = first();
-    String text = list(2, true, "s-\\\"}{", "Ready").trim().replace(",", ",\n    ").replace("{\"index",
-        "{\n  \"index") + "\n";
+    String text = list(2, true, "s-\\\"}{", "Ready").trim().replace(",", ",\n    ")
+        .replace("{\"index", "{\n  \"index") + "\n";
     say(s, HEAD);
-    for (int i = 0; i < text.length(); i += 7) chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
+    for (int i = 0; i < text.length(); i += 7)
+      chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
     chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
     assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]", next() + " " + next());
   }
 
-  /** An agent that is behind, before or after SIGHUP, does not turn the list back; nor does the old one's late word. */
+  /**
+   * An agent that is behind, before or after SIGHUP, does not turn the list back; nor does the old
+   * one's late word.
+   */
   @Test
   void olderListsArePassedOver(@TempDir Path dir) throws Exception {
     Path path = dir.resolve("config.json");
-    node.rereadOn(new Hangups(), path);
+    node.rereadOn(new ReloadSignal(), path);
     Socket old = first();
     stream(old, list(7, false, "s-1", "Terminating"));
     assertEquals("listed DELTA [1 DRAINING]", next());
@@ -171,23 +179,27 @@
     } catch (IOException e) {
       // closed already, as it should be
     }
-    stream(last,
-        list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready") + list(8, false, "s-4", "Ready"));
+    stream(last, list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready")
+        + list(8, false, "s-4", "Ready"));
     assertEquals("listed DELTA [2 READY]", next());
     was.close();
   }
 
-  /** An address that can't be used, or an entry of another type: the change is asked for again, and none of it is half taken. */
+  /**
+   * An address that can't be used, or an entry of another type: the change is asked for again, and
+   * none of it is half taken.
+   */
   @Test
   void malformedListsAreAskedForAgain() throws Exception {
     String good = list(2, false, "s-1", "Ready");
-    String[] bad = {good.replace("127.0.0.1:9", "nowhere"), good.replace("127.0.0.1:9", "127.0.0.1:x"),
-        good.replace("\"127.0.0.1:9\"", "{}"), good.replace("Ready", "Sleeping"),
-        good.replace("127.0.0.1:9", ""), good.replace("\"since_ms\":0", "\"since_ms\":\"soon\""), "[]\n",
-        "all is well\n"};
+    String[] bad = {good.replace("127.0.0.1:9", "nowhere"),
+        good.replace("127.0.0.1:9", "127.0.0.1:x"), good.replace("\"127.0.0.1:9\"", "{}"),
+        good.replace("Ready", "Sleeping"), good.replace("127.0.0.1:9", ""),
+        good.replace("\"since_ms\":0", "\"since_ms\":\"soon\""), "[]\n", "all is well\n"};
     for (String one : bad) {
       first();
-      stream(last, one + list(3, false, "s-3", "Ready")); // what comes behind it is no help: it would hide what is missing
+      // what comes behind it is no help: it would hide what is missing
+      stream(last, one + list(3, false, "s-3", "Ready"));
     }
     first();
     stream(last, good);
--- a/src/test/java/saltlatch/policy/DecisionTrace.java
+++ b/src/test/java/saltlatch/policy/DecisionTrace.java
@@ -17,16 +17,19 @@
 import saltlatch.api.GatewayEvent.EndpointState;
 import saltlatch.api.GatewaySettings;
 import saltlatch.api.GossipMessage;
-import saltlatch.wire.SumsForm;
+import saltlatch.wire.peer.GossipCodec;
 
-/** Plays events into one Control and prints what it does, a line an action; compared with a kept trace. */
+/**
+ * Plays events into one Control and prints what it does, a line an action; compared with a kept
+ * trace.
+ */
 final class DecisionTrace implements GatewayActions {
   static final GatewaySettings.QuotaPlan FIRM = new GatewaySettings.QuotaPlan(2, 6, 0, 0, 0, 1);
   static final GatewaySettings.QuotaPlan NO_QUOTA = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
-  static final GatewaySettings.RequestClass REPLAYABLE = kind(GatewaySettings.RetrySafety.IDEMPOTENT,
-      GatewaySettings.KeyScope.ALL);
-  static final GatewaySettings.RequestClass UNIQUED = kind(GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY,
-      GatewaySettings.KeyScope.GROUP);
+  static final GatewaySettings.RequestClass REPLAYABLE = kind(
+      GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL);
+  static final GatewaySettings.RequestClass UNIQUED = kind(
+      GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY, GatewaySettings.KeyScope.GROUP);
   static final GatewaySettings.RequestClass ONCE = kind(GatewaySettings.RetrySafety.NOT_IDEMPOTENT,
       GatewaySettings.KeyScope.ALL);
 
@@ -49,17 +52,19 @@
     return site(7, 2, plan, unitsAfter, follow);
   }
 
-  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan, boolean unitsAfter,
-      boolean follow) {
+  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan,
+      boolean unitsAfter, boolean follow) {
     return site(seed, nodes, plan, unitsAfter, follow, 0, 0);
   }
 
-  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan, boolean unitsAfter,
-      boolean follow, int me, double intake) {
-    GatewaySettings.Limits rules = new GatewaySettings.Limits(follow, true, 4, true, 10_000, true, 100_000,
-        0.2, 4, 10_000);
-    return new GatewaySettings(seed, nodes, 20, rules, new GatewaySettings.CounterSettings(true, unitsAfter),
-        new GatewaySettings.PeerSettings(me, intake, 0), List.of(REPLAYABLE, UNIQUED, ONCE), List.of(plan));
+  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan,
+      boolean unitsAfter, boolean follow, int me, double intake) {
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(follow, true, 4, true, 10_000, true,
+        100_000, 0.2, 4, 10_000);
+    return new GatewaySettings(seed, nodes, 20, rules,
+        new GatewaySettings.CounterSettings(true, unitsAfter),
+        new GatewaySettings.PeerSettings(me, intake, 0), List.of(REPLAYABLE, UNIQUED, ONCE),
+        List.of(plan));
   }
 
   DecisionTrace(GatewaySettings site) {
@@ -80,10 +85,12 @@
       boolean marked = parts.length > 2;
       entries.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
           marked && parts[2].equals("cold") ? now : 0, 0, Integer.parseInt(parts[1]),
-          marked && parts[2].equals("draining") ? EndpointState.DRAINING : EndpointState.READY, 1, 0));
+          marked && parts[2].equals("draining") ? EndpointState.DRAINING : EndpointState.READY, 1,
+          0));
     }
     say("listed " + String.join(", ", srvs));
-    sendGossip(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
+    sendGossip(
+        new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
   }
 
   void arrive(long rid, int frontend, double units) {
@@ -91,9 +98,11 @@
   }
 
   void arrive(long rid, int frontend, double units, boolean repeat) {
-    say("req " + rid + " of frontend " + frontend + ", units " + units + (repeat ? ", a further try" : "")
-        + (left < 30_000 ? ", waits " + left / 10 : "") + (age > 0 ? ", lay unread for " + age / 10 : ""));
-    sendGossip(new GatewayEvent.RequestArrived(rid, frontend, 0, 9, left, units, 2, 0, repeat, age));
+    say("req " + rid + " of frontend " + frontend + ", units " + units
+        + (repeat ? ", a further try" : "") + (left < 30_000 ? ", waits " + left / 10 : "")
+        + (age > 0 ? ", lay unread for " + age / 10 : ""));
+    sendGossip(
+        new GatewayEvent.RequestArrived(rid, frontend, 0, 9, left, units, 2, 0, repeat, age));
   }
 
   void counted(double total) {
@@ -116,8 +125,8 @@
 
   void ended(long rid, int dispatch, AttemptOutcome how, double actual) {
     say("dispatch " + dispatch + " of req " + rid + " " + how);
-    sendGossip(new GatewayEvent.AttemptEnded(rid, 0, dispatch, how, how == AttemptOutcome.SUCCEEDED, 0,
-        actual, 0, List.of()));
+    sendGossip(new GatewayEvent.AttemptEnded(rid, 0, dispatch, how, how == AttemptOutcome.SUCCEEDED,
+        0, actual, 0, List.of()));
   }
 
   void sendGossip(GatewayEvent... events) {
@@ -146,7 +155,10 @@
     if (!muted) text.append(String.format(Locale.ROOT, "%7.1f %s%n", (now - 60_000) / 10.0, line));
   }
 
-  /** Compares with the kept trace; -Dsaltlatch.record=true writes it anew, to be read before it is kept. */
+  /**
+   * Compares with the kept trace; -Dsaltlatch.record=true writes it anew, to be read before it is
+   * kept.
+   */
   void matches(String name) throws IOException {
     String seen = text.toString();
     if (Boolean.getBoolean("saltlatch.record")) {
@@ -205,8 +217,8 @@
   @Override
   public void addToCounter(long name, double units, long keep, long cap) {
     names.add(name);
-    say(String.format(Locale.ROOT, "  -> count window %d: %+.2f, kept %.0f", name & 0x7fffffffL, units,
-        keep / 10.0));
+    say(String.format(Locale.ROOT, "  -> count window %d: %+.2f, kept %.0f", name & 0x7fffffffL,
+        units, keep / 10.0));
   }
 
   @Override
@@ -216,7 +228,7 @@
 
   @Override
   public void sendGossip(int peer, GossipMessage told) {
-    say("  -> tell " + peer + ", " + SumsForm.write(told).length + " bytes");
+    say("  -> tell " + peer + ", " + GossipCodec.encode(told).length + " bytes");
   }
 
   @Override
--- a/src/test/java/saltlatch/policy/PolicyEngineTest.java
+++ b/src/test/java/saltlatch/policy/PolicyEngineTest.java
@@ -10,15 +10,22 @@
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 import saltlatch.api.GatewaySettings;
 
-/** Each test prints a short trace of decisions; the kept ones are in src/test/resources/traces, to be read. */
+/**
+ * Each test prints a short trace of decisions; the kept ones are in src/test/resources/traces, to
+ * be read.
+ */
 class PolicyEngineTest {
   private static final int REPLAYABLE = 0;
   private static final int UNIQUED = 1;
   private static final int ONCE = 2;
 
-  private final DecisionTrace t = new DecisionTrace(DecisionTrace.site(DecisionTrace.FIRM, false, false));
+  private final DecisionTrace t = new DecisionTrace(
+      DecisionTrace.site(DecisionTrace.FIRM, false, false));
 
-  /** Under the limit a req passes on the total, at the limit it is denied and its reservation given back. */
+  /**
+   * Under the limit a req passes on the total, at the limit it is denied and its reservation given
+   * back.
+   */
   @Test
   void ordinaryPath() throws IOException {
     t.list("11/1", "12/1");
@@ -41,7 +48,8 @@
   /** Many nodes with few reqs each: their rotations begin at different app srvs. */
   @Test
   void rotationsStartApart() {
-    DecisionTrace other = new DecisionTrace(DecisionTrace.site(9, 2, DecisionTrace.FIRM, false, false));
+    DecisionTrace other = new DecisionTrace(
+        DecisionTrace.site(9, 2, DecisionTrace.FIRM, false, false));
     for (DecisionTrace node : List.of(t, other)) {
       node.list("11/1", "12/1", "13/1", "14/1", "15/1");
       node.arrive(1, REPLAYABLE, 1);
@@ -50,7 +58,10 @@
     assertEquals(List.of(1, 0), List.of(t.addToCounter("to 13"), other.addToCounter("to 13")));
   }
 
-  /** Units told afterwards: the reservation starts from the guess, is settled on its window and learns. */
+  /**
+   * Units told afterwards: the reservation starts from the guess, is settled on its window and
+   * learns.
+   */
   @Test
   void settling() throws IOException {
     t.start(DecisionTrace.site(DecisionTrace.FIRM, true, false));
@@ -74,7 +85,10 @@
     t.counted(AttemptOutcome.TIMED_OUT);
   }
 
-  /** No answers: two misses lead to the local share and a few testing calls; prompt answers lead back. */
+  /**
+   * No answers: two misses lead to the local share and a few testing calls; prompt answers lead
+   * back.
+   */
   @Test
   void silentCounter() throws IOException {
     t.list("11/1", "12/1", "13/1", "14/1");
@@ -95,7 +109,10 @@
     t.matches("silent-counter");
   }
 
-  /** What passes on a share is carried by the next call, so another node's total counts as it stands. */
+  /**
+   * What passes on a share is carried by the next call, so another node's total counts as it
+   * stands.
+   */
   @Test
   void jamChargesOnce() throws IOException {
     t.list("11/1", "12/1", "13/1", "14/1");
@@ -116,7 +133,10 @@
     t.matches("jam-charges-once");
   }
 
-  /** After two misses the gap closes within three seconds of answers, though reqs come seldomer than it lets calls. */
+  /**
+   * After two misses the gap closes within three seconds of answers, though reqs come seldomer than
+   * it lets calls.
+   */
   @Test
   void gapClosesAtFewReqs() {
     t.list("11/1", "12/1", "13/1", "14/1");
@@ -132,7 +152,10 @@
     assertEquals(3, t.addToCounter("-> count") - calls);
   }
 
-  /** A customer that comes mostly through others has less than an even share here while the counter is silent. */
+  /**
+   * A customer that comes mostly through others has less than an even share here while the counter
+   * is silent.
+   */
   @Test
   void seldomHere() throws IOException {
     t.list("11/1", "12/1", "13/1", "14/1");
@@ -154,7 +177,10 @@
     t.matches("seldom-here");
   }
 
-  /** A count call that broke off may have counted, one that was turned away has not: only that is owed again. */
+  /**
+   * A count call that broke off may have counted, one that was turned away has not: only that is
+   * owed again.
+   */
   @Test
   void brokenCount() throws IOException {
     t.list("11/1", "12/1", "13/1", "14/1");
@@ -169,10 +195,14 @@
     t.matches("broken-count");
   }
 
-  /** 200 nodes must not test a jammed counter into a longer jam: each calls far less than one of two does. */
+  /**
+   * 200 nodes must not test a jammed counter into a longer jam: each calls far less than one of two
+   * does.
+   */
   @Test
   void jamOfManyNodes() {
-    DecisionTrace many = new DecisionTrace(DecisionTrace.site(7, 200, DecisionTrace.FIRM, false, false));
+    DecisionTrace many = new DecisionTrace(
+        DecisionTrace.site(7, 200, DecisionTrace.FIRM, false, false));
     for (DecisionTrace node : List.of(t, many)) {
       node.list("11/1");
       for (int i = 0; i < 200; i++) {
@@ -182,7 +212,8 @@
         node.ended(i, 0, AttemptOutcome.SUCCEEDED);
       }
     }
-    assertEquals(List.of(47, 12), List.of(t.addToCounter("-> count"), many.addToCounter("-> count")));
+    assertEquals(List.of(47, 12),
+        List.of(t.addToCounter("-> count"), many.addToCounter("-> count")));
   }
 
   /** A counter that never answers still leaves every req with one final answer in time. */
@@ -194,7 +225,10 @@
     t.matches("never-answered");
   }
 
-  /** A total below what this node was answered for: the known floor decides for the rest of the window. */
+  /**
+   * A total below what this node was answered for: the known floor decides for the rest of the
+   * window.
+   */
   @Test
   void lostCounts() throws IOException {
     t.list("11/1");
@@ -207,7 +241,10 @@
     t.matches("lost-counts");
   }
 
-  /** Once spent or in a jam, first tries take the room there is; further tries come too late and are denied. */
+  /**
+   * Once spent or in a jam, first tries take the room there is; further tries come too late and are
+   * denied.
+   */
   @Test
   void furtherTries() throws IOException {
     t.list("11/1", "12/1", "13/1");
@@ -231,7 +268,10 @@
     t.matches("further-tries");
   }
 
-  /** A non-replayable dispatch that may have run ends in an abort; one that never ran goes elsewhere. */
+  /**
+   * A non-replayable dispatch that may have run ends in an abort; one that never ran goes
+   * elsewhere.
+   */
   @Test
   void nonReplayable() throws IOException {
     t.list("11/1", "12/1");
@@ -248,7 +288,10 @@
     t.matches("non-replayable");
   }
 
-  /** A uniqued req that may have run is repeated in its cell while that remembers it, and aborted after. */
+  /**
+   * A uniqued req that may have run is repeated in its cell while that remembers it, and aborted
+   * after.
+   */
   @Test
   void uniqued() throws IOException {
     t.list("11/1", "12/2", "13/1");
@@ -310,7 +353,8 @@
   /** The ceiling's part is empty at start and after a restart: a restart fills nothing. */
   @Test
   void ceilingAcrossRestart() throws IOException {
-    GatewaySettings site = DecisionTrace.site(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1), false, false);
+    GatewaySettings site = DecisionTrace.site(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1),
+        false, false);
     t.start(site);
     t.list("11/1");
     t.arrive(1, REPLAYABLE, 4);
@@ -327,7 +371,10 @@
     t.matches("ceiling-across-restart");
   }
 
-  /** A req every 2.5 s over six app srvs, one of which never answers: its record outlasts several turns. */
+  /**
+   * A req every 2.5 s over six app srvs, one of which never answers: its record outlasts several
+   * turns.
+   */
   @Test
   void remembersAtFewReqs() {
     t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
@@ -344,7 +391,10 @@
     assertEquals(3, t.addToCounter("to 11 for"));
   }
 
-  /** More out than passes within the target's part is denied at once, sooner for clients with little time left. */
+  /**
+   * More out than passes within the target's part is denied at once, sooner for clients with little
+   * time left.
+   */
   @Test
   void pressure() throws IOException {
     t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
@@ -361,7 +411,8 @@
     t.arrive(9, REPLAYABLE, 1);
     t.left = 30_000;
     t.arrive(10, REPLAYABLE, 1);
-    DecisionTrace many = new DecisionTrace(DecisionTrace.site(7, 200, DecisionTrace.NO_QUOTA, false, false));
+    DecisionTrace many = new DecisionTrace(
+        DecisionTrace.site(7, 200, DecisionTrace.NO_QUOTA, false, false));
     many.list("11/1", "12/1");
     many.pass(1_500);
     for (int i = 1; i <= 8; i++) many.arrive(i, REPLAYABLE, 1);
@@ -370,9 +421,10 @@
   }
 
   /**
-   * Stopped for 8 s and continued: reqs that lay unread longer than their clients wait are denied with no call and no
-   * dispatch, one that came late in it is served in what is left, a count's old answer sends nothing out for a client
-   * that has gone, and the own absence counts neither against app srvs nor against the counter.
+   * Stopped for 8 s and continued: reqs that lay unread longer than their clients wait are denied
+   * with no call and no dispatch, one that came late in it is served in what is left, a count's old
+   * answer sends nothing out for a client that has gone, and the own absence counts neither against
+   * app srvs nor against the counter.
    */
   @Test
   void away() throws IOException {
@@ -423,7 +475,8 @@
     t.start(DecisionTrace.site(DecisionTrace.FIRM, false, true));
     t.list("11/1");
     t.say("the call failed");
-    t.sendGossip(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.FAILED, List.of()));
+    t.sendGossip(
+        new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.FAILED, List.of()));
     t.pass(3_000);
     t.matches("following");
   }
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -15,14 +15,20 @@
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 import saltlatch.api.GatewaySettings;
 import saltlatch.api.GossipMessage;
-import saltlatch.wire.SumsForm;
+import saltlatch.wire.peer.GossipCodec;
 
-/** What nodes tell each other while the counter cannot take a call for each req, and what they make of it. */
+/**
+ * What nodes tell each other while the counter cannot take a call for each req, and what they make
+ * of it.
+ */
 class QuotaGossipTest {
   private static final long SECOND = 10_000;
-  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 8, 0, 0, 0, 1); // 1 unit a second, 8 at once
+  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 8, 0, 0, 0,
+      1); // 1 unit a second, 8 at once
 
-  /** Sums go to the nodes of the customer's set alone, once a period, and only in and after a jam. */
+  /**
+   * Sums go to the nodes of the customer's set alone, once a period, and only in and after a jam.
+   */
   @Test
   void tellsTheCustomersNodes() {
     QuotaGossip g = new QuotaGossip(1, 6, 40, 0);
@@ -33,7 +39,8 @@
     g.passed(70, 7, 130, 0, 3, 4.5);
     Map<Integer, GossipMessage> told = g.due(SECOND);
     assertEquals(List.of(2, 3, 5, 0), List.copyOf(told.keySet()));
-    assertEquals(List.of(), told.get(3).usage()); // not of the set, but near: that nothing was passed for it is told as well
+    // not of the set, but near: that nothing was passed for it is told as well
+    assertEquals(List.of(), told.get(3).usage());
     assertEquals(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
         new QuotaGossip(2, 6, 40, 0).heard(SECOND, 1, told.get(2)));
     g.passed(70, 7, 130, 0, 3, 5);
@@ -43,24 +50,27 @@
     assertEquals(Map.of(), g.due(9 * SECOND)); // the jam is over for long
   }
 
-  /** A datagram holds what fits, the latest first; one of another form, cut short or from a stranger tells nothing. */
+  /**
+   * A datagram holds what fits, the latest first; one of another form, cut short or from a stranger
+   * tells nothing.
+   */
   @Test
   void datagramsOfAnotherForm() {
     QuotaGossip g = new QuotaGossip(0, 2, 40, 0);
     g.jam(0);
     for (int i = 0; i < 100; i++) g.passed(i, i, 0, 0, 2, 1);
-    byte[] words = SumsForm.write(g.due(SECOND).get(1));
+    byte[] words = GossipCodec.encode(g.due(SECOND).get(1));
     assertTrue(words.length <= QuotaGossip.MOST_BYTES && words.length > 250);
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
     peer.jam(0);
-    GossipMessage told = SumsForm.read(words);
+    GossipMessage told = GossipCodec.decode(words);
     List<GossipMessage.WindowUsage> sums = peer.heard(SECOND, 0, told);
     assertEquals(new GossipMessage.WindowUsage(99, 0, 1), sums.get(0));
     assertEquals(36, sums.size());
     byte[] other = words.clone();
     other[0] = 0;
     for (byte[] bad : List.of(new byte[0], Arrays.copyOf(words, 12), other, new byte[300])) {
-      assertEquals(null, SumsForm.read(bad));
+      assertEquals(null, GossipCodec.decode(bad));
     }
     QuotaGossip deaf = new QuotaGossip(1, 2, 40, 0);
     deaf.jam(0);
@@ -80,7 +90,10 @@
     assertTrue(78 / (g.period() / SECOND) <= 40 * QuotaGossip.INTAKE + 0.01);
   }
 
-  /** A set so wide that telling each of its nodes costs more than a fiftieth of all worth is left to shares. */
+  /**
+   * A set so wide that telling each of its nodes costs more than a fiftieth of all worth is left to
+   * shares.
+   */
   @Test
   void wideSetsAreNotTold() {
     QuotaGossip g = new QuotaGossip(0, 100, 40, 0.041);
@@ -94,7 +107,10 @@
     assertEquals(13, g.due(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
   }
 
-  /** Plays ten nodes of one customer without a counter; the units they pass and the reqs they deny with room left. */
+  /**
+   * Plays ten nodes of one customer without a counter; the units they pass and the reqs they deny
+   * with room left.
+   */
   private static double[] play(double intake, double reqsPerSecond, double lost) {
     SplittableRandom chance = new SplittableRandom(5);
     int n = 10;
@@ -122,7 +138,8 @@
       }
       if (chance.nextDouble() >= 0.02 * reqsPerSecond) continue;
       QuotaTracker q = quotas.get(chance.nextInt(n));
-      CustomerQuota c = q.customer(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
+      CustomerQuota c = q
+          .customer(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
       QuotaWindow w = q.window(c, false);
       if (q.hasLocalRoom(c, 2)) {
         q.pass(w, 2);
@@ -137,7 +154,10 @@
     return new double[] {passed, beyond, withRoom};
   }
 
-  /** A customer far within its quota is not denied; one that asks four times as much gets it and a third more at most. */
+  /**
+   * A customer far within its quota is not denied; one that asks four times as much gets it and a
+   * third more at most.
+   */
   @Test
   void tenNodesKeepAQuotaWithoutTheCounter() {
     double[] light = play(40, 0.35, 0.08);
@@ -146,7 +166,8 @@
         Arrays.toString(light) + Arrays.toString(onShares));
     double[] heavy = play(40, 2, 0.08);
     double quota = PLAN.burstUnits() + 120 * PLAN.ratePerSecond();
-    assertTrue(heavy[0] - heavy[1] > 0.95 * quota && heavy[0] < 1.3 * quota, Arrays.toString(heavy));
+    assertTrue(heavy[0] - heavy[1] > 0.95 * quota && heavy[0] < 1.3 * quota,
+        Arrays.toString(heavy));
     double[] heavyOnShares = play(0, 2, 0);
     assertTrue(heavyOnShares[0] - heavyOnShares[1] < 0.9 * quota, Arrays.toString(heavyOnShares));
   }
@@ -154,7 +175,8 @@
   /** In a jam a node denies at once, and without a call, what its peers' sums leave no room for. */
   @Test
   void peersSumsDecide() throws IOException {
-    DecisionTrace t = new DecisionTrace(DecisionTrace.site(7, 2, DecisionTrace.FIRM, false, false, 0, 40));
+    DecisionTrace t = new DecisionTrace(
+        DecisionTrace.site(7, 2, DecisionTrace.FIRM, false, false, 0, 40));
     t.list("11/1", "12/1");
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
@@ -177,16 +199,18 @@
   }
 
   /**
-   * Nodes that know each other, the counter silent and no peer heard: this one goes by its even share while its lease runs,
-   * by the floor once it has run out by its own clock, and by more when it takes over what one that left had.
+   * Nodes that know each other, the counter silent and no peer heard: this one goes by its even
+   * share while its lease runs, by the floor once it has run out by its own clock, and by more when
+   * it takes over what one that left had.
    */
   @Test
   void sharesFollowTheLeases() throws IOException {
-    DecisionTrace t = new DecisionTrace(
-        DecisionTrace.site(7, 2, new GatewaySettings.QuotaPlan(4, 20, 0, 0, 0, 1), false, false, 0, 40));
+    DecisionTrace t = new DecisionTrace(DecisionTrace.site(7, 2,
+        new GatewaySettings.QuotaPlan(4, 20, 0, 0, 0, 1), false, false, 0, 40));
     t.list("11/1", "12/1");
     t.sendGossip(new GatewayEvent.MembershipChanged(
-        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.LIVE), t.now + 5 * SECOND, 0, 2));
+        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.LIVE), t.now + 5 * SECOND,
+        0, 2));
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
       t.now += 300;
@@ -197,8 +221,8 @@
     t.pass(6 * SECOND);
     t.say("the lease ran out: an eighth, 2.5 units, passes " + passed(t, 200));
     t.sendGossip(new GatewayEvent.MembershipChanged(
-        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.TAKEN_OVER), t.now + 99 * SECOND,
-        t.now + 99 * SECOND, 2));
+        List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.TAKEN_OVER),
+        t.now + 99 * SECOND, t.now + 99 * SECOND, 2));
     t.say("takes what the other left from its next req on, passes " + passed(t, 250));
     t.pass(20 * SECOND);
     t.say("takes what the other left, 7 eighths: 17.5 units, passes " + passed(t, 300));
--- a/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
+++ b/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
@@ -13,21 +13,28 @@
 import saltlatch.api.GatewaySettings;
 import saltlatch.api.GossipMessage;
 
-/** Quotas of a deployment that has no counter hold for the fleet, also where a node's share is a small part of one req. */
+/**
+ * Quotas of a deployment that has no counter hold for the fleet, also where a node's share is a
+ * small part of one req.
+ */
 class QuotaWithoutCounterTest {
-  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 5, 0, 0, 0, 1);
+  private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 5, 0, 0, 0,
+      1);
   private static final int SECONDS = 60;
   private static final int DRAWS = 200;
 
   private static GatewaySettings site(long seed, int nodes) {
-    GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true, 100_000,
-        0.2, 4, 10_000);
-    return new GatewaySettings(seed, nodes, 20, rules, new GatewaySettings.CounterSettings(false, false),
-        new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE), List.of(PLAN));
+    GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
+        100_000, 0.2, 4, 10_000);
+    return new GatewaySettings(seed, nodes, 20, rules,
+        new GatewaySettings.CounterSettings(false, false),
+        new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE),
+        List.of(PLAN));
   }
 
   private static CustomerQuota customer(QuotaTracker quotas, int nodes) {
-    return quotas.customer(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
+    return quotas
+        .customer(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
   }
 
   /** Passed of one customer by all nodes together, each asked about every other second. */
@@ -35,7 +42,8 @@
     SplittableRandom chance = new SplittableRandom(seed);
     GatewaySettings site = site(seed, nodes);
     List<QuotaTracker> all = new ArrayList<>();
-    for (int i = 0; i < nodes; i++) all.add(new QuotaTracker(0, site, new QuotaGossip(i, nodes, 0, 0), chance.split()));
+    for (int i = 0; i < nodes; i++)
+      all.add(new QuotaTracker(0, site, new QuotaGossip(i, nodes, 0, 0), chance.split()));
     double passed = 0;
     for (long now = 1_000; now <= SECONDS * 10_000L; now += 1_000) {
       for (QuotaTracker q : all) {
@@ -68,7 +76,10 @@
     assertTrue(sum > 0.75 * quota, sum + " of " + quota);
   }
 
-  /** Where a node began on the way to its next req is no use of the quota: it is not charged once peers are heard. */
+  /**
+   * Where a node began on the way to its next req is no use of the quota: it is not charged once
+   * peers are heard.
+   */
   @Test
   void drawIsNoDebtAmongPeers() {
     int nodes = 100;
@@ -77,7 +88,8 @@
     quotas.at(1_000);
     CustomerQuota c = customer(quotas, nodes);
     quotas.hasLocalRoom(c, 4);
-    assertTrue(c.availableUnits < PLAN.burstUnits() / nodes - 0.1, c.availableUnits + " units, none drawn");
+    assertTrue(c.availableUnits < PLAN.burstUnits() / nodes - 0.1,
+        c.availableUnits + " units, none drawn");
     gossip.jam(1_000);
     gossip.heard(1_000, 1, new GossipMessage(List.of(), null));
     quotas.hasLocalRoom(c, 4);
--- a/src/test/java/saltlatch/policy/SlowStartFleetTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartFleetTest.java
@@ -19,8 +19,9 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * A cold app srv under all nodes of a fleet, each with a Control of its own. In no window of the rule may they send it more
- * than N + 2 * root of N + 2 reqs together, N being the multiple of its warmth's part of what a warm one carries there.
+ * A cold app srv under all nodes of a fleet, each with a Control of its own. In no window of the
+ * rule may they send it more than N + 2 * root of N + 2 reqs together, N being the multiple of its
+ * warmth's part of what a warm one carries there.
  */
 class SlowStartFleetTest {
   private static final int WARM = 10;
@@ -46,14 +47,16 @@
     private PolicyEngine control(int n, long seed, long now) {
       GatewayActions to = (GatewayActions) Proxy.newProxyInstance(getClass().getClassLoader(),
           new Class<?>[] {GatewayActions.class}, (p, m, a) -> {
-            if (m.getName().equals("startAttempt")) sent.add(new long[] {node, (long) a[0], (long) a[1]});
+            if (m.getName().equals("startAttempt"))
+              sent.add(new long[] {node, (long) a[0], (long) a[1]});
             return null;
           });
       GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
           10 * WINDOW, FROM, multiple, WINDOW);
       return new PolicyEngine(now,
           new GatewaySettings(seed, n, 20, rules, new GatewaySettings.CounterSettings(true, false),
-              new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE), List.of(DecisionTrace.NO_QUOTA)),
+              new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE),
+              List.of(DecisionTrace.NO_QUOTA)),
           to);
     }
 
@@ -66,7 +69,10 @@
       return new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries);
     }
 
-    /** One draw: how far the worst window was beyond its bound, and the part of the budget that was used. */
+    /**
+     * One draw: how far the worst window was beyond its bound, and the part of the budget that was
+     * used.
+     */
     private double[] play(int n, double carried, int restarted, long seed) {
       SplittableRandom chance = new SplittableRandom(seed);
       List<PolicyEngine> fleet = new ArrayList<>();
@@ -85,18 +91,20 @@
       for (long now = STEP; now < END; now += STEP) {
         Map<Integer, List<GatewayEvent>> events = new TreeMap<>();
         for (long[] one : sent)
-          add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0, AttemptOutcome.SUCCEEDED,
-              true, STEP, 0, 0, List.of()));
+          add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0,
+              AttemptOutcome.SUCCEEDED, true, STEP, 0, 0, List.of()));
         sent.clear();
         double arrivals = WARM * carried * STEP / WINDOW;
         for (int k = poisson(arrivals, chance); k > 0; k--) {
           double at = chance.nextDouble() * all;
           int i = 0;
           while (upTo[i] < at) i++;
-          add(events, i, new GatewayEvent.RequestArrived(rid++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
+          add(events, i,
+              new GatewayEvent.RequestArrived(rid++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
         }
         for (int i = 0; i < n; i++) {
-          if (now == LISTED && 10 * i < restarted * n) fleet.set(i, control(n, chance.nextLong(), now));
+          if (now == LISTED && 10 * i < restarted * n)
+            fleet.set(i, control(n, chance.nextLong(), now));
           if (now == LISTED) add(events, i, list(true));
           if (now % PolicyEngine.ROUND == 0) add(events, i, new GatewayEvent.TimerFired(-1));
         }
@@ -109,7 +117,8 @@
             * (FROM + (1 - FROM) * Math.max(0, now - WINDOW - LISTED) / (10.0 * WINDOW));
         worst = Math.max(worst, window.size() - (least + 2 * Math.sqrt(least) + 2));
         got += sent.stream().filter(one -> one[2] == COLD).count();
-        budget += multiple * carried * (FROM + (1 - FROM) * (now - LISTED) / (10.0 * WINDOW)) * STEP / WINDOW;
+        budget += multiple * carried * (FROM + (1 - FROM) * (now - LISTED) / (10.0 * WINDOW)) * STEP
+            / WINDOW;
       }
       return new double[] {worst, got / budget};
     }
@@ -130,10 +139,11 @@
       "100, 10, 4, false, 0, 300", "30, 2, 4, false, 7, 1000", "100, 2, 4, false, 7, 1000",
       "100, 10, 4, false, 7, 300", "3, 10, 2, true, 0, 300", "30, 10, 2, true, 0, 1000",
       "100, 10, 2, true, 0, 300", "30, 10, 2, true, 7, 300"})
-  void sumStaysUnderTheBound(int nodes, double carried, double multiple, boolean allCold, int restarted,
-      int draws) {
+  void sumStaysUnderTheBound(int nodes, double carried, double multiple, boolean allCold,
+      int restarted, int draws) {
     List<double[]> all = IntStream.range(0, draws).parallel()
-        .mapToObj(seed -> new Fleet(multiple, allCold).play(nodes, carried, restarted, seed)).toList();
+        .mapToObj(seed -> new Fleet(multiple, allCold).play(nodes, carried, restarted, seed))
+        .toList();
     long beyond = all.stream().filter(draw -> draw[0] > 0).count();
     double used = all.stream().mapToDouble(draw -> draw[1]).sum() / draws;
     assertTrue(beyond <= draws / 100, beyond + " of " + draws + " draws beyond the bound");
--- a/src/test/java/saltlatch/relay/RelayConfigTest.java
+++ b/src/test/java/saltlatch/relay/RelayConfigTest.java
@@ -36,20 +36,22 @@
     assertEquals(2, config.upstreams().size());
     assertEquals(new Limits(5, 6, 7, 8), config.limits());
     assertEquals(9, config.seed());
-    assertEquals(65_536, parse("{'listen':'127.0.0.1:0','upstreams':['127.0.0.1:1']}").limits().entries());
+    assertEquals(65_536,
+        parse("{'listen':'127.0.0.1:0','upstreams':['127.0.0.1:1']}").limits().entries());
   }
 
   @ParameterizedTest
-  @CsvSource(quoteCharacter = '`',
-      value = {"`'listen':'127.0.0.1:7000',`,``,listen", "127.0.0.1:7000,nowhere,listen",
-          "127.0.0.1:7000,127.0.0.1:70000,listen", "`'127.0.0.1:7001','127.0.0.1:7002'`,``,upstreams",
-          "127.0.0.1:7002,127.0.0.1:7001,upstreams[1]", "'127.0.0.1:7002',7,upstreams[1]",
-          "127.0.0.1:7002,127.0.0.1:0,upstreams[1]", "'watchers':5,'watchers':0,limits.watchers",
-          "'entries':6,'entries':6.5,limits.entries", "'entries':6,'entries':'6',limits.entries",
-          "log_changes,log_change,limits.log_change is unknown",
-          "'snapshot_bytes_per_second':8,'snapshot_bytes_per_second':1e99,limits.snapshot_bytes_per_second",
-          "'seed':9,'seed':true,seed", "'name':'r0','name':{},name", "upstreams,upstream,upstream is unknown",
-          "'limits':{,'limits':[{,no JSON", "'seed':9},'seed':9,no JSON"})
+  @CsvSource(quoteCharacter = '`', value = {"`'listen':'127.0.0.1:7000',`,``,listen",
+      "127.0.0.1:7000,nowhere,listen", "127.0.0.1:7000,127.0.0.1:70000,listen",
+      "`'127.0.0.1:7001','127.0.0.1:7002'`,``,upstreams",
+      "127.0.0.1:7002,127.0.0.1:7001,upstreams[1]", "'127.0.0.1:7002',7,upstreams[1]",
+      "127.0.0.1:7002,127.0.0.1:0,upstreams[1]", "'watchers':5,'watchers':0,limits.watchers",
+      "'entries':6,'entries':6.5,limits.entries", "'entries':6,'entries':'6',limits.entries",
+      "log_changes,log_change,limits.log_change is unknown",
+      "'snapshot_bytes_per_second':8,'snapshot_bytes_per_second':1e99,limits.snapshot_bytes_per_second",
+      "'seed':9,'seed':true,seed", "'name':'r0','name':{},name",
+      "upstreams,upstream,upstream is unknown", "'limits':{,'limits':[{,no JSON",
+      "'seed':9},'seed':9,no JSON"})
   void namesTheKey(String part, String replacement, String named) {
     assertTrue(GOOD.contains(part), part);
     InvalidConfigException e = assertThrows(InvalidConfigException.class,
@@ -62,7 +64,8 @@
   @Test
   void codes(@TempDir Path dir) throws Exception {
     assertEquals(2, run(dir.resolve("none.json"), "none.json"));
-    Path bad = Files.writeString(dir.resolve("bad.json"), GOOD.replace('\'', '"').replace(":5,", ":-5,"));
+    Path bad = Files.writeString(dir.resolve("bad.json"),
+        GOOD.replace('\'', '"').replace(":5,", ":-5,"));
     assertEquals(2, run(bad, "limits.watchers"));
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       Path elsewhere = Files.writeString(dir.resolve("taken.json"),
@@ -77,8 +80,8 @@
     System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
     try {
       int code = new CommandLine(new Commands()).execute("relay", config.toString());
-      String said = err.toString(StandardCharsets.UTF_8).lines().filter(l -> l.startsWith("saltlatch relay:"))
-          .reduce("", String::concat);
+      String said = err.toString(StandardCharsets.UTF_8).lines()
+          .filter(l -> l.startsWith("saltlatch relay:")).reduce("", String::concat);
       assertTrue(said.contains(named), said);
       return code;
     } finally {
--- a/src/test/java/saltlatch/relay/RelayHarness.java
+++ b/src/test/java/saltlatch/relay/RelayHarness.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * Relays on loopback sockets. The test's own thread is discovery and the watchers, each in its turn, so that nothing races;
- * the relays' clock can be put on.
+ * Relays on loopback sockets. The test's own thread is discovery and the watchers, each in its
+ * turn, so that nothing races; the relays' clock can be put on.
  */
 abstract class RelayHarness {
   static final int MB = 1 << 20;
@@ -49,10 +49,10 @@
   Relay relay(String limits, TestUpstream... upstreams) throws Exception {
     String addresses = java.util.Arrays.stream(upstreams).map(u -> "'127.0.0.1:" + u.port() + "'")
         .collect(Collectors.joining(","));
-    RelayConfig config = RelayConfig
-        .parse(("{'listen':'127.0.0.1:0','upstreams':[" + addresses + "],'limits':{" + limits + "},'seed':1}")
-            .replace('\'', '"'));
-    Relay relay = new Relay(config, () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + ahead.get());
+    RelayConfig config = RelayConfig.parse(("{'listen':'127.0.0.1:0','upstreams':[" + addresses
+        + "],'limits':{" + limits + "},'seed':1}").replace('\'', '"'));
+    Relay relay = new Relay(config,
+        () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + ahead.get());
     relays.add(relay);
     relay.start().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     return relay;
@@ -62,7 +62,9 @@
     relay.stop().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  /** Puts the relay's clock on, once all that it has begun is told by the old one, and has it look. */
+  /**
+   * Puts the relay's clock on, once all that it has begun is told by the old one, and has it look.
+   */
   void pass(Relay relay, long ms) throws Exception {
     info(relay, "version");
     ahead.addAndGet(ms);
--- a/src/test/java/saltlatch/relay/RelayTest.java
+++ b/src/test/java/saltlatch/relay/RelayTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What goes through a relay, and what becomes of it when an upstream goes wrong, each way on a real connection. */
+/**
+ * What goes through a relay, and what becomes of it when an upstream goes wrong, each way on a real
+ * connection.
+ */
 @Timeout(60)
 class RelayTest extends RelayHarness {
   private static final String STRANGE = "{\"name\":\"s-\\\"1\",\"later\":{\"k\":[1.50]},\"status\":\"Ready\"}";
@@ -30,7 +33,8 @@
     assertEquals(changes(42, entry("s-2", "Gone")).trim(), early.list().toString());
     assertEquals(42, watcher(relay, 0).listAt(42).get("index").getAsLong());
     assertEquals(changes(42, entry("s-2", "Gone")).trim(), watcher(relay, 41).list().toString());
-    upstream.tell(whole(50, entry("s-3", "Ready"))); // what a whole list leaves out is told as gone, with all its fields
+    // what a whole list leaves out is told as gone, with all its fields
+    upstream.tell(whole(50, entry("s-3", "Ready")));
     assertEquals("[" + STRANGE.replace("Ready", "Gone") + "," + entry("s-3", "Ready") + "]",
         early.list().get("endpoints").toString());
   }
@@ -43,7 +47,8 @@
     TestWatcher watcher = added(
         new TestWatcher(relay.port(), 0).ask("/api/targets?follow=1&since=5&series=77"));
     await(relay, "version", 5);
-    upstream.tell(changes(6, entry("s-1", "Gone")).replace("\"snapshot\"", "\"series\":77,\"snapshot\""));
+    upstream.tell(
+        changes(6, entry("s-1", "Gone")).replace("\"snapshot\"", "\"series\":77,\"snapshot\""));
     assertEquals("{\"index\":6,\"series\":77,\"snapshot\":false",
         watcher.list().toString().split(",\"endpoints")[0]);
     upstream.reset();
@@ -54,12 +59,12 @@
   void otherRequests() throws Exception {
     Relay relay = relay("", upstream);
     TestWatcher asks = added(new TestWatcher(relay.port(), 0));
-    assertTrue(
-        asks.ask("/api/targets").answer().startsWith("HTTP/1.1 503 Service Unavailable\nretry-after: 1\n"));
+    assertTrue(asks.ask("/api/targets").answer()
+        .startsWith("HTTP/1.1 503 Service Unavailable\nretry-after: 1\n"));
     assertTrue(asks.ask("/").answer().startsWith("HTTP/1.1 404 "));
     assertTrue(asks.ask("/api/targets?follow=1&since=x").answer().startsWith("HTTP/1.1 400 "));
-    assertTrue(
-        asks.ask("/info").answer().contains("\nupstream=127.0.0.1:" + upstream.port() + "\nstale_ms="));
+    assertTrue(asks.ask("/info").answer()
+        .contains("\nupstream=127.0.0.1:" + upstream.port() + "\nstale_ms="));
     upstream.answer();
     upstream.tell(whole(41, STRANGE));
     await(relay, "version", 41);
@@ -107,15 +112,19 @@
     assertEquals(changes(6, entry("s-2", "Ready")).trim(), watcher.list().toString());
   }
 
-  /** Refused by the first, the second is followed; both are tried in turn once that one is gone as well. */
+  /**
+   * Refused by the first, the second is followed; both are tried in turn once that one is gone as
+   * well.
+   */
   @Test
   void anotherUpstreamIsFollowed() throws Exception {
     TestUpstream second = upstream();
     Relay relay = relay("", upstream, second);
     upstream.accept();
-    String list = whole(9, entry("s-9", "Ready")); // of no use: what comes with another status is no list
-    upstream
-        .write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+    // of no use: what comes with another status is no list
+    String list = whole(9, entry("s-9", "Ready"));
+    upstream.write(
+        "HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     second.answer();
     second.tell(whole(7, entry("s-1", "Ready")));
     await(relay, "version", 7);
@@ -124,11 +133,14 @@
     assertEquals("/api/targets?follow=1&since=7", upstream.answer());
   }
 
-  /** Each costs the upstream that sent it, which is not asked again soon; the other one is followed. */
+  /**
+   * Each costs the upstream that sent it, which is not asked again soon; the other one is followed.
+   */
   @ParameterizedTest
-  @ValueSource(strings = {"all is well\n", "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":7}]}\n",
-      "ENDLESS {\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "ENDLESS {",
-      "ENDLESS {\"index\":1,\"snapshot\":true,\"x\":[[", "ENTRIES"})
+  @ValueSource(
+      strings = {"all is well\n", "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":7}]}\n",
+          "ENDLESS {\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "ENDLESS {",
+          "ENDLESS {\"index\":1,\"snapshot\":true,\"x\":[[", "ENTRIES"})
   void malformedUpstream(String sent) throws Exception {
     TestUpstream second = upstream();
     Relay relay = relay("'entries':500", upstream, second);
@@ -151,7 +163,10 @@
     }
   }
 
-  /** A watcher that moves to a relay which is behind hears nothing older, and goes on once that one has caught up. */
+  /**
+   * A watcher that moves to a relay which is behind hears nothing older, and goes on once that one
+   * has caught up.
+   */
   @Test
   void watcherMovesToOneThatIsBehind() throws Exception {
     Relay ahead = relay("", whole(9, entry("s-1", "Terminating")));
@@ -167,7 +182,8 @@
     assertNull(watcher.list());
     watcher = watcher(behind, 9);
     assertEquals("", watcher.line());
-    late.tell(changes(6, entry("s-1", "Terminating"))).tell(changes(9, entry("s-1", "Terminating")));
+    late.tell(changes(6, entry("s-1", "Terminating")))
+        .tell(changes(9, entry("s-1", "Terminating")));
     await(behind, "version", 9);
     late.tell(changes(10, entry("s-1", "Gone")));
     assertEquals(changes(10, entry("s-1", "Gone")).trim(), watcher.list().toString());
--- a/src/test/java/saltlatch/relay/SlowWatcherTest.java
+++ b/src/test/java/saltlatch/relay/SlowWatcherTest.java
@@ -15,11 +15,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Watchers that read nothing, come in a crowd, say nothing or too much: each costs itself, and little of the relay. */
+/**
+ * Watchers that read nothing, come in a crowd, say nothing or too much: each costs itself, and
+ * little of the relay.
+ */
 @Timeout(120)
 class SlowWatcherTest extends RelayHarness {
-  private static final int LARGE = 34_000; // entries: about 4.2 MB, more than the system takes for a socket
-  private static final int SMALL_BUFFER = 16 * 1024; // a watcher's, so that the system holds little for it
+  // entries: about 4.2 MB, more than the system takes for a socket
+  private static final int LARGE = 34_000;
+  // a watcher's, so that the system holds little for it
+  private static final int SMALL_BUFFER = 16 * 1024;
 
   private TestWatcher stalled(Relay relay) throws IOException {
     return added(new TestWatcher(relay.port(), SMALL_BUFFER)).ask("/api/targets?follow=1&since=0");
@@ -31,8 +36,9 @@
   }
 
   /**
-   * Thirty read nothing of a whole list while 200 changes go by, each known to have reached the one that reads: they cost one
-   * buffer together. Then one reads on: the list it had begun, and in one line the latest state of all that has changed.
+   * Thirty read nothing of a whole list while 200 changes go by, each known to have reached the one
+   * that reads: they cost one buffer together. Then one reads on: the list it had begun, and in one
+   * line the latest state of all that has changed.
    */
   @Test
   void readNothingAndGoOn() throws Exception {
@@ -52,7 +58,8 @@
     assertEquals(30, info(relay, "behind"));
     assertTrue(info(relay, "encoded_bytes") < 6 * MB, text(relay, "encoded_bytes"));
     long direct = PlatformDependent.usedDirectMemory() - directBefore;
-    assertTrue(direct < 20 * MB, direct + " bytes outside the heap"); // copies of the list would be 120 MB
+    // copies of the list would be 120 MB
+    assertTrue(direct < 20 * MB, direct + " bytes outside the heap");
     long grown = heap() - heapBefore;
     assertTrue(grown < 20 * MB, grown + " bytes of heap");
     pass(relay, 29_000); // less than what ends a watcher that takes nothing
@@ -73,7 +80,10 @@
     assertEquals(202, reads.listAt(202).get("index").getAsLong());
   }
 
-  /** It takes some every 20 s and so does not stand still, but a list is not held for it for more than two minutes. */
+  /**
+   * It takes some every 20 s and so does not stand still, but a list is not held for it for more
+   * than two minutes.
+   */
   @Test
   void trickles() throws Exception {
     Relay relay = relay("", whole(1, entries(LARGE)));
@@ -91,7 +101,9 @@
     assertTrue(slow.isEnded());
   }
 
-  /** The list that a watcher has begun to get is the one that it gets, whatever changes meanwhile. */
+  /**
+   * The list that a watcher has begun to get is the one that it gets, whatever changes meanwhile.
+   */
   @Test
   void changeWhileAListIsOnTheWay() throws Exception {
     Relay relay = relay("", whole(1, entries(LARGE)));
@@ -101,16 +113,21 @@
     upstream.tell(changes(2, entry("s-" + (LARGE - 1), "Gone")));
     await(relay, "version", 2);
     JsonObject list = slow.list();
-    assertEquals("1 " + LARGE, list.get("index").getAsLong() + " " + list.getAsJsonArray("endpoints").size());
+    assertEquals("1 " + LARGE,
+        list.get("index").getAsLong() + " " + list.getAsJsonArray("endpoints").size());
     assertEquals(changes(2, entry("s-" + (LARGE - 1), "Gone")).trim(), slow.list().toString());
   }
 
-  /** Connections that break with a list on the way: what was written or was to be written of it is given back. */
+  /**
+   * Connections that break with a list on the way: what was written or was to be written of it is
+   * given back.
+   */
   @Test
   void leaveInTheMiddle() throws Exception {
     Relay relay = relay("'snapshot_bytes_per_second':10000000000", whole(1, entries(LARGE)));
     TestWatcher reads = watcher(relay, 0);
-    assertEquals(LARGE, reads.list().getAsJsonArray("endpoints").size()); // so that all of it is encoded
+    // so that all of it is encoded
+    assertEquals(LARGE, reads.list().getAsJsonArray("endpoints").size());
     for (int i = 0; i < 20; i++) {
       TestWatcher leaves = stalled(relay);
       await(relay, "snapshots_sent", i + 2);
@@ -129,12 +146,14 @@
 
   @Test
   void threeHundredAtOnce() throws Exception {
-    Relay relay = relay("'watchers':300,'snapshot_bytes_per_second':100000000", whole(1, entries(1_000)));
+    Relay relay = relay("'watchers':300,'snapshot_bytes_per_second':100000000",
+        whole(1, entries(1_000)));
     List<TestWatcher> all = new ArrayList<>();
     for (int i = 0; i < 300; i++) all.add(watcher(relay, 0));
     for (TestWatcher one : all) assertEquals(1_000, one.list().getAsJsonArray("endpoints").size());
     assertEquals(300, info(relay, "snapshots_sent"));
-    TestWatcher tooMany = added(new TestWatcher(relay.port(), 0)).ask("/api/targets?follow=1&since=0");
+    TestWatcher tooMany = added(new TestWatcher(relay.port(), 0))
+        .ask("/api/targets?follow=1&since=0");
     assertTrue(tooMany.answer().startsWith("HTTP/1.1 503 "));
     assertEquals(1, info(relay, "refused"));
     long encodings = info(relay, "encodings");
@@ -145,7 +164,10 @@
     assertTrue(encodings <= 3, encodings + " encodings of one list");
   }
 
-  /** Those that say nothing take no descriptors but the spare ones, are closed in time, and keep no watcher out. */
+  /**
+   * Those that say nothing take no descriptors but the spare ones, are closed in time, and keep no
+   * watcher out.
+   */
   @Test
   void sayNothing() throws Exception {
     Relay relay = relay("'watchers':20", whole(1, entry("s-1", "Ready")));
@@ -171,7 +193,8 @@
     assertEquals(1, watches.listAt(1).get("index").getAsLong());
     await(relay, "watchers", 1);
     try {
-      for (int i = 0; i < Connection.MAX_UNANSWERED_BYTES / 8; i++) watches.ask("/info"); // 36 bytes each
+      // 36 bytes each
+      for (int i = 0; i < Connection.MAX_UNANSWERED_BYTES / 8; i++) watches.ask("/info");
     } catch (IOException e) {
       // the relay has ended it
     }
--- a/src/test/java/saltlatch/relay/TestUpstream.java
+++ b/src/test/java/saltlatch/relay/TestUpstream.java
@@ -84,8 +84,8 @@
 
   static String entry(String name, String status) {
     return "{\"name\":\"" + name
-        + "\",\"address\":\"10.1.0.18:6379\",\"zone\":\"a\",\"type\":\"m2\",\"group\":3," + "\"status\":\""
-        + status + "\",\"weight\":1.0,\"since_ms\":0}";
+        + "\",\"address\":\"10.1.0.18:6379\",\"zone\":\"a\",\"type\":\"m2\",\"group\":3,"
+        + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
   /** Entries of the size that discovery's have. */
--- a/src/test/java/saltlatch/relay/TestWatcher.java
+++ b/src/test/java/saltlatch/relay/TestWatcher.java
@@ -25,7 +25,8 @@
     if (receiveBuffer > 0) socket.setReceiveBufferSize(receiveBuffer);
     socket.connect(new InetSocketAddress("127.0.0.1", port), WAIT_MS);
     socket.setSoTimeout(WAIT_MS);
-    in = receiveBuffer > 0 ? socket.getInputStream() : new BufferedInputStream(socket.getInputStream());
+    in = receiveBuffer > 0 ? socket.getInputStream()
+        : new BufferedInputStream(socket.getInputStream());
   }
 
   static TestWatcher follow(int port, long since) throws IOException {
@@ -77,7 +78,10 @@
     return list;
   }
 
-  /** True if the other side has ended the connection, in whichever way, with nothing more to be read. */
+  /**
+   * True if the other side has ended the connection, in whichever way, with nothing more to be
+   * read.
+   */
   boolean isEnded() throws IOException {
     try {
       while (in.read() >= 0) continue;
--- a/src/test/java/saltlatch/relay/WatchParserTest.java
+++ b/src/test/java/saltlatch/relay/WatchParserTest.java
@@ -85,15 +85,20 @@
     assertEquals(List.of(), told);
   }
 
-  /** Each bound holds from the first byte beyond it, long before the line's end, which never comes. */
+  /**
+   * Each bound holds from the first byte beyond it, long before the line's end, which never comes.
+   */
   @Test
   void endless() {
     String entry = "{\"name\":\"a\",\"status\":\"Ready\"},";
-    assertBeyond("{\"index\":1,\"snapshot\":true,\"endpoints\":[", entry, 11 * entry.length(), "10 entries");
+    assertBeyond("{\"index\":1,\"snapshot\":true,\"endpoints\":[", entry, 11 * entry.length(),
+        "10 entries");
     assertBeyond("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "a",
         WatchParser.MAX_ENTRY_BYTES, "an entry of");
-    assertBeyond("{\"index\":1,\"x\":\"", "a", WatchParser.MAX_ENVELOPE_BYTES, "beside the entries");
-    assertBeyond("{", " ", WatchParser.MAX_ENVELOPE_BYTES + 10 * WatchParser.MAX_MEAN_ENTRY_BYTES, "bytes");
+    assertBeyond("{\"index\":1,\"x\":\"", "a", WatchParser.MAX_ENVELOPE_BYTES,
+        "beside the entries");
+    assertBeyond("{", " ", WatchParser.MAX_ENVELOPE_BYTES + 10 * WatchParser.MAX_MEAN_ENTRY_BYTES,
+        "bytes");
   }
 
   private void assertBeyond(String head, String repeated, int bound, String cause) {
