--- a/src/test/java/saltlatch/simhost/SimulatorHostTest.java
+++ b/src/test/java/saltlatch/simhost/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package saltlatch;
+package saltlatch.simhost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,10 +19,9 @@
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GossipMessage;
 import saltlatch.policy.PolicyEngine;
-import saltlatch.simhost.SimHost;
 
 /** Bytes in and out of the adapter, with a module that does one of everything. */
-class SimHostTest {
+class SimulatorHostTest {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private final StringBuilder told = new StringBuilder();
@@ -32,11 +31,12 @@
       + "\"limits\":{\"sendCap\":4},\"familyInfo\":{\"counter\":true,\"countLimit\":30}}";
 
   private int run(byte[] in, GatewayPolicy.Factory maker) throws IOException {
-    return new SimHost(maker).run(new ByteArrayInputStream(in), out, new PrintStream(err));
+    return new SimulatorHost(maker).run(new ByteArrayInputStream(in), out, new PrintStream(err));
   }
 
   private static byte[] frame(double ms, byte[] tail, byte[]... records) {
-    ByteBuffer b = ByteBuffer.allocate(16 + 48 * records.length + tail.length).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer b = ByteBuffer.allocate(16 + 48 * records.length + tail.length)
+        .order(ByteOrder.LITTLE_ENDIAN);
     b.putInt(12 + 48 * records.length + tail.length).putDouble(ms).putInt(records.length);
     for (byte[] r : records) {
       b.put(r, 0, r.length).position(b.position() + 48 - r.length);
@@ -77,8 +77,8 @@
 
   @Test
   void everyEventAndAction() throws IOException {
-    byte[][] records = {attach(site().length),
-        hex("0201 0300 c4913a5d 0000 0000000000006e40 00004040 00 640ad2557c3bf091 0200 00000040 0000803f"),
+    byte[][] records = {attach(site().length), hex(
+        "0201 0300 c4913a5d 0000 0000000000006e40 00004040 00 640ad2557c3bf091 0200 00000040 0000803f"),
         hex("0301 0300 c4913a5d 0000000000802240 074a1203 01"),
         hex("0401 0300 c4913a5d 01 5600 074a1203 00 0300 0000000000803240 02 01 0000803f"),
         hex("0501 0300 192b6f0e"), hex("0601 0300 4d00000000000000"),
@@ -89,8 +89,9 @@
     tail[site().length] = 0x51; // a datagram of no sums
     int code = run(frame(1000, tail, records), (now, site, to) -> (at, events) -> {
       told.append(site.requestClasses().get(0).retrySafety()).append(' ').append(at).append('\n');
-      events.forEach(e -> told.append(e instanceof GatewayEvent.GossipReceived h ? "heard " + h.sender() : e)
-          .append('\n'));
+      events.forEach(
+          e -> told.append(e instanceof GatewayEvent.GossipReceived h ? "heard " + h.sender() : e)
+              .append('\n'));
       act(to);
     });
     assertEquals("", err.toString());
@@ -110,7 +111,8 @@
             CounterReplied[counterName=9041552, outcome=TIMED_OUT, total=38.0, elapsedTicks=20]
             """,
         told.toString());
-    String[] expected = {"21010000 0b000000", "0301 0300 c4913a5d 0000000000005440 074a1203 00000000",
+    String[] expected = {"21010000 0b000000",
+        "0301 0300 c4913a5d 0000000000005440 074a1203 00000000",
         "0401 0300 192b6f0e 0000000000406f40 0000000000000000",
         "0601 0300 c4913a5d 00000000000000000000000000000000",
         "0501 0300 c4913a5d 02 000000000000000000000000000000",
@@ -159,10 +161,13 @@
     assertEquals(2, run(hex("0b000000 0000000000000000000000"), PolicyEngine::new));
     assertEquals(2, run(frame(1, new byte[0], hex("ff01 0300")), PolicyEngine::new));
     assertEquals(2, run(frame(1, new byte[0], attach(9)), PolicyEngine::new));
-    assertEquals(2, run(frame(1, "{x}".getBytes(StandardCharsets.UTF_8), attach(3)), PolicyEngine::new));
-    assertEquals(2, run(frame(1, "{}".getBytes(StandardCharsets.UTF_8), attach(2)), PolicyEngine::new));
+    assertEquals(2,
+        run(frame(1, "{x}".getBytes(StandardCharsets.UTF_8), attach(3)), PolicyEngine::new));
+    assertEquals(2,
+        run(frame(1, "{}".getBytes(StandardCharsets.UTF_8), attach(2)), PolicyEngine::new));
     assertEquals(0, out.size());
-    assertEquals(5, err.toString().lines().filter(l -> l.startsWith("saltlatch simhost: malformed")).count());
+    assertEquals(5,
+        err.toString().lines().filter(l -> l.startsWith("saltlatch simhost: malformed")).count());
   }
 
   /** Stopped and attached again in one batch: what was told before the stop is forgotten. */
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,17 +23,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.state.Counters;
-import saltlatch.state.Timers;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.transport.Scheduler;
 
 /** The watch on real connections with a clock that the test moves: what it asks for, and when. */
 @Timeout(60)
-class DiscoveryTest {
+class DiscoveryClientTest {
   private static final String READY = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:9\",\"status\":\"Ready\"}";
 
-  /** A clock and timers that move by hand; what is asked of them is told, in tenths of a ms from then. */
+  /**
+   * A clock and timers that move by hand; what is asked of them is told, in tenths of a ms from
+   * then.
+   */
   private final class ManualDesk implements Scheduler {
-    private final Timers timers = new Timers();
+    private final TimerQueue timers = new TimerQueue();
     private long now = 1_000_000;
 
     @Override
@@ -42,7 +46,7 @@
     }
 
     @Override
-    public Timers.Timer at(long when, Runnable then) {
+    public TimerQueue.Timer at(long when, Runnable then) {
       events.add("at " + (when - now));
       return timers.add(when, then);
     }
@@ -54,9 +58,9 @@
   }
 
   /** Follows again at once, and says that a list is applied when the test wants it to. */
-  private final class Follower implements Discovery.Host {
+  private final class Follower implements DiscoveryClient.Listener {
     @Override
-    public void listed(TargetList list, Runnable applied) {
+    public void listed(EndpointList list, Runnable applied) {
       events.add("listed " + list.series() + "/" + list.index());
       if (appliesAtOnce) applied.run();
       else toApply.add(applied);
@@ -73,13 +77,13 @@
   private final BlockingQueue<Runnable> toApply = new LinkedBlockingQueue<>();
   private final List<Socket> sockets = new ArrayList<>();
   private final ManualDesk scheduler = new ManualDesk();
-  private final Counters counters = new Counters();
+  private final NodeMetrics counters = new NodeMetrics();
   private volatile boolean appliesAtOnce = true;
   private Vertx vertx;
   private Context loop;
   private ServerSocket agent;
   private Socket watch;
-  private Discovery discovery;
+  private DiscoveryClient discovery;
 
   @BeforeEach
   void start() throws Exception {
@@ -87,8 +91,9 @@
     loop = vertx.getOrCreateContext();
     agent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     agent.setSoTimeout(20_000);
-    discovery = new Discovery(vertx, SocketAddress.inetSocketAddress(agent.getLocalPort(), "127.0.0.1"),
-        scheduler, new Follower(), counters, new TargetList(0, 1, true, List.of()));
+    discovery = new DiscoveryClient(vertx,
+        SocketAddress.inetSocketAddress(agent.getLocalPort(), "127.0.0.1"), scheduler,
+        new Follower(), counters, new EndpointList(0, 1, true, List.of()));
     onLoop(discovery::follow);
     next("at 0");
   }
@@ -142,20 +147,24 @@
   }
 
   private static String list(long series, int index, boolean whole) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + (series > 0 ? ",\"series\":" + series : "")
-        + ",\"endpoints\":[" + READY + "]}\n";
+    return "{\"index\":" + index + ",\"snapshot\":" + whole
+        + (series > 0 ? ",\"series\":" + series : "") + ",\"endpoints\":[" + READY + "]}\n";
   }
 
   private static String tooLarge() {
-    return "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"" + "x".repeat(ListReader.LONGEST_PART);
+    return "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\""
+        + "x".repeat(EndpointListParser.LONGEST_PART);
   }
 
-  /** Ever more seldom, up to 5 min; a list that can be taken ends that, as does an address of another agent. */
+  /**
+   * Ever more seldom, up to 5 min; a list that can be taken ends that, as does an address of
+   * another agent.
+   */
   @Test
   void tooLargeListsAreAskedForEverMoreSeldom() throws Exception {
     long due = 0;
-    for (long pause : new long[] {10_000, 20_000, 40_000, 80_000, 160_000, 320_000, 640_000, 1_280_000,
-        2_560_000, 3_000_000, 3_000_000}) {
+    for (long pause : new long[] {10_000, 20_000, 40_000, 80_000, 160_000, 320_000, 640_000,
+        1_280_000, 2_560_000, 3_000_000, 3_000_000}) {
       watched(due, "since=1", tooLarge());
       next("ended", "at " + pause);
       due = pause;
@@ -165,11 +174,15 @@
     next("listed 0/2", "at 45000");
     more(tooLarge());
     next("ended", "at 10000");
-    onLoop(() -> discovery.move(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
+    onLoop(
+        () -> discovery.move(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
     next("at 0");
   }
 
-  /** What is malformed, or ends, is asked for 1 s behind the last opening: told changes wait for no back-off. */
+  /**
+   * What is malformed, or ends, is asked for 1 s behind the last opening: told changes wait for no
+   * back-off.
+   */
   @Test
   void otherEndsKnowNoBackOff() throws Exception {
     long due = 0;
@@ -181,7 +194,10 @@
     assertTrue(counters.text().contains("lists_malformed=4\nlists_old=0\nlists_refused=0\n"));
   }
 
-  /** A long line that comes slowly is read to its end; one whose entry never ends is given up in time. */
+  /**
+   * A long line that comes slowly is read to its end; one whose entry never ends is given up in
+   * time.
+   */
   @Test
   void slowLine() throws Exception {
     watched(0, "since=1", "{\"index\":2,\"snapshot\":true,\"endpoints\":[");
@@ -201,7 +217,9 @@
     next("ended", "at 0");
   }
 
-  /** While a list is being applied no other watch opens, and the next one goes on behind that list. */
+  /**
+   * While a list is being applied no other watch opens, and the next one goes on behind that list.
+   */
   @Test
   void brokenWhileAListIsBeingApplied() throws Exception {
     appliesAtOnce = false;
@@ -219,7 +237,10 @@
     next("listed 0/4", "at 45000");
   }
 
-  /** A series that begins anew is taken from its whole list; what comes of an older one later is passed over. */
+  /**
+   * A series that begins anew is taken from its whole list; what comes of an older one later is
+   * passed over.
+   */
   @Test
   void seriesThatBeginsAnew() throws Exception {
     watched(0, "since=1", list(0, 40, true) + list(100, 41, false));
--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -1,4 +1,4 @@
-package saltlatch.wire;
+package saltlatch.wire.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,43 +12,51 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Objects of discovery's stream, in any order of their fields, cut anywhere, and those beyond a bound. */
-class ListReaderTest {
+/**
+ * Objects of discovery's stream, in any order of their fields, cut anywhere, and those beyond a
+ * bound.
+ */
+class EndpointListParserTest {
   private static final String ENTRY = "{\"name\":\"ş-1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\","
       + "\"type\":\"m\",\"status\":\"Ready\"}";
   private static final String GONE = "{\"name\":\"s-2\",\"status\":\"Gone\",\"tags\":[{\"k\":\"]}\"}]}";
 
-  private final List<TargetList> lists = new ArrayList<>();
+  private final List<EndpointList> lists = new ArrayList<>();
 
-  private boolean read(ListReader reader, String text) throws ListReader.Unreadable {
+  private boolean read(EndpointListParser reader, String text)
+      throws EndpointListParser.Unreadable {
     return reader.feed(Buffer.buffer(text), lists::add);
   }
 
   private String seen() {
     StringBuilder text = new StringBuilder();
-    for (TargetList list : lists) {
-      text.append(list.series()).append('/').append(list.index()).append(list.whole() ? " whole" : "");
-      list.targets().forEach(t -> text.append(' ').append(t.name()).append(' ').append(t.condition()));
+    for (EndpointList list : lists) {
+      text.append(list.series()).append('/').append(list.index())
+          .append(list.snapshot() ? " whole" : "");
+      list.entries().forEach(t -> text.append(' ').append(t.name()).append(' ').append(t.state()));
       text.append('\n');
     }
     return text.toString();
   }
 
-  private static ListReader.Unreadable unreadable(String text) {
-    return assertThrows(ListReader.Unreadable.class,
-        () -> new ListReader().feed(Buffer.buffer(text), list -> {}), text);
+  private static EndpointListParser.Unreadable unreadable(String text) {
+    return assertThrows(EndpointListParser.Unreadable.class,
+        () -> new EndpointListParser().feed(Buffer.buffer(text), list -> {}), text);
   }
 
-  /** The key {@code endpoints} elsewhere, as a value and within another object, begins no entries. */
+  /**
+   * The key {@code endpoints} elsewhere, as a value and within another object, begins no entries.
+   */
   @Test
   void anyOrderOfFields() throws Exception {
     String[] texts = {
-        "{\"endpoints\" : [" + ENTRY + " , " + GONE + "],\"index\":7,\"snapshot\":true,\"series\":5}\n",
+        "{\"endpoints\" : [" + ENTRY + " , " + GONE
+            + "],\"index\":7,\"snapshot\":true,\"series\":5}\n",
         "{\"index\":7,\"endpoints\":[" + ENTRY + "," + GONE + "],\"snapshot\":true,\"series\":5}\n",
         "{\"note\":\"\\\"endpoints\\\":[\",\"more\":{\"endpoints\":[1,2]},\"snapshot\":true,\"index\":7,"
             + "\"series\":5,\n  \"endpoints\":[\n  " + ENTRY + ",\n  " + GONE + "\n]}\n"};
     for (String text : texts) {
-      ListReader reader = new ListReader();
+      EndpointListParser reader = new EndpointListParser();
       for (byte one : text.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
         reader.feed(Buffer.buffer(new byte[] {one}), lists::add);
       }
@@ -59,7 +67,7 @@
 
   @Test
   void emptyListsAndBlankLines() throws Exception {
-    ListReader reader = new ListReader();
+    EndpointListParser reader = new EndpointListParser();
     assertTrue(read(reader, "\n"));
     assertFalse(read(reader, " {\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
     assertTrue(read(reader, "\r\n"));
@@ -69,8 +77,9 @@
   /** What says that a watch is well while a long line comes: a whole entry, not bytes of one. */
   @Test
   void wholeEntriesAreProgress() throws Exception {
-    ListReader reader = new ListReader();
-    assertFalse(read(reader, "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY.substring(0, 40)));
+    EndpointListParser reader = new EndpointListParser();
+    assertFalse(
+        read(reader, "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY.substring(0, 40)));
     assertFalse(read(reader, ENTRY.substring(40, 50)));
     assertTrue(read(reader, ENTRY.substring(50)));
     assertFalse(read(reader, ","));
@@ -80,48 +89,60 @@
 
   @Test
   void recurringWordsAreKeptOnce() throws Exception {
-    read(new ListReader(), "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + "," + ENTRY + "]}\n");
-    List<TargetList.Target> targets = lists.get(0).targets();
+    read(new EndpointListParser(),
+        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + "," + ENTRY + "]}\n");
+    List<EndpointList.Entry> targets = lists.get(0).entries();
     assertSame(targets.get(0).zone(), targets.get(1).zone());
-    assertSame(targets.get(0).type(), targets.get(1).type());
+    assertSame(targets.get(0).machineType(), targets.get(1).machineType());
   }
 
   @Test
   void malformedEntriesAreNoMatterOfSize() {
-    String[] within = {ENTRY + ENTRY, ENTRY + ",", "," + ENTRY, ENTRY + ",," + GONE, "5", "null", "\"s-1\"",
-        "[" + ENTRY + "]", "{}", "{\"name\":\"s-1\",\"status\":\"Asleep\"}", ENTRY + "}"};
+    String[] within = {ENTRY + ENTRY, ENTRY + ",", "," + ENTRY, ENTRY + ",," + GONE, "5", "null",
+        "\"s-1\"", "[" + ENTRY + "]", "{}", "{\"name\":\"s-1\",\"status\":\"Asleep\"}",
+        ENTRY + "}"};
     for (String one : within) {
       String text = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + one + "]}\n";
       assertFalse(unreadable(text).isTooLarge(), text);
     }
-    for (String text : new String[] {"{\"index\":3,\"snapshot\":true}\n", "{\"endpoints\":[" + ENTRY + "]}\n",
-        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + ",\n{\"index\":4}\n", "]\n", "[]\n"}) {
+    for (String text : new String[] {"{\"index\":3,\"snapshot\":true}\n",
+        "{\"endpoints\":[" + ENTRY + "]}\n",
+        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + ",\n{\"index\":4}\n", "]\n",
+        "[]\n"}) {
       assertFalse(unreadable(text).isTooLarge(), text);
     }
-    assertFalse(unreadable("x".repeat(ListReader.LONGEST_PART + 1)).isTooLarge());
+    assertFalse(unreadable("x".repeat(EndpointListParser.LONGEST_PART + 1)).isTooLarge());
   }
 
-  /** The JSON library wraps the heap's end: such a list is too large for this node, not malformed. */
+  /**
+   * The JSON library wraps the heap's end: such a list is too large for this node, not malformed.
+   */
   @Test
   void fullHeapIsNoMalformedList() {
-    RuntimeException wrapped = new JsonParseException("Failed parsing JSON source", new OutOfMemoryError());
-    ListReader.Unreadable full = new ListReader.Unreadable(wrapped);
+    RuntimeException wrapped = new JsonParseException("Failed parsing JSON source",
+        new OutOfMemoryError());
+    EndpointListParser.Unreadable full = new EndpointListParser.Unreadable(wrapped);
     assertTrue(full.isTooLarge());
     assertTrue(full.getMessage().startsWith("the heap of "), full.getMessage());
-    assertFalse(new ListReader.Unreadable(new JsonParseException("no number")).isTooLarge());
+    assertFalse(
+        new EndpointListParser.Unreadable(new JsonParseException("no number")).isTooLarge());
   }
 
-  /** At the bound it is read, one beyond it is refused, and so is one entry that is too long; the size is told. */
+  /**
+   * At the bound it is read, one beyond it is refused, and so is one entry that is too long; the
+   * size is told.
+   */
   @Test
   void bounds() throws Exception {
     String head = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + GONE;
-    String most = head + ("," + GONE).repeat(ListReader.MOST_ENTRIES - 1);
-    read(new ListReader(), most + "]}\n");
-    assertEquals(ListReader.MOST_ENTRIES, lists.get(0).targets().size());
-    ListReader.Unreadable many = unreadable(most + "," + GONE + "]}\n");
+    String most = head + ("," + GONE).repeat(EndpointListParser.MOST_ENTRIES - 1);
+    read(new EndpointListParser(), most + "]}\n");
+    assertEquals(EndpointListParser.MOST_ENTRIES, lists.get(0).entries().size());
+    EndpointListParser.Unreadable many = unreadable(most + "," + GONE + "]}\n");
     assertTrue(many.isTooLarge());
     assertTrue(many.getMessage().contains("65536 entries and " + (most.length() + 2) + " bytes"),
         many.getMessage());
-    assertTrue(unreadable(head + ",{\"name\":\"" + "x".repeat(ListReader.LONGEST_PART)).isTooLarge());
+    assertTrue(unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.LONGEST_PART))
+        .isTooLarge());
   }
 }
