--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -16,32 +16,32 @@
  */
 public final class QuotaShares {
   // of an even share: one cut off serves a little, the dead strand no more than that
-  static final double FLOOR = 0.25;
+  static final double FLOOR_FRACTION = 0.25;
 
   private final int me;
   private final int nodes;
   private final long[] heardAt; // by member; 0: never
-  private final GossipMessage.Reachability[] heard; // what each said last of whom it hears
+  private final GossipMessage.Reachability[] recordGossip; // what each said last of whom it hears
   private MembershipChanged view;
 
   public QuotaShares(int me, int nodes) {
     this.me = me;
     this.nodes = nodes;
     heardAt = new long[nodes];
-    heard = new GossipMessage.Reachability[nodes];
+    recordGossip = new GossipMessage.Reachability[nodes];
   }
 
-  public void follow(MembershipChanged m) {
+  public void update(MembershipChanged m) {
     view = m;
   }
 
   /** Nodes that what all may do together is divided by. */
-  public int counted() {
+  public int divisorNodes() {
     return view.nodeCount();
   }
 
   /** Whether it is worth telling that member anything. */
-  public boolean isThere(int member) {
+  public boolean isLive(int member) {
     return view.states().get(member) == MemberState.LIVE;
   }
 
@@ -57,13 +57,13 @@
    * This node's own part of the quota of a customer whose set is {@code width} nodes from
    * {@code first} on.
    */
-  public double own(long now, int first, int width) {
+  public double ownShare(long now, int first, int width) {
     if (!inSet(me, first, width)) return 0;
     return part(holds(now), takes(now) ? taken(first, width) : 0, width);
   }
 
   private static double part(boolean holds, double taken, int width) {
-    return ((holds ? 1 : FLOOR) + taken) / width;
+    return ((holds ? 1 : FLOOR_FRACTION) + taken) / width;
   }
 
   private boolean inSet(int member, int first, int width) {
@@ -82,13 +82,13 @@
       live += life == MemberState.LIVE ? 1 : 0;
       gone += life == MemberState.TAKEN_OVER ? 1 : 0;
     }
-    return live == 0 ? 0 : (1 - FLOOR) * gone / live;
+    return live == 0 ? 0 : (1 - FLOOR_FRACTION) * gone / live;
   }
 
   /** A peer was heard; {@code hearing} null: it is from before, and does not say whom it hears. */
-  public void heard(long now, int from, GossipMessage.Reachability hearing) {
+  public void recordGossip(long now, int from, GossipMessage.Reachability hearing) {
     heardAt[from] = now;
-    heard[from] = hearing;
+    recordGossip[from] = hearing;
   }
 
   /** Whom this node hears: itself and who was heard within that time. */
@@ -100,7 +100,7 @@
   }
 
   /** What this node says of whom it hears; null in a fleet too large for that. */
-  public GossipMessage.Reachability hearing(long now, long within) {
+  public GossipMessage.Reachability reachability(long now, long within) {
     return nodes > GossipMessage.MAX_NODES_WITH_REACHABILITY ? null
         : new GossipMessage.Reachability(hears(now, within), holds(now), takes(now));
   }
@@ -110,16 +110,17 @@
    * least this node's own. Equal sets of whom they hear make it a partition: no share is lent to
    * two sides, whatever links are cut.
    */
-  public double pooled(long now, long within, int first, int width) {
+  public double pooledShare(long now, long within, int first, int width) {
     if (!inSet(me, first, width)) return 0;
     BitSet mine = hears(now, within);
     double taken = takes(now) ? taken(first, width) : 0;
     double sum = part(holds(now), taken, width);
     for (int i = 0; i < Math.min(width, nodes); i++) {
       int member = (first + i) % nodes;
-      if (member == me || !mine.get(member) || heard[member] == null) continue;
-      if (same(mine, heard[member].reachableNodes(), first, width)) {
-        sum += part(heard[member].holdsLease(), heard[member].holdsTakeover() ? taken : 0, width);
+      if (member == me || !mine.get(member) || recordGossip[member] == null) continue;
+      if (same(mine, recordGossip[member].reachableNodes(), first, width)) {
+        sum += part(recordGossip[member].holdsLease(),
+            recordGossip[member].holdsTakeover() ? taken : 0, width);
       }
     }
     return Math.min(1, sum);
@@ -128,7 +129,7 @@
   /**
    * Members of the set that still count as heard, but whose last word is older than {@code late}.
    */
-  public int silent(long now, long late, long within, int first, int width) {
+  public int overdueNodes(long now, long late, long within, int first, int width) {
     int silent = 0;
     for (int i = 0; i < Math.min(width, nodes); i++) {
       int member = (first + i) % nodes;
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -80,7 +80,7 @@
     boolean changed = !now.equals(told);
     if (changed) {
       module.accept(now);
-      shares.follow(now);
+      shares.update(now);
       told = now;
     }
     shareIs(scheduler.now() < now.takeoverUntilTicks()
@@ -105,8 +105,8 @@
     if (!is.equals(share)) LOG.info("share {}", is);
     if (history != null && (changed || !is.equals(share))) {
       long now = scheduler.now();
-      history.add("share", "is", is, "part", shares.own(now, 0, terms.members()), "whole",
-          1.0 / terms.members(), "floor", shares.own(Long.MAX_VALUE, 0, terms.members()),
+      history.add("share", "is", is, "part", shares.ownShare(now, 0, terms.members()), "whole",
+          1.0 / terms.members(), "floor", shares.ownShare(Long.MAX_VALUE, 0, terms.members()),
           "holds_ms", left(told.leaseUntilTicks()), "takes_ms", left(told.takeoverUntilTicks()));
     }
     share = is;
--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -140,7 +140,7 @@
   public long stallThresholdTicks() { return awayAfter; }
 
   @Override
-  public long gossipValidityTicks() { return gossip.within(); }
+  public long gossipValidityTicks() { return gossip.validityTicks(); }
 
   @Override
   public void handle(long at, List<GatewayEvent> events) {
@@ -148,14 +148,14 @@
     long ran = now;
     now = at;
     if (away) back(ran);
-    quotas.at(at);
+    quotas.advanceTo(at);
     for (GatewayEvent e : events) {
       if (e instanceof GatewayEvent.RequestArrived a) arrived(a);
       else if (e instanceof GatewayEvent.AttemptEnded d) ended(d);
       else if (e instanceof GatewayEvent.CounterReplied c) counted(c);
       else if (e instanceof GatewayEvent.TimerFired d) due(d);
       else if (e instanceof GatewayEvent.EndpointsUpdated l) listed(l);
-      else if (e instanceof GatewayEvent.GossipReceived h) quotas.heard(h);
+      else if (e instanceof GatewayEvent.GossipReceived h) quotas.applyGossip(h);
       else if (e instanceof GatewayEvent.ResponseStarted b) begun(reqs.find(b.requestId()));
       else if (e instanceof GatewayEvent.ClientDisconnected c) left(reqs.find(c.requestId()));
       else if (e instanceof GatewayEvent.MembershipChanged m) members(m);
@@ -192,15 +192,15 @@
   private void members(GatewayEvent.MembershipChanged m) {
     if (shares == null) {
       shares = new QuotaShares(site.peers().ownIndex(), site.nodeCount());
-      quotas.share(shares);
-      gossip.share(shares);
+      quotas.useShares(shares);
+      gossip.useShares(shares);
     }
-    shares.follow(m);
+    shares.update(m);
   }
 
   /** Nodes that what all may do together is divided by. */
   private int nodes() {
-    return shares == null ? Math.max(1, site.nodeCount()) : shares.counted();
+    return shares == null ? Math.max(1, site.nodeCount()) : shares.divisorNodes();
   }
 
   // ---- arriving and counting
@@ -209,7 +209,7 @@
     RequestState r = reqs.put(a.requestId(), new RequestState());
     r.arrival = a;
     r.stats = kinds.get(a.requestClass());
-    r.customer = quotas.customer(a);
+    r.customer = quotas.customerFor(a);
     r.deadline = now + a.clientTimeoutTicks() - a.ageTicks()
         - TICKS_SPARE * site.clockResolutionTicks();
     boolean usual = r.stats.isUsualTimeout(a.clientTimeoutTicks(), site.clockResolutionTicks());
@@ -227,8 +227,8 @@
   private void ask(RequestState r) {
     r.reservedUnits = site.counter().reportsActualUnits() ? learner(r)[0]
         : r.arrival.estimatedUnits();
-    r.window = quotas.window(r.customer, misses == 0);
-    quotas.fill(r.customer);
+    r.window = quotas.currentWindow(r.customer, misses == 0);
+    quotas.refill(r.customer);
     // Once its window is spent and no room is known, a req only reads: adds that are sure to be
     // given back would make the customer look fuller to the other nodes than it is. Guards against
     // client tries that come back past their response target and take room from first ones: none
@@ -237,8 +237,8 @@
         && r.customer.availableUnits < r.reservedUnits
         || r.lateRetry && (r.customer.exhausted || !counterIsWell());
     // What peers tell is known without a call: calls are for reqs that it leaves room for.
-    boolean heard = !counterIsWell() && gossip.isHeard(now, r.customer.nodeCount);
-    if (heard) full = r.lateRetry || !quotas.hasLocalRoom(r.customer, r.reservedUnits);
+    boolean heard = !counterIsWell() && gossip.isUsageFresh(now, r.customer.nodeCount);
+    if (heard) full = r.lateRetry || !quotas.hasLocalCapacity(r.customer, r.reservedUnits);
     // Guards against a counter that is silent, refusing, full or slow: a call goes out every gap,
     // for the next req in time; a share decides the others. Harms a little where two calls are lost
     // by chance.
@@ -250,7 +250,7 @@
       call(r.window, r, r.chargedUnits);
       return;
     }
-    decide(r, !full && (heard || quotas.hasLocalRoom(r.customer, r.reservedUnits)));
+    decide(r, !full && (heard || quotas.hasLocalCapacity(r.customer, r.reservedUnits)));
     r.window.uncarriedUnits += r.admitted ? r.reservedUnits : 0;
   }
 
@@ -263,7 +263,7 @@
   }
 
   private void counted(GatewayEvent.CounterReplied c) {
-    QuotaWindow w = quotas.find(c.counterName());
+    QuotaWindow w = quotas.findWindow(c.counterName());
     if (w == null || w.calls.isEmpty()) return;
     CounterCall call = w.calls.poll();
     RequestState r = call.request();
@@ -271,18 +271,18 @@
     // Guards against a counter taken for bad, or for well, by a call that this node was away under.
     if (call.sentAt() >= backAt) judgeCounter(answered);
     if (answered) {
-      quotas.follow(w, call.units(), c.total());
+      quotas.applyCounterTotal(w, call.units(), c.total());
       if (r == null) return;
       boolean below = w.chargedTotal - r.chargedUnits < w.customer.plan.burstUnits();
       w.customer.exhausted |= !below || w.customer.availableUnits <= 0;
       // Guards against windows that differ from the quota's store: a heavy customer would spend
       // each window at its start, stand denied with room, and find a whole burst again at the turn.
-      boolean heard = gossip.isHeard(now, w.customer.nodeCount);
-      boolean room = heard ? quotas.hasLocalRoom(r.customer, r.reservedUnits)
+      boolean heard = gossip.isUsageFresh(now, w.customer.nodeCount);
+      boolean room = heard ? quotas.hasLocalCapacity(r.customer, r.reservedUnits)
           : w.customer.availableUnits >= r.reservedUnits;
       decide(r, w.customer.exhausted ? !r.lateRetry && room : below);
     } else if (r != null) {
-      decide(r, quotas.hasLocalRoom(r.customer, r.reservedUnits));
+      decide(r, quotas.hasLocalCapacity(r.customer, r.reservedUnits));
     }
     // A timed-out or broken add may have counted: it is taken as counted, and not as another node's
     // when it shows in a total. What was turned away is owed again.
@@ -310,7 +310,7 @@
       gap = gap < site.clockResolutionTicks() ? 0 : gap;
     } else if ((misses >= MISSES || gap > 0) && now >= nextGap) {
       nextGap = now + ROUND;
-      gossip.jam(now);
+      gossip.counterUnhealthy(now);
       gap = Math.min(GAP_MOST * crowd, Math.max(GAP_FIRST * crowd, gap * GAP_UP));
     }
     judgedAt = now;
@@ -339,16 +339,18 @@
       return;
     }
     r.admitted = true;
-    if (r.window != null) quotas.pass(r.window, r.reservedUnits);
+    if (r.window != null) quotas.recordAdmitted(r.window, r.reservedUnits);
     c.admittedWithoutCounter += c.admittedWithoutCounter >= 0 ? r.reservedUnits : 0;
     c.ceilingUnits -= r.arrival.estimatedUnits();
   }
 
   /** When the client of a request that its quota has no room for should come back. */
   private long pauseWithoutRoom(RequestState r) {
-    double spread = SPREAD_BACK * QuotaTracker.length(r.customer.plan) * chance.nextDouble();
+    double spread = SPREAD_BACK * QuotaTracker.windowLengthTicks(r.customer.plan)
+        * chance.nextDouble();
     long unsure = Math.max(0, nextCall - now) + (long) (gap * chance.nextDouble());
-    boolean known = r.lateRetry || r.awaitingCounter || gossip.isHeard(now, r.customer.nodeCount);
+    boolean known = r.lateRetry || r.awaitingCounter
+        || gossip.isUsageFresh(now, r.customer.nodeCount);
     return known ? r.window.endsAt - now + (long) spread : unsure;
   }
 
@@ -369,7 +371,7 @@
     double step = range / Math.max(HOLD_COST, OVERRUN_COST) / Math.sqrt(++l[1]);
     l[0] = Math.max(0, Math.min(range, l[0] - step * slope));
     if (r.window == null || actual == r.reservedUnits) return;
-    quotas.pass(r.window, actual - r.reservedUnits);
+    quotas.recordAdmitted(r.window, actual - r.reservedUnits);
     r.window.uncarriedUnits += actual - r.reservedUnits;
     if (counterIsWell()) call(r.window, null, 0);
   }
@@ -622,7 +624,7 @@
             && f.keyScope() == GatewaySettings.KeyScope.ALL;
     if (r.admitted && r.attemptCount == 0 && r.window != null) { // charged, never sent
       r.window.uncarriedUnits -= r.reservedUnits;
-      quotas.pass(r.window, -r.reservedUnits);
+      quotas.recordAdmitted(r.window, -r.reservedUnits);
     }
     r.wantedEnd = end == RequestEnd.REJECTED && !harmless ? RequestEnd.FAILED : end;
     r.retryAfterTicks = rules.maySendRetryAfter()
@@ -675,13 +677,13 @@
       d.abandoned = true;
       out--;
     });
-    if (gap > 0) gossip.jam(now);
-    gossip.due(now).forEach(to::sendGossip);
-    quotas.eachWindow(w -> {
+    if (gap > 0) gossip.counterUnhealthy(now);
+    gossip.dueMessages(now).forEach(to::sendGossip);
+    quotas.releaseWindowsIf(w -> {
       if (w.uncarriedUnits != 0 && now < w.endsAt + longest && counterIsWell()) call(w, null, 0);
       return now > w.endsAt + longest && w.calls.isEmpty();
     });
-    quotas.forget();
+    quotas.releaseIdleCustomers();
   }
 
   // ---- from the wanted to the present
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaTracker.java
@@ -55,14 +55,14 @@
     started = now;
   }
 
-  void at(long time) { now = time; }
+  void advanceTo(long time) { now = time; }
 
-  void share(QuotaShares with) { shares = with; }
+  void useShares(QuotaShares with) { shares = with; }
 
-  QuotaWindow find(long name) { return windows.find(name); }
+  QuotaWindow findWindow(long name) { return windows.find(name); }
 
   /** Each window; one of which the answer is true is forgotten. */
-  void eachWindow(Predicate<QuotaWindow> isOver) {
+  void releaseWindowsIf(Predicate<QuotaWindow> isOver) {
     windows.forEach(w -> {
       if (isOver.test(w)) windows.release(w.counterName);
     });
@@ -72,7 +72,7 @@
    * Lets go of customers unseen for long with nothing out, if no part of a ceiling would be
    * forgiven.
    */
-  void forget() {
+  void releaseIdleCustomers() {
     customers.forEach(c -> {
       boolean full = ceilingAllows(c, 0)
           && c.ceilingUnits >= c.plan.ceilingBurstUnits() / c.nodeCount;
@@ -82,7 +82,7 @@
   }
 
   /** Takes in a total: what others charged since the last one leaves the customer's room. */
-  void follow(QuotaWindow w, double units, double total) {
+  void applyCounterTotal(QuotaWindow w, double units, double total) {
     CustomerQuota c = w.customer;
     rejoin(c);
     c.lastTotalAt = now;
@@ -100,7 +100,7 @@
     w.unconfirmedUnits = 0;
     // Guards against a jam, in which much passes uncounted: others are taken to count as little as
     // this node. Where peers tell what passes uncounted, totals need no such guess.
-    double part = gossip.isHeard(now, c.nodeCount) ? 1 : counted;
+    double part = gossip.isUsageFresh(now, c.nodeCount) ? 1 : counted;
     w.othersByCounter += Math.max(0, others - known) / part + Math.min(0, others);
     w.chargedTotal += units + known;
     takeIn(w);
@@ -111,7 +111,7 @@
    * charged.
    */
   private void rejoin(CustomerQuota c) {
-    fill(c);
+    refill(c);
     if (c.admittedWithoutCounter >= 0) {
       // A draw is no use: over the small part held it would become a debt of many bursts.
       c.availableUnits = Math.min(c.plan.burstUnits() * c.shareWithoutCounter,
@@ -130,7 +130,7 @@
    */
   private void takeIn(QuotaWindow w) {
     CustomerQuota c = w.customer;
-    boolean heard = gossip.isHeard(now, c.nodeCount);
+    boolean heard = gossip.isUsageFresh(now, c.nodeCount);
     double known = w.othersByGossip > 0 ? Math.max(w.othersByCounter, w.othersByGossip)
         : w.othersByCounter;
     double use = known - w.othersCharged;
@@ -153,14 +153,14 @@
     }
   }
 
-  void heard(GatewayEvent.GossipReceived h) {
-    for (GossipMessage.WindowUsage s : gossip.heard(now, h.sender(), h.message())) {
+  void applyGossip(GatewayEvent.GossipReceived h) {
+    for (GossipMessage.WindowUsage s : gossip.receive(now, h.sender(), h.message())) {
       CustomerQuota c = customers.find(s.customer());
       if (c == null || c.plan.ratePerSecond() <= 0 || s.units() > MOST_TOLD * c.plan.burstUnits())
         continue;
-      long number = now / length(c.plan);
-      number -= Math.floorMod(number - s.windowNumber(), (long) QuotaGossip.TURNS);
-      QuotaWindow w = number == now / length(c.plan) ? window(c, false)
+      long number = now / windowLengthTicks(c.plan);
+      number -= Math.floorMod(number - s.windowNumber(), (long) QuotaGossip.WINDOW_NUMBER_MODULUS);
+      QuotaWindow w = number == now / windowLengthTicks(c.plan) ? currentWindow(c, false)
           : windows.find(name(c, number));
       int at = Math.floorMod(h.sender() - c.firstNode, Math.max(1, site.nodeCount()));
       if (w == null || at >= c.nodeCount) continue;
@@ -175,18 +175,18 @@
   }
 
   /** Notes what this node passed, or with units below 0 what it did not pass after all. */
-  void pass(QuotaWindow w, double units) {
+  void recordAdmitted(QuotaWindow w, double units) {
     CustomerQuota c = w.customer;
     w.admittedUnits += units;
     c.availableUnits -= units;
     c.usageWhileSplit += units;
     c.admittedWhilePeersSilent += units;
     c.refillAllowance -= units;
-    gossip.passed(w.counterName, c.id, w.endsAt / length(c.plan) - 1, c.firstNode, c.nodeCount,
-        w.admittedUnits);
+    gossip.recordAdmitted(w.counterName, c.id, w.endsAt / windowLengthTicks(c.plan) - 1,
+        c.firstNode, c.nodeCount, w.admittedUnits);
   }
 
-  CustomerQuota customer(GatewayEvent.RequestArrived a) {
+  CustomerQuota customerFor(GatewayEvent.RequestArrived a) {
     int width = Math.max(1, a.nodeCount() > 0 ? a.nodeCount() : site.nodeCount());
     CustomerQuota c = customers.find(a.customer());
     if (c == null) {
@@ -206,7 +206,7 @@
     return c;
   }
 
-  static long length(GatewaySettings.QuotaPlan p) {
+  static long windowLengthTicks(GatewaySettings.QuotaPlan p) {
     return Math.max(1, (long) (p.burstUnits() / p.ratePerSecond() * SECOND));
   }
 
@@ -215,8 +215,8 @@
   }
 
   /** {@code mayCount}: the counter answers, so that what was not carried in time tells of a jam. */
-  QuotaWindow window(CustomerQuota c, boolean mayCount) {
-    long length = length(c.plan);
+  QuotaWindow currentWindow(CustomerQuota c, boolean mayCount) {
+    long length = windowLengthTicks(c.plan);
     long number = now / length;
     if (c.window == null || c.window.endsAt != (number + 1) * length) {
       QuotaWindow w = new QuotaWindow(), old = c.window;
@@ -236,7 +236,7 @@
     return Math.min(most, held + (now - at) * rate / SECOND);
   }
 
-  void fill(CustomerQuota c) {
+  void refill(CustomerQuota c) {
     double part = c.admittedWithoutCounter >= 0 ? c.shareWithoutCounter : c.gossipShare;
     c.availableUnits = filled(c.availableUnits, c.availableUnitsAt, c.plan.ratePerSecond() * part,
         c.plan.burstUnits() * part);
@@ -252,16 +252,17 @@
    */
   private void rescale(CustomerQuota c) {
     if (c.admittedWithoutCounter >= 0) {
-      double own = Math.max(NOUGHT, shares.own(now, c.firstNode, c.nodeCount));
+      double own = Math.max(NOUGHT, shares.ownShare(now, c.firstNode, c.nodeCount));
       if (own < c.shareWithoutCounter && c.availableUnits > 0)
         c.availableUnits *= own / c.shareWithoutCounter;
       // more than before: what the others have left of the room is not known, its refill is
       c.shareWithoutCounter = own;
       return;
     }
-    boolean told = gossip.isHeard(now, c.nodeCount) && now - c.lastTotalAt > gossip.within();
-    double to = told
-        ? Math.max(NOUGHT, shares.pooled(now, gossip.within(), c.firstNode, c.nodeCount)) : 1;
+    boolean told = gossip.isUsageFresh(now, c.nodeCount)
+        && now - c.lastTotalAt > gossip.validityTicks();
+    double to = told ? Math.max(NOUGHT,
+        shares.pooledShare(now, gossip.validityTicks(), c.firstNode, c.nodeCount)) : 1;
     if (to == c.gossipShare) return;
     // as if all had passed alike; what the others did pass is charged when it shows
     if (c.gossipShare < 1) {
@@ -287,8 +288,8 @@
 
   /** Peers of the customer's set who told lately, but whose next word is overdue. */
   private int silent(CustomerQuota c) {
-    return shares.silent(now, (long) (LATE * gossip.period()), 2 * gossip.within(), c.firstNode,
-        c.nodeCount);
+    return shares.overdueNodes(now, (long) (LATE * gossip.periodTicks()),
+        2 * gossip.validityTicks(), c.firstNode, c.nodeCount);
   }
 
   private double fading(double sum, long at) { return sum * Math.exp((at - now) / OTHERS_TIME); }
@@ -297,8 +298,8 @@
    * Without an answer a customer has this node's learned share of its quota, while any of it is
    * left.
    */
-  boolean hasLocalRoom(CustomerQuota c, double units) {
-    if (gossip.isHeard(now, c.nodeCount)) {
+  boolean hasLocalCapacity(CustomerQuota c, double units) {
+    if (gossip.isUsageFresh(now, c.nodeCount)) {
       // Guards against a counter too small for a fleet of many nodes: shares of a store split so
       // many ways hold less than a req. With all passes known but the latest, a req needs room for
       // itself and for what the others will have passed by now; else this node's part of what the
@@ -309,14 +310,14 @@
           c.refillAllowanceAt, share, c.plan.burstUnits() * c.learnedShare));
       c.refillAllowanceAt = now;
       double rate = fading(c.othersUsage, c.othersUsageAt) / OTHERS_TIME;
-      double unheard = Math.max(rate * gossip.period(), unsaid(c, rate));
+      double unheard = Math.max(rate * gossip.periodTicks(), unsaid(c, rate));
       return c.availableUnits >= units + unheard || c.availableUnits > 0 && c.refillAllowance > 0;
     }
-    fill(c);
+    refill(c);
     if (c.admittedWithoutCounter < 0) {
       c.admittedWithoutCounter = 0;
       c.shareWithoutCounter = shares == null ? c.learnedShare
-          : Math.max(NOUGHT, shares.own(now, c.firstNode, c.nodeCount));
+          : Math.max(NOUGHT, shares.ownShare(now, c.firstNode, c.nodeCount));
       if (shares != null) presume(c);
       c.availableUnits *= c.shareWithoutCounter;
       if (partIsBelowOneReq(c)) draw(c, units);
@@ -352,7 +353,7 @@
     int silent = silent(c);
     if (silent == 0) c.admittedWhilePeersSilent = 0;
     return silent == 0 ? 0
-        : Math.max(rate * LATE * gossip.period(), silent * c.admittedWhilePeersSilent);
+        : Math.max(rate * LATE * gossip.periodTicks(), silent * c.admittedWhilePeersSilent);
   }
 
   /** This node's part of the hard ceiling, from local knowledge: rate and amount over its nodes. */
--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -80,7 +80,7 @@
             after(at, () -> {
               if (!dead[to] && reach.test(i, to)) run(to, () -> {
                 members[to].heard(clock(to), i, MembershipCodec.decode(bytes));
-                shares[to].follow(members[to].members());
+                shares[to].update(members[to].members());
               });
             });
           }
@@ -96,7 +96,7 @@
           }
         });
     shares[i] = new QuotaShares(i, terms.members());
-    shares[i].follow(self[0].members());
+    shares[i].update(self[0].members());
     tick(i, self[0]);
   }
 
@@ -107,7 +107,7 @@
   double shared(int first, int width) {
     double sum = 0;
     for (int i = 0; i < members.length; i++)
-      if (!dead[i]) sum += shares[i].own(clock(i), first, width);
+      if (!dead[i]) sum += shares[i].ownShare(clock(i), first, width);
     return sum;
   }
 
@@ -127,7 +127,7 @@
     after(now + TICK, () -> {
       if (dead[i] || members[i] != self) return;
       if (!paused[i]) self.tick(clock(i));
-      if (!paused[i]) shares[i].follow(self.members());
+      if (!paused[i]) shares[i].update(self.members());
       tick(i, self);
     });
   }
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -243,12 +243,12 @@
     f.pass(f.terms.lease());
     assertEquals(1, f.shared(0, 5), 1e-9);
     f.dead[3] = true;
-    double full = 1 - QuotaShares.FLOOR / 5;
+    double full = 1 - QuotaShares.FLOOR_FRACTION / 5;
     long took = f.until(() -> f.shared(0, 5) > full - 1e-9,
         f.terms.failedWithin() + f.terms.takenOverWithin());
     assertTrue(took > 0, f.shared(0, 5) + " of " + full);
     f.start(3);
-    assertTrue(f.until(() -> f.shares[3].own(f.now, 0, 5) > 0.2 - 1e-9,
+    assertTrue(f.until(() -> f.shares[3].ownShare(f.now, 0, 5) > 0.2 - 1e-9,
         f.terms.equalWithin() + 2 * f.terms.leaseOver()) > 0);
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
@@ -265,8 +265,9 @@
     f.pass(f.terms.failedWithin() + f.terms.takenOverWithin());
     assertEquals(FleetView.MINORITY, f.members[0].standing());
     assertEquals(FleetView.MAJORITY, f.members[4].standing());
-    assertEquals(QuotaShares.FLOOR / 5, f.shares[0].own(f.now, 0, 5), 1e-9);
-    assertEquals((1 - 2 * QuotaShares.FLOOR / 5) / 3, f.shares[4].own(f.now, 0, 5), 1e-9);
+    assertEquals(QuotaShares.FLOOR_FRACTION / 5, f.shares[0].ownShare(f.now, 0, 5), 1e-9);
+    assertEquals((1 - 2 * QuotaShares.FLOOR_FRACTION / 5) / 3, f.shares[4].ownShare(f.now, 0, 5),
+        1e-9);
     f.reach = (a, b) -> true;
     assertTrue(f.until(() -> f.agree() && f.shared(0, 5) > 1 - 1e-9,
         f.terms.equalWithin() + 2 * f.terms.leaseOver()) > 0);
@@ -284,11 +285,11 @@
     Fleet f = joined(5, 14);
     f.pass(f.terms.lease());
     f.members[1].leave();
-    f.shares[1].follow(f.members[1].members());
+    f.shares[1].update(f.members[1].members());
     f.pass(Fleet.SECOND);
     f.dead[1] = true;
-    assertTrue(
-        f.until(() -> f.shared(0, 5) > 1 - QuotaShares.FLOOR / 5 - 1e-9, f.terms.lease()) > 0);
+    assertTrue(f.until(() -> f.shared(0, 5) > 1 - QuotaShares.FLOOR_FRACTION / 5 - 1e-9,
+        f.terms.lease()) > 0);
     f.start(1);
     f.pass(f.terms.equalWithin() + f.terms.leaseOver());
     assertEquals(1, f.shared(0, 5), 1e-9);
--- a/src/test/java/saltlatch/membership/QuotaSharesTest.java
+++ b/src/test/java/saltlatch/membership/QuotaSharesTest.java
@@ -25,7 +25,7 @@
 
   private static QuotaShares node(int me, int n, long holdsUntil) {
     QuotaShares s = new QuotaShares(me, n);
-    s.follow(new MembershipChanged(Collections.nCopies(n, MemberState.LIVE), holdsUntil, 0, n));
+    s.update(new MembershipChanged(Collections.nCopies(n, MemberState.LIVE), holdsUntil, 0, n));
     return s;
   }
 
@@ -41,10 +41,10 @@
       List<GossipMessage> words = new ArrayList<>();
       for (QuotaShares s : all)
         words.add(GossipCodec
-            .decode(GossipCodec.encode(new GossipMessage(List.of(), s.hearing(now, WITHIN)))));
+            .decode(GossipCodec.encode(new GossipMessage(List.of(), s.reachability(now, WITHIN)))));
       for (int a = 0; a < n; a++) {
         for (int b = 0; b < n; b++)
-          if (a != b && reach[a][b]) all.get(b).heard(now, a, words.get(a).reachability());
+          if (a != b && reach[a][b]) all.get(b).recordGossip(now, a, words.get(a).reachability());
       }
     }
     return all;
@@ -59,12 +59,12 @@
   @Test
   void thoseThatHearEachOtherGoByAllOfTheirShares() {
     for (QuotaShares s : told(links(5, (a, b) -> true)))
-      assertEquals(1, s.pooled(60_000, WITHIN, 0, 5), 1e-9);
+      assertEquals(1, s.pooledShare(60_000, WITHIN, 0, 5), 1e-9);
     List<QuotaShares> split = told(links(5, (a, b) -> a < 2 == b < 2));
-    assertEquals(0.4, split.get(0).pooled(60_000, WITHIN, 0, 5), 1e-9);
-    assertEquals(0.6, split.get(4).pooled(60_000, WITHIN, 0, 5), 1e-9);
-    assertEquals(0.5, split.get(4).pooled(60_000, WITHIN, 4, 2), 1e-9); // the set is nodes 4 and 0
-    assertEquals(0, split.get(1).pooled(60_000, WITHIN, 2, 3)); // not of the set
+    assertEquals(0.4, split.get(0).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
+    assertEquals(0.6, split.get(4).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
+    assertEquals(0.5, split.get(4).pooledShare(60_000, WITHIN, 4, 2), 1e-9); // the set is nodes 4 and 0
+    assertEquals(0, split.get(1).pooledShare(60_000, WITHIN, 2, 3)); // not of the set
   }
 
   /**
@@ -74,11 +74,11 @@
   @Test
   void aBridgeAndAOneWayCutLendNothingTwice() {
     List<QuotaShares> bridge = told(links(5, (a, b) -> a == 2 || b == 2 || a < 2 == b < 2));
-    assertEquals(0.4, bridge.get(0).pooled(60_000, WITHIN, 0, 5), 1e-9);
-    assertEquals(0.2, bridge.get(2).pooled(60_000, WITHIN, 0, 5), 1e-9);
+    assertEquals(0.4, bridge.get(0).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
+    assertEquals(0.2, bridge.get(2).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
     List<QuotaShares> deaf = told(links(3, (a, b) -> a != 0));
-    assertEquals(1 / 3.0, deaf.get(0).pooled(60_000, WITHIN, 0, 3), 1e-9);
-    assertEquals(2 / 3.0, deaf.get(1).pooled(60_000, WITHIN, 0, 3), 1e-9);
+    assertEquals(1 / 3.0, deaf.get(0).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
+    assertEquals(2 / 3.0, deaf.get(1).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
   }
 
   /**
@@ -95,7 +95,7 @@
     double sum = 0;
     // each of a pool of k has k even shares: all of them together count it once
     for (QuotaShares s : all) {
-      double part = s.pooled(60_000, WITHIN, 0, n);
+      double part = s.pooledShare(60_000, WITHIN, 0, n);
       sum += part / Math.round(part * n);
     }
     assertTrue(sum <= 1 + 1e-9, "" + sum);
@@ -108,10 +108,11 @@
   @Test
   void olderNodesLendNothing() {
     List<QuotaShares> all = told(links(3, (a, b) -> true));
-    all.get(0).heard(60_000, 2, null);
-    assertEquals(2 / 3.0, all.get(0).pooled(60_000, WITHIN, 0, 3), 1e-9);
-    byte[] words = GossipCodec.encode(new GossipMessage(
-        List.of(new GossipMessage.WindowUsage(7, 2, 4.5)), all.get(0).hearing(60_000, WITHIN)));
+    all.get(0).recordGossip(60_000, 2, null);
+    assertEquals(2 / 3.0, all.get(0).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
+    byte[] words = GossipCodec
+        .encode(new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
+            all.get(0).reachability(60_000, WITHIN)));
     assertTrue(words[0] == 0x51 && (words.length - 1) % 7 == 0 && words.length <= 256);
     for (int at = 1; at + 7 < words.length; at += 7)
       assertEquals(-1, words[at], "an id that customers have");
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -32,22 +32,22 @@
   @Test
   void tellsTheCustomersNodes() {
     QuotaGossip g = new QuotaGossip(1, 6, 40, 0);
-    g.passed(70, 7, 130, 0, 3, 2.5);
-    assertEquals(Map.of(), g.due(SECOND));
-    g.jam(SECOND);
-    g.passed(70, 7, 130, 0, 3, 2.5);
-    g.passed(70, 7, 130, 0, 3, 4.5);
-    Map<Integer, GossipMessage> told = g.due(SECOND);
+    g.recordAdmitted(70, 7, 130, 0, 3, 2.5);
+    assertEquals(Map.of(), g.dueMessages(SECOND));
+    g.counterUnhealthy(SECOND);
+    g.recordAdmitted(70, 7, 130, 0, 3, 2.5);
+    g.recordAdmitted(70, 7, 130, 0, 3, 4.5);
+    Map<Integer, GossipMessage> told = g.dueMessages(SECOND);
     assertEquals(List.of(2, 3, 5, 0), List.copyOf(told.keySet()));
     // not of the set, but near: that nothing was passed for it is told as well
     assertEquals(List.of(), told.get(3).usage());
     assertEquals(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
-        new QuotaGossip(2, 6, 40, 0).heard(SECOND, 1, told.get(2)));
-    g.passed(70, 7, 130, 0, 3, 5);
-    assertEquals(Map.of(), g.due(SECOND + 5_000));
-    assertEquals(4, g.due(2 * SECOND).size());
-    g.passed(70, 7, 130, 0, 3, 6);
-    assertEquals(Map.of(), g.due(9 * SECOND)); // the jam is over for long
+        new QuotaGossip(2, 6, 40, 0).receive(SECOND, 1, told.get(2)));
+    g.recordAdmitted(70, 7, 130, 0, 3, 5);
+    assertEquals(Map.of(), g.dueMessages(SECOND + 5_000));
+    assertEquals(4, g.dueMessages(2 * SECOND).size());
+    g.recordAdmitted(70, 7, 130, 0, 3, 6);
+    assertEquals(Map.of(), g.dueMessages(9 * SECOND)); // the jam is over for long
   }
 
   /**
@@ -57,14 +57,14 @@
   @Test
   void datagramsOfAnotherForm() {
     QuotaGossip g = new QuotaGossip(0, 2, 40, 0);
-    g.jam(0);
-    for (int i = 0; i < 100; i++) g.passed(i, i, 0, 0, 2, 1);
-    byte[] words = GossipCodec.encode(g.due(SECOND).get(1));
-    assertTrue(words.length <= QuotaGossip.MOST_BYTES && words.length > 250);
+    g.counterUnhealthy(0);
+    for (int i = 0; i < 100; i++) g.recordAdmitted(i, i, 0, 0, 2, 1);
+    byte[] words = GossipCodec.encode(g.dueMessages(SECOND).get(1));
+    assertTrue(words.length <= QuotaGossip.MAX_DATAGRAM_BYTES && words.length > 250);
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
-    peer.jam(0);
+    peer.counterUnhealthy(0);
     GossipMessage told = GossipCodec.decode(words);
-    List<GossipMessage.WindowUsage> sums = peer.heard(SECOND, 0, told);
+    List<GossipMessage.WindowUsage> sums = peer.receive(SECOND, 0, told);
     assertEquals(new GossipMessage.WindowUsage(99, 0, 1), sums.get(0));
     assertEquals(36, sums.size());
     byte[] other = words.clone();
@@ -73,21 +73,21 @@
       assertEquals(null, GossipCodec.decode(bad));
     }
     QuotaGossip deaf = new QuotaGossip(1, 2, 40, 0);
-    deaf.jam(0);
-    assertEquals(List.of(), deaf.heard(SECOND, -1, told));
-    assertEquals(List.of(), deaf.heard(SECOND, 1, told));
-    assertFalse(deaf.isHeard(SECOND, 2));
-    assertTrue(peer.isHeard(SECOND, 2));
-    assertFalse(peer.isHeard(5 * SECOND, 2)); // silent for more than three periods
+    deaf.counterUnhealthy(0);
+    assertEquals(List.of(), deaf.receive(SECOND, -1, told));
+    assertEquals(List.of(), deaf.receive(SECOND, 1, told));
+    assertFalse(deaf.isUsageFresh(SECOND, 2));
+    assertTrue(peer.isUsageFresh(SECOND, 2));
+    assertFalse(peer.isUsageFresh(5 * SECOND, 2)); // silent for more than three periods
   }
 
   /** More nodes that share customers tell more seldom: no node is told more than it takes in. */
   @Test
   void periodFollowsTheIntake() {
     QuotaGossip g = new QuotaGossip(0, 100, 40, 0);
-    assertEquals(SECOND, g.period());
-    g.passed(1, 1, 0, 0, 40, 1);
-    assertTrue(78 / (g.period() / SECOND) <= 40 * QuotaGossip.INTAKE + 0.01);
+    assertEquals(SECOND, g.periodTicks());
+    g.recordAdmitted(1, 1, 0, 0, 40, 1);
+    assertTrue(78 / (g.periodTicks() / SECOND) <= 40 * QuotaGossip.MAX_INTAKE_FRACTION + 0.01);
   }
 
   /**
@@ -97,14 +97,15 @@
   @Test
   void wideSetsAreNotTold() {
     QuotaGossip g = new QuotaGossip(0, 100, 40, 0.041);
-    g.jam(0);
-    g.passed(1, 1, 0, 0, 60, 1);
-    assertEquals(Map.of(), g.due(SECOND));
-    g.heard(SECOND, 1, new GossipMessage(List.of(), null));
-    assertTrue(g.isHeard(SECOND, 14));
-    assertFalse(g.isHeard(SECOND, 60));
-    g.passed(2, 2, 0, 0, 14, 1);
-    assertEquals(13, g.due(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
+    g.counterUnhealthy(0);
+    g.recordAdmitted(1, 1, 0, 0, 60, 1);
+    assertEquals(Map.of(), g.dueMessages(SECOND));
+    g.receive(SECOND, 1, new GossipMessage(List.of(), null));
+    assertTrue(g.isUsageFresh(SECOND, 14));
+    assertFalse(g.isUsageFresh(SECOND, 60));
+    g.recordAdmitted(2, 2, 0, 0, 14, 1);
+    assertEquals(13,
+        g.dueMessages(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
   }
 
   /**
@@ -128,21 +129,21 @@
     for (long now = 0; now < 120 * SECOND; now += 200) {
       store = Math.min(PLAN.burstUnits(), store + 0.02 * PLAN.ratePerSecond());
       for (int i = 0; i < n; i++) {
-        quotas.get(i).at(now);
-        gossips.get(i).jam(now);
-        for (Map.Entry<Integer, GossipMessage> m : gossips.get(i).due(now).entrySet()) {
-          quotas.get(m.getKey()).at(now);
+        quotas.get(i).advanceTo(now);
+        gossips.get(i).counterUnhealthy(now);
+        for (Map.Entry<Integer, GossipMessage> m : gossips.get(i).dueMessages(now).entrySet()) {
+          quotas.get(m.getKey()).advanceTo(now);
           if (chance.nextDouble() >= lost)
-            quotas.get(m.getKey()).heard(new GatewayEvent.GossipReceived(i, m.getValue()));
+            quotas.get(m.getKey()).applyGossip(new GatewayEvent.GossipReceived(i, m.getValue()));
         }
       }
       if (chance.nextDouble() >= 0.02 * reqsPerSecond) continue;
       QuotaTracker q = quotas.get(chance.nextInt(n));
       CustomerQuota c = q
-          .customer(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
-      QuotaWindow w = q.window(c, false);
-      if (q.hasLocalRoom(c, 2)) {
-        q.pass(w, 2);
+          .customerFor(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
+      QuotaWindow w = q.currentWindow(c, false);
+      if (q.hasLocalCapacity(c, 2)) {
+        q.recordAdmitted(w, 2);
         c.admittedWithoutCounter += c.admittedWithoutCounter >= 0 ? 2 : 0;
         passed += 2;
         beyond += store < 2 ? 2 : 0;
@@ -184,15 +185,15 @@
       t.counted(AttemptOutcome.TIMED_OUT);
     }
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
-    peer.jam(t.now);
-    peer.passed(0, 9, t.now / 30_000, 0, 2, 1);
+    peer.counterUnhealthy(t.now);
+    peer.recordAdmitted(0, 9, t.now / 30_000, 0, 2, 1);
     t.say("peer 1 passed 1 of customer 9");
-    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.due(t.now).get(0)));
+    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now).get(0)));
     t.arrive(4, 0, 1);
     t.counted(AttemptOutcome.TIMED_OUT);
-    peer.passed(0, 9, t.now / 30_000, 0, 2, 40);
+    peer.recordAdmitted(0, 9, t.now / 30_000, 0, 2, 40);
     t.say("peer 1 passed 40 of customer 9");
-    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.due(t.now + SECOND).get(0)));
+    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now + SECOND).get(0)));
     t.arrive(5, 0, 1);
     t.pass(SECOND);
     t.matches("peers-sums");
--- a/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
+++ b/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
@@ -34,7 +34,7 @@
 
   private static CustomerQuota customer(QuotaTracker quotas, int nodes) {
     return quotas
-        .customer(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
+        .customerFor(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
   }
 
   /** Passed of one customer by all nodes together, each asked about every other second. */
@@ -48,11 +48,11 @@
     for (long now = 1_000; now <= SECONDS * 10_000L; now += 1_000) {
       for (QuotaTracker q : all) {
         if (chance.nextInt(20) > 0) continue;
-        q.at(now);
+        q.advanceTo(now);
         CustomerQuota c = customer(q, nodes);
-        QuotaWindow w = q.window(c, false);
-        if (!q.hasLocalRoom(c, 1)) continue;
-        q.pass(w, 1);
+        QuotaWindow w = q.currentWindow(c, false);
+        if (!q.hasLocalCapacity(c, 1)) continue;
+        q.recordAdmitted(w, 1);
         passed++;
       }
     }
@@ -85,14 +85,14 @@
     int nodes = 100;
     QuotaGossip gossip = new QuotaGossip(0, nodes, 40, 0);
     QuotaTracker quotas = new QuotaTracker(0, site(0, nodes), gossip, new SplittableRandom(1));
-    quotas.at(1_000);
+    quotas.advanceTo(1_000);
     CustomerQuota c = customer(quotas, nodes);
-    quotas.hasLocalRoom(c, 4);
+    quotas.hasLocalCapacity(c, 4);
     assertTrue(c.availableUnits < PLAN.burstUnits() / nodes - 0.1,
         c.availableUnits + " units, none drawn");
-    gossip.jam(1_000);
-    gossip.heard(1_000, 1, new GossipMessage(List.of(), null));
-    quotas.hasLocalRoom(c, 4);
+    gossip.counterUnhealthy(1_000);
+    gossip.receive(1_000, 1, new GossipMessage(List.of(), null));
+    quotas.hasLocalCapacity(c, 4);
     assertEquals(PLAN.burstUnits(), c.availableUnits, 0.001);
   }
 }
