--- /dev/null
+++ b/src/main/java/saltlatch/policy/ActionEmitter.java
@@ -0,0 +1,92 @@
+package saltlatch.policy;
+
+import saltlatch.api.GatewayActions;
+import saltlatch.api.GatewaySettings;
+
+/**
+ * Emits the difference between what is wanted and what is: of each changed request its final
+ * answer, next attempt, cancellation and timer; of the node its watch, housekeeping timer and
+ * counter calls. The only class that starts attempts and answers requests. Times are in ticks.
+ */
+final class ActionEmitter {
+  private final GatewayActions actions;
+  private final boolean mayCancelAttempts;
+  private final RequestTable requests;
+  private final AttemptTracker attempts;
+  private final QuotaCharges charges;
+  private final EndpointWatch watch;
+  private final HousekeepingSchedule housekeeping;
+
+  ActionEmitter(GatewayActions actions, GatewaySettings.Limits limits, RequestTable requests,
+      AttemptTracker attempts, QuotaCharges charges, EndpointWatch watch,
+      HousekeepingSchedule housekeeping) {
+    this.actions = actions;
+    mayCancelAttempts = limits.mayCancelAttempts();
+    this.requests = requests;
+    this.attempts = attempts;
+    this.charges = charges;
+    this.watch = watch;
+    this.housekeeping = housekeeping;
+  }
+
+  /** Called at the end of each batch of events. */
+  void emit(long now) {
+    if (watch.isDue(now)) {
+      watch.recordOpened();
+      actions.watchEndpoints(true);
+    }
+    if (housekeeping.needsTimer()) {
+      actions.setTimer(housekeeping.dueAt(), HousekeepingSchedule.TIMER_ID);
+      housekeeping.recordTimer();
+    }
+    for (RequestState request : requests.changed()) {
+      emit(request, now);
+    }
+    requests.changed().clear();
+    charges.emit(actions, now);
+  }
+
+  private void emit(RequestState request, long now) {
+    request.changed = false;
+    emitFinalAnswer(request);
+    if (!request.finished && request.nextServer != null) {
+      emitAttempt(request, now);
+    }
+    request.nextServer = null;
+    emitCancellation(request);
+    if (!request.finished && !request.deadlineTimerSet) {
+      actions.setTimer(request.deadline, request.arrival.requestId());
+    }
+    request.deadlineTimerSet = true;
+    if (request.finished && request.attempt == null && !request.awaitingCounter) {
+      requests.release(request);
+    }
+  }
+
+  private void emitFinalAnswer(RequestState request) {
+    if (request.finished || request.wantedEnd == RequestEnd.NONE) {
+      return;
+    }
+    if (request.wantedEnd == RequestEnd.REJECTED) {
+      actions.reject(request.arrival.requestId(), request.retryAfterTicks);
+    } else {
+      actions.fail(request.arrival.requestId());
+    }
+    request.finished = true;
+  }
+
+  private void emitAttempt(RequestState request, long now) {
+    Attempt attempt = attempts.start(request, now);
+    actions.startAttempt(request.arrival.requestId(), attempt.server.id, request.deadline - now);
+  }
+
+  private void emitCancellation(RequestState request) {
+    Attempt attempt = request.attempt;
+    if (attempt == null || !request.finished || request.streaming || attempt.cancelled
+        || !mayCancelAttempts) {
+      return;
+    }
+    attempt.cancelled = true;
+    actions.cancelAttempt(request.arrival.requestId(), request.attemptCount - 1);
+  }
+}
--- a/src/main/java/saltlatch/policy/Attempt.java
+++ b/src/main/java/saltlatch/policy/Attempt.java
@@ -1,12 +1,28 @@
 package saltlatch.policy;
 
-/** Lives for one dispatch. */
+/**
+ * One attempt of a request at an app server, from its start to its outcome. {@link AttemptTracker}
+ * makes it and alone writes to it, but for {@code cancelled}, which belongs to
+ * {@link ActionEmitter}. Times are in ticks.
+ */
 final class Attempt {
-  ServerState server;
-  long startedAt; // its sending
-  long serverStartedAt; // start of its app srv, as known then
-  long countedFrom; // the same, later by the time that this node was away meanwhile
-  double expectedTicks; // time it was thought to take
+  final ServerState server;
+  final long startedAt;
+  /** When the app server had last started, as known when the attempt did. */
+  final long serverStartedAt;
+  /** How long the attempt was thought to take. */
+  final double expectedTicks;
+  /** The attempt's start, later by the time for which this node was stalled meanwhile. */
+  long measuredFrom;
   boolean cancelled;
-  boolean abandoned; // too long on a sick app srv: no longer counted as out
+  /** Too long on an outlier: no longer counted as in flight by {@link LoadShedding}. */
+  boolean abandoned;
+
+  Attempt(ServerState server, long now, double expectedTicks) {
+    this.server = server;
+    this.expectedTicks = expectedTicks;
+    startedAt = now;
+    measuredFrom = now;
+    serverStartedAt = server.startedAt;
+  }
 }
--- /dev/null
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -0,0 +1,90 @@
+package saltlatch.policy;
+
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+
+/**
+ * Counts attempts in flight and hands what each shows to the rules that learn from it:
+ * {@link OutlierDetection}, {@link LoadShedding}, {@link SlowStart}, {@link RequestClassStats}. Owns
+ * {@link Attempt} and the numbers in flight of servers and customers. Times are in ticks.
+ */
+final class AttemptTracker {
+  private final ServerList servers;
+  private final OutlierDetection outliers;
+  private final SlowStart slowStart;
+  private final LoadShedding shedding;
+  private final CompletionRate completions;
+
+  AttemptTracker(ServerList servers, OutlierDetection outliers, SlowStart slowStart,
+      LoadShedding shedding, CompletionRate completions) {
+    this.servers = servers;
+    this.outliers = outliers;
+    this.slowStart = slowStart;
+    this.shedding = shedding;
+    this.completions = completions;
+  }
+
+  /** Starts an attempt at the server that is wanted for it. */
+  Attempt start(RequestState request, long now) {
+    double units = request.arrival.estimatedUnits();
+    Attempt attempt = new Attempt(request.nextServer, now, request.stats.expectedTicks(units));
+    request.attempt = attempt;
+    request.lastServer = attempt.server;
+    request.attemptCount++;
+    request.customer.inFlight++;
+    outliers.recordStart(attempt, now);
+    attempt.server.inFlight++;
+    shedding.recordStart();
+    slowStart.recordSent(attempt.server, units);
+    return attempt;
+  }
+
+  /** The request's attempt in flight has ended. */
+  void end(RequestState request, AttemptOutcome outcome, long now) {
+    Attempt attempt = request.attempt;
+    request.attempt = null;
+    request.customer.inFlight--;
+    attempt.server.inFlight--;
+    if (!attempt.abandoned) {
+      shedding.recordEnd();
+    }
+    outliers.recordEnd(attempt, outcome, now);
+    boolean succeeded = outcome == AttemptOutcome.SUCCEEDED;
+    if (succeeded) {
+      completions.recordSuccess();
+    }
+    request.stats.recordAttempt(request.arrival.estimatedUnits(), now - attempt.measuredFrom,
+        succeeded);
+    servers.releaseIfGone(attempt.server);
+    recordExecution(request, attempt, outcome);
+  }
+
+  /** Keeps the first attempt that may have been executed; {@link RetryPolicy} goes by it. */
+  private static void recordExecution(RequestState request, Attempt attempt,
+      AttemptOutcome outcome) {
+    if (!outcome.neverExecuted() && !request.possiblyExecuted()) {
+      request.possiblyExecutedAt = attempt.startedAt;
+      request.possiblyExecutedOn = attempt.server;
+    }
+  }
+
+  /** Gives up counting an attempt that is stuck on an outlier; called at each housekeeping. */
+  void abandonIfStuck(RequestState request, long now) {
+    Attempt attempt = request.attempt;
+    if (attempt == null || attempt.abandoned || request.streaming) {
+      return;
+    }
+    if (outliers.isStuck(attempt, request.stats.requestClass.latencyObjectiveTicks(), now)) {
+      attempt.abandoned = true;
+      shedding.recordEnd();
+    }
+  }
+
+  /** This node was stalled: the time is taken out of what the attempt is measured by. */
+  void excludeStall(RequestState request, long stallTicks) {
+    Attempt attempt = request.attempt;
+    if (attempt != null) {
+      attempt.measuredFrom += stallTicks;
+      outliers.excludeStall(attempt, stallTicks);
+    }
+  }
+}
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -30,5 +30,5 @@
   boolean exhausted; // a window's count reached the limit and the quota has not filled again since
   double ceilingUnits; // this node's part of the hard ceiling
   long ceilingUnitsAt;
-  double[][] estimates; // of each frontend: reservation, steps
+  QuantileReservation[] estimates; // by request class
 }
--- /dev/null
+++ b/src/main/java/saltlatch/policy/HousekeepingSchedule.java
@@ -0,0 +1,42 @@
+package saltlatch.policy;
+
+import saltlatch.api.Ticks;
+
+/**
+ * When the engine's housekeeping is due, and which timer for it has been asked of the host. The
+ * timer shows the host's stalls too: {@link StallDetection} compares it with the clock.
+ */
+final class HousekeepingSchedule {
+  static final long PERIOD_TICKS = 100 * Ticks.PER_MILLISECOND;
+  /** Timers with an id below 0 are the housekeeping's; others are those of requests. */
+  static final long TIMER_ID = -1;
+
+  private long dueAt;
+  private long timerAt;
+
+  HousekeepingSchedule(long now) {
+    dueAt = now + PERIOD_TICKS;
+  }
+
+  /** It runs now; the next is due a period later. */
+  void restart(long now) {
+    dueAt = now + PERIOD_TICKS;
+  }
+
+  long dueAt() {
+    return dueAt;
+  }
+
+  /** When the timer last asked for fires; 0: none was. */
+  long timerAt() {
+    return timerAt;
+  }
+
+  boolean needsTimer() {
+    return timerAt != dueAt;
+  }
+
+  void recordTimer() {
+    timerAt = dueAt;
+  }
+}
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaTracker.java
@@ -76,7 +76,8 @@
     customers.forEach(c -> {
       boolean full = ceilingAllows(c, 0)
           && c.ceilingUnits >= c.plan.ceilingBurstUnits() / c.nodeCount;
-      boolean unseen = now - c.lastRequestAt > PolicyEngine.AGEING && c.inFlight == 0;
+      boolean unseen = now - c.lastRequestAt > QuantileReservation.IDLE_EXPIRY_TICKS
+          && c.inFlight == 0;
       if (unseen && (full || c.plan.ceilingPerSecond() <= 0)) customers.release(c.id);
     });
   }
@@ -195,7 +196,7 @@
       c.plan = site.quotaPlans().get(a.plan());
       // a restart fills nothing: the ceiling's part is empty at the instance's start
       c.ceilingUnitsAt = started;
-      c.estimates = new double[site.requestClasses().size()][];
+      c.estimates = new QuantileReservation[site.requestClasses().size()];
       c.learnedShare = 1.0 / width;
       c.availableUnits = c.plan.burstUnits();
       c.availableUnitsAt = c.othersUsageAt = c.refillAllowanceAt = now;
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -2,25 +2,58 @@
 
 import saltlatch.api.GatewayEvent;
 
-/** Lives for one req. */
+/**
+ * One request, from its arrival until its final answer is out and nothing of it is in flight. Kept
+ * by {@link RequestTable}. The rules write what they want of it ({@code nextServer},
+ * {@code wantedEnd}); {@link ActionEmitter} alone turns that into actions. Times are in ticks.
+ */
 final class RequestState {
-  GatewayEvent.RequestArrived arrival;
-  RequestClassStats stats;
-  CustomerQuota customer;
-  // a client's further try, by the wait left to it too late for its response target
+  final GatewayEvent.RequestArrived arrival;
+  final RequestClassStats stats;
+  final CustomerQuota customer;
+  /** A client's retry that comes too late for its latency objective. */
   boolean lateRetry;
-  long deadline; // wanted: the final answer by then
-  QuotaWindow window; // charged there; null where the plan has no quota
+  /** The final answer is out by then. */
+  long deadline;
+
+  // Admission; written by AdmissionControl and QuotaCharges.
+  /** The window that is charged; null where the plan has no quota. */
+  QuotaWindow window;
   double reservedUnits;
-  double chargedUnits; // of it, what its count call added
-  boolean awaitingCounter; // its count call is out
-  boolean admitted, streaming, finished, changed, deadlineTimerSet;
-  long possiblyExecutedAt = -1; // sending of the first dispatch that may have run
-  ServerState possiblyExecutedOn;
-  Attempt attempt; // never two at once
+  /** The part of the reservation that the request's counter call added. */
+  double chargedUnits;
+  boolean awaitingCounter;
+  boolean admitted;
+
+  // Attempts; written by RequestLifecycle and AttemptTracker.
+  /** In flight; there are never two at once. */
+  Attempt attempt;
   int attemptCount;
   ServerState lastServer;
-  ServerState nextServer; // wanted: a dispatch there
-  RequestEnd wantedEnd = RequestEnd.NONE; // wanted: its final answer
+  /** Start of the first attempt that may have been executed; below 0: there is none. */
+  long possiblyExecutedAt = -1;
+  ServerState possiblyExecutedOn;
+  boolean streaming;
+
+  // What is wanted, and what has been emitted.
+  /** Wanted: an attempt there. */
+  ServerState nextServer;
+  RequestEnd wantedEnd = RequestEnd.NONE;
   long retryAfterTicks;
+  boolean finished;
+  boolean deadlineTimerSet;
+  /** Among the changed requests of {@link RequestTable}. */
+  boolean changed;
+
+  RequestState(GatewayEvent.RequestArrived arrival, RequestClassStats stats,
+      CustomerQuota customer) {
+    this.arrival = arrival;
+    this.stats = stats;
+    this.customer = customer;
+  }
+
+  /** Whether an attempt may have been executed. */
+  boolean possiblyExecuted() {
+    return possiblyExecutedAt >= 0;
+  }
 }
--- /dev/null
+++ b/src/main/java/saltlatch/policy/ServerList.java
@@ -0,0 +1,98 @@
+package saltlatch.policy;
+
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.api.GatewayEvent.EndpointUpdateKind;
+
+/**
+ * The app servers, from the endpoint list: which of them take requests, and how many. A server that
+ * drains or left the list takes no new attempt from that instant on; it is kept while attempts are
+ * in flight there.
+ */
+final class ServerList {
+  private final SlowStart slowStart;
+  private final OutlierDetection outliers;
+  private final SplittableRandom random;
+  private final SlotMap<ServerState> servers = new SlotMap<>();
+  private double effectiveServers;
+  private int readyServers;
+
+  ServerList(SlowStart slowStart, OutlierDetection outliers, SplittableRandom random) {
+    this.slowStart = slowStart;
+    this.outliers = outliers;
+    this.random = random;
+  }
+
+  void forEach(Consumer<ServerState> use) {
+    servers.forEach(use);
+  }
+
+  /** Servers that take requests, as of the last {@link #recount}. */
+  int readyServers() {
+    return readyServers;
+  }
+
+  /** The same, those that warm up counted by their capacity. */
+  double effectiveServers() {
+    return effectiveServers;
+  }
+
+  /** Takes in the list, or changes of it; not of kind FAILED. */
+  void update(GatewayEvent.EndpointsUpdated update, long now) {
+    if (update.kind() != EndpointUpdateKind.DELTA) {
+      servers.forEach(server -> server.ready = false);
+    }
+    for (GatewayEvent.Endpoint endpoint : update.endpoints()) {
+      update(endpoint, now);
+    }
+    servers.forEach(this::releaseIfGone);
+    recount(now);
+  }
+
+  private void update(GatewayEvent.Endpoint endpoint, long now) {
+    ServerState server = servers.find(endpoint.serverId());
+    boolean known = server != null;
+    if (!known) {
+      server = add(endpoint.serverId(), now);
+    }
+    boolean restarted = endpoint.startedAtTicks() != server.startedAt;
+    server.startedAt = endpoint.startedAtTicks();
+    if (restarted && known) {
+      outliers.forget(server);
+    }
+    if (restarted && slowStart.isWarmingUp(server, now)) {
+      slowStart.beginWarmUp(server, now);
+    }
+    server.zone = endpoint.zone();
+    server.keyGroup = endpoint.keyGroup();
+    server.weight = endpoint.weight();
+    server.ready = endpoint.state() == EndpointState.READY;
+  }
+
+  private ServerState add(long serverId, long now) {
+    ServerState server = servers.put(serverId, new ServerState(serverId));
+    server.decayedAt = now;
+    // Many nodes with few requests each must not all begin with the same servers.
+    server.rotationCredit = random.nextDouble();
+    return server;
+  }
+
+  /** Counts the servers that take requests; capacities change with time. */
+  void recount(long now) {
+    effectiveServers = 0;
+    readyServers = 0;
+    servers.forEach(server -> {
+      readyServers += server.ready ? 1 : 0;
+      effectiveServers += server.ready ? slowStart.capacity(server, now) : 0;
+    });
+  }
+
+  /** Releases a server that takes no requests and has nothing in flight. */
+  void releaseIfGone(ServerState server) {
+    if (!server.ready && server.inFlight == 0) {
+      servers.release(server.id);
+    }
+  }
+}
--- a/src/main/java/saltlatch/policy/ServerState.java
+++ b/src/main/java/saltlatch/policy/ServerState.java
@@ -1,16 +1,48 @@
 package saltlatch.policy;
 
-/** Lives for one app srv. */
+/**
+ * One app server, for as long as it is listed or has attempts in flight. Kept by
+ * {@link ServerList}; each group of fields names the one class that writes it. Times are in ticks.
+ */
 final class ServerState {
-  long id, startedAt;
-  int zone, keyGroup;
+  final long id;
+
+  // Written by ServerList, from the endpoint list.
+  /** When it last started; 0: long ago. */
+  long startedAt;
+  int zone;
+  int keyGroup;
+  /** Capacity relative to others. */
   double weight;
+  /** Takes requests: listed, and not draining. */
   boolean ready;
+
+  // Written by AttemptTracker.
   int inFlight;
-  double inverseExpectedSum, elapsedBase; // sums of 1/pace and of sent/pace of what is out
-  double completed, spentTime; // fading dispatches managed, and the mean dispatch times they took
-  long decayedAt, lastResponseAt; // the latter: last answer, or sending of the first dispatch out
-  double rotationCredit; // its place in the rotation
-  double warmUpBudgetLeft; // units that it may be sent while it is cold; below 0: sent ahead
+
+  // Written by OutlierDetection.
+  /** Sum of 1 / expected time over the attempts in flight. */
+  double inverseExpectedSum;
+  /** Sum of start / expected time over the attempts in flight. */
+  double startOverExpectedSum;
+  /** Attempts that succeeded; decays. */
+  double completed;
+  /** Time that ended attempts took, in expected times; decays. */
+  double spentTime;
+  long decayedAt;
+  /** Last outcome, or start of the first attempt in flight if that is later. */
+  long lastResponseAt;
+
+  // Written by WeightedRoundRobinLoadBalancer.
+  /** Turns of the rotation that it has to come; below 0: that it had ahead of its part. */
+  double rotationCredit;
+
+  // Written by SlowStart.
+  /** Units that it may be sent while it warms up; below 0: sent ahead. */
+  double warmUpBudgetUnits;
   long warmUpBudgetAt;
+
+  ServerState(long id) {
+    this.id = id;
+  }
 }
--- a/src/main/java/saltlatch/policy/SlotMap.java
+++ b/src/main/java/saltlatch/policy/SlotMap.java
@@ -7,43 +7,46 @@
 import java.util.function.Consumer;
 
 /**
- * Gives outside ids small indices that are used again once released; walks go by index, never by
- * hash.
+ * A map from outside ids whose items are visited in the order of small slots, never of hashes: the
+ * same ids added and released give the same order on every node and run. A released slot is used
+ * again. Items may be released while they are visited.
  */
-public final class SlotMap<T> {
+final class SlotMap<T> {
   private final Map<Long, Integer> slotById = new HashMap<>();
   private final List<T> slots = new ArrayList<>();
   private final List<Integer> freeSlots = new ArrayList<>();
 
   /** Null for an id that is not held. */
-  public T find(long id) {
-    Integer at = slotById.get(id);
-    return at == null ? null : slots.get(at);
+  T find(long id) {
+    Integer slot = slotById.get(id);
+    return slot == null ? null : slots.get(slot);
   }
 
-  public T put(long id, T item) {
-    Integer at = slotById.get(id);
-    if (at == null && !freeSlots.isEmpty()) {
-      at = freeSlots.remove(freeSlots.size() - 1);
+  /** Adds an item, or replaces that of the same id in its slot; returns the item. */
+  T put(long id, T item) {
+    Integer slot = slotById.get(id);
+    if (slot == null && !freeSlots.isEmpty()) {
+      slot = freeSlots.remove(freeSlots.size() - 1);
     }
-    if (at == null) {
-      at = slots.size();
+    if (slot == null) {
+      slot = slots.size();
       slots.add(null);
     }
-    slotById.put(id, at);
-    slots.set(at, item);
+    slotById.put(id, slot);
+    slots.set(slot, item);
     return item;
   }
 
-  public void release(long id) {
-    Integer at = slotById.remove(id);
-    if (at != null) {
-      slots.set(at, null);
-      freeSlots.add(at);
+  /** Does nothing for an id that is not held. */
+  void release(long id) {
+    Integer slot = slotById.remove(id);
+    if (slot != null) {
+      slots.set(slot, null);
+      freeSlots.add(slot);
     }
   }
 
-  public void forEach(Consumer<T> use) {
+  void forEach(Consumer<T> use) {
     for (int i = 0; i < slots.size(); i++) {
       if (slots.get(i) != null) {
         use.accept(slots.get(i));
--- a/src/test/java/saltlatch/policy/SlowStartFleetTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartFleetTest.java
@@ -106,7 +106,8 @@
           if (now == LISTED && 10 * i < restarted * n)
             fleet.set(i, control(n, chance.nextLong(), now));
           if (now == LISTED) add(events, i, list(true));
-          if (now % PolicyEngine.ROUND == 0) add(events, i, new GatewayEvent.TimerFired(-1));
+          if (now % HousekeepingSchedule.PERIOD_TICKS == 0)
+            add(events, i, new GatewayEvent.TimerFired(-1));
         }
         for (int i : events.keySet()) fleet.get(node = i).handle(now, events.get(i));
         for (long[] one : sent) if (one[2] == COLD) window.add(now);
