--- a/src/test/java/saltlatch/wire/WireTest.java
+++ b/src/test/java/saltlatch/wire/WireTest.java
@@ -116,16 +116,16 @@
           .append(AppServerReply.field(a.loadReport(), "util")).append('\n');
     }
     assertEquals("""
-        PASSED ok 7.0 0.61
-        PASSED ok 0.0 0.0
-        ERROR - 7.0 0.0
-        ERROR - 0.0 0.0
-        FULL - 0.0 0.0
-        BROKEN - 0.0 0.0
-        BROKEN - 0.0 0.0
-        BROKEN - 0.0 0.0
-        BROKEN - 0.0 0.0
-        PASSED ok 0.0 0.0
+        SUCCEEDED ok 7.0 0.61
+        SUCCEEDED ok 0.0 0.0
+        SERVER_ERROR - 7.0 0.0
+        SERVER_ERROR - 0.0 0.0
+        SERVER_BUSY - 0.0 0.0
+        CONNECTION_LOST - 0.0 0.0
+        CONNECTION_LOST - 0.0 0.0
+        CONNECTION_LOST - 0.0 0.0
+        CONNECTION_LOST - 0.0 0.0
+        SUCCEEDED ok 0.0 0.0
         """, seen.toString());
   }
 
