--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -62,7 +62,7 @@
       }
       assertTrue(read(reader, text));
     }
-    assertEquals("5/7 whole ş-1 READY s-2 GONE\n".repeat(6), seen());
+    assertEquals("5/7 whole ş-1 READY s-2 REMOVED\n".repeat(6), seen());
   }
 
   @Test
@@ -84,7 +84,7 @@
     assertTrue(read(reader, ENTRY.substring(50)));
     assertFalse(read(reader, ","));
     assertTrue(read(reader, GONE + "]}\n"));
-    assertEquals("0/3 whole ş-1 READY s-2 GONE\n", seen());
+    assertEquals("0/3 whole ş-1 READY s-2 REMOVED\n", seen());
   }
 
   @Test
