--- a/src/main/java/saltlatch/api/Ticks.java
+++ b/src/main/java/saltlatch/api/Ticks.java
@@ -6,7 +6,9 @@
  * comment says so.
  */
 public final class Ticks {
+  /** Ticks in a millisecond. */
   public static final long PER_MILLISECOND = 10;
+  /** Ticks in a second. */
   public static final long PER_SECOND = 10_000;
 
   /**
