--- a/src/main/java/saltlatch/lab/capacity/EdgeNode.java
+++ b/src/main/java/saltlatch/lab/capacity/EdgeNode.java
@@ -141,10 +141,10 @@
     rows.add(Row
         .of("until all hold a dead node failed", Moment.ORDINARY,
             basis.at(Series.MEMBERS_FAILURE, Quantity.SECONDS, Input.EDGE_NODES), "s", MEMBERSHIP)
-        .within(seconds(terms(basis).failedWithin(), stated)));
+        .within(seconds(terms(basis).failureDetectionTicks(), stated)));
     rows.add(Row
         .of("until a dead node's share is in use again, stated", Moment.ORDINARY,
-            seconds(terms(basis).takenOverWithin(), stated), "s", MEMBERSHIP)
+            seconds(terms(basis).takeoverTicks(), stated), "s", MEMBERSHIP)
         .within(basis.in(Input.TAKEOVER_WITHIN_SECONDS)));
   }
 
@@ -165,7 +165,8 @@
     rows.add(Row.of("until all agree, all started at once", Moment.REGION_RETURNS,
         basis.at(Series.MEMBERS_BEGIN, Quantity.SECONDS, Input.EDGE_NODES), "s", MEMBERSHIP));
     rows.add(Row.of("until all views are equal, stated", Moment.REGION_RETURNS,
-        seconds(terms(basis).equalWithin(), Input.DATAGRAMS_PER_SECOND.key()), "s", MEMBERSHIP));
+        seconds(terms(basis).convergenceTicks(), Input.DATAGRAMS_PER_SECOND.key()), "s",
+        MEMBERSHIP));
     sums(basis, rows);
     rows.add(Row.of("whole lists read", Moment.MACHINE_LOST,
         Figure.missing("a hollow node that changes relays"), "lists", "`since` at another relay"));
--- a/src/main/java/saltlatch/lab/capacity/Walls.java
+++ b/src/main/java/saltlatch/lab/capacity/Walls.java
@@ -124,7 +124,7 @@
     Figure nodes = basis.in(Input.EDGE_NODES);
     double bound = basis.inputs().value(Input.TAKEOVER_WITHIN_SECONDS) * TENTHS_PER_SECOND;
     all.add(new Wall("a dead node's share is in use again in time", Consequence.WRONG_QUOTAS,
-        fleet(terms -> terms.takenOverWithin(), bound), nodes, "nodes", Mechanism.MEMBER_CELLS));
+        fleet(terms -> terms.takeoverTicks(), bound), nodes, "nodes", Mechanism.MEMBER_CELLS));
     all.add(new Wall("a datagram tells whom a node hears", Consequence.WRONG_QUOTAS,
         Figure.exact(GossipMessage.MAX_NODES_WITH_REACHABILITY).from("api.Told.MOST_NODES"), nodes,
         "nodes", Mechanism.MEMBER_CELLS));
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -52,8 +52,8 @@
     }
   }
 
-  private Membership.Out out(int from) {
-    return new Membership.Out() {
+  private Membership.Output out(int from) {
+    return new Membership.Output() {
       @Override
       public void send(int to, MembershipMessage message) {
         byte[] datagram = MembershipCodec.encode(message);
@@ -63,7 +63,7 @@
       }
 
       @Override
-      public void changed(int member, State state, long incarnation, long version) {
+      public void stateChanged(int member, State state, long incarnation, long version) {
         // Only a history would be told.
       }
     };
@@ -72,12 +72,12 @@
   private void heard(int to, int from, byte[] datagram) {
     if (dead[to]) return;
     members[to].tick(now);
-    members[to].heard(now, from, MembershipCodec.decode(datagram));
+    members[to].receive(now, from, MembershipCodec.decode(datagram));
     look(to);
   }
 
   private void tick(int member) {
-    after(MembershipTimings.tick(), () -> {
+    after(MembershipTimings.tickIntervalTicks(), () -> {
       if (dead[member]) return;
       members[member].tick(now);
       look(member);
@@ -88,7 +88,7 @@
   /** What a node does to tell its module of changes. */
   private void look(int member) {
     if (!looking) return;
-    MembershipChanged is = members[member].members();
+    MembershipChanged is = members[member].membershipEvent();
     if (!is.equals(told[member])) told[member] = is;
   }
 
@@ -134,7 +134,8 @@
     List<Membership> running = new ArrayList<>();
     for (int i = 0; i < members.length; i++) if (!dead[i]) running.add(members[i]);
     long digest = running.get(0).digest();
-    return running.stream().allMatch(one -> one.digest() == digest && one.live() == running.size());
+    return running.stream()
+        .allMatch(one -> one.digest() == digest && one.liveCount() == running.size());
   }
 
   /** How many of the running members hold that one failed. */
--- a/src/main/java/saltlatch/membership/FleetView.java
+++ b/src/main/java/saltlatch/membership/FleetView.java
@@ -1,18 +1,37 @@
 package saltlatch.membership;
 
 /**
- * What a node makes of the fleet that it sees, told in INFO and its history. It is a view; what it
- * may use is Leases'.
+ * How much of the fleet this node sees. It is shown to operators and decides nothing: which part of
+ * a quota the node may use follows from {@link QuotaLeases}.
  */
 public enum FleetView {
-  WHOLE,
-  MAJORITY,
-  MINORITY,
-  ALONE;
+  /** Every member that has not left is live. */
+  COMPLETE("whole"),
+  /** More than half of the members are live. */
+  MAJORITY("majority"),
+  /** Half of the members or fewer are live. */
+  MINORITY("minority"),
+  /** Only this node is live. */
+  ISOLATED("alone");
 
-  static FleetView of(int live, int left, int members) {
-    if (live >= members - left) return WHOLE;
-    if (live <= 1) return ALONE;
-    return 2 * live > members ? MAJORITY : MINORITY;
+  private final String infoName;
+
+  FleetView(String infoName) {
+    this.infoName = infoName;
+  }
+
+  /** The name of this view in INFO and in the history. */
+  public String infoName() {
+    return infoName;
+  }
+
+  static FleetView of(int liveCount, int leftCount, int memberCount) {
+    if (liveCount >= memberCount - leftCount) {
+      return COMPLETE;
+    }
+    if (liveCount <= 1) {
+      return ISOLATED;
+    }
+    return 2 * liveCount > memberCount ? MAJORITY : MINORITY;
   }
 }
--- a/src/main/java/saltlatch/membership/Membership.java
+++ b/src/main/java/saltlatch/membership/Membership.java
@@ -12,7 +12,7 @@
 import saltlatch.api.GatewayEvent.MemberState;
 import saltlatch.api.GatewayEvent.MembershipChanged;
 import saltlatch.membership.MembershipMessage.Kind;
-import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.MemberUpdate;
 import saltlatch.membership.MembershipMessage.State;
 
 /**
@@ -25,10 +25,10 @@
  */
 public final class Membership {
   /** Where datagrams go and changes are told. */
-  public interface Out {
+  public interface Output {
     void send(int to, MembershipMessage m);
 
-    void changed(int member, State state, long incarnation, long version);
+    void stateChanged(int member, State state, long incarnation, long version);
   }
 
   /** Lives for the instance, one a member of the roster. */
@@ -58,12 +58,12 @@
   private record Relay(int requester, int seq, int target, long nackAt) {}
 
   private static final long SECOND = 10_000;
-  public static final int MOST_NEWS = 24; // in a datagram of 256 bytes
+  public static final int MAX_UPDATES_PER_MESSAGE = 24; // in a datagram of 256 bytes
 
   private final MembershipTimings terms;
   private final int me;
   private final SplittableRandom chance;
-  private final Out out;
+  private final Output out;
   private final Peer[] peers;
   // whom this round of probes has still to meet
   private final ArrayDeque<Integer> round = new ArrayDeque<>();
@@ -75,7 +75,7 @@
   private boolean leaving;
   private Probe probe;
   private int seq;
-  private int health; // the local health multiplier: how slow this node has been
+  private int localHealthMultiplier; // the local health multiplier: how slow this node has been
   private int periods;
   private int cursor; // what is told of the whole view where views differ
   private long version;
@@ -92,7 +92,7 @@
    * {@code incarnation}: above any that this name has had, such as seconds of the process' start.
    */
   public Membership(MembershipTimings terms, int me, long incarnation, long seed, long now,
-      Out out) {
+      Output out) {
     this.terms = terms;
     this.me = me;
     this.incarnation = incarnation;
@@ -106,7 +106,7 @@
     for (int i = 0; i < peers.length; i++) peers[i] = new Peer();
     lastTick = now;
     // a fleet started at once does not probe at once
-    nextPeriod = now + (long) (chance.nextDouble() * terms.period());
+    nextPeriod = now + (long) (chance.nextDouble() * terms.periodTicks());
     set(me, State.ALIVE, incarnation);
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Members held alive, suspects and this one among them. */
-  public int live() {
+  public int liveCount() {
     int n = 0;
     for (Peer p : peers) n += isLive(p) ? 1 : 0;
     return n;
@@ -138,23 +138,23 @@
     return digest;
   }
 
-  public int health() {
-    return health;
+  public int localHealthMultiplier() {
+    return localHealthMultiplier;
   }
 
-  public FleetView standing() {
-    return FleetView.of(live(), count(State.LEFT), peers.length);
+  public FleetView fleetView() {
+    return FleetView.of(liveCount(), countInState(State.LEFT), peers.length);
   }
 
-  public int count(State state) {
+  public int countInState(State state) {
     int n = 0;
     for (Peer p : peers) n += p.state == state ? 1 : 0;
     return n;
   }
 
   /** What the decision module is told: who is there, and until when which shares may be used. */
-  public MembershipChanged members() {
-    long failed = leases.takesUntil(now, terms.leaseOver());
+  public MembershipChanged membershipEvent() {
+    long failed = leases.takeoverUntilTicks(now, terms.leaseExpiryTicks());
     boolean over = now < failed;
     List<MemberState> lives = new ArrayList<>();
     for (Peer p : peers) {
@@ -162,11 +162,11 @@
       lives.add(
           isLive(p) ? MemberState.LIVE : gone ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE);
     }
-    long holds = leaving ? 0 : leases.holdsUntil();
-    long takes = leaving ? 0 : over ? failed : leases.takesUntil(now, 0);
+    long holds = leaving ? 0 : leases.leaseUntilTicks();
+    long takes = leaving ? 0 : over ? failed : leases.takeoverUntilTicks(now, 0);
     // A minority divides by all: those it does not see may do what it does.
     return new MembershipChanged(lives, holds, takes,
-        2 * live() > peers.length ? live() : peers.length);
+        2 * liveCount() > peers.length ? liveCount() : peers.length);
   }
 
   /**
@@ -176,19 +176,19 @@
    */
   private boolean vouches(int member) {
     Peer p = peers[member];
-    if (!isLive(p) || now - p.lostAt <= terms.leaseOver()) return false;
-    if (now - startedAt > terms.leaseOver()) return true;
+    if (!isLive(p) || now - p.lostAt <= terms.leaseExpiryTicks()) return false;
+    if (now - startedAt > terms.leaseExpiryTicks()) return true;
     long second = startSecond + (now - startedAt) / SECOND;
     for (Peer other : peers) {
       if (other.state == State.UNKNOWN
-          || second - other.incarnation > terms.leaseOver() / 2 / SECOND)
+          || second - other.incarnation > terms.leaseExpiryTicks() / 2 / SECOND)
         return false;
     }
     return true;
   }
 
   /** When {@link #tick} is due next at the latest. */
-  public long due() {
+  public long nextDueTicks() {
     long at = nextPeriod;
     if (probe != null) at = Math.min(at, probe.asked ? probe.until : probe.directUntil);
     for (Relay r : relays.values()) at = Math.min(at, r.nackAt);
@@ -202,7 +202,7 @@
     leaving = true;
     set(me, State.LEFT, incarnation);
     List<Integer> to = others(true);
-    for (int i = 0; i < Math.min(terms.sends(), to.size()); i++)
+    for (int i = 0; i < Math.min(terms.retransmitLimit(), to.size()); i++)
       send(to.get(i), Kind.PING, ++seq, me);
   }
 
@@ -210,9 +210,9 @@
 
   public void tick(long now) {
     this.now = now;
-    if (now - lastTick > MembershipTimings.AWAY * terms.period()) back(now);
+    if (now - lastTick > MembershipTimings.AWAY * terms.periodTicks()) back(now);
     // starved: answers may have come and lie unread
-    else if (now - lastTick > MembershipTimings.DIRECT * terms.period()) slower(1);
+    else if (now - lastTick > MembershipTimings.DIRECT * terms.periodTicks()) slower(1);
     lastTick = now;
     if (leaving) return;
     if (probe != null && !probe.asked && now >= probe.directUntil) askOthers();
@@ -237,26 +237,27 @@
   private void back(long now) {
     probe = null;
     relays.clear();
-    health = Math.max(health, MembershipTimings.HEALTH_BACK);
+    localHealthMultiplier = Math.max(localHealthMultiplier, MembershipTimings.HEALTH_BACK);
     nextPeriod = now;
     for (Peer p : peers) {
       if (p.state != State.SUSPECT) continue;
       p.suspectedAt = now;
-      p.suspectUntil = now + terms.suspect(p.confirmed.size());
+      p.suspectUntil = now + terms.suspicionTicks(p.confirmed.size());
     }
   }
 
   private void slower(int by) {
-    health = Math.min(MembershipTimings.HEALTH_MOST, health + by);
+    localHealthMultiplier = Math.min(MembershipTimings.HEALTH_MOST, localHealthMultiplier + by);
   }
 
   private void period(long now) {
-    long length = terms.period() * (1 + health); // a slow node probes more slowly, and waits longer
+    long length = terms.periodTicks() * (1 + localHealthMultiplier); // a slow node probes more slowly, and waits longer
     nextPeriod = Math.max(nextPeriod + length, now + length / 2);
     if (probe != null) return; // its time is longer than the period that began it
     periods++;
     List<Integer> lost = others(false);
-    boolean recall = !lost.isEmpty() && (periods % MembershipTimings.RECALL == 0 || live() <= 1);
+    boolean recall = !lost.isEmpty()
+        && (periods % MembershipTimings.RECALL == 0 || liveCount() <= 1);
     int target = recall ? lost.get(chance.nextInt(lost.size())) : nextOfRound();
     if (target < 0) return;
     Probe p = new Probe();
@@ -289,7 +290,7 @@
     for (int other : others(true)) {
       if (asked == MembershipTimings.INDIRECT) break;
       if (other == probe.target || peers[other].state == State.SUSPECT) continue;
-      send(other, Kind.ASK, probe.seq, probe.target);
+      send(other, Kind.PING_REQ, probe.seq, probe.target);
       asked++;
     }
     probe.nacksOwed = asked;
@@ -302,7 +303,8 @@
     // Nobody has said a word lately, nor those that were asked: the fault may be this node's own.
     // Lifeguard takes each missing word for it; where seven in ten die at once that slows all
     // survivors ninefold, though they hear each other.
-    if (now - heardAt > MembershipTimings.AWAY * terms.period()) slower(Math.max(1, p.nacksOwed));
+    if (now - heardAt > MembershipTimings.AWAY * terms.periodTicks())
+      slower(Math.max(1, p.nacksOwed));
     Peer t = peers[p.target];
     if (t.state == State.ALIVE) suspect(p.target, t.incarnation, me, now);
     else if (t.state == State.SUSPECT) confirm(t, me, now);
@@ -313,44 +315,49 @@
   /**
    * A datagram of member {@code from}; it is believed of others, and of itself by its incarnation.
    */
-  public void heard(long now, int from, MembershipMessage m) {
+  public void receive(long now, int from, MembershipMessage m) {
     if (from < 0 || from >= peers.length || from == me || leaving) return;
     this.now = now;
     heardAt = now;
-    merge(new News(from, State.ALIVE, m.incarnation(), from), now);
-    for (News n : m.news()) if (n.member() >= 0 && n.member() < peers.length) merge(n, now);
-    if (m.digest() != digest) differs.put(from, now + MembershipTimings.RECALL * terms.period());
+    merge(new MemberUpdate(from, State.ALIVE, m.incarnation(), from), now);
+    for (MemberUpdate n : m.updates())
+      if (n.member() >= 0 && n.member() < peers.length) merge(n, now);
+    if (m.digest() != digest)
+      differs.put(from, now + MembershipTimings.RECALL * terms.periodTicks());
     else differs.remove(from);
     switch (m.kind()) {
-      case PING -> send(from, Kind.ACK, m.seq(), me);
-      case ASK -> {
+      case PING -> send(from, Kind.ACK, m.sequenceNumber(), me);
+      case PING_REQ -> {
         if (m.target() < 0 || m.target() >= peers.length || m.target() == me
             || relays.size() >= peers.length)
           return;
-        relays.put(++seq, new Relay(from, m.seq(), m.target(), now
-            + (long) ((MembershipTimings.RELAYED - MembershipTimings.DIRECT) * terms.period())));
+        relays.put(++seq,
+            new Relay(from, m.sequenceNumber(), m.target(),
+                now + (long) ((MembershipTimings.RELAYED - MembershipTimings.DIRECT)
+                    * terms.periodTicks())));
         send(m.target(), Kind.PING, seq, m.target());
       }
       case ACK -> acked(from, m);
       case NACK -> {
-        if (probe != null && probe.seq == m.seq())
+        if (probe != null && probe.seq == m.sequenceNumber())
           probe.nacksOwed = Math.max(0, probe.nacksOwed - 1);
       }
     }
   }
 
   private void acked(int from, MembershipMessage m) {
-    Relay r = relays.remove(m.seq());
+    Relay r = relays.remove(m.sequenceNumber());
     if (r != null && r.target == from) send(r.requester, Kind.ACK, r.seq, r.target);
-    if (probe == null || probe.seq != m.seq() || probe.target != from && probe.target != m.target())
+    if (probe == null || probe.seq != m.sequenceNumber()
+        || probe.target != from && probe.target != m.target())
       return;
     if (probe.target == from)
-      leases.answered(now, from, probe.sentAt, m.vouches(), m.digest() == digest);
+      leases.recordAnswer(now, from, probe.sentAt, m.vouchesForReceiver(), m.digest() == digest);
     probe = null;
-    health = Math.max(0, health - 1);
+    localHealthMultiplier = Math.max(0, localHealthMultiplier - 1);
   }
 
-  private void merge(News n, long now) {
+  private void merge(MemberUpdate n, long now) {
     if (n.member() == me) {
       boolean wrong = n.state() != State.ALIVE && n.state() != State.UNKNOWN && !leaving;
       if (n.incarnation() > incarnation || wrong && n.incarnation() == incarnation) {
@@ -365,13 +372,13 @@
       return;
     if (n.state() == State.SUSPECT && p.state == State.SUSPECT
         && n.incarnation() == p.incarnation) {
-      confirm(p, n.by(), now);
+      confirm(p, n.reporter(), now);
       return;
     }
     boolean newer = p.state == State.UNKNOWN || n.incarnation() > p.incarnation
         || n.state().ordinal() > p.state.ordinal();
     if (!newer) return;
-    if (n.state() == State.SUSPECT) suspect(n.member(), n.incarnation(), n.by(), now);
+    if (n.state() == State.SUSPECT) suspect(n.member(), n.incarnation(), n.reporter(), now);
     else set(n.member(), n.state(), n.incarnation());
   }
 
@@ -381,13 +388,13 @@
     p.confirmed.clear();
     p.confirmed.add(by); // who raised it: the first confirmation is another's
     p.suspectedAt = now;
-    p.suspectUntil = now + terms.suspect(0);
+    p.suspectUntil = now + terms.suspicionTicks(0);
   }
 
   private void confirm(Peer p, int by, long now) {
     if (p.confirmed.size() > MembershipTimings.CONFIRMED || p.confirmed.contains(by)) return;
     p.confirmed.add(by);
-    p.suspectUntil = Math.max(now, p.suspectedAt + terms.suspect(p.confirmed.size() - 1));
+    p.suspectUntil = Math.max(now, p.suspectedAt + terms.suspicionTicks(p.confirmed.size() - 1));
   }
 
   // ---- the view
@@ -421,11 +428,11 @@
     p.state = state;
     p.incarnation = inc;
     digest += mark(member, p);
-    if (digest != before) leases.forgetViews();
+    if (digest != before) leases.viewChanged();
     version++;
     if (p.sends == 0) fresh.add(member);
-    p.sends = terms.sends();
-    out.changed(member, state, inc, version);
+    p.sends = terms.retransmitLimit();
+    out.stateChanged(member, state, inc, version);
   }
 
   /**
@@ -453,31 +460,31 @@
    * refutes it), then what was sent least so far, then, where its view was another lately, a
    * further piece of the whole view.
    */
-  private List<News> news(int to) {
-    List<News> all = new ArrayList<>();
+  private List<MemberUpdate> news(int to) {
+    List<MemberUpdate> all = new ArrayList<>();
     if (peers[to].state == State.SUSPECT || peers[to].state == State.FAILED) all.add(of(to));
     // Of news sent as often each node begins elsewhere: all would send the same of a fleet that
     // starts at once.
-    int from = fresh.size() > MOST_NEWS ? chance.nextInt(peers.length) : 0;
+    int from = fresh.size() > MAX_UPDATES_PER_MESSAGE ? chance.nextInt(peers.length) : 0;
     fresh.sort(Comparator.comparingInt((Integer i) -> -peers[i].sends)
         .thenComparing(i -> (i + from) % peers.length));
-    for (int i = 0; i < fresh.size() && all.size() < MOST_NEWS; i++) {
+    for (int i = 0; i < fresh.size() && all.size() < MAX_UPDATES_PER_MESSAGE; i++) {
       int member = fresh.get(i);
       peers[member].sends--;
       if (member != to || all.isEmpty()) all.add(of(member));
     }
     fresh.removeIf(i -> peers[i].sends == 0);
     if (!differs.containsKey(to)) return all;
-    for (int i = 0; i < peers.length && all.size() < MOST_NEWS; i++) {
+    for (int i = 0; i < peers.length && all.size() < MAX_UPDATES_PER_MESSAGE; i++) {
       cursor = (cursor + 1) % peers.length;
       if (peers[cursor].state != State.UNKNOWN && cursor != to) all.add(of(cursor));
     }
     return all;
   }
 
-  private News of(int member) {
+  private MemberUpdate of(int member) {
     Peer p = peers[member];
-    return new News(member, p.state, p.incarnation,
+    return new MemberUpdate(member, p.state, p.incarnation,
         p.state == State.SUSPECT ? p.confirmed.get(0) : member);
   }
 }
--- a/src/main/java/saltlatch/membership/MembershipMessage.java
+++ b/src/main/java/saltlatch/membership/MembershipMessage.java
@@ -4,16 +4,16 @@
 
 /**
  * What members say to each other. {@code incarnation} is the sender's; {@code target} the member a
- * probe by proxy is about; {@code vouches}: it has not held the receiver failed or left for a
+ * probe by proxy is about; {@code vouchesForReceiver}: it has not held the receiver failed or left for a
  * lease; {@code digest} stands for the sender's whole view, so that two that differ notice.
  */
-public record MembershipMessage(Kind kind, int seq, int target, long incarnation, long digest,
-    boolean vouches, List<News> news) {
+public record MembershipMessage(Kind kind, int sequenceNumber, int target, long incarnation,
+    long digest, boolean vouchesForReceiver, List<MemberUpdate> updates) {
   /** What a message asks or answers: a probe, its answer, a probe by proxy, a proxy's failure. */
   public enum Kind {
     PING,
     ACK,
-    ASK,
+    PING_REQ,
     NACK
   }
 
@@ -30,5 +30,5 @@
   }
 
   /** A member's state in an incarnation of it; of a suspicion, who raised it. */
-  public record News(int member, State state, long incarnation, int by) {}
+  public record MemberUpdate(int member, State state, long incarnation, int reporter) {}
 }
--- a/src/main/java/saltlatch/membership/MembershipTimings.java
+++ b/src/main/java/saltlatch/membership/MembershipTimings.java
@@ -5,7 +5,7 @@
  * that a node takes in of the others. Times are tenths of a ms. Every promised time is a formula
  * here.
  */
-public record MembershipTimings(int members, long period) {
+public record MembershipTimings(int members, long periodTicks) {
   // One block of constants, each with its unit and reason.
   // 0.5 s between a node's probes: a failure is seen within seconds
   static final long LEAST_PERIOD = 5_000;
@@ -49,32 +49,32 @@
         Math.max(LEAST_PERIOD, (long) Math.ceil(10_000 * WORST_COST / (INTAKE_PART * intake))));
   }
 
-  private double log2() {
+  private double log2Members() {
     return Math.log(Math.max(2, members)) / Math.log(2);
   }
 
   /** How often one piece of news is sent. */
-  int sends() {
-    return (int) Math.ceil(SPREAD * log2());
+  int retransmitLimit() {
+    return (int) Math.ceil(SPREAD * log2Members());
   }
 
-  long suspectLeast() {
-    return (long) (SUSPECT_LEAST * Math.max(1, Math.log10(members)) * period);
+  long minSuspicionTicks() {
+    return (long) (SUSPECT_LEAST * Math.max(1, Math.log10(members)) * periodTicks);
   }
 
-  long suspectMost() {
-    return (long) (SUSPECT_MOST * suspectLeast());
+  long maxSuspicionTicks() {
+    return (long) (SUSPECT_MOST * minSuspicionTicks());
   }
 
   /** How long a suspicion lasts that so many others confirm, as Lifeguard lets it shrink. */
-  long suspect(int confirmations) {
+  long suspicionTicks(int confirmations) {
     double part = Math.log(confirmations + 1) / Math.log(CONFIRMED + 1);
-    return Math.max(suspectLeast(),
-        (long) (suspectMost() - (suspectMost() - suspectLeast()) * Math.min(1, part)));
+    return Math.max(minSuspicionTicks(), (long) (maxSuspicionTicks()
+        - (maxSuspicionTicks() - minSuspicionTicks()) * Math.min(1, part)));
   }
 
-  private long spread() {
-    return (long) (ROUNDS * Math.ceil(log2()) * period);
+  private long disseminationTicks() {
+    return (long) (ROUNDS * Math.ceil(log2Members()) * periodTicks);
   }
 
   /**
@@ -82,28 +82,28 @@
    * others meets it at the latest in the second of two rounds of its probes (of small fleets; in
    * large ones some other does long before), a suspicion at its longest, and the news' way.
    */
-  public long failedWithin() {
-    return Math.min(2L * members, ROUNDS * (long) Math.ceil(log2())) * period + suspectMost()
-        + spread();
+  public long failureDetectionTicks() {
+    return Math.min(2L * members, ROUNDS * (long) Math.ceil(log2Members())) * periodTicks
+        + maxSuspicionTicks() + disseminationTicks();
   }
 
   /**
    * T2: a live, reachable, running member that is held failed is not so for longer: it is tried
    * again at the latest when all recalls have gone round, hears of it, and the news makes its way.
    */
-  public long falselyFailedAtMost() {
-    return (long) RECALL * Math.min(members, ROUNDS * (long) Math.ceil(log2())) * period
-        + 2 * spread();
+  public long falseFailureTicks() {
+    return (long) RECALL * Math.min(members, ROUNDS * (long) Math.ceil(log2Members())) * periodTicks
+        + 2 * disseminationTicks();
   }
 
   /** T3: after a heal all views are equal within this. */
-  public long equalWithin() {
-    return falselyFailedAtMost() + suspectMost() + 2 * spread();
+  public long convergenceTicks() {
+    return falseFailureTicks() + maxSuspicionTicks() + 2 * disseminationTicks();
   }
 
   /** L: how long a direct answer is gone by, counted from the sending of its probe. */
-  public long lease() {
-    return LEASE_ROUNDS * members * period;
+  public long leaseTicks() {
+    return LEASE_ROUNDS * members * periodTicks;
   }
 
   /**
@@ -111,20 +111,20 @@
    * long one that held it so does not vouch for it again: a lease by the slowest clock, measured by
    * the fastest.
    */
-  public long leaseOver() {
-    return (long) Math.ceil(lease() * (1 + 4 * DRIFT));
+  public long leaseExpiryTicks() {
+    return (long) Math.ceil(leaseTicks() * (1 + 4 * DRIFT));
   }
 
   /**
    * After all hold it failed: more than half have been met (in two rounds at the latest), a wait,
    * and their next round.
    */
-  public long takenOverWithin() {
-    return spread() + 4L * members * period + leaseOver();
+  public long takeoverTicks() {
+    return disseminationTicks() + 4L * members * periodTicks + leaseExpiryTicks();
   }
 
   /** Between two ticks, which the host is to keep. */
-  public static long tick() {
+  public static long tickIntervalTicks() {
     return TICK;
   }
 
@@ -133,6 +133,6 @@
    * needs the others' help.
    */
   public double datagramsPerSecond() {
-    return 10_000.0 * WORST_COST / period;
+    return 10_000.0 * WORST_COST / periodTicks;
   }
 }
--- a/src/main/java/saltlatch/membership/QuotaLeases.java
+++ b/src/main/java/saltlatch/membership/QuotaLeases.java
@@ -24,11 +24,11 @@
     heldUntil = new long[terms.members()];
     sameSince = new long[terms.members()];
     sameSent = new long[terms.members()];
-    forgetViews();
+    viewChanged();
   }
 
   /** This node's own view has changed: nobody has shared the new one yet. */
-  void forgetViews() {
+  void viewChanged() {
     Arrays.fill(sameSince, NEVER);
   }
 
@@ -36,18 +36,18 @@
    * {@code vouches}: it has not held this node failed or left for a lease; {@code same}: its view
    * is this node's.
    */
-  void answered(long now, int by, long sentAt, boolean vouches, boolean same) {
-    if (vouches) heldUntil[by] = Math.max(heldUntil[by], sentAt + terms.lease());
+  void recordAnswer(long now, int by, long sentAt, boolean vouches, boolean same) {
+    if (vouches) heldUntil[by] = Math.max(heldUntil[by], sentAt + terms.leaseTicks());
     if (!same) {
       sameSince[by] = NEVER;
       return;
     }
-    if (sameSince[by] == NEVER || now - sameSent[by] > terms.lease()) sameSince[by] = now;
+    if (sameSince[by] == NEVER || now - sameSent[by] > terms.leaseTicks()) sameSince[by] = now;
     sameSent[by] = sentAt;
   }
 
   /** Until when this node holds its surplus if nothing more is heard. */
-  long holdsUntil() {
+  long leaseUntilTicks() {
     return least(heldUntil.clone(), (terms.members() + 1) / 2 - 1);
   }
 
@@ -55,11 +55,11 @@
    * Until when it takes the surplus of those that left, or with {@code wait} also of those that
    * failed; 0: not at all.
    */
-  long takesUntil(long now, long wait) {
+  long takeoverUntilTicks(long now, long wait) {
     long[] until = new long[terms.members()];
     for (int i = 0; i < until.length; i++) {
       if (sameSince[i] != NEVER && now - sameSince[i] >= wait)
-        until[i] = sameSent[i] + terms.lease();
+        until[i] = sameSent[i] + terms.leaseTicks();
     }
     return least(until, terms.members() / 2);
   }
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -19,7 +19,7 @@
  * Membership on this node's datagrams and clock; only where the configuration asks for it. It
  * decides nothing.
  */
-final class MembershipAdapter implements Membership.Out {
+final class MembershipAdapter implements Membership.Output {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipAdapter.class);
   private static final long SECOND = 10_000; // tenths of a ms
 
@@ -53,7 +53,7 @@
   private void tick() {
     membership.tick(scheduler.now());
     look();
-    scheduler.at(scheduler.now() + MembershipTimings.tick(), this::tick);
+    scheduler.at(scheduler.now() + MembershipTimings.tickIntervalTicks(), this::tick);
   }
 
   /**
@@ -64,7 +64,7 @@
     MembershipMessage m = MembershipCodec.decode(bytes);
     if (m == null) return;
     membership.tick(scheduler.now());
-    membership.heard(scheduler.now(), from, m);
+    membership.receive(scheduler.now(), from, m);
     look();
   }
 
@@ -76,7 +76,7 @@
 
   /** Tells what has changed. */
   private void look() {
-    GatewayEvent.MembershipChanged now = membership.members();
+    GatewayEvent.MembershipChanged now = membership.membershipEvent();
     boolean changed = !now.equals(told);
     if (changed) {
       module.accept(now);
@@ -87,13 +87,14 @@
         && now.states().contains(GatewayEvent.MemberState.TAKEN_OVER) ? "more"
             : scheduler.now() < now.leaseUntilTicks() ? "whole" : "floor",
         changed);
-    FleetView is = membership.standing();
+    FleetView is = membership.fleetView();
     if (is == standing) return;
     standing = is;
-    LOG.info("standing {}, {} of {} members live", is, membership.live(), terms.members());
+    LOG.info("standing {}, {} of {} members live", is.infoName(), membership.liveCount(),
+        terms.members());
     if (history != null) {
-      history.add("standing", "is", is.name().toLowerCase(Locale.ROOT), "live", membership.live(),
-          "view", membership.version());
+      history.add("standing", "is", is.infoName(), "live", membership.liveCount(), "view",
+          membership.version());
     }
   }
 
@@ -113,22 +114,23 @@
   }
 
   private long left(long until) {
-    return Math.max(0, Math.min(terms.lease(), until - scheduler.now())) / 10;
+    return Math.max(0, Math.min(terms.leaseTicks(), until - scheduler.now())) / 10;
   }
 
   /** Lines for INFO; times in ms. */
   String figures(long heardWithin) {
-    return "members_standing=" + standing.name().toLowerCase(Locale.ROOT) + "\nmembers_share="
-        + share + "\nmembers_live=" + membership.live() + "\nmembers_failed="
-        + membership.count(MembershipMessage.State.FAILED) + "\nmembers_left="
-        + membership.count(MembershipMessage.State.LEFT) + "\nmembers_view=" + membership.version()
-        + "\nmembers_digest=" + Long.toHexString(membership.digest()) + "\nmembers_health="
-        + membership.health() + "\nmembers_holds_ms=" + left(told.leaseUntilTicks())
-        + "\nmembers_takes_ms=" + left(told.takeoverUntilTicks()) + "\nmembers_t1_ms="
-        + terms.failedWithin() / 10 + "\nmembers_t2_ms=" + terms.falselyFailedAtMost() / 10
-        + "\nmembers_t3_ms=" + terms.equalWithin() / 10 + "\nmembers_lease_ms=" + terms.lease() / 10
-        + "\nmembers_takeover_ms=" + (terms.failedWithin() + terms.takenOverWithin()) / 10
-        + "\nmembers_b=" + (terms.members() - 1) + "\nmembers_d_ms=" + heardWithin / 10 + "\n";
+    return "members_standing=" + standing.infoName() + "\nmembers_share=" + share
+        + "\nmembers_live=" + membership.liveCount() + "\nmembers_failed="
+        + membership.countInState(MembershipMessage.State.FAILED) + "\nmembers_left="
+        + membership.countInState(MembershipMessage.State.LEFT) + "\nmembers_view="
+        + membership.version() + "\nmembers_digest=" + Long.toHexString(membership.digest())
+        + "\nmembers_health=" + membership.localHealthMultiplier() + "\nmembers_holds_ms="
+        + left(told.leaseUntilTicks()) + "\nmembers_takes_ms=" + left(told.takeoverUntilTicks())
+        + "\nmembers_t1_ms=" + terms.failureDetectionTicks() / 10 + "\nmembers_t2_ms="
+        + terms.falseFailureTicks() / 10 + "\nmembers_t3_ms=" + terms.convergenceTicks() / 10
+        + "\nmembers_lease_ms=" + terms.leaseTicks() / 10 + "\nmembers_takeover_ms="
+        + (terms.failureDetectionTicks() + terms.takeoverTicks()) / 10 + "\nmembers_b="
+        + (terms.members() - 1) + "\nmembers_d_ms=" + heardWithin / 10 + "\n";
   }
 
   // ---- what membership wants
@@ -139,7 +141,8 @@
   }
 
   @Override
-  public void changed(int member, MembershipMessage.State state, long incarnation, long version) {
+  public void stateChanged(int member, MembershipMessage.State state, long incarnation,
+      long version) {
     if (history != null) {
       history.add("member", "member", "n" + member, "state", state.name().toLowerCase(Locale.ROOT),
           "incarnation", incarnation, "view", version);
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -6,7 +6,7 @@
 import saltlatch.membership.Membership;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipMessage.Kind;
-import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.MemberUpdate;
 import saltlatch.membership.MembershipMessage.State;
 
 /**
@@ -27,15 +27,17 @@
   private MembershipCodec() {}
 
   public static byte[] encode(MembershipMessage m) {
-    int n = Math.min(m.news().size(), Math.min(Membership.MOST_NEWS, (LONGEST - HEAD) / NEWS));
+    int n = Math.min(m.updates().size(),
+        Math.min(Membership.MAX_UPDATES_PER_MESSAGE, (LONGEST - HEAD) / NEWS));
     ByteBuffer b = ByteBuffer.allocate(HEAD + n * NEWS);
-    b.put(FIRST).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0)))
-        .putInt(0).putInt(m.seq()).putShort((short) m.target()).putInt((int) m.incarnation())
+    b.put(FIRST).put(VERSION)
+        .put((byte) (m.kind().ordinal() | (m.vouchesForReceiver() ? VOUCHES : 0))).putInt(0)
+        .putInt(m.sequenceNumber()).putShort((short) m.target()).putInt((int) m.incarnation())
         .putLong(m.digest()).put((byte) n);
     for (int i = 0; i < n; i++) {
-      News x = m.news().get(i);
+      MemberUpdate x = m.updates().get(i);
       b.putShort((short) x.member()).put((byte) x.state().ordinal()).putInt((int) x.incarnation())
-          .putShort((short) x.by());
+          .putShort((short) x.reporter());
     }
     return b.putInt(3, sum(b.array())).array();
   }
@@ -56,12 +58,13 @@
     long digest = b.getLong();
     int n = b.get() & 0xff;
     if (kind < 0 || kind >= KINDS.length || b.remaining() != n * NEWS) return null;
-    List<News> news = new ArrayList<>();
+    List<MemberUpdate> news = new ArrayList<>();
     for (int i = 0; i < n; i++) {
       int member = b.getShort() & 0xffff;
       int state = b.get();
       if (state < 0 || state >= STATES.length) return null;
-      news.add(new News(member, STATES[state], b.getInt() & 0xffffffffL, b.getShort() & 0xffff));
+      news.add(
+          new MemberUpdate(member, STATES[state], b.getInt() & 0xffffffffL, b.getShort() & 0xffff));
     }
     return new MembershipMessage(KINDS[kind], seq, target, incarnation, digest, vouches, news);
   }
--- a/src/test/java/saltlatch/lab/capacity/RolesTest.java
+++ b/src/test/java/saltlatch/lab/capacity/RolesTest.java
@@ -167,8 +167,8 @@
     long bound = (long) (10_000 * basis.inputs().value(Input.TAKEOVER_WITHIN_SECONDS));
     int holds = (int) wall(basis, List.of(), "a dead node's share is in use again in time").holds()
         .value();
-    assertTrue(MembershipTimings.of(holds, datagrams).takenOverWithin() <= bound);
-    assertTrue(MembershipTimings.of(holds + 1, datagrams).takenOverWithin() > bound);
+    assertTrue(MembershipTimings.of(holds, datagrams).takeoverTicks() <= bound);
+    assertTrue(MembershipTimings.of(holds + 1, datagrams).takeoverTicks() > bound);
     assertEquals(GossipMessage.MAX_NODES_WITH_REACHABILITY,
         wall(basis, List.of(), "a datagram tells whom a node hears").holds().value());
   }
--- a/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
+++ b/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
@@ -18,7 +18,7 @@
   void measuresWhatTheTermsState() {
     MembershipTimings terms = new MemberNetwork(MEMBERS, 1).terms();
     Map<String, Values> measured = new MembersScale().measure(MEMBERS, 1);
-    double failedWithin = (double) terms.failedWithin() / MemberNetwork.SECOND;
+    double failedWithin = (double) terms.failureDetectionTicks() / MemberNetwork.SECOND;
     double failed = measured.get("members.failure").map().get(Quantity.SECONDS);
     assertTrue(failed > 0 && failed <= failedWithin, failed + " s, stated " + failedWithin);
     Map<Quantity, Double> rest = measured.get("members.rest").map();
--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -68,7 +68,7 @@
     dead[i] = false;
     Membership[] self = new Membership[1];
     self[0] = members[i] = new Membership(terms, i, 1 + now / SECOND, seed * 1000 + i, clock(i),
-        new Membership.Out() {
+        new Membership.Output() {
           @Override
           public void send(int to, MembershipMessage m) {
             byte[] bytes = MembershipCodec.encode(m);
@@ -79,14 +79,14 @@
             long at = now + 1 + (long) (REORDER * chance.nextDouble());
             after(at, () -> {
               if (!dead[to] && reach.test(i, to)) run(to, () -> {
-                members[to].heard(clock(to), i, MembershipCodec.decode(bytes));
-                shares[to].update(members[to].members());
+                members[to].receive(clock(to), i, MembershipCodec.decode(bytes));
+                shares[to].update(members[to].membershipEvent());
               });
             });
           }
 
           @Override
-          public void changed(int member, State state, long inc, long version) {
+          public void stateChanged(int member, State state, long inc, long version) {
             history.append(now).append(' ').append(i).append(' ').append(member).append(state)
                 .append(inc).append('\n');
             if (state != State.FAILED) return;
@@ -96,7 +96,7 @@
           }
         });
     shares[i] = new QuotaShares(i, terms.members());
-    shares[i].update(self[0].members());
+    shares[i].update(self[0].membershipEvent());
     tick(i, self[0]);
   }
 
@@ -127,7 +127,7 @@
     after(now + TICK, () -> {
       if (dead[i] || members[i] != self) return;
       if (!paused[i]) self.tick(clock(i));
-      if (!paused[i]) shares[i].update(self.members());
+      if (!paused[i]) shares[i].update(self.membershipEvent());
       tick(i, self);
     });
   }
@@ -188,7 +188,7 @@
     boolean first = true;
     for (int i = 0; i < members.length; i++) {
       if (dead[i]) continue;
-      if (members[i].live() != live || !first && members[i].digest() != digest) return false;
+      if (members[i].liveCount() != live || !first && members[i].digest() != digest) return false;
       digest = members[i].digest();
       first = false;
     }
--- a/src/test/java/saltlatch/membership/MembershipMeasure.java
+++ b/src/test/java/saltlatch/membership/MembershipMeasure.java
@@ -25,20 +25,20 @@
       for (int seed = 0; seed < runs; seed++) {
         Fleet f = new Fleet(n, seed);
         f.loss = 0.1;
-        assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
+        assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
         long before = f.sent;
         f.pass(10 * Fleet.SECOND);
         cost += (f.sent - before) / 10.0 / n / runs;
         f.dead[n / 2] = true;
-        failed[seed] = f.until(() -> f.allSee(n / 2, State.FAILED), terms.failedWithin());
+        failed[seed] = f.until(() -> f.allSee(n / 2, State.FAILED), terms.failureDetectionTicks());
         f.reach = (a, b) -> a < n / 3 == b < n / 3;
         f.pass(20 * Fleet.SECOND);
         f.reach = (a, b) -> true;
-        equal[seed] = f.until(f::agree, terms.equalWithin());
+        equal[seed] = f.until(f::agree, terms.convergenceTicks());
         assertTrue(failed[seed] >= 0 && equal[seed] >= 0, n + " members, seed " + seed);
       }
-      print(n, "T1", failed, terms.failedWithin());
-      print(n, "T3", equal, terms.equalWithin());
+      print(n, "T1", failed, terms.failureDetectionTicks());
+      print(n, "T3", equal, terms.convergenceTicks());
       System.out.printf(Locale.ROOT,
           "MEASURED %d members: %.2f datagrams a second each sent, %.1f stated%n", n, cost,
           terms.datagramsPerSecond());
@@ -51,9 +51,9 @@
     for (int n : new int[] {100, 300, 1000}) {
       Fleet f = new Fleet(n, 3);
       f.loss = 0.1;
-      long took = f.until(f::agree, 3 * f.terms.equalWithin());
+      long took = f.until(f::agree, 3 * f.terms.convergenceTicks());
       System.out.printf(Locale.ROOT, "MEASURED %d members from nothing: %.1f s, T3 %.1f s%n", n,
-          (double) took / Fleet.SECOND, (double) f.terms.equalWithin() / Fleet.SECOND);
+          (double) took / Fleet.SECOND, (double) f.terms.convergenceTicks() / Fleet.SECOND);
     }
   }
 
@@ -63,12 +63,12 @@
       int wrong = 0;
       for (int seed = 0; seed < 5; seed++) {
         Fleet f = new Fleet(20, seed);
-        f.until(f::agree, f.terms.equalWithin());
+        f.until(f::agree, f.terms.convergenceTicks());
         f.loss = loss;
         f.pass(600 * Fleet.SECOND);
         wrong += f.falseFailures;
         f.loss = 0;
-        assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
+        assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
       }
       System.out.printf(Locale.ROOT,
           "MEASURED loss %.1f: %d false verdicts in 5 x 10 minutes of 20 members%n", loss, wrong);
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import saltlatch.membership.MembershipMessage.Kind;
-import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.MemberUpdate;
 import saltlatch.membership.MembershipMessage.State;
 import saltlatch.wire.peer.MembershipCodec;
 
@@ -21,7 +21,7 @@
 class MembershipTest {
   private static Fleet joined(int n, long seed) {
     Fleet f = new Fleet(n, seed);
-    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0,
+    assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0,
         n + " members did not find each other");
     return f;
   }
@@ -43,9 +43,9 @@
   void deadMemberIsFailedAndComesBackUnderItsName() {
     Fleet f = joined(7, 1);
     f.dead[2] = true;
-    assertTrue(f.until(() -> f.allSee(2, State.FAILED), f.terms.failedWithin()) > 0);
+    assertTrue(f.until(() -> f.allSee(2, State.FAILED), f.terms.failureDetectionTicks()) > 0);
     f.start(2);
-    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0, "back, and held alive by all");
+    assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0, "back, and held alive by all");
     assertTrue(f.members[0].incarnation(2) > 1);
   }
 
@@ -59,7 +59,7 @@
     f.pass(Fleet.SECOND);
     long old = f.members[1].incarnation(4);
     f.start(4);
-    f.pass(f.terms.equalWithin());
+    f.pass(f.terms.convergenceTicks());
     assertTrue(f.agree() && f.members[1].incarnation(4) > old);
     assertEquals(0, f.falseFailures);
   }
@@ -68,8 +68,8 @@
   void sevenInTenKilledAtOnce() {
     Fleet f = joined(20, 3);
     for (int i = 0; i < 14; i++) f.dead[i] = true;
-    assertTrue(f.until(f::agree, f.terms.failedWithin()) > 0);
-    assertEquals(6, f.members[19].live());
+    assertTrue(f.until(f::agree, f.terms.failureDetectionTicks()) > 0);
+    assertEquals(6, f.members[19].liveCount());
   }
 
   /**
@@ -80,12 +80,12 @@
   void pausedMemberBlamesNobody() {
     Fleet f = joined(8, 5);
     f.paused[1] = true;
-    f.pass(2 * f.terms.failedWithin());
+    f.pass(2 * f.terms.failureDetectionTicks());
     assertTrue(f.allSee(1, State.FAILED));
     int before = f.falseFailures;
     f.resume(1);
-    assertTrue(f.until(f::agree, f.terms.falselyFailedAtMost()) >= 0);
-    f.pass(f.terms.failedWithin());
+    assertTrue(f.until(f::agree, f.terms.falseFailureTicks()) >= 0);
+    f.pass(f.terms.failureDetectionTicks());
     assertEquals(before, f.falseFailures, "on waking it held others failed, or others it");
   }
 
@@ -97,7 +97,7 @@
     f.dead[5] = true;
     assertTrue(f.until(() -> f.allSee(5, State.LEFT), 10 * Fleet.SECOND) >= 0);
     f.start(5);
-    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
+    assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
   }
 
   /**
@@ -109,11 +109,11 @@
     Fleet f = joined(10, 7);
     for (int cut : new int[] {3, 5}) {
       f.reach = (a, b) -> a < cut == b < cut;
-      f.pass(f.terms.failedWithin());
-      assertEquals(cut, f.members[0].live());
-      assertEquals(10 - cut, f.members[9].live());
+      f.pass(f.terms.failureDetectionTicks());
+      assertEquals(cut, f.members[0].liveCount());
+      assertEquals(10 - cut, f.members[9].liveCount());
       f.reach = (a, b) -> true;
-      assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0,
+      assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0,
           "sides of " + cut + " did not agree again");
     }
   }
@@ -126,10 +126,10 @@
     f.pass(30 * Fleet.SECOND);
     int calm = f.burst;
     f.reach = (a, b) -> a < 20 == b < 20;
-    f.pass(f.terms.failedWithin());
+    f.pass(f.terms.failureDetectionTicks());
     f.reach = (a, b) -> true;
     f.burst = 0;
-    f.pass(f.terms.equalWithin());
+    f.pass(f.terms.convergenceTicks());
     assertTrue(f.agree() && f.burst <= 3 * calm,
         f.burst + " at once after the heal, " + calm + " before");
   }
@@ -148,7 +148,7 @@
     f.reach = (a, b) -> a == 2 || b == 2 || a < 2 == b < 2;
     f.pass(120 * Fleet.SECOND);
     f.reach = (a, b) -> true;
-    assertTrue(f.until(f::agree, f.terms.equalWithin()) >= 0);
+    assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
   }
 
   @Test
@@ -199,7 +199,7 @@
     }
     f.reach = (a, b) -> true;
     f.loss = 0.1;
-    assertTrue(f.until(f::agree, f.terms.failedWithin() + f.terms.equalWithin()) >= 0,
+    assertTrue(f.until(f::agree, f.terms.failureDetectionTicks() + f.terms.convergenceTicks()) >= 0,
         "no agreement after the heal");
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
@@ -227,7 +227,7 @@
         case 5 -> f.reach = (a, b) -> a != who || b == other;
         default -> f.reach = (a, b) -> true;
       }
-      f.pass((long) (chance.nextDouble() * 2 * f.terms.takenOverWithin()));
+      f.pass((long) (chance.nextDouble() * 2 * f.terms.takeoverTicks()));
       if (f.paused[who] && chance.nextBoolean()) f.resume(who);
     }
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
@@ -240,16 +240,16 @@
   @Test
   void deadMembersSurplusIsTakenOver() {
     Fleet f = joined(5, 11);
-    f.pass(f.terms.lease());
+    f.pass(f.terms.leaseTicks());
     assertEquals(1, f.shared(0, 5), 1e-9);
     f.dead[3] = true;
     double full = 1 - QuotaShares.FLOOR_FRACTION / 5;
     long took = f.until(() -> f.shared(0, 5) > full - 1e-9,
-        f.terms.failedWithin() + f.terms.takenOverWithin());
+        f.terms.failureDetectionTicks() + f.terms.takeoverTicks());
     assertTrue(took > 0, f.shared(0, 5) + " of " + full);
     f.start(3);
     assertTrue(f.until(() -> f.shares[3].ownShare(f.now, 0, 5) > 0.2 - 1e-9,
-        f.terms.equalWithin() + 2 * f.terms.leaseOver()) > 0);
+        f.terms.convergenceTicks() + 2 * f.terms.leaseExpiryTicks()) > 0);
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
 
@@ -260,20 +260,20 @@
   @Test
   void sidesOfASplitShareOneQuota() {
     Fleet f = joined(5, 12);
-    f.pass(f.terms.lease());
+    f.pass(f.terms.leaseTicks());
     f.reach = (a, b) -> a < 2 == b < 2;
-    f.pass(f.terms.failedWithin() + f.terms.takenOverWithin());
-    assertEquals(FleetView.MINORITY, f.members[0].standing());
-    assertEquals(FleetView.MAJORITY, f.members[4].standing());
+    f.pass(f.terms.failureDetectionTicks() + f.terms.takeoverTicks());
+    assertEquals(FleetView.MINORITY, f.members[0].fleetView());
+    assertEquals(FleetView.MAJORITY, f.members[4].fleetView());
     assertEquals(QuotaShares.FLOOR_FRACTION / 5, f.shares[0].ownShare(f.now, 0, 5), 1e-9);
     assertEquals((1 - 2 * QuotaShares.FLOOR_FRACTION / 5) / 3, f.shares[4].ownShare(f.now, 0, 5),
         1e-9);
     f.reach = (a, b) -> true;
     assertTrue(f.until(() -> f.agree() && f.shared(0, 5) > 1 - 1e-9,
-        f.terms.equalWithin() + 2 * f.terms.leaseOver()) > 0);
+        f.terms.convergenceTicks() + 2 * f.terms.leaseExpiryTicks()) > 0);
     Fleet g = joined(6, 13);
     g.reach = (a, b) -> a < 3 == b < 3;
-    g.pass(g.terms.failedWithin() + g.terms.takenOverWithin());
+    g.pass(g.terms.failureDetectionTicks() + g.terms.takeoverTicks());
     assertEquals(1, g.shared(0, 6), 1e-9);
     assertTrue(f.mostShared <= 1 + 1e-9 && g.mostShared <= 1 + 1e-9,
         f.mostShared + " " + g.mostShared);
@@ -283,15 +283,15 @@
   @Test
   void leaversSurplusIsTakenWithoutAWait() {
     Fleet f = joined(5, 14);
-    f.pass(f.terms.lease());
+    f.pass(f.terms.leaseTicks());
     f.members[1].leave();
-    f.shares[1].update(f.members[1].members());
+    f.shares[1].update(f.members[1].membershipEvent());
     f.pass(Fleet.SECOND);
     f.dead[1] = true;
     assertTrue(f.until(() -> f.shared(0, 5) > 1 - QuotaShares.FLOOR_FRACTION / 5 - 1e-9,
-        f.terms.lease()) > 0);
+        f.terms.leaseTicks()) > 0);
     f.start(1);
-    f.pass(f.terms.equalWithin() + f.terms.leaseOver());
+    f.pass(f.terms.convergenceTicks() + f.terms.leaseExpiryTicks());
     assertEquals(1, f.shared(0, 5), 1e-9);
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
@@ -301,21 +301,22 @@
   void incarnationsNeverFall(@ForAll @IntRange(max = 1_000_000) int seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<MembershipMessage> sent = new ArrayList<>();
-    Membership m = new Membership(MembershipTimings.of(6, 60), 0, 5, seed, 0, new Membership.Out() {
-      @Override
-      public void send(int to, MembershipMessage x) {
-        sent.add(x);
-      }
+    Membership m = new Membership(MembershipTimings.of(6, 60), 0, 5, seed, 0,
+        new Membership.Output() {
+          @Override
+          public void send(int to, MembershipMessage x) {
+            sent.add(x);
+          }
 
-      @Override
-      public void changed(int member, State state, long inc, long version) {}
-    });
+          @Override
+          public void stateChanged(int member, State state, long inc, long version) {}
+        });
     long[] high = new long[6];
     for (int i = 0; i < 300; i++) {
-      List<News> news = List.of(new News(chance.nextInt(8), State.values()[chance.nextInt(5)],
-          chance.nextInt(9), chance.nextInt(8)));
+      List<MemberUpdate> news = List.of(new MemberUpdate(chance.nextInt(8),
+          State.values()[chance.nextInt(5)], chance.nextInt(9), chance.nextInt(8)));
       int from = chance.nextInt(8) - 1;
-      m.heard(i * 100, from,
+      m.receive(i * 100, from,
           new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(9),
               chance.nextInt(9), chance.nextInt(9), chance.nextLong(), chance.nextBoolean(), news));
       m.tick(i * 100);
@@ -336,9 +337,9 @@
   void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
     assertTrue(MembershipCodec.decode(noise) == null);
     SplittableRandom chance = new SplittableRandom(seed);
-    List<News> news = new ArrayList<>();
-    for (int i = chance.nextInt(Membership.MOST_NEWS + 1); i > 0; i--) {
-      news.add(new News(chance.nextInt(65_536), State.values()[chance.nextInt(5)],
+    List<MemberUpdate> news = new ArrayList<>();
+    for (int i = chance.nextInt(Membership.MAX_UPDATES_PER_MESSAGE + 1); i > 0; i--) {
+      news.add(new MemberUpdate(chance.nextInt(65_536), State.values()[chance.nextInt(5)],
           chance.nextLong(1L << 32), chance.nextInt(65_536)));
     }
     MembershipMessage m = new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(),
