--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -2,33 +2,88 @@
 
 import saltlatch.api.GatewaySettings;
 
-/** Lives until a customer is unseen for a minute, longer while its ceiling's part is not full. */
+/**
+ * What this node knows of one customer's quota.
+ *
+ * <p>{@link QuotaTracker} creates it at the customer's first request and releases it once the
+ * customer was idle for long; each group of fields names the rule that writes it. {@code
+ * availableUnits} is shared: {@link AvailableUnits} refills and charges it, {@link
+ * ShareWithoutCounter} and {@link PooledShare} rescale it to the part of the quota in use. The
+ * engine counts {@code inFlight} and keeps the estimates.
+ */
 final class CustomerQuota {
-  long id, lastRequestAt;
-  GatewaySettings.QuotaPlan plan;
+  final long id;
+  final GatewaySettings.QuotaPlan plan;
+  /** The customer's requests reach {@code nodeCount} nodes from this one on. */
+  final int firstNode;
+  int nodeCount;
+  long lastRequestAtTicks;
   QuotaWindow window;
-  int inFlight, nodeCount, firstNode;
-  double othersUsage; // fading: what the others passed
-  // units this node may pass of a store that has no room for all that may come
-  double refillAllowance;
-  long othersUsageAt, refillAllowanceAt;
-  // learned part of its use that comes through this node, half an even one at least
-  double learnedShare;
-  // units its quota has left, as the totals seen show it; the share of it while alone
+
+  // The engine: attempts in flight, and for each request class the reservation and its steps.
+  int inFlight;
+  double[][] estimates;
+
+  // AvailableUnits: units left of the part of the quota that this node may use.
   double availableUnits;
-  long availableUnitsAt;
-  // units passed without the counter since its last answer; below 0: not alone
+  long availableUnitsAtTicks;
+  /** A window's count has reached the limit, and the quota has not filled again since. */
+  boolean exhausted;
+
+  // ShareWithoutCounter
+  /** Units admitted since the share began; below 0 while no such share is in use. */
   double admittedWithoutCounter = -1;
-  double shareWithoutCounter; // part of the quota that the room stands for while alone
-  // units taken off that room for a place on the way to the next req; passed by nobody
+  /** Part of the quota that {@code availableUnits} stands for while the share is in use. */
+  double shareWithoutCounter;
+  /** Units taken off the share at its start and used by nobody. */
   double startOffset;
-  double gossipShare = 1; // the same while peers are heard: the part of those that hear each other
-  double usageWhileSplit; // units they passed while that was below 1
-  double admittedWhilePeersSilent; // units this node passed while some peer was overdue
-  double presumedPeerUsage; // units those peers are taken to have passed meanwhile, until they say
-  long lastTotalAt = QuotaGossip.NEVER; // of the last total
-  boolean exhausted; // a window's count reached the limit and the quota has not filled again since
-  double ceilingUnits; // this node's part of the hard ceiling
-  long ceilingUnitsAt;
-  double[][] estimates; // of each frontend: reservation, steps
+
+  // PooledShare
+  /** Part of the quota that {@code availableUnits} stands for while no such share is in use. */
+  double gossipShare = 1;
+  /** Units used by all nodes known while that part was below 1. */
+  double usageWhileSplit;
+  long lastCounterTotalAtTicks = GossipSchedule.NEVER_TICKS;
+
+  // OverduePeers
+  /** Units this node admitted while gossip of some peer was overdue. */
+  double admittedWhilePeersSilent;
+  /** Units that unreachable peers are presumed to have used, until they report. */
+  double presumedPeerUsage;
+
+  // UsageByOthers
+  /** Units used through other nodes lately; decays. */
+  double othersUsage;
+  long othersUsageAtTicks;
+  /** Part of the customer's use that comes through this node. */
+  double learnedShare;
+
+  // CapacityFromGossip: units of the refill that this node may still use of a quota in short supply
+  double refillAllowance;
+  long refillAllowanceAtTicks;
+
+  // HardCeiling: this node's bucket.
+  double ceilingUnits;
+  long ceilingUnitsAtTicks;
+
+  CustomerQuota(long id, GatewaySettings.QuotaPlan plan, int firstNode) {
+    this.id = id;
+    this.plan = plan;
+    this.firstNode = firstNode;
+  }
+
+  /** Whether the counter does not answer for this customer, so that the node decides by a share. */
+  boolean isOnShareWithoutCounter() {
+    return admittedWithoutCounter >= 0;
+  }
+
+  /** Notes units of an admitted request, if the node decides by a share. */
+  void recordAdmittedOnShare(double units) {
+    admittedWithoutCounter += isOnShareWithoutCounter() ? units : 0;
+  }
+
+  /** Part of the whole quota that {@code availableUnits} stands for. */
+  double shareInUse() {
+    return isOnShareWithoutCounter() ? shareWithoutCounter : gossipShare;
+  }
 }
--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -273,7 +273,7 @@
     if (answered) {
       quotas.applyCounterTotal(w, call.units(), c.total());
       if (r == null) return;
-      boolean below = w.chargedTotal - r.chargedUnits < w.customer.plan.burstUnits();
+      boolean below = w.totalChargedUnits - r.chargedUnits < w.customer.plan.burstUnits();
       w.customer.exhausted |= !below || w.customer.availableUnits <= 0;
       // Guards against windows that differ from the quota's store: a heavy customer would spend
       // each window at its start, stand denied with room, and find a whole burst again at the turn.
@@ -351,7 +351,7 @@
     long unsure = Math.max(0, nextCall - now) + (long) (gap * chance.nextDouble());
     boolean known = r.lateRetry || r.awaitingCounter
         || gossip.isUsageFresh(now, r.customer.nodeCount);
-    return known ? r.window.endsAt - now + (long) spread : unsure;
+    return known ? r.window.endsAtTicks - now + (long) spread : unsure;
   }
 
   // ---- reservations
@@ -680,8 +680,9 @@
     if (gap > 0) gossip.counterUnhealthy(now);
     gossip.dueMessages(now).forEach(to::sendGossip);
     quotas.releaseWindowsIf(w -> {
-      if (w.uncarriedUnits != 0 && now < w.endsAt + longest && counterIsWell()) call(w, null, 0);
-      return now > w.endsAt + longest && w.calls.isEmpty();
+      if (w.uncarriedUnits != 0 && now < w.endsAtTicks + longest && counterIsWell())
+        call(w, null, 0);
+      return now > w.endsAtTicks + longest && w.calls.isEmpty();
     });
     quotas.releaseIdleCustomers();
   }
@@ -721,7 +722,7 @@
     }
     touched.clear();
     for (CounterCall c : wantCalls) {
-      long keep = Math.min(LONGEST_KEPT, Math.max(1, c.window().endsAt - now + longest));
+      long keep = Math.min(LONGEST_KEPT, Math.max(1, c.window().endsAtTicks - now + longest));
       // Guards against a busy counter whose answers all come a little late and are thrown away:
       // they are waited for, as far as response targets leave time. Harms while it is silent: its
       // test calls hold their reqs.
--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -1,6 +1,5 @@
 package saltlatch.policy;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -8,125 +7,136 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * What edge nodes tell each other of the units they passed while the counter cannot take a call for
- * each req: for each customer's window the sum so far, so that a datagram lost or overtaken is made
- * good by the next. Decides when, to whom and what; does no I/O and reads no clock. Control asks it
- * and acts; docs/design.md has the reasons.
+ * Gossip of quota usage: while the counter cannot take a call for each request, nodes report to each
+ * other the units that they admitted of each customer in each window.
+ *
+ * <p>{@link GossipSchedule} says when, {@link GossipSelection} what each peer gets; this class joins
+ * them and takes in what arrives. It does no I/O and reads no clock: {@link PolicyEngine} sends what
+ * is due and {@link QuotaTracker} charges what peers report. Times are ticks, amounts units.
  */
 final class QuotaGossip {
-  static final double PERIOD = 10_000; // 1 s between tellings: quotas refill less than a burst
-  // part of the datagrams that a node takes in which these may use
-  static final double MAX_INTAKE_FRACTION = 0.5;
-  // periods without any datagram after which peers are taken as unheard
-  static final double SILENT = 3;
-  static final double LINGER = 5; // periods of telling after a jam: others may still be in one
-  // of all worth, if each first try is told; in fact half that
-  static final double MOST_PRICE = 0.02;
-  static final int MAX_DATAGRAM_BYTES = 256; // of a datagram, by the protocol
-  static final int ENTRY = 7; // bytes that a sum takes of it
-  static final int WINDOW_NUMBER_MODULUS = 128; // windows' numbers are told modulo this
-  static final long NEVER = Long.MIN_VALUE / 2;
-
-  private record Own(GossipMessage.WindowUsage sum, int first, int width) {}
-
-  private final int me;
-  private final int nodes;
-  private final double intake; // datagrams a second; 0: nothing may be told
-  // of a customer's set; wider ones cost more to tell than they bring
-  private final double mostWidth;
-  private final Map<Long, Own> changed = new LinkedHashMap<>(); // by window, in order of change
-  private int widest = 1;
-  private long jamAt = NEVER;
-  private long heardAt = NEVER;
-  private long toldAt = NEVER;
-  private QuotaShares shares; // null: nodes do not know each other
+  /** Bytes of a datagram, by the protocol. */
+  static final int MAX_DATAGRAM_BYTES = 256;
 
-  QuotaGossip(int me, int nodes, double intake, double fee) {
-    this.me = me;
-    this.nodes = nodes;
-    this.intake = nodes > 1 ? intake : 0;
-    mostWidth = fee <= 0 ? nodes : 1 + MOST_PRICE / fee * MAX_DATAGRAM_BYTES / ENTRY;
-  }
+  /** Bytes that one sum takes of a datagram. */
+  private static final int ENTRY_BYTES = 7;
+
+  /** Part of the worth of all requests that gossip may cost, if every attempt is reported. */
+  private static final double MAX_PRICE = 0.02;
+
+  /** Windows' numbers travel modulo this. */
+  private static final long WINDOW_NUMBER_MODULUS = 128;
+
+  private final int ownIndex;
+  private final int nodeCount;
+  /** Nodes of a customer's set; a wider one costs more to report than it brings. */
+  private final double maxSetWidth;
+  private final GossipSchedule schedule;
+  private final GossipSelection selection;
+  private QuotaShares shares; // null: nodes do not know each other
 
   /**
-   * Those that share customers with this node are at most twice the widest set; all may tell at
-   * once.
+   * @param intakePerSecond datagrams a second that a node takes in of its peers; 0: no gossip
+   * @param datagramPrice   price of a full datagram for each first attempt, as a part of all worth
    */
-  double periodTicks() {
-    int tellers = Math.min((shares == null ? nodes : shares.divisorNodes()) - 1, 2 * (widest - 1));
-    return Math.max(PERIOD,
-        tellers * QuotaTracker.SECOND / Math.max(1, MAX_INTAKE_FRACTION * intake));
+  QuotaGossip(int ownIndex, int nodeCount, double intakePerSecond, double datagramPrice) {
+    this.ownIndex = ownIndex;
+    this.nodeCount = nodeCount;
+    maxSetWidth = datagramPrice <= 0 ? nodeCount
+        : 1 + MAX_PRICE / datagramPrice * MAX_DATAGRAM_BYTES / ENTRY_BYTES;
+    schedule = new GossipSchedule(nodeCount, intakePerSecond);
+    selection = new GossipSelection(ownIndex, nodeCount);
+  }
+
+  /** Nodes know each other from now on: messages go to live members and say who is reachable. */
+  void useShares(QuotaShares fleetShares) {
+    shares = fleetShares;
+    schedule.useShares(fleetShares);
   }
 
-  void useShares(QuotaShares with) { shares = with; }
+  /** Time between two rounds of messages. */
+  double periodTicks() {
+    return schedule.periodTicks();
+  }
 
-  /** How long a peer's last datagram says whom it hears, and that it is heard. */
+  /** How long a peer's message says which nodes it reaches, and that it is reachable itself. */
   long validityTicks() {
-    return (long) (SILENT * periodTicks());
+    return schedule.validityTicks();
   }
 
-  /** The counter is not well. */
+  /** Reported by the engine whenever the counter is not healthy. */
   void counterUnhealthy(long now) {
-    jamAt = now;
+    schedule.counterUnhealthy(now);
   }
 
   boolean isActive(long now) {
-    return intake > 0 && now - jamAt <= LINGER * periodTicks();
+    return schedule.isActive(now);
   }
 
-  /** Whether what peers tell of customers with so many nodes is fresh enough to go by. */
-  boolean isUsageFresh(long now, int width) {
-    return width <= mostWidth && isActive(now) && now - heardAt <= SILENT * periodTicks();
+  /** Whether peers' reports on a customer of so many nodes are fresh enough to go by. */
+  boolean isUsageFresh(long now, int setWidth) {
+    return setWidth <= maxSetWidth && schedule.isFresh(now);
   }
 
-  /** This node's sum for a window has changed. */
-  void recordAdmitted(long name, long customer, long number, int first, int width, double units) {
-    if (intake <= 0 || width > mostWidth) return;
-    widest = Math.max(widest, width);
-    changed.remove(name);
-    GossipMessage.WindowUsage sum = new GossipMessage.WindowUsage(customer,
-        (int) Math.floorMod(number, (long) WINDOW_NUMBER_MODULUS), units);
-    changed.put(name, new Own(sum, first, width));
+  /** Notes the units that this node admitted in a window so far. */
+  void recordAdmitted(long counterName, long customerId, long windowNumber, int firstNode,
+      int setWidth, double units) {
+    if (!schedule.isEnabled() || setWidth > maxSetWidth) {
+      return;
+    }
+    schedule.recordSetWidth(setWidth);
+    int shortNumber = (int) Math.floorMod(windowNumber, WINDOW_NUMBER_MODULUS);
+    selection.put(counterName, new GossipMessage.WindowUsage(customerId, shortNumber, units),
+        firstNode, setWidth);
   }
 
-  /**
-   * What is due now: a datagram for each peer with a customer whose sum has changed, the latest
-   * first.
-   */
+  /** The full number of the window a peer means: the latest one with those last digits. */
+  static long fullWindowNumber(long currentNumber, int shortNumber) {
+    return currentNumber - Math.floorMod(currentNumber - shortNumber, WINDOW_NUMBER_MODULUS);
+  }
+
+  /** The messages that are due now by peer, in the order in which they are to be sent. */
   Map<Integer, GossipMessage> dueMessages(long now) {
-    Map<Integer, GossipMessage> out = new LinkedHashMap<>();
-    if (!isActive(now)) {
-      changed.clear();
-      return out;
+    if (!schedule.isActive(now)) {
+      selection.clear();
+      return Map.of();
+    }
+    if (!schedule.startRound(now)) {
+      return Map.of();
     }
-    if (now - toldAt < periodTicks()) return out;
-    toldAt = now;
-    GossipMessage.Reachability hearing = shares == null ? null
+    Map<Integer, GossipMessage> messages = messages(now);
+    selection.clear();
+    return messages;
+  }
+
+  private Map<Integer, GossipMessage> messages(long now) {
+    Map<Integer, GossipMessage> messages = new LinkedHashMap<>();
+    GossipMessage.Reachability reachability = shares == null ? null
         : shares.reachability(now, validityTicks());
-    int most = hearing == null ? GossipMessage.MAX_ENTRIES : GossipMessage.maxUsageEntries(nodes);
-    List<Own> latest = new ArrayList<>(changed.values());
-    for (int step = 1; step < nodes; step++) {
-      int peer = (me + step) % nodes;
-      if (shares != null && !shares.isLive(peer)) continue;
-      List<GossipMessage.WindowUsage> sums = new ArrayList<>();
-      for (int i = latest.size() - 1; i >= 0 && sums.size() < most; i--) {
-        Own o = latest.get(i);
-        if (Math.floorMod(peer - o.first(), nodes) < o.width()) sums.add(o.sum());
+    int maxEntries = reachability == null ? GossipMessage.MAX_ENTRIES
+        : GossipMessage.maxUsageEntries(nodeCount);
+    for (int step = 1; step < nodeCount; step++) {
+      int peer = (ownIndex + step) % nodeCount;
+      if (shares != null && !shares.isLive(peer)) {
+        continue;
+      }
+      List<GossipMessage.WindowUsage> usage = selection.forPeer(peer, maxEntries);
+      if (!usage.isEmpty() || selection.mayShareCustomers(peer, schedule.widestSet())) {
+        messages.put(peer, new GossipMessage(usage, reachability));
       }
-      // One with no sums says that this node passed nothing: silence would look like a node cut
-      // off.
-      int apart = Math.min(step, nodes - step);
-      if (!sums.isEmpty() || apart < widest) out.put(peer, new GossipMessage(sums, hearing));
     }
-    changed.clear();
-    return out;
+    return messages;
   }
 
-  /** The sums that a peer tells; none of a stranger. */
-  List<GossipMessage.WindowUsage> receive(long now, int from, GossipMessage told) {
-    if (from < 0 || from >= nodes || from == me) return List.of();
-    heardAt = now;
-    if (shares != null) shares.recordGossip(now, from, told.reachability());
-    return told.usage();
+  /** Takes in a peer's message and returns its sums; none of a stranger. */
+  List<GossipMessage.WindowUsage> receive(long now, int sender, GossipMessage message) {
+    if (sender < 0 || sender >= nodeCount || sender == ownIndex) {
+      return List.of();
+    }
+    schedule.received(now);
+    if (shares != null) {
+      shares.recordGossip(now, sender, message.reachability());
+    }
+    return message.usage();
   }
 }
--- a/src/main/java/saltlatch/policy/QuotaWindow.java
+++ b/src/main/java/saltlatch/policy/QuotaWindow.java
@@ -2,19 +2,74 @@
 
 import java.util.ArrayDeque;
 
-/** One customer's count for one window; lives for the window and the longest client timeout. */
+/**
+ * One customer's count for one window of the quota.
+ *
+ * <p>{@link QuotaTracker} creates it with the first request of the window. The engine releases it
+ * once the window and the longest client timeout are over and no call is in flight; it also keeps
+ * the calls and {@code uncarriedUnits}. {@link CounterTotals} writes the counter's fields, {@link
+ * UsageByOthers} those of other nodes. All amounts are units.
+ */
 final class QuotaWindow {
-  CustomerQuota customer;
-  long counterName, endsAt;
-  double lastTotal; // last total, with what was lost
-  double chargedTotal; // units charged by that total, with those taken to have passed uncounted
-  double ownConfirmed; // net units of this node that answers have confirmed
-  double uncarriedUnits; // units charged or given back that no call has carried yet
-  double unconfirmedUnits; // units of timed-out adds since the last total
-  double lostUnits; // units that the counter forgot, by what this node knows
-  double admittedUnits; // units that this node passed, counted or not
-  // what the others passed, by totals, by their telling, and as charged
-  double othersByCounter, othersByGossip, othersCharged;
-  double[] gossipByNode; // by each node of the customer's set
+  final CustomerQuota customer;
+  /** Name of this count at the counter. */
+  final long counterName;
+  final long endsAtTicks;
+
+  // The engine
   final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
+  /** Charged or refunded by this node, carried by no call yet. */
+  double uncarriedUnits;
+
+  // CounterTotals
+  /** The counter's last total, with the lost units added. */
+  double lastTotalUnits;
+  /** Net units of this node that answers have confirmed. */
+  double ownConfirmedUnits;
+  /** Units of adds that timed out since the last total; they may have been counted. */
+  double unconfirmedUnits;
+  /** Units that the counter has lost. */
+  double lostUnits;
+  /** Charged by all nodes, with what is taken to have been admitted uncounted. */
+  double totalChargedUnits;
+
+  /** Admitted by this node, counted or not. */
+  double admittedUnits;
+
+  // UsageByOthers
+  double othersUnitsByCounter;
+  double othersUnitsByGossip;
+  /** The part of the others' units that the customer has been charged for. */
+  double othersChargedUnits;
+  /** The last sum of each node of the customer's set; null until one arrives. */
+  double[] gossipUnitsByNode;
+
+  QuotaWindow(CustomerQuota customer, long counterName, long endsAtTicks) {
+    this.customer = customer;
+    this.counterName = counterName;
+    this.endsAtTicks = endsAtTicks;
+  }
+
+  /**
+   * Adds to what this node owes the counter, to ride on the next call.
+   *
+   * @param units of an admitted request that no call carried; below 0 gives units back
+   */
+  void charge(double units) {
+    uncarriedUnits += units;
+  }
+
+  /**
+   * Gives units back to the counter with the next call.
+   *
+   * @param units of a request that was charged and not executed
+   */
+  void refund(double units) {
+    uncarriedUnits -= units;
+  }
+
+  /** Notes an add that timed out or whose connection broke: it may have been counted. */
+  void recordUnconfirmed(double units) {
+    unconfirmedUnits += units;
+  }
 }
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -87,7 +87,7 @@
     QuotaGossip g = new QuotaGossip(0, 100, 40, 0);
     assertEquals(SECOND, g.periodTicks());
     g.recordAdmitted(1, 1, 0, 0, 40, 1);
-    assertTrue(78 / (g.periodTicks() / SECOND) <= 40 * QuotaGossip.MAX_INTAKE_FRACTION + 0.01);
+    assertTrue(78 / (g.periodTicks() / SECOND) <= 40 * GossipSchedule.MAX_INTAKE_FRACTION + 0.01);
   }
 
   /**
