--- a/src/main/java/saltlatch/policy/OverduePeers.java
+++ b/src/main/java/saltlatch/policy/OverduePeers.java
@@ -6,7 +6,7 @@
  * What peers are taken to use of a customer's quota while their gossip is overdue. Serves only where
  * nodes know each other by membership.
  *
- * <p>Inputs are when each peer was last heard of and what this node admitted meanwhile; results are
+ * <p>Inputs are when each peer last sent a message and what this node admitted meanwhile; results are
  * units.
  *
  * <p>Guards against a network split: for as long as a silent peer still counts as reachable, each
--- a/src/main/java/saltlatch/policy/ShareWithoutCounter.java
+++ b/src/main/java/saltlatch/policy/ShareWithoutCounter.java
@@ -11,7 +11,7 @@
  * {@link UsageByOthers} has learned. While the share is in use, {@link AvailableUnits} refills and
  * bounds that part only. Amounts are units.
  *
- * <p>The share ends with the next total of the counter or the next peer that is heard. Then the
+ * <p>The share ends with the next total of the counter or the next message of a peer. Then the
  * customer is charged what this node admitted; what others admitted on their shares shows in
  * totals, as far as it was counted in time, and the rest is extrapolated from this node's own.
  * Charging all of it by extrapolation too would reject requests with capacity left after an outage.
