--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -80,7 +80,7 @@
    */
   private boolean isKnownFull(RequestState request) {
     CustomerQuota customer = request.customer;
-    boolean withoutRoom = customer.exhausted && customer.admittedWithoutCounter < 0
+    boolean withoutRoom = customer.exhausted && !customer.isOnShareWithoutCounter()
         && customer.availableUnits < request.reservedUnits;
     return withoutRoom || request.lateRetry && (customer.exhausted || !health.isHealthy());
   }
@@ -89,7 +89,8 @@
   void decideByTotal(RequestState request, long now) {
     QuotaWindow window = request.window;
     CustomerQuota customer = request.customer;
-    boolean belowBurst = window.chargedTotal - request.chargedUnits < customer.plan.burstUnits();
+    boolean belowBurst = window.totalChargedUnits - request.chargedUnits < customer.plan
+        .burstUnits();
     customer.exhausted |= !belowBurst || customer.availableUnits <= 0;
     // Guards against windows that differ from the quota's own refill: a heavy customer would spend
     // each window at its start, be rejected with room left, and find a whole burst at the turn.
@@ -144,9 +145,7 @@
     if (request.window != null) {
       quotas.recordAdmitted(request.window, request.reservedUnits);
     }
-    if (customer.admittedWithoutCounter >= 0) {
-      customer.admittedWithoutCounter += request.reservedUnits;
-    }
-    customer.ceilingUnits -= request.arrival.estimatedUnits();
+    customer.recordAdmittedOnShare(request.reservedUnits);
+    quotas.chargeCeiling(customer, request.arrival.estimatedUnits());
   }
 }
--- a/src/main/java/saltlatch/policy/QuantileReservation.java
+++ b/src/main/java/saltlatch/policy/QuantileReservation.java
@@ -1,7 +1,5 @@
 package saltlatch.policy;
 
-import saltlatch.api.Ticks;
-
 /**
  * How many units to reserve for a request whose actual units are known only after its answer:
  * learned for one customer and request class, lives with the customer.
@@ -13,8 +11,6 @@
  * of one class differ widely, since all of its requests reserve the same.
  */
 final class QuantileReservation {
-  /** A customer's reservations are dropped when it has sent nothing for so long. */
-  static final long IDLE_EXPIRY_TICKS = 60 * Ticks.PER_SECOND;
   /** Loss for a unit reserved too much. */
   private static final double HOLD_COST_PER_UNIT = 1;
   /** Loss for a unit reserved too little. */
--- a/src/main/java/saltlatch/policy/QuotaCharges.java
+++ b/src/main/java/saltlatch/policy/QuotaCharges.java
@@ -63,12 +63,12 @@
 
   /** A request was admitted without a call of its own. */
   void chargeLater(RequestState request) {
-    request.window.uncarriedUnits += request.reservedUnits;
+    request.window.charge(request.reservedUnits);
   }
 
   /** A request was charged and admitted, and none of its attempts has started. */
   void refund(RequestState request) {
-    request.window.uncarriedUnits -= request.reservedUnits;
+    request.window.refund(request.reservedUnits);
     quotas.recordAdmitted(request.window, -request.reservedUnits);
   }
 
@@ -82,7 +82,7 @@
       return;
     }
     quotas.recordAdmitted(request.window, actualUnits - request.reservedUnits);
-    request.window.uncarriedUnits += actualUnits - request.reservedUnits;
+    request.window.charge(actualUnits - request.reservedUnits);
     if (health.isHealthy()) {
       wantCall(request.window, null, 0, now);
     }
@@ -99,16 +99,16 @@
     QuotaWindow window = call.window();
     boolean answered = outcome == AttemptOutcome.SUCCEEDED;
     if (outcome.neverExecuted()) {
-      window.uncarriedUnits += call.units();
+      window.charge(call.units());
     } else if (!answered) {
-      window.unconfirmedUnits += call.units();
+      window.recordUnconfirmed(call.units());
     }
     RequestState request = call.request();
     if (request == null) {
       return;
     }
     request.awaitingCounter = false;
-    window.uncarriedUnits += (request.admitted ? request.reservedUnits : 0) - request.chargedUnits;
+    window.charge((request.admitted ? request.reservedUnits : 0) - request.chargedUnits);
     if (answered && window.uncarriedUnits != 0 && health.isHealthy()) {
       wantCall(window, null, 0, now);
     }
@@ -119,7 +119,7 @@
    * at each housekeeping; true once the window has no use any more.
    */
   boolean carryOrExpire(QuotaWindow window, long now) {
-    long keptUntil = window.endsAt + longestClientTimeoutTicks;
+    long keptUntil = window.endsAtTicks + longestClientTimeoutTicks;
     if (window.uncarriedUnits != 0 && now < keptUntil && health.isHealthy()) {
       wantCall(window, null, 0, now);
     }
@@ -142,7 +142,7 @@
     for (CounterCall call : wanted) {
       QuotaWindow window = call.window();
       long ttlTicks = Math.min(MAX_COUNTER_TTL_TICKS,
-          Math.max(1, window.endsAt - now + longestClientTimeoutTicks));
+          Math.max(1, window.endsAtTicks - now + longestClientTimeoutTicks));
       actions.addToCounter(window.counterName, call.units(), ttlTicks, replyTimeoutTicks);
     }
     wanted.clear();
--- a/src/main/java/saltlatch/policy/RetryAfterAdvice.java
+++ b/src/main/java/saltlatch/policy/RetryAfterAdvice.java
@@ -39,7 +39,7 @@
         + (long) (counterHealth.backoffTicks() * random.nextDouble());
     boolean knownSpent = request.lateRetry || request.awaitingCounter
         || gossip.isUsageFresh(now, request.customer.nodeCount);
-    return knownSpent ? request.window.endsAt - now + (long) spreadTicks : nextCallTicks;
+    return knownSpent ? request.window.endsAtTicks - now + (long) spreadTicks : nextCallTicks;
   }
 
   /** For a request that nothing is free for: app servers, concurrency, ceiling. */
