--- a/src/test/java/saltlatch/policy/DecisionTrace.java
+++ b/src/test/java/saltlatch/policy/DecisionTrace.java
@@ -9,8 +9,10 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
+import java.util.Set;
 import saltlatch.api.GatewayActions;
 import saltlatch.api.GatewayEvent;
 import saltlatch.api.GatewayEvent.AttemptOutcome;
@@ -20,139 +22,149 @@
 import saltlatch.wire.peer.GossipCodec;
 
 /**
- * Plays events into one Control and prints what it does, a line an action; compared with a kept
- * trace.
+ * Plays events into one engine and prints what it does, a line an action; compared with a kept
+ * trace. Times of its lines are in ms, of its fields and parameters in ticks.
  */
 final class DecisionTrace implements GatewayActions {
-  static final GatewaySettings.QuotaPlan FIRM = new GatewaySettings.QuotaPlan(2, 6, 0, 0, 0, 1);
+  static final GatewaySettings.QuotaPlan QUOTA = new GatewaySettings.QuotaPlan(2, 6, 0, 0, 0, 1);
   static final GatewaySettings.QuotaPlan NO_QUOTA = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
-  static final GatewaySettings.RequestClass REPLAYABLE = kind(
+  static final GatewaySettings.RequestClass IDEMPOTENT = requestClass(
       GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL);
-  static final GatewaySettings.RequestClass UNIQUED = kind(
+  static final GatewaySettings.RequestClass IDEMPOTENT_BY_KEY = requestClass(
       GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY, GatewaySettings.KeyScope.GROUP);
-  static final GatewaySettings.RequestClass ONCE = kind(GatewaySettings.RetrySafety.NOT_IDEMPOTENT,
-      GatewaySettings.KeyScope.ALL);
-
-  private final StringBuilder text = new StringBuilder();
-  private final List<long[]> wakes = new ArrayList<>();
-  private final java.util.Set<Long> dispatched = new java.util.HashSet<>();
-  private final ArrayDeque<Long> names = new ArrayDeque<>();
-  private PolicyEngine control;
+  static final GatewaySettings.RequestClass NOT_IDEMPOTENT = requestClass(
+      GatewaySettings.RetrySafety.NOT_IDEMPOTENT, GatewaySettings.KeyScope.ALL);
+
+  private final StringBuilder lines = new StringBuilder();
+  private final List<long[]> timers = new ArrayList<>();
+  private final Set<Long> attempted = new HashSet<>();
+  private final ArrayDeque<Long> counterNames = new ArrayDeque<>();
+  private PolicyEngine engine;
   long now = 60_000;
-  long left = 30_000; // that clients wait
-  long age; // that reqs have lain unread
-  boolean muted; // for stretches that tell nothing new
+  long clientTimeoutTicks = 30_000;
+  /** How long requests have lain unread. */
+  long ageTicks;
+  /** For stretches of a trace that show nothing new. */
+  boolean muted;
 
-  private static GatewaySettings.RequestClass kind(GatewaySettings.RetrySafety effect,
-      GatewaySettings.KeyScope group) {
-    return new GatewaySettings.RequestClass(effect, group, 20_000, 10_000, 30_000, 1);
+  private static GatewaySettings.RequestClass requestClass(GatewaySettings.RetrySafety retrySafety,
+      GatewaySettings.KeyScope keyScope) {
+    return new GatewaySettings.RequestClass(retrySafety, keyScope, 20_000, 10_000, 30_000, 1);
   }
 
-  static GatewaySettings site(GatewaySettings.QuotaPlan plan, boolean unitsAfter, boolean follow) {
-    return site(7, 2, plan, unitsAfter, follow);
+  static GatewaySettings settings(GatewaySettings.QuotaPlan plan, boolean actualUnits,
+      boolean openWatch) {
+    return settings(7, 2, plan, actualUnits, openWatch);
   }
 
-  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan,
-      boolean unitsAfter, boolean follow) {
-    return site(seed, nodes, plan, unitsAfter, follow, 0, 0);
+  static GatewaySettings settings(long seed, int nodes, GatewaySettings.QuotaPlan plan,
+      boolean actualUnits, boolean openWatch) {
+    return settings(seed, nodes, plan, actualUnits, openWatch, 0, 0);
   }
 
-  static GatewaySettings site(long seed, int nodes, GatewaySettings.QuotaPlan plan,
-      boolean unitsAfter, boolean follow, int me, double intake) {
-    GatewaySettings.Limits rules = new GatewaySettings.Limits(follow, true, 4, true, 10_000, true,
-        100_000, 0.2, 4, 10_000);
-    return new GatewaySettings(seed, nodes, 20, rules,
-        new GatewaySettings.CounterSettings(true, unitsAfter),
-        new GatewaySettings.PeerSettings(me, intake, 0), List.of(REPLAYABLE, UNIQUED, ONCE),
-        List.of(plan));
+  static GatewaySettings settings(long seed, int nodes, GatewaySettings.QuotaPlan plan,
+      boolean actualUnits, boolean openWatch, int ownIndex, double datagramsPerSecond) {
+    GatewaySettings.Limits limits = new GatewaySettings.Limits(openWatch, true, 4, true, 10_000,
+        true, 100_000, 0.2, 4, 10_000);
+    return new GatewaySettings(seed, nodes, 20, limits,
+        new GatewaySettings.CounterSettings(true, actualUnits),
+        new GatewaySettings.PeerSettings(ownIndex, datagramsPerSecond, 0),
+        List.of(IDEMPOTENT, IDEMPOTENT_BY_KEY, NOT_IDEMPOTENT), List.of(plan));
   }
 
-  DecisionTrace(GatewaySettings site) {
-    start(site);
+  DecisionTrace(GatewaySettings settings) {
+    start(settings);
   }
 
-  void start(GatewaySettings site) {
-    wakes.clear();
-    names.clear();
-    control = new PolicyEngine(now, site, this);
+  void start(GatewaySettings settings) {
+    timers.clear();
+    counterNames.clear();
+    engine = new PolicyEngine(now, settings, this);
   }
 
-  /** App srvs as "id/cell", "id/cell cold" or "id/cell draining"; the whole list. */
-  void list(String... srvs) {
+  /** App servers as "id/keyGroup", with " starting" or " draining" behind; the whole list. */
+  void list(String... servers) {
     List<GatewayEvent.Endpoint> entries = new ArrayList<>();
-    for (String srv : srvs) {
-      String[] parts = srv.split("[/ ]");
+    for (String server : servers) {
+      String[] parts = server.split("[/ ]");
       boolean marked = parts.length > 2;
       entries.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
-          marked && parts[2].equals("cold") ? now : 0, 0, Integer.parseInt(parts[1]),
+          marked && parts[2].equals("starting") ? now : 0, 0, Integer.parseInt(parts[1]),
           marked && parts[2].equals("draining") ? EndpointState.DRAINING : EndpointState.READY, 1,
           0));
     }
-    say("listed " + String.join(", ", srvs));
-    sendGossip(
-        new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
+    say("listed " + String.join(", ", servers));
+    deliver(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
   }
 
-  void arrive(long rid, int frontend, double units) {
-    arrive(rid, frontend, units, false);
+  void arrive(long requestId, int requestClass, double units) {
+    arrive(requestId, requestClass, units, false);
   }
 
-  void arrive(long rid, int frontend, double units, boolean repeat) {
-    say("req " + rid + " of frontend " + frontend + ", units " + units
-        + (repeat ? ", a further try" : "") + (left < 30_000 ? ", waits " + left / 10 : "")
-        + (age > 0 ? ", lay unread for " + age / 10 : ""));
-    sendGossip(
-        new GatewayEvent.RequestArrived(rid, frontend, 0, 9, left, units, 2, 0, repeat, age));
+  void arrive(long requestId, int requestClass, double units, boolean retry) {
+    say("request " + requestId + " of class " + requestClass + ", units " + units
+        + (retry ? ", a retry" : "")
+        + (clientTimeoutTicks < 30_000 ? ", timeout " + clientTimeoutTicks / 10 : "")
+        + (ageTicks > 0 ? ", lay unread for " + ageTicks / 10 : ""));
+    deliver(new GatewayEvent.RequestArrived(requestId, requestClass, 0, 9, clientTimeoutTicks,
+        units, 2, 0, retry, ageTicks));
   }
 
-  void counted(double total) {
-    say("total " + total);
-    if (!names.isEmpty()) sendGossip(answer(total));
+  void counterReplies(double total) {
+    say("counter total " + total);
+    if (!counterNames.isEmpty()) {
+      deliver(counterReply(total));
+    }
   }
 
-  GatewayEvent answer(double total) {
-    return new GatewayEvent.CounterReplied(names.poll(), AttemptOutcome.SUCCEEDED, total, 10);
+  /** The reply to the oldest counter call in flight. */
+  GatewayEvent counterReply(double total) {
+    return new GatewayEvent.CounterReplied(counterNames.poll(), AttemptOutcome.SUCCEEDED, total,
+        10);
   }
 
-  void counted(AttemptOutcome how) {
-    say("count call " + how);
-    if (!names.isEmpty()) sendGossip(new GatewayEvent.CounterReplied(names.poll(), how, 0, 300));
+  void counterFails(AttemptOutcome outcome) {
+    say("counter call " + outcome);
+    if (!counterNames.isEmpty()) {
+      deliver(new GatewayEvent.CounterReplied(counterNames.poll(), outcome, 0, 300));
+    }
   }
 
-  void ended(long rid, int dispatch, AttemptOutcome how) {
-    ended(rid, dispatch, how, 0);
+  void endAttempt(long requestId, int attempt, AttemptOutcome outcome) {
+    endAttempt(requestId, attempt, outcome, 0);
   }
 
-  void ended(long rid, int dispatch, AttemptOutcome how, double actual) {
-    say("dispatch " + dispatch + " of req " + rid + " " + how);
-    sendGossip(new GatewayEvent.AttemptEnded(rid, 0, dispatch, how, how == AttemptOutcome.SUCCEEDED,
-        0, actual, 0, List.of()));
+  void endAttempt(long requestId, int attempt, AttemptOutcome outcome, double actualUnits) {
+    say("attempt " + attempt + " of request " + requestId + " " + outcome);
+    deliver(new GatewayEvent.AttemptEnded(requestId, 0, attempt, outcome,
+        outcome == AttemptOutcome.SUCCEEDED, 0, actualUnits, 0, List.of()));
   }
 
-  void sendGossip(GatewayEvent... events) {
-    control.handle(now, List.of(events));
+  /** Hands events to the engine as those of one instant. */
+  void deliver(GatewayEvent... events) {
+    engine.handle(now, List.of(events));
   }
 
-  /** Lets time pass, delivering wake-ups as they fall due. */
-  void pass(long tenths) {
-    long until = now + tenths;
+  /** Lets time pass, firing timers as they fall due. */
+  void advance(long ticks) {
+    long until = now + ticks;
     while (true) {
       long[] next = null;
-      for (long[] w : wakes) {
-        next = w[0] <= until && (next == null || w[0] < next[0]) ? w : next;
+      for (long[] timer : timers) {
+        next = timer[0] <= until && (next == null || timer[0] < next[0]) ? timer : next;
       }
       if (next == null) {
         break;
       }
-      wakes.remove(next);
+      timers.remove(next);
       now = Math.max(now, next[0]);
-      sendGossip(new GatewayEvent.TimerFired(next[1]));
+      deliver(new GatewayEvent.TimerFired(next[1]));
     }
     now = until;
   }
 
   void say(String line) {
-    if (!muted) text.append(String.format(Locale.ROOT, "%7.1f %s%n", (now - 60_000) / 10.0, line));
+    if (!muted) lines.append(String.format(Locale.ROOT, "%7.1f %s%n", (now - 60_000) / 10.0, line));
   }
 
   /**
@@ -160,79 +172,81 @@
    * kept.
    */
   void matches(String name) throws IOException {
-    String seen = text.toString();
+    String actual = lines.toString();
     if (Boolean.getBoolean("saltlatch.record")) {
-      Files.writeString(Path.of("src/test/resources/traces", name + ".txt"), seen);
+      Files.writeString(Path.of("src/test/resources/traces", name + ".txt"), actual);
     }
     try (InputStream in = DecisionTrace.class.getResourceAsStream("/traces/" + name + ".txt")) {
-      assertEquals(in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8), seen);
+      assertEquals(in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8), actual);
     }
   }
 
-  /** Whether the req was ever dispatched. */
-  boolean isOut(long rid) {
-    return dispatched.contains(rid);
+  /** Whether an attempt of the request was ever started. */
+  boolean wasAttempted(long requestId) {
+    return attempted.contains(requestId);
   }
 
-  int addToCounter(String word) {
-    return text.toString().split(word, -1).length - 1;
+  /** How often the trace holds a text, a regular expression. */
+  int occurrences(String pattern) {
+    return lines.toString().split(pattern, -1).length - 1;
   }
 
   @Override
-  public void startAttempt(long rid, long srv, long cap) {
-    dispatched.add(rid);
-    say("  -> dispatch req " + rid + " to " + srv + " for " + cap / 10.0);
+  public void startAttempt(long requestId, long serverId, long timeoutTicks) {
+    attempted.add(requestId);
+    say("  -> attempt of request " + requestId + " to " + serverId + " for " + timeoutTicks / 10.0);
   }
 
   @Override
-  public void reject(long rid, long pause) {
-    say("  -> deny req " + rid + (pause > 0 ? ", come back in " + pause / 10.0 : ""));
+  public void reject(long requestId, long retryAfterTicks) {
+    say("  -> reject request " + requestId
+        + (retryAfterTicks > 0 ? ", retry after " + retryAfterTicks / 10.0 : ""));
   }
 
   @Override
-  public void fail(long rid) {
-    say("  -> abort req " + rid);
+  public void fail(long requestId) {
+    say("  -> fail request " + requestId);
   }
 
   @Override
-  public void cancelAttempt(long rid, int dispatch) {
-    say("  -> cancel dispatch " + dispatch + " of req " + rid);
+  public void cancelAttempt(long requestId, int attempt) {
+    say("  -> cancel attempt " + attempt + " of request " + requestId);
   }
 
   @Override
-  public void setTimer(long at, long handle) {
-    wakes.add(new long[] {at, handle});
+  public void setTimer(long atTicks, long timerId) {
+    timers.add(new long[] {atTicks, timerId});
   }
 
   @Override
-  public void checkHealth(long srv) {
-    say("  -> probe " + srv);
+  public void checkHealth(long serverId) {
+    say("  -> check health of " + serverId);
   }
 
   @Override
-  public void closeIdleConnections(long srv) {
-    say("  -> close " + srv);
+  public void closeIdleConnections(long serverId) {
+    say("  -> close idle connections to " + serverId);
   }
 
   @Override
-  public void addToCounter(long name, double units, long keep, long cap) {
-    names.add(name);
-    say(String.format(Locale.ROOT, "  -> count window %d: %+.2f, kept %.0f", name & 0x7fffffffL,
-        units, keep / 10.0));
+  public void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks) {
+    counterNames.add(counterName);
+    say(String.format(Locale.ROOT, "  -> counter call, window %d: %+.2f, ttl %.0f",
+        counterName & 0x7fffffffL, units, ttlTicks / 10.0));
   }
 
   @Override
   public void watchEndpoints(boolean on) {
-    say("  -> follow " + on);
+    say("  -> watch endpoints " + on);
   }
 
   @Override
-  public void sendGossip(int peer, GossipMessage told) {
-    say("  -> tell " + peer + ", " + GossipCodec.encode(told).length + " bytes");
+  public void sendGossip(int peer, GossipMessage message) {
+    say("  -> gossip to " + peer + ", " + GossipCodec.encode(message).length + " bytes");
   }
 
   @Override
-  public void log(String line) {
-    say("  -> note " + line);
+  public void log(String text) {
+    say("  -> log " + text);
   }
 }
--- a/src/test/java/saltlatch/policy/PolicyEngineTest.java
+++ b/src/test/java/saltlatch/policy/PolicyEngineTest.java
@@ -12,487 +12,494 @@
 
 /**
  * Each test prints a short trace of decisions; the kept ones are in src/test/resources/traces, to
- * be read.
+ * be read. Times are in ticks.
  */
 class PolicyEngineTest {
-  private static final int REPLAYABLE = 0;
-  private static final int UNIQUED = 1;
-  private static final int ONCE = 2;
+  private static final int IDEMPOTENT = 0;
+  private static final int IDEMPOTENT_BY_KEY = 1;
+  private static final int NOT_IDEMPOTENT = 2;
 
-  private final DecisionTrace t = new DecisionTrace(
-      DecisionTrace.site(DecisionTrace.FIRM, false, false));
+  private final DecisionTrace trace = new DecisionTrace(
+      DecisionTrace.settings(DecisionTrace.QUOTA, false, false));
 
   /**
-   * Under the limit a req passes on the total, at the limit it is denied and its reservation given
-   * back.
+   * A request is admitted while the total is below the burst; at the burst the next is rejected and its
+   * reservation refunded.
    */
   @Test
-  void ordinaryPath() throws IOException {
-    t.list("11/1", "12/1");
-    t.arrive(1, REPLAYABLE, 3);
-    t.now += 20;
-    t.counted(3);
-    t.arrive(2, REPLAYABLE, 3);
-    t.now += 20;
-    t.counted(8); // another node charged 2
-    t.arrive(3, REPLAYABLE, 3);
-    t.now += 20;
-    t.counted(11);
-    t.now += 20;
-    t.counted(8);
-    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
-    t.ended(2, 0, AttemptOutcome.SUCCEEDED);
-    t.matches("ordinary-path");
+  void admitsBelowBurst() throws IOException {
+    trace.list("11/1", "12/1");
+    trace.arrive(1, IDEMPOTENT, 3);
+    trace.now += 20;
+    trace.counterReplies(3);
+    trace.arrive(2, IDEMPOTENT, 3);
+    trace.now += 20;
+    trace.counterReplies(8); // another node charged 2
+    trace.arrive(3, IDEMPOTENT, 3);
+    trace.now += 20;
+    trace.counterReplies(11);
+    trace.now += 20;
+    trace.counterReplies(8);
+    trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED);
+    trace.endAttempt(2, 0, AttemptOutcome.SUCCEEDED);
+    trace.matches("ordinary-path");
   }
 
-  /** Many nodes with few reqs each: their rotations begin at different app srvs. */
+  /**
+   * Many nodes with few requests each: if all began with the same server, it would get all of them.
+   */
   @Test
-  void rotationsStartApart() {
+  void nodesStartRotationsApart() {
     DecisionTrace other = new DecisionTrace(
-        DecisionTrace.site(9, 2, DecisionTrace.FIRM, false, false));
-    for (DecisionTrace node : List.of(t, other)) {
+        DecisionTrace.settings(9, 2, DecisionTrace.QUOTA, false, false));
+    for (DecisionTrace node : List.of(trace, other)) {
       node.list("11/1", "12/1", "13/1", "14/1", "15/1");
-      node.arrive(1, REPLAYABLE, 1);
-      node.counted(1);
+      node.arrive(1, IDEMPOTENT, 1);
+      node.counterReplies(1);
     }
-    assertEquals(List.of(1, 0), List.of(t.addToCounter("to 13"), other.addToCounter("to 13")));
+    assertEquals(List.of(1, 0), List.of(trace.occurrences("to 13"), other.occurrences("to 13")));
   }
 
   /**
-   * Units told afterwards: the reservation starts from the guess, is settled on its window and
-   * learns.
+   * Actual units come with the answer: the reservation starts from the estimate, is settled on the
+   * window that was charged, and learns.
    */
   @Test
-  void settling() throws IOException {
-    t.start(DecisionTrace.site(DecisionTrace.FIRM, true, false));
-    t.list("11/1");
-    t.arrive(1, REPLAYABLE, 1);
-    t.counted(1);
-    t.ended(1, 0, AttemptOutcome.SUCCEEDED, 3);
-    t.counted(3);
-    t.arrive(2, REPLAYABLE, 1);
-    t.counted(9);
-    t.ended(2, 0, AttemptOutcome.SUCCEEDED, 2);
-    t.matches("settling");
+  void settlesAndLearnsReservation() throws IOException {
+    trace.start(DecisionTrace.settings(DecisionTrace.QUOTA, true, false));
+    trace.list("11/1");
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED, 3);
+    trace.counterReplies(3);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.counterReplies(9);
+    trace.endAttempt(2, 0, AttemptOutcome.SUCCEEDED, 2);
+    trace.matches("settlement");
   }
 
-  /** Two reqs whose count calls get no answer: from then on calls are thinned. */
-  private void jam(double units) {
-    t.arrive(1, REPLAYABLE, units);
-    t.arrive(2, REPLAYABLE, units);
-    t.pass(300);
-    t.counted(AttemptOutcome.TIMED_OUT);
-    t.counted(AttemptOutcome.TIMED_OUT);
+  /** Two requests whose counter calls get no reply: from then on there is a backoff. */
+  private void startBackoff(double units) {
+    trace.arrive(1, IDEMPOTENT, units);
+    trace.arrive(2, IDEMPOTENT, units);
+    trace.advance(300);
+    trace.counterFails(AttemptOutcome.TIMED_OUT);
+    trace.counterFails(AttemptOutcome.TIMED_OUT);
   }
 
   /**
-   * No answers: two misses lead to the local share and a few testing calls; prompt answers lead
-   * back.
+   * The counter goes silent. Two misses start a backoff: this node's share decides, and one call each
+   * backoff tests the counter. Prompt replies end it.
    */
   @Test
-  void silentCounter() throws IOException {
-    t.list("11/1", "12/1", "13/1", "14/1");
-    jam(1);
+  void backsOffSilentCounter() throws IOException {
+    trace.list("11/1", "12/1", "13/1", "14/1");
+    startBackoff(1);
     for (int i = 3; i < 7; i++) {
-      t.pass(50);
-      t.arrive(i, REPLAYABLE, 1);
+      trace.advance(50);
+      trace.arrive(i, IDEMPOTENT, 1);
     }
-    t.say("it answers again");
+    trace.say("the counter answers again");
     for (int i = 7; i < 220; i++) {
-      t.muted = i > 9 && i < 218;
-      t.pass(100);
-      t.counted(2);
-      t.arrive(i, REPLAYABLE, 0.01);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.muted = i > 9 && i < 218;
+      trace.advance(100);
+      trace.counterReplies(2);
+      trace.arrive(i, IDEMPOTENT, 0.01);
+      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    t.counted(2);
-    t.matches("silent-counter");
+    trace.counterReplies(2);
+    trace.matches("silent-counter");
   }
 
   /**
-   * What passes on a share is carried by the next call, so another node's total counts as it
-   * stands.
+   * What is admitted by a share is carried by the next call: it must not be charged a second time when
+   * a total shows it, nor hide the unit that another node charged.
    */
   @Test
-  void jamChargesOnce() throws IOException {
-    t.list("11/1", "12/1", "13/1", "14/1");
-    jam(0.01);
+  void backoffChargesOnce() throws IOException {
+    trace.list("11/1", "12/1", "13/1", "14/1");
+    startBackoff(0.01);
     for (int i = 3; i < 24; i++) {
-      t.muted = i > 4 && i < 23;
-      t.pass(4);
-      t.arrive(i, REPLAYABLE, 0.05);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.muted = i > 4 && i < 23;
+      trace.advance(4);
+      trace.arrive(i, IDEMPOTENT, 0.05);
+      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    t.pass(20);
-    t.arrive(24, REPLAYABLE, 0.05);
-    t.counted(3); // the test call of the jam
-    t.counted(4); // what was passed since, and one unit of another node's
-    t.pass(20);
-    t.arrive(25, REPLAYABLE, 1);
-    t.counted(5);
-    t.matches("jam-charges-once");
+    trace.advance(20);
+    trace.arrive(24, IDEMPOTENT, 0.05);
+    trace.counterReplies(3); // the backoff's call
+    trace.counterReplies(4); // what was admitted since, and one unit of another node
+    trace.advance(20);
+    trace.arrive(25, IDEMPOTENT, 1);
+    trace.counterReplies(5);
+    trace.matches("backoff-charges-once");
   }
 
   /**
-   * After two misses the gap closes within three seconds of answers, though reqs come seldomer than
-   * it lets calls.
+   * Requests come less often than the backoff lets calls out. It ends all the same, within three
+   * seconds of replies.
    */
   @Test
-  void gapClosesAtFewReqs() {
-    t.list("11/1", "12/1", "13/1", "14/1");
-    jam(0.01);
+  void backoffEndsAtFewRequests() {
+    trace.list("11/1", "12/1", "13/1", "14/1");
+    startBackoff(0.01);
     for (int i = 3; i < 70; i++) {
-      t.pass(400);
-      t.arrive(i, REPLAYABLE, 0.01);
-      t.counted(0.01 * i);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.advance(400);
+      trace.arrive(i, IDEMPOTENT, 0.01);
+      trace.counterReplies(0.01 * i);
+      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    int calls = t.addToCounter("-> count");
-    for (int i = 70; i < 73; i++) t.arrive(i, REPLAYABLE, 0.01);
-    assertEquals(3, t.addToCounter("-> count") - calls);
+    int calls = trace.occurrences("-> counter call");
+    for (int i = 70; i < 73; i++) trace.arrive(i, IDEMPOTENT, 0.01);
+    assertEquals(3, trace.occurrences("-> counter call") - calls);
   }
 
   /**
-   * A customer that comes mostly through others has less than an even share here while the counter
-   * is silent.
+   * A customer comes mostly through other nodes. When the counter goes silent, it has less than an even
+   * share here.
    */
   @Test
-  void seldomHere() throws IOException {
-    t.list("11/1", "12/1", "13/1", "14/1");
-    t.muted = true;
+  void learnsShareOfCustomer() throws IOException {
+    trace.list("11/1", "12/1", "13/1", "14/1");
+    trace.muted = true;
     for (int i = 1; i < 40; i++) {
-      t.pass(30_000);
-      t.arrive(i, REPLAYABLE, 0.1);
-      t.counted(3);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.advance(30_000);
+      trace.arrive(i, IDEMPOTENT, 0.1);
+      trace.counterReplies(3);
+      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    t.pass(60_000);
-    t.muted = false;
-    for (int i = 40; i < 46; i++) t.arrive(i, REPLAYABLE, 1);
-    t.pass(300);
+    trace.advance(60_000);
+    trace.muted = false;
+    for (int i = 40; i < 46; i++) trace.arrive(i, IDEMPOTENT, 1);
+    trace.advance(300);
     for (int i = 40; i < 46; i++) {
-      t.counted(AttemptOutcome.TIMED_OUT);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.counterFails(AttemptOutcome.TIMED_OUT);
+      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
     }
-    t.matches("seldom-here");
+    trace.matches("learned-share");
   }
 
   /**
-   * A count call that broke off may have counted, one that was turned away has not: only that is
-   * owed again.
+   * A counter call that broke off may have counted, one that was turned down has not: only the latter
+   * is charged again.
    */
   @Test
-  void brokenCount() throws IOException {
-    t.list("11/1", "12/1", "13/1", "14/1");
-    t.arrive(1, REPLAYABLE, 1);
-    t.counted(AttemptOutcome.CONNECTION_LOST);
-    t.arrive(2, REPLAYABLE, 1);
-    t.counted(1);
-    t.arrive(3, REPLAYABLE, 1);
-    t.counted(AttemptOutcome.SERVER_BUSY);
-    t.arrive(4, REPLAYABLE, 1);
-    t.counted(4);
-    t.matches("broken-count");
+  void unconfirmedCallMayHaveCounted() throws IOException {
+    trace.list("11/1", "12/1", "13/1", "14/1");
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.counterFails(AttemptOutcome.CONNECTION_LOST);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.arrive(3, IDEMPOTENT, 1);
+    trace.counterFails(AttemptOutcome.SERVER_BUSY);
+    trace.arrive(4, IDEMPOTENT, 1);
+    trace.counterReplies(4);
+    trace.matches("unconfirmed-counter-call");
   }
 
   /**
-   * 200 nodes must not test a jammed counter into a longer jam: each calls far less than one of two
-   * does.
+   * 200 nodes must not keep an overloaded counter overloaded by their calls: each calls far less than
+   * one of two nodes does.
    */
   @Test
-  void jamOfManyNodes() {
+  void manyNodesStretchBackoff() {
     DecisionTrace many = new DecisionTrace(
-        DecisionTrace.site(7, 200, DecisionTrace.FIRM, false, false));
-    for (DecisionTrace node : List.of(t, many)) {
+        DecisionTrace.settings(7, 200, DecisionTrace.QUOTA, false, false));
+    for (DecisionTrace node : List.of(trace, many)) {
       node.list("11/1");
       for (int i = 0; i < 200; i++) {
-        node.arrive(i, REPLAYABLE, 0.01);
-        node.pass(300);
-        node.counted(AttemptOutcome.TIMED_OUT);
-        node.ended(i, 0, AttemptOutcome.SUCCEEDED);
+        node.arrive(i, IDEMPOTENT, 0.01);
+        node.advance(300);
+        node.counterFails(AttemptOutcome.TIMED_OUT);
+        node.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
       }
     }
     assertEquals(List.of(47, 12),
-        List.of(t.addToCounter("-> count"), many.addToCounter("-> count")));
+        List.of(trace.occurrences("-> counter call"), many.occurrences("-> counter call")));
   }
 
-  /** A counter that never answers still leaves every req with one final answer in time. */
+  /** The counter never replies: every request has one final answer in time all the same. */
   @Test
-  void neverAnswered() throws IOException {
-    t.list("11/1");
-    t.arrive(1, REPLAYABLE, 1);
-    t.pass(40_000);
-    t.matches("never-answered");
+  void counterNeverReplies() throws IOException {
+    trace.list("11/1");
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.advance(40_000);
+    trace.matches("counter-never-replies");
   }
 
   /**
-   * A total below what this node was answered for: the known floor decides for the rest of the
-   * window.
+   * The counter lost its counts: a total is below what this node alone had confirmed. The known floor
+   * decides for the rest of the window.
    */
   @Test
-  void lostCounts() throws IOException {
-    t.list("11/1");
-    t.arrive(1, REPLAYABLE, 3);
-    t.counted(5);
-    t.arrive(2, REPLAYABLE, 1);
-    t.counted(1); // 5 was forgotten
-    t.arrive(3, REPLAYABLE, 1);
-    t.counted(2);
-    t.matches("lost-counts");
+  void counterLosesCounts() throws IOException {
+    trace.list("11/1");
+    trace.arrive(1, IDEMPOTENT, 3);
+    trace.counterReplies(5);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.counterReplies(1); // 5 was forgotten
+    trace.arrive(3, IDEMPOTENT, 1);
+    trace.counterReplies(2);
+    trace.matches("counter-lost-counts");
   }
 
   /**
-   * Once spent or in a jam, first tries take the room there is; further tries come too late and are
-   * denied.
+   * The quota is spent, then the counter is silent: first attempts get the room there is, late retries
+   * of clients are rejected.
    */
   @Test
-  void furtherTries() throws IOException {
-    t.list("11/1", "12/1", "13/1");
-    t.arrive(1, REPLAYABLE, 6);
-    t.counted(6);
-    t.arrive(2, REPLAYABLE, 1);
-    t.counted(7);
-    t.counted(6);
-    t.pass(10_000);
-    t.arrive(3, REPLAYABLE, 1, true);
-    t.counted(7);
-    t.counted(6);
-    t.arrive(4, REPLAYABLE, 1);
-    t.counted(7);
-    t.arrive(5, REPLAYABLE, 0.1);
-    t.counted(AttemptOutcome.TIMED_OUT);
-    t.arrive(6, REPLAYABLE, 0.1);
-    t.counted(AttemptOutcome.TIMED_OUT); // calls are thinned from here on
-    t.arrive(7, REPLAYABLE, 0.1, true);
-    t.arrive(8, REPLAYABLE, 0.1);
-    t.matches("further-tries");
+  void rejectsLateRetries() throws IOException {
+    trace.list("11/1", "12/1", "13/1");
+    trace.arrive(1, IDEMPOTENT, 6);
+    trace.counterReplies(6);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.counterReplies(7);
+    trace.counterReplies(6);
+    trace.advance(10_000);
+    trace.arrive(3, IDEMPOTENT, 1, true);
+    trace.counterReplies(7);
+    trace.counterReplies(6);
+    trace.arrive(4, IDEMPOTENT, 1);
+    trace.counterReplies(7);
+    trace.arrive(5, IDEMPOTENT, 0.1);
+    trace.counterFails(AttemptOutcome.TIMED_OUT);
+    trace.arrive(6, IDEMPOTENT, 0.1);
+    trace.counterFails(AttemptOutcome.TIMED_OUT); // the backoff starts here
+    trace.arrive(7, IDEMPOTENT, 0.1, true);
+    trace.arrive(8, IDEMPOTENT, 0.1);
+    trace.matches("client-retries");
   }
 
   /**
-   * A non-replayable dispatch that may have run ends in an abort; one that never ran goes
-   * elsewhere.
+   * A request that isn'trace idempotent fails once it may have been executed; an attempt that never was
+   * executed goes elsewhere.
    */
   @Test
-  void nonReplayable() throws IOException {
-    t.list("11/1", "12/1");
-    t.arrive(1, ONCE, 1);
-    t.counted(1);
-    t.ended(1, 0, AttemptOutcome.SERVER_BUSY);
-    t.ended(1, 1, AttemptOutcome.TIMED_OUT);
-    t.arrive(2, ONCE, 1);
-    t.counted(2);
-    t.ended(2, 0, AttemptOutcome.CONNECT_FAILED);
-    t.ended(2, 1, AttemptOutcome.CONNECT_FAILED);
-    t.ended(2, 2, AttemptOutcome.CONNECT_FAILED);
-    t.ended(2, 3, AttemptOutcome.CONNECT_FAILED);
-    t.matches("non-replayable");
+  void notIdempotentIsNotRepeated() throws IOException {
+    trace.list("11/1", "12/1");
+    trace.arrive(1, NOT_IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.endAttempt(1, 0, AttemptOutcome.SERVER_BUSY);
+    trace.endAttempt(1, 1, AttemptOutcome.TIMED_OUT);
+    trace.arrive(2, NOT_IDEMPOTENT, 1);
+    trace.counterReplies(2);
+    trace.endAttempt(2, 0, AttemptOutcome.CONNECT_FAILED);
+    trace.endAttempt(2, 1, AttemptOutcome.CONNECT_FAILED);
+    trace.endAttempt(2, 2, AttemptOutcome.CONNECT_FAILED);
+    trace.endAttempt(2, 3, AttemptOutcome.CONNECT_FAILED);
+    trace.matches("not-idempotent");
   }
 
   /**
-   * A uniqued req that may have run is repeated in its cell while that remembers it, and aborted
-   * after.
+   * A request with an idempotency key may have been executed: it is sent again within the key group while
+   * that remembers the key, and fails after.
    */
   @Test
-  void uniqued() throws IOException {
-    t.list("11/1", "12/2", "13/1");
-    t.arrive(1, UNIQUED, 1);
-    t.counted(1);
-    t.ended(1, 0, AttemptOutcome.CONNECTION_LOST);
-    t.ended(1, 1, AttemptOutcome.CONNECTION_LOST);
-    t.arrive(2, UNIQUED, 1);
-    t.counted(2);
-    t.pass(19_990);
-    t.ended(2, 0, AttemptOutcome.CONNECTION_LOST);
-    t.list("12/2");
-    t.arrive(3, UNIQUED, 1);
-    t.counted(1);
-    t.list("11/1");
-    t.ended(3, 0, AttemptOutcome.SERVER_ERROR);
-    t.matches("uniqued");
+  void idempotentByKeyStaysInGroup() throws IOException {
+    trace.list("11/1", "12/2", "13/1");
+    trace.arrive(1, IDEMPOTENT_BY_KEY, 1);
+    trace.counterReplies(1);
+    trace.endAttempt(1, 0, AttemptOutcome.CONNECTION_LOST);
+    trace.endAttempt(1, 1, AttemptOutcome.CONNECTION_LOST);
+    trace.arrive(2, IDEMPOTENT_BY_KEY, 1);
+    trace.counterReplies(2);
+    trace.advance(19_990);
+    trace.endAttempt(2, 0, AttemptOutcome.CONNECTION_LOST);
+    trace.list("12/2");
+    trace.arrive(3, IDEMPOTENT_BY_KEY, 1);
+    trace.counterReplies(1);
+    trace.list("11/1");
+    trace.endAttempt(3, 0, AttemptOutcome.SERVER_ERROR);
+    trace.matches("idempotent-by-key");
   }
 
-  /** Nothing new goes to an app srv that drains or left the list, not even a further dispatch. */
+  /** A server drains or leaves the list: nothing new goes there, not even a retry. */
   @Test
-  void drains() throws IOException {
-    t.list("11/1", "12/1");
-    t.arrive(1, REPLAYABLE, 1);
-    t.counted(1);
-    t.list("11/1 draining");
-    t.ended(1, 0, AttemptOutcome.SERVER_BUSY);
-    t.arrive(2, REPLAYABLE, 1);
-    t.counted(2);
-    t.counted(1);
-    t.list("12/1");
-    t.arrive(3, REPLAYABLE, 1);
-    t.counted(2);
-    t.say("total 4.0 and an empty list at once: what was charged is given back");
-    t.arrive(4, REPLAYABLE, 1);
-    t.sendGossip(t.answer(4),
+  void nothingGoesToDrainingServers() throws IOException {
+    trace.list("11/1", "12/1");
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.list("11/1 draining");
+    trace.endAttempt(1, 0, AttemptOutcome.SERVER_BUSY);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.counterReplies(2);
+    trace.counterReplies(1);
+    trace.list("12/1");
+    trace.arrive(3, IDEMPOTENT, 1);
+    trace.counterReplies(2);
+    trace.say("counter total 4.0 and an empty list at once: what was charged is refunded");
+    trace.arrive(4, IDEMPOTENT, 1);
+    trace.deliver(trace.counterReply(4),
         new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, List.of()));
-    t.pass(1_000);
-    t.matches("drains");
+    trace.advance(1_000);
+    trace.matches("draining");
   }
 
-  /** A cold app srv beside a warm one gets its first req and then only what the budget holds. */
+  /**
+   * A server that warms up beside warm ones gets its first request and then only what the budget
+   * holds.
+   */
   @Test
-  void coldStart() {
-    t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
-    t.list("11/1", "12/1", "13/1", "14/1", "15/1 cold");
+  void slowStartHoldsBudget() {
+    trace.start(DecisionTrace.settings(DecisionTrace.NO_QUOTA, false, false));
+    trace.list("11/1", "12/1", "13/1", "14/1", "15/1 starting");
     for (int i = 0; i < 200; i++) {
-      t.arrive(i, REPLAYABLE, 1);
-      t.now += 50;
-      if (t.addToCounter("dispatch req " + i + " to") > 0) {
-        t.ended(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.arrive(i, IDEMPOTENT, 1);
+      trace.now += 50;
+      if (trace.occurrences("attempt of request " + i + " to") > 0) {
+        trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
       }
     }
-    assertEquals(200, t.addToCounter("dispatch req"));
-    assertTrue(t.addToCounter("to 15 for") >= 1 && t.addToCounter("to 15 for") <= 16,
-        "cold got " + t.addToCounter("to 15 for"));
+    assertEquals(200, trace.occurrences("attempt of request"));
+    assertTrue(trace.occurrences("to 15 for") >= 1 && trace.occurrences("to 15 for") <= 16,
+        "it got " + trace.occurrences("to 15 for"));
   }
 
-  /** The ceiling's part is empty at start and after a restart: a restart fills nothing. */
+  /** This node's part of the ceiling is empty at its start: a restart must not fill it. */
   @Test
-  void ceilingAcrossRestart() throws IOException {
-    GatewaySettings site = DecisionTrace.site(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1),
-        false, false);
-    t.start(site);
-    t.list("11/1");
-    t.arrive(1, REPLAYABLE, 4);
-    t.counted(4);
-    t.counted(0);
-    t.pass(10_000);
-    t.arrive(2, REPLAYABLE, 4);
-    t.counted(4);
-    t.say("restart");
-    t.start(site);
-    t.list("11/1");
-    t.arrive(3, REPLAYABLE, 4);
-    t.counted(8);
-    t.matches("ceiling-across-restart");
+  void restartFillsNoCeiling() throws IOException {
+    GatewaySettings settings = DecisionTrace
+        .settings(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1), false, false);
+    trace.start(settings);
+    trace.list("11/1");
+    trace.arrive(1, IDEMPOTENT, 4);
+    trace.counterReplies(4);
+    trace.counterReplies(0);
+    trace.advance(10_000);
+    trace.arrive(2, IDEMPOTENT, 4);
+    trace.counterReplies(4);
+    trace.say("restart");
+    trace.start(settings);
+    trace.list("11/1");
+    trace.arrive(3, IDEMPOTENT, 4);
+    trace.counterReplies(8);
+    trace.matches("ceiling-across-restart");
   }
 
   /**
-   * A req every 2.5 s over six app srvs, one of which never answers: its record outlasts several
-   * turns.
+   * A request every 2.5 s over six servers, one of which never answers: its record outlasts several
+   * turns of the rotation.
    */
   @Test
-  void remembersAtFewReqs() {
-    t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
-    t.list("11/1", "12/1", "13/1", "14/1", "15/1", "16/1");
+  void remembersOutlierAtFewRequests() {
+    trace.start(DecisionTrace.settings(DecisionTrace.NO_QUOTA, false, false));
+    trace.list("11/1", "12/1", "13/1", "14/1", "15/1", "16/1");
     for (int i = 0; i < 60; i++) {
-      int before = t.addToCounter("to 11 for");
-      t.arrive(i, REPLAYABLE, 1);
-      boolean stuck = t.addToCounter("to 11 for") > before;
-      t.pass(stuck ? 25_000 : 1_000);
-      t.ended(i, 0, stuck ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED);
-      if (stuck) t.ended(i, 1, AttemptOutcome.SUCCEEDED);
-      t.pass(24_000);
+      int before = trace.occurrences("to 11 for");
+      trace.arrive(i, IDEMPOTENT, 1);
+      boolean stuck = trace.occurrences("to 11 for") > before;
+      trace.advance(stuck ? 25_000 : 1_000);
+      trace.endAttempt(i, 0, stuck ? AttemptOutcome.TIMED_OUT : AttemptOutcome.SUCCEEDED);
+      if (stuck) trace.endAttempt(i, 1, AttemptOutcome.SUCCEEDED);
+      trace.advance(24_000);
     }
-    assertEquals(3, t.addToCounter("to 11 for"));
+    assertEquals(3, trace.occurrences("to 11 for"));
   }
 
   /**
-   * More out than passes within the target's part is denied at once, sooner for clients with little
-   * time left.
+   * More is in flight than completes within the objective's part: requests are rejected at once, sooner
+   * for clients with little time left.
    */
   @Test
-  void pressure() throws IOException {
-    t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
-    t.list("11/1", "12/1");
-    t.pass(1_500);
+  void shedsLoad() throws IOException {
+    trace.start(DecisionTrace.settings(DecisionTrace.NO_QUOTA, false, false));
+    trace.list("11/1", "12/1");
+    trace.advance(1_500);
     for (int i = 1; i <= 8; i++) {
-      t.arrive(i, REPLAYABLE, 1);
+      trace.arrive(i, IDEMPOTENT, 1);
     }
-    t.now += 4_000;
-    t.sendGossip(); // it runs, without its round: no absence
-    t.now += 4_000;
-    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
-    t.left = 2_600;
-    t.arrive(9, REPLAYABLE, 1);
-    t.left = 30_000;
-    t.arrive(10, REPLAYABLE, 1);
+    trace.now += 4_000;
+    trace.deliver(); // it runs, without housekeeping: no stall
+    trace.now += 4_000;
+    trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED);
+    trace.clientTimeoutTicks = 2_600;
+    trace.arrive(9, IDEMPOTENT, 1);
+    trace.clientTimeoutTicks = 30_000;
+    trace.arrive(10, IDEMPOTENT, 1);
     DecisionTrace many = new DecisionTrace(
-        DecisionTrace.site(7, 200, DecisionTrace.NO_QUOTA, false, false));
+        DecisionTrace.settings(7, 200, DecisionTrace.NO_QUOTA, false, false));
     many.list("11/1", "12/1");
-    many.pass(1_500);
-    for (int i = 1; i <= 8; i++) many.arrive(i, REPLAYABLE, 1);
-    assertEquals(1, many.addToCounter("-> dispatch")); // 200 nodes share what two app srvs may hold
-    t.matches("pressure");
+    many.advance(1_500);
+    for (int i = 1; i <= 8; i++) many.arrive(i, IDEMPOTENT, 1);
+    assertEquals(1, many.occurrences("-> attempt")); // 200 nodes share what two servers may hold
+    trace.matches("load-shedding");
   }
 
   /**
-   * Stopped for 8 s and continued: reqs that lay unread longer than their clients wait are denied
-   * with no call and no dispatch, one that came late in it is served in what is left, a count's old
-   * answer sends nothing out for a client that has gone, and the own absence counts neither against
-   * app srvs nor against the counter.
+   * The node is stopped for 8 s and continued. Requests that lay unread longer than their clients wait
+   * are rejected without a call or attempt; one that came late in the stall is served in what is left;
+   * a counter reply from before it starts nothing for a client that is gone; and the stall counts
+   * neither against servers nor against the counter.
    */
   @Test
-  void away() throws IOException {
-    t.start(DecisionTrace.site(DecisionTrace.FIRM, false, false));
-    t.list("11/1", "12/1");
-    t.pass(1_500);
-    t.arrive(1, REPLAYABLE, 1);
-    t.counted(1);
-    t.arrive(2, REPLAYABLE, 1);
-    t.arrive(3, REPLAYABLE, 1);
-    t.now += 80_000;
-    t.age = 60_000;
-    t.arrive(4, REPLAYABLE, 1);
-    t.age = 10_000;
-    t.arrive(5, REPLAYABLE, 1);
-    t.counted(2);
-    t.counted(AttemptOutcome.TIMED_OUT);
-    t.counted(3);
-    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
-    t.ended(5, 0, AttemptOutcome.SUCCEEDED);
-    t.age = 0;
-    for (int i = 6; i < 10; i++) t.arrive(i, ONCE, 1);
-    t.matches("away");
+  void stallIsNotHeldAgainstOthers() throws IOException {
+    trace.start(DecisionTrace.settings(DecisionTrace.QUOTA, false, false));
+    trace.list("11/1", "12/1");
+    trace.advance(1_500);
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.arrive(3, IDEMPOTENT, 1);
+    trace.now += 80_000;
+    trace.ageTicks = 60_000;
+    trace.arrive(4, IDEMPOTENT, 1);
+    trace.ageTicks = 10_000;
+    trace.arrive(5, IDEMPOTENT, 1);
+    trace.counterReplies(2);
+    trace.counterFails(AttemptOutcome.TIMED_OUT);
+    trace.counterReplies(3);
+    trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED);
+    trace.endAttempt(5, 0, AttemptOutcome.SUCCEEDED);
+    trace.ageTicks = 0;
+    for (int i = 6; i < 10; i++) trace.arrive(i, NOT_IDEMPOTENT, 1);
+    trace.matches("stall");
   }
 
-  /** Dispatches stuck on one sick app srv do not use up what may be out beside it. */
+  /**
+   * One server stops answering: attempts stuck there must not use up what may be in flight beside it.
+   */
   @Test
-  void sickSrv() {
-    t.start(DecisionTrace.site(DecisionTrace.NO_QUOTA, false, false));
-    t.list("11/1", "12/1");
+  void stuckAttemptsAreAbandoned() {
+    trace.start(DecisionTrace.settings(DecisionTrace.NO_QUOTA, false, false));
+    trace.list("11/1", "12/1");
     int stuck = 0;
     for (int i = 0; i < 400; i++) {
-      t.arrive(i, REPLAYABLE, 1);
-      t.pass(100);
-      if (t.addToCounter("dispatch req " + i + " to 12") > 0) {
-        t.ended(i, 0, AttemptOutcome.SUCCEEDED);
-      } else if (t.addToCounter("dispatch req " + i + " to 11") > 0) {
+      trace.arrive(i, IDEMPOTENT, 1);
+      trace.advance(100);
+      if (trace.occurrences("attempt of request " + i + " to 12") > 0) {
+        trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      } else if (trace.occurrences("attempt of request " + i + " to 11") > 0) {
         stuck++;
       }
     }
     assertTrue(stuck < 12, "stuck " + stuck);
-    assertTrue(t.addToCounter("to 12 for") > 330, "passed " + t.addToCounter("to 12 for"));
+    assertTrue(trace.occurrences("to 12 for") > 330, "answered " + trace.occurrences("to 12 for"));
   }
 
-  /** Where discovery must be asked, a failed call is made again. */
+  /** Where the node has to open the watch itself, a failed one is opened again. */
   @Test
-  void following() throws IOException {
-    t.start(DecisionTrace.site(DecisionTrace.FIRM, false, true));
-    t.list("11/1");
-    t.say("the call failed");
-    t.sendGossip(
+  void reopensEndpointWatch() throws IOException {
+    trace.start(DecisionTrace.settings(DecisionTrace.QUOTA, false, true));
+    trace.list("11/1");
+    trace.say("the watch failed");
+    trace.deliver(
         new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.FAILED, List.of()));
-    t.pass(3_000);
-    t.matches("following");
+    trace.advance(3_000);
+    trace.matches("endpoint-watch-fails");
   }
 
-  /** A begun stream has no client timeout; a client that left is owed nothing. */
+  /** A streaming answer has no client timeout; a client that disconnected gets no answer. */
   @Test
-  void streamsAndLeavers() throws IOException {
-    t.list("11/1");
-    t.arrive(1, REPLAYABLE, 1);
-    t.counted(1);
-    t.sendGossip(new GatewayEvent.ResponseStarted(1, 11, 0, 10));
-    t.pass(40_000);
-    t.ended(1, 0, AttemptOutcome.SUCCEEDED);
-    t.arrive(2, REPLAYABLE, 1);
-    t.sendGossip(new GatewayEvent.ClientDisconnected(2));
-    t.counted(1);
-    t.matches("streams-and-leavers");
+  void streamsAndDisconnects() throws IOException {
+    trace.list("11/1");
+    trace.arrive(1, IDEMPOTENT, 1);
+    trace.counterReplies(1);
+    trace.deliver(new GatewayEvent.ResponseStarted(1, 11, 0, 10));
+    trace.advance(40_000);
+    trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED);
+    trace.arrive(2, IDEMPOTENT, 1);
+    trace.deliver(new GatewayEvent.ClientDisconnected(2));
+    trace.counterReplies(1);
+    trace.matches("streams-and-disconnects");
   }
 }
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -118,7 +118,7 @@
     List<QuotaGossip> gossips = new ArrayList<>();
     List<QuotaTracker> quotas = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      GatewaySettings site = DecisionTrace.site(i, n, PLAN, false, false, i, intake);
+      GatewaySettings site = DecisionTrace.settings(i, n, PLAN, false, false, i, intake);
       gossips.add(new QuotaGossip(i, n, intake, 0));
       quotas.add(new QuotaTracker(0, site, gossips.get(i), new SplittableRandom(i)));
     }
@@ -177,26 +177,26 @@
   @Test
   void peersSumsDecide() throws IOException {
     DecisionTrace t = new DecisionTrace(
-        DecisionTrace.site(7, 2, DecisionTrace.FIRM, false, false, 0, 40));
+        DecisionTrace.settings(7, 2, DecisionTrace.QUOTA, false, false, 0, 40));
     t.list("11/1", "12/1");
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
       t.now += 300;
-      t.counted(AttemptOutcome.TIMED_OUT);
+      t.counterFails(AttemptOutcome.TIMED_OUT);
     }
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
     peer.counterUnhealthy(t.now);
     peer.recordAdmitted(0, 9, t.now / 30_000, 0, 2, 1);
-    t.say("peer 1 passed 1 of customer 9");
-    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now).get(0)));
+    t.say("peer 1 admitted 1 units of customer 9");
+    t.deliver(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now).get(0)));
     t.arrive(4, 0, 1);
-    t.counted(AttemptOutcome.TIMED_OUT);
+    t.counterFails(AttemptOutcome.TIMED_OUT);
     peer.recordAdmitted(0, 9, t.now / 30_000, 0, 2, 40);
-    t.say("peer 1 passed 40 of customer 9");
-    t.sendGossip(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now + SECOND).get(0)));
+    t.say("peer 1 admitted 40 units of customer 9");
+    t.deliver(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now + SECOND).get(0)));
     t.arrive(5, 0, 1);
-    t.pass(SECOND);
-    t.matches("peers-sums");
+    t.advance(SECOND);
+    t.matches("gossip");
   }
 
   /**
@@ -206,27 +206,28 @@
    */
   @Test
   void sharesFollowTheLeases() throws IOException {
-    DecisionTrace t = new DecisionTrace(DecisionTrace.site(7, 2,
+    DecisionTrace t = new DecisionTrace(DecisionTrace.settings(7, 2,
         new GatewaySettings.QuotaPlan(4, 20, 0, 0, 0, 1), false, false, 0, 40));
     t.list("11/1", "12/1");
-    t.sendGossip(new GatewayEvent.MembershipChanged(
+    t.deliver(new GatewayEvent.MembershipChanged(
         List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.LIVE), t.now + 5 * SECOND,
         0, 2));
     for (int i = 1; i <= 3; i++) {
       t.arrive(i, 0, 1);
       t.now += 300;
-      t.counted(AttemptOutcome.TIMED_OUT);
-      t.ended(i, 0, AttemptOutcome.SUCCEEDED, 0);
+      t.counterFails(AttemptOutcome.TIMED_OUT);
+      t.endAttempt(i, 0, AttemptOutcome.SUCCEEDED, 0);
     }
-    t.say("holds half of the 20 units, 3 of the whole spent: 8.5 left, passes " + passed(t, 100));
-    t.pass(6 * SECOND);
-    t.say("the lease ran out: an eighth, 2.5 units, passes " + passed(t, 200));
-    t.sendGossip(new GatewayEvent.MembershipChanged(
+    t.say("its share is half of 20 units, 3 of the whole are spent: 8.5 left, admits "
+        + passed(t, 100));
+    t.advance(6 * SECOND);
+    t.say("the lease ran out: an eighth, 2.5 units, admits " + passed(t, 200));
+    t.deliver(new GatewayEvent.MembershipChanged(
         List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.TAKEN_OVER),
         t.now + 99 * SECOND, t.now + 99 * SECOND, 2));
-    t.say("takes what the other left from its next req on, passes " + passed(t, 250));
-    t.pass(20 * SECOND);
-    t.say("takes what the other left, 7 eighths: 17.5 units, passes " + passed(t, 300));
+    t.say("takes over the other's share from its next request on, admits " + passed(t, 250));
+    t.advance(20 * SECOND);
+    t.say("takes over the other's share, 7 eighths: 17.5 units, admits " + passed(t, 300));
     t.matches("shares-follow-leases");
   }
 
@@ -235,13 +236,13 @@
     int passed = 0;
     for (int i = from; i < from + 20; i++) {
       t.muted = true;
-      t.left = 3_000_000;
+      t.clientTimeoutTicks = 3_000_000;
       t.arrive(i, 0, 1);
       t.muted = false;
-      if (t.isOut(i)) {
+      if (t.wasAttempted(i)) {
         passed++;
         t.muted = true;
-        t.ended(i, 0, AttemptOutcome.SUCCEEDED, 0);
+        t.endAttempt(i, 0, AttemptOutcome.SUCCEEDED, 0);
       }
     }
     t.muted = false;
--- a/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
+++ b/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
@@ -28,7 +28,7 @@
         100_000, 0.2, 4, 10_000);
     return new GatewaySettings(seed, nodes, 20, rules,
         new GatewaySettings.CounterSettings(false, false),
-        new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE),
+        new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.IDEMPOTENT),
         List.of(PLAN));
   }
 
--- a/src/test/java/saltlatch/policy/SlowStartFleetTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartFleetTest.java
@@ -19,52 +19,54 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * A cold app srv under all nodes of a fleet, each with a Control of its own. In no window of the
- * rule may they send it more than N + 2 * root of N + 2 reqs together, N being the multiple of its
- * warmth's part of what a warm one carries there.
+ * A server warms up under all nodes of a fleet, each with an engine of its own. Many nodes with a
+ * small part each could send it far more than the rule allows. In no window of the rule may they
+ * send it more than N + 2 * root of N + 2 requests together, N being the rule's factor times its
+ * capacity's part of what a warm server carries there. Times are in ticks.
  */
 class SlowStartFleetTest {
-  private static final int WARM = 10;
-  private static final int COLD = WARM; // its number
-  private static final long WINDOW = 10_000; // 1 s; cold for ten
-  private static final double FROM = 0.2; // of a warm one's capacity at first
-  private static final long LISTED = 3 * WINDOW; // by then each node knows its load
-  private static final long END = LISTED + 5 * WINDOW;
-  private static final long STEP = 200;
+  private static final int WARM_SERVERS = 10;
+  private static final int STARTED_SERVER = WARM_SERVERS; // its id
+  private static final long WINDOW_TICKS = 10_000; // 1 s; it warms up for ten
+  private static final double INITIAL_CAPACITY = 0.2;
+  private static final long LISTED_AT = 3 * WINDOW_TICKS; // by then each node knows its load
+  private static final long END_AT = LISTED_AT + 5 * WINDOW_TICKS;
+  private static final long STEP_TICKS = 200;
 
   /** One draw's fleet. */
   private static final class Fleet {
-    private final List<long[]> sent = new ArrayList<>(); // node, req, app srv
+    private final List<long[]> sent = new ArrayList<>(); // node, request, server
     private final double multiple;
-    private final boolean allCold;
+    private final boolean allStart;
     private int node;
 
-    Fleet(double multiple, boolean allCold) {
+    Fleet(double multiple, boolean allStart) {
       this.multiple = multiple;
-      this.allCold = allCold;
+      this.allStart = allStart;
     }
 
-    private PolicyEngine control(int n, long seed, long now) {
+    private PolicyEngine engine(int n, long seed, long now) {
       GatewayActions to = (GatewayActions) Proxy.newProxyInstance(getClass().getClassLoader(),
           new Class<?>[] {GatewayActions.class}, (p, m, a) -> {
             if (m.getName().equals("startAttempt"))
               sent.add(new long[] {node, (long) a[0], (long) a[1]});
             return null;
           });
-      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
-          10 * WINDOW, FROM, multiple, WINDOW);
+      GatewaySettings.Limits limits = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
+          10 * WINDOW_TICKS, INITIAL_CAPACITY, multiple, WINDOW_TICKS);
       return new PolicyEngine(now,
-          new GatewaySettings(seed, n, 20, rules, new GatewaySettings.CounterSettings(true, false),
-              new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.REPLAYABLE),
+          new GatewaySettings(seed, n, 20, limits, new GatewaySettings.CounterSettings(true, false),
+              new GatewaySettings.PeerSettings(0, 0, 0), List.of(DecisionTrace.IDEMPOTENT),
               List.of(DecisionTrace.NO_QUOTA)),
           to);
     }
 
-    private GatewayEvent list(boolean cold) {
+    private GatewayEvent list(boolean started) {
       List<GatewayEvent.Endpoint> entries = new ArrayList<>();
-      for (int i = 0; i < WARM + (cold ? 1 : 0); i++) {
-        entries.add(new GatewayEvent.Endpoint(i, cold && (allCold || i == COLD) ? LISTED : 0, 0, 0,
-            EndpointState.READY, 1, 0));
+      for (int i = 0; i < WARM_SERVERS + (started ? 1 : 0); i++) {
+        entries.add(new GatewayEvent.Endpoint(i,
+            started && (allStart || i == STARTED_SERVER) ? LISTED_AT : 0, 0, 0, EndpointState.READY,
+            1, 0));
       }
       return new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries);
     }
@@ -74,52 +76,54 @@
      * used.
      */
     private double[] play(int n, double carried, int restarted, long seed) {
-      SplittableRandom chance = new SplittableRandom(seed);
+      SplittableRandom random = new SplittableRandom(seed);
       List<PolicyEngine> fleet = new ArrayList<>();
       double[] upTo = new double[n]; // a few nodes get several times the mean
       double all = 0;
       for (int i = 0; i < n; i++) {
-        fleet.add(control(n, chance.nextLong(), 0));
-        upTo[i] = all += 0.3 - Math.log(1 - chance.nextDouble());
+        fleet.add(engine(n, random.nextLong(), 0));
+        upTo[i] = all += 0.3 - Math.log(1 - random.nextDouble());
       }
       for (node = 0; node < n; node++) fleet.get(node).handle(0, List.of(list(false)));
       ArrayDeque<Long> window = new ArrayDeque<>();
       double worst = Double.NEGATIVE_INFINITY;
       double got = 0;
       double budget = 0;
-      long rid = 0;
-      for (long now = STEP; now < END; now += STEP) {
+      long requestId = 0;
+      for (long now = STEP_TICKS; now < END_AT; now += STEP_TICKS) {
         Map<Integer, List<GatewayEvent>> events = new TreeMap<>();
         for (long[] one : sent)
           add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0,
-              AttemptOutcome.SUCCEEDED, true, STEP, 0, 0, List.of()));
+              AttemptOutcome.SUCCEEDED, true, STEP_TICKS, 0, 0, List.of()));
         sent.clear();
-        double arrivals = WARM * carried * STEP / WINDOW;
-        for (int k = poisson(arrivals, chance); k > 0; k--) {
-          double at = chance.nextDouble() * all;
+        double arrivals = WARM_SERVERS * carried * STEP_TICKS / WINDOW_TICKS;
+        for (int k = poisson(arrivals, random); k > 0; k--) {
+          double at = random.nextDouble() * all;
           int i = 0;
           while (upTo[i] < at) i++;
           add(events, i,
-              new GatewayEvent.RequestArrived(rid++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
+              new GatewayEvent.RequestArrived(requestId++, 0, 0, 9, 30_000, 1, 2, 0, false, 0));
         }
         for (int i = 0; i < n; i++) {
-          if (now == LISTED && 10 * i < restarted * n)
-            fleet.set(i, control(n, chance.nextLong(), now));
-          if (now == LISTED) add(events, i, list(true));
+          if (now == LISTED_AT && 10 * i < restarted * n)
+            fleet.set(i, engine(n, random.nextLong(), now));
+          if (now == LISTED_AT) add(events, i, list(true));
           if (now % HousekeepingSchedule.PERIOD_TICKS == 0)
             add(events, i, new GatewayEvent.TimerFired(-1));
         }
         for (int i : events.keySet()) fleet.get(node = i).handle(now, events.get(i));
-        for (long[] one : sent) if (one[2] == COLD) window.add(now);
-        while (!window.isEmpty() && window.peek() <= now - WINDOW) window.poll();
-        if (now < LISTED) continue;
-        // Its warmth where the window began: less than at any time in it.
-        double least = multiple * carried
-            * (FROM + (1 - FROM) * Math.max(0, now - WINDOW - LISTED) / (10.0 * WINDOW));
+        for (long[] one : sent) if (one[2] == STARTED_SERVER) window.add(now);
+        while (!window.isEmpty() && window.peek() <= now - WINDOW_TICKS) window.poll();
+        if (now < LISTED_AT) continue;
+        // Its capacity where the window began: less than at any time in it.
+        double least = multiple * carried * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY)
+            * Math.max(0, now - WINDOW_TICKS - LISTED_AT) / (10.0 * WINDOW_TICKS));
         worst = Math.max(worst, window.size() - (least + 2 * Math.sqrt(least) + 2));
-        got += sent.stream().filter(one -> one[2] == COLD).count();
-        budget += multiple * carried * (FROM + (1 - FROM) * (now - LISTED) / (10.0 * WINDOW)) * STEP
-            / WINDOW;
+        got += sent.stream().filter(one -> one[2] == STARTED_SERVER).count();
+        budget += multiple * carried
+            * (INITIAL_CAPACITY
+                + (1 - INITIAL_CAPACITY) * (now - LISTED_AT) / (10.0 * WINDOW_TICKS))
+            * STEP_TICKS / WINDOW_TICKS;
       }
       return new double[] {worst, got / budget};
     }
@@ -129,9 +133,9 @@
     }
   }
 
-  private static int poisson(double mean, SplittableRandom chance) {
+  private static int poisson(double mean, SplittableRandom random) {
     int k = 0;
-    for (double p = chance.nextDouble(); p > Math.exp(-mean); p *= chance.nextDouble()) k++;
+    for (double p = random.nextDouble(); p > Math.exp(-mean); p *= random.nextDouble()) k++;
     return k;
   }
 
@@ -140,10 +144,10 @@
       "100, 10, 4, false, 0, 300", "30, 2, 4, false, 7, 1000", "100, 2, 4, false, 7, 1000",
       "100, 10, 4, false, 7, 300", "3, 10, 2, true, 0, 300", "30, 10, 2, true, 0, 1000",
       "100, 10, 2, true, 0, 300", "30, 10, 2, true, 7, 300"})
-  void sumStaysUnderTheBound(int nodes, double carried, double multiple, boolean allCold,
+  void sumStaysUnderTheBound(int nodes, double carried, double multiple, boolean allStart,
       int restarted, int draws) {
     List<double[]> all = IntStream.range(0, draws).parallel()
-        .mapToObj(seed -> new Fleet(multiple, allCold).play(nodes, carried, restarted, seed))
+        .mapToObj(seed -> new Fleet(multiple, allStart).play(nodes, carried, restarted, seed))
         .toList();
     long beyond = all.stream().filter(draw -> draw[0] > 0).count();
     double used = all.stream().mapToDouble(draw -> draw[1]).sum() / draws;
