--- /dev/null
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -0,0 +1,163 @@
+package saltlatch.wire.appserver;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.net.SocketAddress;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import saltlatch.state.ClientRequest;
+import saltlatch.state.InFlightRequests;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.RequestContext;
+import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespValue;
+import saltlatch.wire.transport.ManualScheduler;
+
+/** The bytes that an app server gets, on a real connection. */
+@Timeout(60)
+class AppServerClientTest {
+  private static final int SERVER = 0;
+  private static final long TIMEOUT_TICKS = 4_800;
+
+  private final InFlightRequests requests = new InFlightRequests(1 << 20);
+  private final List<String> ends = new ArrayList<>();
+  private Vertx vertx;
+  private ManualScheduler scheduler;
+  private ServerSocket appServer;
+  private Socket connection;
+  private AppServerClient client;
+
+  @BeforeEach
+  void start() throws Exception {
+    vertx = Vertx.vertx();
+    scheduler = new ManualScheduler(vertx.getOrCreateContext());
+    appServer = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    appServer.setSoTimeout(20_000);
+    scheduler.onLoop(() -> {
+      client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(), 50_000,
+          100_000, 4);
+      client.locate(SERVER, SocketAddress.inetSocketAddress(appServer.getLocalPort(), "127.0.0.1"));
+    });
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    if (connection != null) connection.close();
+    appServer.close();
+    ManualScheduler.await(vertx.close());
+  }
+
+  private final class EndRecorder implements AppServerClient.Listener {
+    @Override
+    public void ended(RequestContext request, int attempt, int server, AppServerReply reply,
+        long elapsedTicks) {
+      ends.add("attempt " + attempt + " " + reply.result());
+    }
+
+    @Override
+    public void probed(int server, AppServerReply reply, long elapsedTicks) {
+      ends.add("health check " + reply.result() + " " + reply.loadReport());
+    }
+
+    @Override
+    public boolean mayBegin(RequestContext request, int attempt) {
+      return true;
+    }
+  }
+
+  /** A client's request as it is once its command was decoded. */
+  private RequestContext request(String command) throws Exception {
+    RespDecoder decoder = new RespDecoder();
+    decoder.feed(Buffer.buffer(command));
+    List<RespValue> words = ((RespValue.Array) decoder.next()).elements();
+    return requests.open(ClientRequest.of(words), null);
+  }
+
+  private String received(int length) throws IOException {
+    if (connection == null) {
+      connection = appServer.accept();
+      connection.setSoTimeout(20_000);
+    }
+    return new String(connection.getInputStream().readNBytes(length), StandardCharsets.ISO_8859_1);
+  }
+
+  private void reply(String text, int endsSoFar) throws Exception {
+    connection.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    boolean[] reached = new boolean[1];
+    while (!reached[0]) scheduler.onLoop(() -> reached[0] = ends.size() == endsSoFar);
+  }
+
+  @Test
+  void forwardedCommandWithoutBody() throws Exception {
+    RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
+        + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n");
+    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, TIMEOUT_TICKS));
+    String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
+        + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n";
+    assertEquals(expected, received(expected.length()));
+  }
+
+  @Test
+  void forwardedCommandWithBody() throws Exception {
+    RequestContext request = request("*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
+        + "$2\r\nid\r\n$39\r\nd=2000,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n");
+    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, TIMEOUT_TICKS));
+    String expected = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
+        + "$2\r\nid\r\n$38\r\nd=480,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n";
+    assertEquals(expected, received(expected.length()));
+  }
+
+  /**
+   * A connection that takes long to come up uses part of the attempt's time. The app server is told
+   * what is left when the command is written: with the whole time it would work on for nobody.
+   */
+  @Test
+  void forwardedCommandTellsTheTimeLeft() throws Exception {
+    RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+        + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
+    scheduler.onLoop(() -> {
+      client.dispatch(request, 0, SERVER, TIMEOUT_TICKS);
+      scheduler.advanceOnLoop(305);
+    });
+    String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+        + "$2\r\n10\r\n$13\r\nc=a,t=b,d=449\r\n";
+    assertEquals(expected, received(expected.length()));
+  }
+
+  /** Never 0: an app server may take that for no limit. */
+  @Test
+  void forwardedCommandTellsOneMillisecondAtLeast() throws Exception {
+    RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+        + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
+    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, 9));
+    String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+        + "$2\r\n10\r\n$11\r\nc=a,t=b,d=1\r\n";
+    assertEquals(expected, received(expected.length()));
+  }
+
+  /** A health check, and a command behind it on the same connection: nothing else is written. */
+  @Test
+  void healthCheckCommand() throws Exception {
+    scheduler.onLoop(() -> client.probe(SERVER, TIMEOUT_TICKS));
+    String expected = "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
+    assertEquals(expected, received(expected.length()));
+    reply("$10\r\ninflight=7\r\n", 1);
+    scheduler.advance(30);
+    scheduler.onLoop(() -> client.probe(SERVER, TIMEOUT_TICKS));
+    assertEquals(expected, received(expected.length()));
+    reply("-NOPERM\r\n", 2);
+    assertEquals(List.of("health check ANSWERED inflight=7", "health check SPOILT_ANSWER "), ends);
+    assertEquals("", received(1));
+  }
+}
