--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -16,8 +16,10 @@
 import saltlatch.lab.plan.Box;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.scenario.Scenario;
+import saltlatch.wire.FramingLostException;
 import saltlatch.wire.appserver.AppServerReply;
 import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
 
 /**
@@ -133,7 +135,7 @@
       c.reader.feed(data);
       try {
         for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) command(c, r);
-      } catch (RespDecoder.RespFramingException e) {
+      } catch (FramingLostException e) {
         socket.close();
       }
     });
@@ -229,7 +231,7 @@
   static Buffer array(String... items) {
     Buffer out = Buffer.buffer().appendString("*" + items.length + "\r\n");
     for (String s : items) {
-      RespValue.bulk(out, s.getBytes(StandardCharsets.ISO_8859_1));
+      RespEncoder.appendBulk(out, s.getBytes(StandardCharsets.ISO_8859_1));
     }
     return out;
   }
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -22,7 +22,9 @@
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
 import saltlatch.lab.scenario.Scenario;
+import saltlatch.wire.FramingLostException;
 import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
 
 /**
@@ -271,7 +273,7 @@
         String.format("%016x", a.customer()), t.id, terms));
     if (a.submit()) words.add("progress-save");
     Buffer b = Buffer.buffer().appendString("*" + words.size() + "\r\n");
-    for (String w : words) RespValue.bulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
+    for (String w : words) RespEncoder.appendBulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
     if (history != null) {
       history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units",
           a.units(), "submit", a.submit(), "wait_ms", a.deadlineMs());
@@ -330,7 +332,7 @@
         if (t == null) continue;
         answered(t, r);
       }
-    } catch (RespDecoder.RespFramingException e) {
+    } catch (FramingLostException e) {
       c.socket.close();
     }
   }
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -22,8 +22,9 @@
 import java.util.regex.Pattern;
 import saltlatch.history.History;
 import saltlatch.lab.emulator.LabClock;
-import saltlatch.lab.plan.Timeline;
 import saltlatch.lab.plan.Timeline.Act;
+import saltlatch.lab.plan.Timeline;
+import saltlatch.wire.FramingLostException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 
@@ -260,7 +261,7 @@
         if (answer != null) return answer;
       }
       return null;
-    } catch (RespDecoder.RespFramingException e) {
+    } catch (FramingLostException e) {
       throw new IOException(e);
     }
   }
--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -287,12 +287,12 @@
   @Override
   public RequestContext arrived(ClientRequest req, RequestContext.ResponseSink client) {
     look();
-    int frontend = frontends.find(req.requestClass);
-    int plan = plans.find(req.plan);
+    int frontend = frontends.find(req.requestClass());
+    int plan = plans.find(req.plan());
     counters.add(Metric.REQS);
     // Guards against a stranger who uses the id of a req that is out: an app srv would take it for
     // a second copy.
-    if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id)) {
+    if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id())) {
       counters.add(Metric.REQS_UNKNOWN);
       client.fail();
       return null;
@@ -305,11 +305,12 @@
     }
     long age = age(client);
     if (history != null) {
-      history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units",
-          req.units, "wait_ms", req.clientTimeoutMs, "age_ms", age / 10, "query", req.query);
+      history.add("arrived", "id", req.id(), "customer", Long.toHexString(req.customer()), "units",
+          req.units(), "wait_ms", req.clientTimeoutMs(), "age_ms", age / 10, "query", req.query());
     }
-    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer,
-        req.clientTimeoutMs * 10, req.units, req.nodeCount, req.firstNode, req.retry, age));
+    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer(),
+        req.clientTimeoutMs() * 10, req.units(), req.nodeCount(), req.firstNode(), req.retry(),
+        age));
     return x;
   }
 
@@ -325,7 +326,7 @@
   @Override
   public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
     if (history != null) {
-      history.add("ended", "id", x.request.id, "srv", directory.name(srv), "dispatch", dispatch,
+      history.add("ended", "id", x.request.id(), "srv", directory.name(srv), "dispatch", dispatch,
           "how", answer.result().name());
     }
     if (answer.result() == CallResult.ANSWERED) {
@@ -340,7 +341,8 @@
 
   /** Its one end, for the history. */
   private void told(RequestContext x, String how) {
-    if (history != null && !x.isFinished()) history.add("answered", "id", x.request.id, "how", how);
+    if (history != null && !x.isFinished())
+      history.add("answered", "id", x.request.id(), "how", how);
   }
 
   @Override
@@ -409,7 +411,7 @@
     if (x == null) return;
     int dispatch = exchanges.beginAttempt(x);
     if (history != null) {
-      history.add("dispatched", "id", x.request.id, "srv", directory.name((int) srv), "dispatch",
+      history.add("dispatched", "id", x.request.id(), "srv", directory.name((int) srv), "dispatch",
           dispatch, "cap_ms", cap / 10);
     }
     try {
--- a/src/main/java/saltlatch/node/NodeConfiguration.java
+++ b/src/main/java/saltlatch/node/NodeConfiguration.java
@@ -48,10 +48,10 @@
   boolean allows(ClientRequest req, int frontend, int plan) {
     if (frontend < 0 || plan < 0) return false;
     GatewaySettings.RetrySafety effect = site.requestClasses().get(frontend).retrySafety();
-    return req.units <= mostUnits && req.nodeCount <= site.nodeCount()
-        && req.firstNode < Math.max(1, site.nodeCount())
-        && req.query == (effect == GatewaySettings.RetrySafety.IDEMPOTENT)
-        && (req.hasIdempotencyKey || effect != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY);
+    return req.units() <= mostUnits && req.nodeCount() <= site.nodeCount()
+        && req.firstNode() < Math.max(1, site.nodeCount())
+        && req.query() == (effect == GatewaySettings.RetrySafety.IDEMPOTENT)
+        && (req.hasIdempotencyKey() || effect != GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY);
   }
 
   /**
--- a/src/main/java/saltlatch/state/InFlightRequests.java
+++ b/src/main/java/saltlatch/state/InFlightRequests.java
@@ -26,7 +26,7 @@
     RequestContext x = new RequestContext(next++, req, client);
     bytes += req.sizeBytes() + OWN_BYTES;
     all.put(x.requestId, x);
-    ids.add(req.id);
+    ids.add(req.id());
     return x;
   }
 
@@ -52,7 +52,7 @@
   public void release(RequestContext x) {
     if (!x.isReleasable() || all.remove(x.requestId) == null) return;
     bytes -= x.request.sizeBytes() + OWN_BYTES;
-    ids.remove(x.request.id);
+    ids.remove(x.request.id());
   }
 
   public int size() {
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -1,7 +1,6 @@
 package saltlatch.wire.appserver;
 
 import io.vertx.core.Vertx;
-import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
@@ -107,14 +106,14 @@
       host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
       return;
     }
-    link.send(x.request::forward, x, dispatch, cap);
+    link.send(left -> AppServerCommandEncoder.forward(x.request.command(), left), x, dispatch, cap);
   }
 
   public void probe(int srv, long cap) {
     counters.add(Metric.PROBED);
     AppServerConnection link = link(srv);
     if (link == null) host.probed(srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
-    else link.send(left -> Buffer.buffer("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"), null, 0, cap);
+    else link.send(left -> AppServerCommandEncoder.healthCheck(), null, 0, cap);
   }
 
   public void cancel(RequestContext x, int dispatch) {
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -8,6 +8,7 @@
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.RequestContext;
 import saltlatch.state.TimerQueue;
+import saltlatch.wire.FramingLostException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.CallResult;
@@ -124,7 +125,7 @@
           : AppServerReply.of(resp);
       if (in.isEmpty() && answer.result() != CallResult.SPOILT_ANSWER) finish(true, answer);
       else end(answer);
-    } catch (RespDecoder.RespFramingException e) {
+    } catch (FramingLostException e) {
       end(SPOILT);
     }
   }
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -1,7 +1,5 @@
 package saltlatch.wire.appserver;
 
-import io.vertx.core.buffer.Buffer;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 import saltlatch.wire.resp.DecimalFormat;
 import saltlatch.wire.resp.RespValue;
@@ -64,14 +62,4 @@
   private static String text(List<RespValue> items, int at) {
     return items.size() > at && items.get(at) instanceof RespValue.Bulk b ? b.text() : "";
   }
-
-  public static Buffer passed(byte[] value) {
-    Buffer out = Buffer.buffer(value.length + 16);
-    RespValue.bulk(out, value);
-    return out;
-  }
-
-  public static Buffer line(String text) {
-    return Buffer.buffer((text + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-  }
 }
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -8,8 +8,10 @@
 import saltlatch.state.ClientRequest;
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.RequestContext;
-import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.FramingLostException;
+import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.SocketCloser;
 import saltlatch.wire.transport.UnreadAge;
@@ -36,19 +38,19 @@
     @Override
     public void succeed(byte[] value) {
       listener.counters().add(Metric.ANSWERED_PASSED);
-      fill(AppServerReply.passed(value));
+      fill(RespEncoder.bulk(value));
     }
 
     @Override
     public void reject(long pauseMs) {
       listener.counters().add(Metric.ANSWERED_DENIED);
-      fill(AppServerReply.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
+      fill(RespEncoder.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
     }
 
     @Override
     public void fail() {
       listener.counters().add(Metric.ANSWERED_ABORTED);
-      fill(AppServerReply.line("-ERR aborted"));
+      fill(RespEncoder.line("-ERR aborted"));
     }
 
     /** Its req is held and has no final answer yet. */
@@ -167,36 +169,39 @@
         listener.spoke(this);
         take(command);
       }
-    } catch (RespDecoder.RespFramingException e) {
+    } catch (FramingLostException e) {
       listener.counters().add(Metric.COMMANDS_LOST_FRAMING);
       broken = true;
-      say("-ERR Protocol error: " + e.getMessage());
+      say("-ERR Protocol error: " + e.what());
     }
     reading = false;
     if (broken || owed.size() >= MOST_OWED) socket.pause();
     endIfDue();
   }
 
-  private void take(RespValue command) throws RespDecoder.RespFramingException {
+  private void take(RespValue command) throws FramingLostException {
     if (!(command instanceof RespValue.Array m))
-      throw new RespDecoder.RespFramingException("a command is an array");
+      throw new FramingLostException("command", "a command is an array");
     List<RespValue> words = m.elements() == null ? List.of() : m.elements();
     String verb = !words.isEmpty() && words.get(0) instanceof RespValue.Bulk b ? b.text() : "";
-    if (verb.startsWith("SVC.")) {
-      serve(ClientRequest.of(words));
+    if (verb.startsWith(ClientCommandDecoder.VERB_PREFIX)) {
+      serve(words);
     } else if (verb.equalsIgnoreCase("PING")) {
       say(listener.isReady() ? "+PONG" : "-ERR not ready");
     } else if (verb.equalsIgnoreCase("INFO")) {
-      pendingReply().fill(
-          AppServerReply.passed(listener.host().figures().getBytes(StandardCharsets.ISO_8859_1)));
+      pendingReply()
+          .fill(RespEncoder.bulk(listener.host().figures().getBytes(StandardCharsets.ISO_8859_1)));
     } else {
       listener.counters().add(Metric.COMMANDS_UNKNOWN);
       say("-ERR unknown command");
     }
   }
 
-  private void serve(ClientRequest req) {
-    if (req == null) {
+  private void serve(List<RespValue> words) {
+    ClientRequest req;
+    try {
+      req = ClientCommandDecoder.decode(words);
+    } catch (MalformedMessageException e) {
       listener.counters().add(Metric.COMMANDS_MALFORMED);
       say("-ERR malformed command");
       return;
@@ -213,7 +218,7 @@
   }
 
   private void say(String line) {
-    pendingReply().fill(AppServerReply.line(line));
+    pendingReply().fill(RespEncoder.line(line));
   }
 
   private void flush() {
--- /dev/null
+++ b/src/main/java/saltlatch/wire/client/RequestTerms.java
@@ -0,0 +1,137 @@
+package saltlatch.wire.client;
+
+import java.util.HashMap;
+import java.util.Map;
+import saltlatch.wire.MalformedMessageException;
+import saltlatch.wire.resp.DecimalFormat;
+
+/**
+ * The list of names and values in a client's command, {@code NAME=VALUE,NAME=VALUE}, with the
+ * protocol's names of what this node reads in it. Other names may stand there too, and go on to the
+ * app server with the rest. Immutable.
+ */
+final class RequestTerms {
+  private static final String REQUEST_CLASS = "c";
+  private static final String PLAN = "t";
+  private static final String CLIENT_TIMEOUT_MS = "d";
+  private static final String RETRY = "r";
+  private static final String UNITS = "units";
+  private static final String NODE_COUNT = "spread";
+  private static final String FIRST_NODE = "first";
+  private static final String IDEMPOTENCY_KEY = "k";
+
+  /** A list that is longer comes from no client of this protocol. */
+  private static final int MAX_LENGTH_BYTES = 1024;
+  private static final long CLIENT_TIMEOUT_LIMIT_MS = 1L << 31;
+  private static final double UNITS_LIMIT = 1e9;
+  private static final int NODE_LIMIT = 1 << 20;
+
+  private static final String MARKED_AS_RETRY = "1";
+  private static final double DEFAULT_UNITS = 1;
+
+  private final String text;
+  private final Map<String, String> values = new HashMap<>();
+  private int timeoutBegin; // of the timeout's value in the text
+  private int timeoutEnd;
+
+  /** Cuts the list; the values are looked at when they are asked for. */
+  RequestTerms(String text) throws MalformedMessageException {
+    if (text.length() > MAX_LENGTH_BYTES) {
+      throw new MalformedMessageException("terms", "list too long", MAX_LENGTH_BYTES + " bytes");
+    }
+    this.text = text;
+    int begin = 0;
+    while (begin < text.length()) {
+      int comma = text.indexOf(',', begin);
+      int end = comma < 0 ? text.length() : comma;
+      addTerm(begin, end);
+      begin = end + 1;
+    }
+  }
+
+  private void addTerm(int begin, int end) throws MalformedMessageException {
+    int equals = text.indexOf('=', begin);
+    if (equals <= begin || equals >= end) throw malformed("a term is no NAME=VALUE");
+    String name = text.substring(begin, equals);
+    if (values.put(name, text.substring(equals + 1, end)) != null) {
+      throw malformed("name given twice: " + name);
+    }
+    if (name.equals(CLIENT_TIMEOUT_MS)) {
+      timeoutBegin = equals + 1;
+      timeoutEnd = end;
+    }
+  }
+
+  String requestClass() throws MalformedMessageException {
+    return required(REQUEST_CLASS);
+  }
+
+  String plan() throws MalformedMessageException {
+    return required(PLAN);
+  }
+
+  long clientTimeoutMs() throws MalformedMessageException {
+    long timeoutMs = DecimalFormat.parseWhole(required(CLIENT_TIMEOUT_MS));
+    if (timeoutMs < 0 || timeoutMs >= CLIENT_TIMEOUT_LIMIT_MS) {
+      throw outOfRange(CLIENT_TIMEOUT_MS, "0 to 2^31 - 1 ms");
+    }
+    return timeoutMs;
+  }
+
+  double units() throws MalformedMessageException {
+    String value = values.get(UNITS);
+    double units = value == null ? DEFAULT_UNITS : DecimalFormat.parse(value);
+    boolean inRange = units > 0 && units < UNITS_LIMIT; // false too for what is not a number
+    if (!inRange) throw outOfRange(UNITS, "over 0 and under 1e9 units");
+    return units;
+  }
+
+  /** 0: not said. */
+  int nodeCount() throws MalformedMessageException {
+    if (!values.containsKey(NODE_COUNT)) return 0;
+    int count = nodeNumber(NODE_COUNT);
+    if (count == 0) throw outOfRange(NODE_COUNT, "1 to 2^20 - 1 nodes");
+    return count;
+  }
+
+  int firstNode() throws MalformedMessageException {
+    return values.containsKey(FIRST_NODE) ? nodeNumber(FIRST_NODE) : 0;
+  }
+
+  private int nodeNumber(String name) throws MalformedMessageException {
+    long number = DecimalFormat.parseWhole(values.get(name));
+    if (number < 0 || number >= NODE_LIMIT) throw outOfRange(name, "0 to 2^20 - 1 nodes");
+    return (int) number;
+  }
+
+  boolean isRetry() {
+    return MARKED_AS_RETRY.equals(values.get(RETRY));
+  }
+
+  boolean hasIdempotencyKey() {
+    return !values.getOrDefault(IDEMPOTENCY_KEY, "").isEmpty();
+  }
+
+  /** The list up to the timeout's value; with {@link #textAfterTimeout} all but that value. */
+  String textBeforeTimeout() {
+    return text.substring(0, timeoutBegin);
+  }
+
+  String textAfterTimeout() {
+    return text.substring(timeoutEnd);
+  }
+
+  private String required(String name) throws MalformedMessageException {
+    String value = values.get(name);
+    if (value == null) throw malformed("no term " + name);
+    return value;
+  }
+
+  private static MalformedMessageException malformed(String what) {
+    return new MalformedMessageException("terms", what);
+  }
+
+  private static MalformedMessageException outOfRange(String name, String range) {
+    return new MalformedMessageException("term " + name, "no number, or out of range", range);
+  }
+}
--- a/src/main/java/saltlatch/wire/resp/RespDecoder.java
+++ b/src/main/java/saltlatch/wire/resp/RespDecoder.java
@@ -5,122 +5,154 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import saltlatch.wire.FramingLostException;
 
 /**
- * Cuts a byte stream into RESP2 values. After {@link Lost} the stream has no place to go on from.
+ * Cuts one connection's byte stream into RESP2 values. Each connection owns a decoder, on the event
+ * loop; it holds no more than one value that is not whole yet, of {@link #MAX_MESSAGE_BYTES}, and
+ * what was read with its last byte. After a {@link FramingLostException} it is of no further use.
  */
 public final class RespDecoder {
-  static final int LONGEST_VALUE = 64 * 1024; // bytes, as the protocol page says
-  // bytes of a line: far over any error text or number
-  private static final int LONGEST_LINE = 1024;
-  // of an array: commands have five at most, answers three
-  private static final int MOST_ITEMS = 16;
-  private static final int DEEPEST = 2; // arrays within arrays that make sense here
-  private static final int LONGEST = LONGEST_VALUE + 8 * LONGEST_LINE; // bytes of a whole message
+  /** As the protocol's page gives it. */
+  private static final int MAX_VALUE_BYTES = 64 * 1024;
+  /** Far over any error text or number. */
+  private static final int MAX_LINE_BYTES = 1024;
+  /** Commands have five values at most, answers three. */
+  private static final int MAX_ARRAY_VALUES = 16;
+  /** No message of the protocol has an array within an array within an array. */
+  private static final int MAX_ARRAY_LEVELS = 2;
+  /** One value of full length, and lines for all the others. */
+  private static final int MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 8 * MAX_LINE_BYTES;
 
-  /** The framing is lost, or a message is too long. */
-  public static final class RespFramingException extends Exception {
-    private static final long serialVersionUID = 1;
+  private static final int INITIAL_BUFFER_BYTES = 512;
+  private static final int KEPT_BUFFER_BYTES = 4 * MAX_LINE_BYTES;
+  private static final int LINE_END_BYTES = 2;
+  /** In place of a length: there is no string, or no array. */
+  private static final int NULL_LENGTH = -1;
 
-    public RespFramingException(String why) {
-      super(why, null, false, false);
-    }
-  }
-
-  private byte[] data = new byte[512];
-  private int from;
-  private int to;
-  private int at;
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+  private int begin; // of what has come and was not returned as a value
+  private int end;
+  private int position; // up to where the value that is being read has been
 
+  /** Takes in what has come on the connection. */
   public void feed(Buffer more) {
     int size = more.length();
-    if (from == to) from = to = 0;
-    if (to + size > data.length) {
-      byte[] target = to - from + size > data.length
-          ? new byte[Math.max(2 * data.length, to - from + size)] : data;
-      System.arraycopy(data, from, target, 0, to - from);
-      data = target;
-      to -= from;
-      from = 0;
+    if (begin == end) {
+      begin = 0;
+      end = 0;
     }
-    more.getBytes(data, to);
-    to += size;
+    if (end + size > buffer.length) makeRoom(size);
+    more.getBytes(buffer, end);
+    end += size;
   }
 
-  /** The next whole value; null while it has not all come. */
-  public RespValue next() throws RespFramingException {
-    at = from;
-    RespValue value = value(0);
+  private void makeRoom(int size) {
+    int held = end - begin;
+    byte[] target = held + size > buffer.length ? new byte[Math.max(2 * buffer.length, held + size)]
+        : buffer;
+    System.arraycopy(buffer, begin, target, 0, held);
+    buffer = target;
+    begin = 0;
+    end = held;
+  }
+
+  /**
+   * The next whole value; null while it has not all come.
+   *
+   * @throws FramingLostException where no value begins, or it exceeds a limit
+   */
+  public RespValue next() throws FramingLostException {
+    position = begin;
+    RespValue value = readValue(0);
     if (value == null) {
-      if (to - from > LONGEST) throw new RespFramingException("message too long");
+      if (end - begin > MAX_MESSAGE_BYTES) {
+        throw new FramingLostException("RESP2 value", "message too long",
+            MAX_MESSAGE_BYTES + " bytes");
+      }
       return null;
     }
-    from = at;
-    // a long one came; idle ones stay small
-    if (from == to && data.length > LONGEST_LINE * 4) data = new byte[512];
+    begin = position;
+    // gives back the room of a long message, so that a node's many idle connections stay small
+    if (isEmpty() && buffer.length > KEPT_BUFFER_BYTES) buffer = new byte[INITIAL_BUFFER_BYTES];
     return value;
   }
 
-  /** Nothing has come beyond the values that were read. */
+  /** Whether nothing has come beyond the values that were returned. */
   public boolean isEmpty() {
-    return from == to;
+    return begin == end;
   }
 
-  /** Null while it has not all come, as from all below. */
-  private RespValue value(int depth) throws RespFramingException {
-    String line = line();
+  /** Null while it has not all come, as from all methods below. */
+  private RespValue readValue(int level) throws FramingLostException {
+    String line = readLine();
     if (line == null) return null;
-    char type = line.isEmpty() ? 0 : line.charAt(0);
-    String rest = line.isEmpty() ? "" : line.substring(1);
+    if (line.isEmpty()) throw noValue();
+    char type = line.charAt(0);
+    String rest = line.substring(1);
     return switch (type) {
       case '+', '-', ':' -> new RespValue.Line(type, rest);
-      case '$' -> bulk(number(rest, LONGEST_VALUE));
-      case '*' -> many(number(rest, MOST_ITEMS), depth);
-      default -> throw new RespFramingException("no RESP2 value");
+      case '$' -> readBulk(length(rest, MAX_VALUE_BYTES, "bytes"));
+      case '*' -> readArray(length(rest, MAX_ARRAY_VALUES, "values"), level);
+      default -> throw noValue();
     };
   }
 
-  private RespValue bulk(int size) throws RespFramingException {
-    if (size < 0) return new RespValue.Bulk(null);
-    if (to - at < size + 2) return null;
-    if (data[at + size] != '\r' || data[at + size + 1] != '\n')
-      throw new RespFramingException("bulk string without its end");
-    byte[] bytes = Arrays.copyOfRange(data, at, at + size);
-    at += size + 2;
+  private RespValue readBulk(int length) throws FramingLostException {
+    if (length == NULL_LENGTH) return new RespValue.Bulk(null);
+    if (end - position < length + LINE_END_BYTES) return null;
+    if (!isLineEnd(position + length)) {
+      throw new FramingLostException("RESP2 bulk string", "bulk string without its end");
+    }
+    byte[] bytes = Arrays.copyOfRange(buffer, position, position + length);
+    position += length + LINE_END_BYTES;
     return new RespValue.Bulk(bytes);
   }
 
-  private RespValue many(int count, int depth) throws RespFramingException {
-    if (count < 0) return new RespValue.Array(null);
-    if (depth >= DEEPEST) throw new RespFramingException("arrays too deep");
-    List<RespValue> items = new ArrayList<>(count);
+  private RespValue readArray(int count, int level) throws FramingLostException {
+    if (count == NULL_LENGTH) return new RespValue.Array(null);
+    if (level >= MAX_ARRAY_LEVELS) {
+      throw new FramingLostException("RESP2 array", "arrays too deep",
+          MAX_ARRAY_LEVELS + " levels");
+    }
+    List<RespValue> elements = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      RespValue item = value(depth + 1);
-      if (item == null) return null;
-      items.add(item);
+      RespValue element = readValue(level + 1);
+      if (element == null) return null;
+      elements.add(element);
     }
-    return new RespValue.Array(items);
+    return new RespValue.Array(elements);
   }
 
-  private String line() throws RespFramingException {
-    for (int i = at; i + 1 < to && i - at <= LONGEST_LINE; i++) {
-      if (data[i] == '\r' && data[i + 1] == '\n') {
-        String text = new String(data, at, i - at, StandardCharsets.ISO_8859_1);
-        at = i + 2;
+  private String readLine() throws FramingLostException {
+    for (int i = position; i + 1 < end && i - position <= MAX_LINE_BYTES; i++) {
+      if (isLineEnd(i)) {
+        String text = new String(buffer, position, i - position, StandardCharsets.ISO_8859_1);
+        position = i + LINE_END_BYTES;
         return text;
       }
     }
-    if (to - at > LONGEST_LINE) throw new RespFramingException("line too long");
+    if (end - position > MAX_LINE_BYTES) {
+      throw new FramingLostException("RESP2 line", "line too long", MAX_LINE_BYTES + " bytes");
+    }
     return null;
   }
 
-  private static int number(String text, int most) throws RespFramingException {
+  private boolean isLineEnd(int at) {
+    return buffer[at] == '\r' && buffer[at + 1] == '\n';
+  }
+
+  private static int length(String text, int limit, String unit) throws FramingLostException {
     try {
-      int n = Integer.parseInt(text);
-      if (n >= -1 && n <= most && !text.startsWith("+")) return n;
+      int length = Integer.parseInt(text);
+      if (length >= NULL_LENGTH && length <= limit && !text.startsWith("+")) return length;
     } catch (NumberFormatException e) {
       // falls through: as good as a number out of range
     }
-    throw new RespFramingException("no length: " + text);
+    throw new FramingLostException("RESP2 length", "no length: " + text, limit + " " + unit);
+  }
+
+  private static FramingLostException noValue() {
+    return new FramingLostException("RESP2 value", "no RESP2 value");
   }
 }
--- a/src/main/java/saltlatch/wire/resp/RespValue.java
+++ b/src/main/java/saltlatch/wire/resp/RespValue.java
@@ -1,25 +1,34 @@
 package saltlatch.wire.resp;
 
-import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One RESP2 value. */
+/** One RESP2 value; immutable but for a bulk string's bytes, which nobody writes to. */
 public sealed interface RespValue {
-  /** A simple string ({@code +}), an error ({@code -}) or a number ({@code :}). */
+  /**
+   * A value of one line.
+   *
+   * @param type {@code +} for a simple string, {@code -} for an error, {@code :} for a number
+   * @param text the line behind its type, without its end
+   */
   record Line(char type, String text) implements RespValue {}
 
-  /** Null bytes: the null bulk string. */
+  /**
+   * A string of any bytes.
+   *
+   * @param bytes its content; null: the null bulk string
+   */
   record Bulk(byte[] bytes) implements RespValue {
+    /** Its bytes as a character each; empty for the null bulk string. */
     public String text() {
       return bytes == null ? "" : new String(bytes, StandardCharsets.ISO_8859_1);
     }
   }
 
-  /** Null items: the null array. */
+  /**
+   * Several values in a row.
+   *
+   * @param elements the values; null: the null array
+   */
   record Array(List<RespValue> elements) implements RespValue {}
-
-  static void bulk(Buffer out, byte[] bytes) {
-    out.appendString("$" + bytes.length + "\r\n").appendBytes(bytes).appendString("\r\n");
-  }
 }
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.state.ClientRequest;
 import saltlatch.state.InFlightRequests;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.RequestContext;
+import saltlatch.wire.client.ClientCommandDecoder;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.ManualScheduler;
@@ -81,7 +81,7 @@
     RespDecoder decoder = new RespDecoder();
     decoder.feed(Buffer.buffer(command));
     List<RespValue> words = ((RespValue.Array) decoder.next()).elements();
-    return requests.open(ClientRequest.of(words), null);
+    return requests.open(ClientCommandDecoder.decode(words), null);
   }
 
   private String received(int length) throws IOException {
