--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -17,7 +17,7 @@
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.wire.FramingLostException;
-import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.resp.NamedFigures;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
@@ -191,7 +191,7 @@
       return;
     }
     String id = words.get(2);
-    int units = (int) Math.max(1, AppServerReply.field(words.get(3), "units"));
+    int units = (int) Math.max(1, NamedFigures.find(words.get(3), "units"));
     truth.dispatched(id, customer, submit, units);
     Server srv = c.server;
     Box.Turn turn = srv.box.take(now, srv.inProgress);
--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -28,6 +28,7 @@
 import saltlatch.wire.peer.GossipCodec;
 import saltlatch.wire.peer.MembershipCodec;
 import saltlatch.wire.peer.PeerSocket;
+import saltlatch.wire.resp.NamedFigures;
 import saltlatch.wire.transport.CallResult;
 import saltlatch.wire.transport.Scheduler;
 
@@ -327,7 +328,7 @@
   public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
     if (history != null) {
       history.add("ended", "id", x.request.id(), "srv", directory.name(srv), "dispatch", dispatch,
-          "how", answer.result().name());
+          "how", answer.result().historyName());
     }
     if (answer.result() == CallResult.ANSWERED) {
       told(x, "passed");
@@ -361,7 +362,7 @@
     if (answer.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
     for (String field : configuration.loadFields())
-      values.add(AppServerReply.field(answer.loadReport(), field));
+      values.add(NamedFigures.find(answer.loadReport(), field));
     return values;
   }
 
@@ -421,7 +422,7 @@
       // other reqs.
       LOG.error("dispatch failed", e);
       counters.add(Metric.EXCEPTIONS);
-      ended(x, dispatch, (int) srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
+      ended(x, dispatch, (int) srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
     }
   }
 
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -103,7 +103,7 @@
     counters.add(Metric.DISPATCHED);
     AppServerConnection link = link(srv);
     if (link == null) {
-      host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
+      host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
       return;
     }
     link.send(left -> AppServerCommandEncoder.forward(x.request.command(), left), x, dispatch, cap);
@@ -112,7 +112,8 @@
   public void probe(int srv, long cap) {
     counters.add(Metric.PROBED);
     AppServerConnection link = link(srv);
-    if (link == null) host.probed(srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
+    if (link == null)
+      host.probed(srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
     else link.send(left -> AppServerCommandEncoder.healthCheck(), null, 0, cap);
   }
 
@@ -120,7 +121,7 @@
     for (Srv s : linked) {
       for (AppServerConnection link : s.links.busy) {
         if (link.carries(x, dispatch)) {
-          link.end(AppServerReply.withoutValue(CallResult.OWN_CANCEL));
+          link.end(AppServerReply.withoutValue(CallResult.CANCELLED));
           return;
         }
       }
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -18,7 +18,7 @@
 final class AppServerConnection {
   private static final int TICKS_PER_MS = 10; // of the scheduler
   private static final AppServerReply SPOILT = AppServerReply
-      .withoutValue(CallResult.SPOILT_ANSWER);
+      .withoutValue(CallResult.MALFORMED_REPLY);
 
   final int srv;
   private final AppServerClient owner;
@@ -53,8 +53,8 @@
       }
       socket.handler(this::read);
       socket.exceptionHandler(e -> owner.counters().add(Metric.CONNECTIONS_BROKEN));
-      socket.closeHandler(v -> end(AppServerReply
-          .withoutValue(written ? CallResult.BROKE_WRITTEN : CallResult.BROKE_UNWRITTEN)));
+      socket.closeHandler(v -> end(AppServerReply.withoutValue(
+          written ? CallResult.CONNECTION_LOST : CallResult.CONNECTION_LOST_UNWRITTEN)));
       owner.scheduler().afterTurn(this::begin);
     });
   }
@@ -122,8 +122,8 @@
       // Guards against an answer that is taken for that of the next dispatch: what comes behind one
       // was not asked for.
       AppServerReply answer = x == null ? AppServerReply.ofHealthCheck(resp)
-          : AppServerReply.of(resp);
-      if (in.isEmpty() && answer.result() != CallResult.SPOILT_ANSWER) finish(true, answer);
+          : AppServerReply.ofAttempt(resp);
+      if (in.isEmpty() && answer.result() != CallResult.MALFORMED_REPLY) finish(true, answer);
       else end(answer);
     } catch (FramingLostException e) {
       end(SPOILT);
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -1,65 +1,85 @@
 package saltlatch.wire.appserver;
 
 import java.util.List;
-import saltlatch.wire.resp.DecimalFormat;
+import saltlatch.wire.resp.NamedFigures;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.CallResult;
 
-/** What an app srv answered, decoded once; {@code value} only with {@link CallResult#ANSWERED}. */
+/**
+ * How an attempt or a health check at an app server ended, and what its reply said; decoded once,
+ * and the only place that knows the words of app servers' replies.
+ *
+ * @param result           how it ended
+ * @param value            the client's answer; only with {@link CallResult#ANSWERED}
+ * @param actualUnits      what the request used of the quota; 0: not said
+ * @param fleetUtilization what all nodes together have in use there, by the app server; 0: not said
+ * @param loadReport       figures by name, as {@link NamedFigures} reads them; empty: none came
+ */
 public record AppServerReply(CallResult result, byte[] value, double actualUnits,
     double fleetUtilization, String loadReport) {
+  private static final String ACTUAL_UNITS = "cost";
+  private static final String FLEET_UTILIZATION = "used";
+  private static final String BUSY = "BUSY";
+  private static final String ERROR = "ERR";
 
-  private static final double MOST = 1e9; // units: the most that a count can be told
+  private static final int VALUE_ELEMENT = 0;
+  private static final int USE_ELEMENT = 1;
+  private static final int LOAD_ELEMENT = 2;
 
-  public static AppServerReply of(RespValue resp) {
-    if (resp instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
-        && m.elements().get(0) instanceof RespValue.Bulk b && b.bytes() != null) {
-      String use = text(m.elements(), 1);
-      return new AppServerReply(CallResult.ANSWERED, b.bytes(), field(use, "cost"),
-          field(use, "used"), text(m.elements(), 2));
-    }
-    if (resp instanceof RespValue.Line l && l.type() == '-') {
-      int last = l.text().lastIndexOf(' ');
-      String load = last >= 0 && l.text().indexOf('=', last) > 0 ? l.text().substring(last + 1)
-          : "";
-      // Guards against noise that is taken for a word of the app srv's: BUSY says that the req
-      // never ran.
-      String word = l.text().split(" ", 2)[0];
-      if (word.equals("BUSY") || word.equals("ERR")) {
-        return new AppServerReply(
-            word.equals("BUSY") ? CallResult.BUSY_ANSWER : CallResult.ERROR_ANSWER, null, 0, 0,
-            load);
-      }
+  /**
+   * Decodes the reply to an attempt: an array that begins with the value, or an error line. Guards
+   * against noise that is taken for an app server's word, {@code BUSY} above all, which says that
+   * the request was not executed: only the two words of the protocol count, whole.
+   */
+  static AppServerReply ofAttempt(RespValue reply) {
+    if (reply instanceof RespValue.Array array && array.elements() != null
+        && !array.elements().isEmpty()
+        && array.elements().get(VALUE_ELEMENT) instanceof RespValue.Bulk value
+        && value.bytes() != null) {
+      return answered(value.bytes(), array.elements());
     }
-    return withoutValue(CallResult.SPOILT_ANSWER);
+    if (reply instanceof RespValue.Line line && line.type() == '-') return ofErrorLine(line.text());
+    return withoutValue(CallResult.MALFORMED_REPLY);
   }
 
-  /** The answer to a probe: the load as a bulk string. */
-  static AppServerReply ofHealthCheck(RespValue resp) {
-    if (!(resp instanceof RespValue.Bulk b) || b.bytes() == null) return of(resp);
-    return new AppServerReply(CallResult.ANSWERED, b.bytes(), 0, 0, b.text());
+  private static AppServerReply answered(byte[] value, List<RespValue> elements) {
+    String use = text(elements, USE_ELEMENT);
+    return new AppServerReply(CallResult.ANSWERED, value, NamedFigures.find(use, ACTUAL_UNITS),
+        NamedFigures.find(use, FLEET_UTILIZATION), text(elements, LOAD_ELEMENT));
   }
 
-  public static AppServerReply withoutValue(CallResult ending) {
-    return new AppServerReply(ending, null, 0, 0, "");
+  private static AppServerReply ofErrorLine(String text) {
+    return switch (text.split(" ", 2)[0]) {
+      case BUSY -> ofError(CallResult.BUSY_REPLY, text);
+      case ERROR -> ofError(CallResult.ERROR_REPLY, text);
+      default -> withoutValue(CallResult.MALFORMED_REPLY);
+    };
   }
 
-  /**
-   * A field of a list of names and values; 0 if it is not there or can't be a figure, which tells
-   * nothing.
-   */
-  public static double field(String list, String name) {
-    for (String part : list.isEmpty() ? new String[0] : list.split(",")) {
-      if (part.startsWith(name) && part.length() > name.length()
-          && part.charAt(name.length()) == '=') {
-        double value = DecimalFormat.parse(part.substring(name.length() + 1));
-        return value >= 0 && value < MOST ? value : 0;
-      }
-    }
-    return 0;
+  private static AppServerReply ofError(CallResult result, String text) {
+    return new AppServerReply(result, null, 0, 0, trailingLoadReport(text));
+  }
+
+  /** An error line may end in a load report, which a {@code =} tells from the error's own words. */
+  private static String trailingLoadReport(String text) {
+    int space = text.lastIndexOf(' ');
+    return space >= 0 && text.indexOf('=', space) > 0 ? text.substring(space + 1) : "";
+  }
+
+  /** Decodes the reply to a health check: the load report as a bulk string, or an error line. */
+  static AppServerReply ofHealthCheck(RespValue reply) {
+    if (!(reply instanceof RespValue.Bulk report) || report.bytes() == null)
+      return ofAttempt(reply);
+    return new AppServerReply(CallResult.ANSWERED, report.bytes(), 0, 0, report.text());
+  }
+
+  /** An end with no reply, or with one that says nothing else. */
+  public static AppServerReply withoutValue(CallResult result) {
+    return new AppServerReply(result, null, 0, 0, "");
   }
 
-  private static String text(List<RespValue> items, int at) {
-    return items.size() > at && items.get(at) instanceof RespValue.Bulk b ? b.text() : "";
+  private static String text(List<RespValue> elements, int position) {
+    return elements.size() > position && elements.get(position) instanceof RespValue.Bulk bulk
+        ? bulk.text() : "";
   }
 }
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -203,7 +203,7 @@
         double total = text.startsWith("ok ") ? DecimalFormat.parse(text.substring(3)) : Double.NaN;
         CallResult ending = Double.isNaN(total) ? withoutTotal(text) : CallResult.ANSWERED;
         tell(c, ending, ending == CallResult.ANSWERED ? total : 0);
-        if (ending == CallResult.SPOILT_ANSWER) end();
+        if (ending == CallResult.MALFORMED_REPLY) end();
       }
     }
 
@@ -213,9 +213,9 @@
      */
     private static CallResult withoutTotal(String text) {
       return switch (text) {
-        case "busy" -> CallResult.BUSY_ANSWER;
-        case "error" -> CallResult.REFUSED_CALL;
-        default -> CallResult.SPOILT_ANSWER;
+        case "busy" -> CallResult.BUSY_REPLY;
+        case "error" -> CallResult.CALL_REFUSED;
+        default -> CallResult.MALFORMED_REPLY;
       };
     }
 
@@ -235,7 +235,7 @@
       if (links[at] == this) links[at] = null;
       if (socket != null) SocketCloser.closeNow(socket);
       for (Call c : calls)
-        tell(c, c.written ? CallResult.BROKE_WRITTEN : CallResult.CONNECT_FAILED, 0);
+        tell(c, c.written ? CallResult.CONNECTION_LOST : CallResult.CONNECT_FAILED, 0);
       if (after == null) return;
       after.before = null;
       after.start();
--- a/src/main/java/saltlatch/wire/transport/Scheduler.java
+++ b/src/main/java/saltlatch/wire/transport/Scheduler.java
@@ -3,14 +3,20 @@
 import saltlatch.state.TimerQueue;
 
 /**
- * What the client side needs of the node: the one clock and the one set of timers, in tenths of a
- * ms.
+ * What the edge needs of the node's event loop: its one clock and its one set of timers. Times are
+ * ticks. Called on the event loop only, where the timers' actions run too.
  */
 public interface Scheduler {
+  /** The time, which never runs backwards within one node. */
   long now();
 
-  TimerQueue.Timer at(long when, Runnable then);
+  /** Runs the action once, as soon as this time has come; at the next turn if it is past. */
+  TimerQueue.Timer at(long dueTicks, Runnable action);
 
-  /** Once all that this turn of the loop brings is told, closes too. */
-  void afterTurn(Runnable then);
+  /**
+   * Runs the action once all that the present turn of the loop brings has been handed on. Guards
+   * against acting on the first of two events that came together, such as a command and the close
+   * behind it: closes are handed on by tasks behind what was read.
+   */
+  void afterTurn(Runnable action);
 }
--- a/src/main/java/saltlatch/wire/transport/SocketCloser.java
+++ b/src/main/java/saltlatch/wire/transport/SocketCloser.java
@@ -7,32 +7,32 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Two ways to close a connection that Vert.x does not offer: its close waits until all that was
- * written has been taken.
+ * Ways to close a connection that Vert.x does not offer: its close waits until all that was written
+ * has been taken. Called on the connection's event loop; has no state.
  */
 public final class SocketCloser {
   private SocketCloser() {}
 
-  /** Ends this side alone. */
+  /** Ends this side's sending alone: what the other side still sends can be read. */
   public static void shutdownOutput(NetSocket socket) {
     Channel channel = context(socket).channel();
-    if (channel instanceof DuplexChannel both && channel.isActive()) both.shutdownOutput();
+    if (channel instanceof DuplexChannel duplex && channel.isActive()) duplex.shutdownOutput();
     else closeNow(socket);
   }
 
   /**
-   * Guards against another side that takes nothing: its connection would stay, and what waits to be
-   * written would still come whole to an app srv whose dispatch was given up, or told as never
-   * begun.
+   * Closes without waiting for what is still to be written. Guards against another side that reads
+   * nothing: its connection would stay open, and a command that was given up, or reported as never
+   * sent, would still reach an app server whole. Closing from this place of the pipeline skips
+   * Vert.x's own handler, the one that waits.
    */
   public static void closeNow(NetSocket socket) {
-    // from here on: the channel's own would pass Vert.x' handler, which waits
     context(socket).close();
   }
 
   /**
-   * Bytes that come from now on stay in the system. The library's own pause still takes in up to
-   * eight buffers of them.
+   * Leaves bytes that come from now on in the operating system. The library's own pause still takes
+   * in up to eight buffers of them.
    */
   public static void stopReading(NetSocket socket) {
     socket.pause();
--- a/src/main/java/saltlatch/wire/transport/TcpConnector.java
+++ b/src/main/java/saltlatch/wire/transport/TcpConnector.java
@@ -6,13 +6,17 @@
 import io.vertx.core.net.SocketAddress;
 
 /**
- * How this node connects to its partners over TCP: nothing retries, probes or keeps alive by
- * itself.
+ * How this node connects to its partners over TCP. The library neither retries a connection nor
+ * keeps it alive by itself: what is sent, and when, is decided by the policy alone. Has no state.
  */
 public final class TcpConnector {
   private TcpConnector() {}
 
-  /** Of the form {@code HOST:PORT}. */
+  /**
+   * Reads an address of the form {@code HOST:PORT}.
+   *
+   * @throws IllegalArgumentException if the text has no host, or no number for its port
+   */
   public static SocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) throw new IllegalArgumentException("no address: " + text);
@@ -20,8 +24,9 @@
         text.substring(0, colon));
   }
 
-  public static NetClient client(Vertx vertx, long connectMs) {
+  /** A client whose connections are given up if they have not come up after this time. */
+  public static NetClient client(Vertx vertx, long connectTimeoutMs) {
     return vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setTcpKeepAlive(false)
-        .setConnectTimeout((int) connectMs).setReconnectAttempts(0));
+        .setConnectTimeout((int) connectTimeoutMs).setReconnectAttempts(0));
   }
 }
--- a/src/main/java/saltlatch/wire/transport/UnreadAge.java
+++ b/src/main/java/saltlatch/wire/transport/UnreadAge.java
@@ -4,23 +4,28 @@
 import io.netty.channel.epoll.EpollSocketChannel;
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
+import saltlatch.api.Ticks;
 
 /**
- * How long the newest bytes of a connection have lain in the system before they were read, by the
- * system's own record (TCP_INFO). Asked only after this node was away: a stopped process reads what
- * came meanwhile as if it had just come.
+ * How long the newest bytes of a connection lay in the operating system before they were read, by
+ * its own record (TCP_INFO). Guards against a request whose client has given up: a process that was
+ * stopped reads what came meanwhile as if it had just come. Has no state; called on the
+ * connection's event loop, and only after this node has been stalled.
  */
 public final class UnreadAge {
+  private static final long UNKNOWN = 0;
+
   private UnreadAge() {}
 
-  /** Tenths of a ms; 0 where the system does not tell. */
+  /** In ticks; 0 where the system has no record, or the connection has closed meanwhile. */
   public static long ofSocketTicks(NetSocket socket) {
     try {
       Channel channel = ((NetSocketInternal) socket).channelHandlerContext().channel();
-      return channel instanceof EpollSocketChannel epoll ? epoll.tcpInfo().lastDataRecv() * 10L : 0;
-      // closed meanwhile, or a system without TCP_INFO: the age stays unknown
+      return channel instanceof EpollSocketChannel epoll
+          ? epoll.tcpInfo().lastDataRecv() * Ticks.PER_MILLISECOND : UNKNOWN;
     } catch (RuntimeException e) {
-      return 0;
+      // closed meanwhile, or a system without TCP_INFO
+      return UNKNOWN;
     }
   }
 }
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -157,7 +157,8 @@
     scheduler.onLoop(() -> client.probe(SERVER, TIMEOUT_TICKS));
     assertEquals(expected, received(expected.length()));
     reply("-NOPERM\r\n", 2);
-    assertEquals(List.of("health check ANSWERED inflight=7", "health check SPOILT_ANSWER "), ends);
+    assertEquals(List.of("health check ANSWERED inflight=7", "health check MALFORMED_REPLY "),
+        ends);
     assertEquals("", received(1));
   }
 }
--- a/src/test/java/saltlatch/wire/transport/CallResultTest.java
+++ b/src/test/java/saltlatch/wire/transport/CallResultTest.java
@@ -16,18 +16,28 @@
     }
     assertEquals("""
         ANSWERED may have run
-        ERROR_ANSWER may have run
-        SPOILT_ANSWER may have run
-        BUSY_ANSWER never ran
-        REFUSED_CALL never ran
+        ERROR_REPLY may have run
+        MALFORMED_REPLY may have run
+        BUSY_REPLY never ran
+        CALL_REFUSED never ran
         CONNECT_FAILED never ran
-        BROKE_UNWRITTEN never ran
-        BROKE_WRITTEN may have run
+        CONNECTION_LOST_UNWRITTEN never ran
+        CONNECTION_LOST may have run
         TIMED_OUT_UNWRITTEN never ran
         TIMED_OUT may have run
-        OWN_CANCEL may have run
+        CANCELLED may have run
         WITHDRAWN never ran
-        NO_DESCRIPTOR never ran
+        NO_CONNECTION_FREE never ran
         """, results.toString());
   }
+
+  /** History files of earlier versions hold these names: a renamed constant keeps its own. */
+  @Test
+  void namesInHistoryFilesStay() {
+    StringBuilder names = new StringBuilder();
+    for (CallResult result : CallResult.values()) names.append(result.historyName()).append(' ');
+    assertEquals("ANSWERED ERROR_ANSWER SPOILT_ANSWER BUSY_ANSWER REFUSED_CALL CONNECT_FAILED "
+        + "BROKE_UNWRITTEN BROKE_WRITTEN TIMED_OUT_UNWRITTEN TIMED_OUT OWN_CANCEL WITHDRAWN "
+        + "NO_DESCRIPTOR ", names.toString());
+  }
 }
