--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -130,7 +130,7 @@
       @Override
       public Future<String> figures() {
         Promise<String> out = Promise.promise();
-        serve.loop.runOnContext(x -> out.complete(serve.pilot.figures()));
+        serve.loop.runOnContext(x -> out.complete(serve.pilot.infoText()));
         return out.future();
       }
 
@@ -207,16 +207,16 @@
     Promise<Void> done = Promise.promise();
     loop.runOnContext(v -> {
       stopping = true;
-      vertx.setTimer(turn, t -> listener.closeWhenAnswered());
+      vertx.setTimer(turn, t -> listener.closeConnectionsWhenAnswered());
       vertx.setTimer(end, t -> {
-        listener.refuse();
+        listener.failPendingAndRejectNew();
         pilot.leave();
       });
       vertx.setPeriodic(LATE_MS, LOOK_MS, look -> {
-        if (listener.isRefusing()) listener.closeIdle(); // also those that came since the last look
-        if (listener.links() > 0) return;
+        if (listener.isRejecting()) listener.closeIdleConnections(); // also those that came since the last look
+        if (listener.openConnections() > 0) return;
         vertx.cancelTimer(look);
-        listener.refuse(); // what comes while all is being closed is not sent on
+        listener.failPendingAndRejectNew(); // what comes while all is being closed is not sent on
         pilot.leave();
         done.complete();
       });
@@ -234,8 +234,8 @@
     } catch (ExecutionException | InterruptedException | TimeoutException e) {
       LOG.warn("not all clients were done: {}", e.toString());
     }
-    LOG.info("{}", pilot.figures().replace('\n', ' '));
-    if (history != null) history.add("ends", "figures", pilot.figures().replace('\n', ' '));
+    LOG.info("{}", pilot.infoText().replace('\n', ' '));
+    if (history != null) history.add("ends", "figures", pilot.infoText().replace('\n', ' '));
   }
 
   private void unexpected(Throwable e) {
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -73,7 +73,7 @@
   /** Takes one target in, and gives the module's entry of it. */
   GatewayEvent.Endpoint take(EndpointList.Entry target) {
     int srv = names.number(target.name());
-    if (target.address() != null) appServers.locate(srv, target.address());
+    if (target.address() != null) appServers.setAddress(srv, target.address());
     if (target.state() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
     else leaving.remove(srv);
     GatewayEvent.Endpoint entry = new GatewayEvent.Endpoint(srv, target.startedAtMs() * 10,
@@ -100,7 +100,7 @@
     Iterator<Integer> each = leaving.iterator();
     for (int freed = 0; freed < DiscoveryClient.SLICE && each.hasNext();) {
       int srv = each.next();
-      if (!appServers.forget(srv)) continue;
+      if (!appServers.remove(srv)) continue;
       names.release(srv);
       entries.set(srv, null);
       each.remove();
--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -282,11 +282,11 @@
   public void abandon(RequestContext x) {
     told(x, "aborted");
     x.fail();
-    left(x);
+    clientDisconnected(x);
   }
 
   @Override
-  public RequestContext arrived(ClientRequest req, RequestContext.ResponseSink client) {
+  public RequestContext requestArrived(ClientRequest req, RequestContext.ResponseSink client) {
     look();
     int frontend = frontends.find(req.requestClass());
     int plan = plans.find(req.plan());
@@ -316,7 +316,7 @@
   }
 
   @Override
-  public void left(RequestContext x) {
+  public void clientDisconnected(RequestContext x) {
     told(x, "left");
     x.clientDisconnected();
     counters.add(Metric.CLIENTS_LEFT);
@@ -325,7 +325,8 @@
   }
 
   @Override
-  public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
+  public void attemptEnded(RequestContext x, int dispatch, int srv, AppServerReply answer,
+      long spent) {
     if (history != null) {
       history.add("ended", "id", x.request.id(), "srv", directory.name(srv), "dispatch", dispatch,
           "how", answer.result().historyName());
@@ -347,13 +348,13 @@
   }
 
   @Override
-  public boolean mayBegin(RequestContext x, int dispatch) {
+  public boolean mayStartAttempt(RequestContext x, int dispatch) {
     flush();
     return !x.isFinished() && gateway.mayStartAttempt(clock.now(), x.requestId, dispatch);
   }
 
   @Override
-  public void probed(int srv, AppServerReply answer, long spent) {
+  public void healthChecked(int srv, AppServerReply answer, long spent) {
     add(new GatewayEvent.HealthChecked(srv, answer.result().outcome(), spent, load(answer)));
     directory.release();
   }
@@ -399,7 +400,7 @@
   }
 
   @Override
-  public String figures() {
+  public String infoText() {
     String own = counters.text() + "held=" + exchanges.size() + "\n";
     return roster == null ? own : own + roster.figures(gateway.gossipValidityTicks());
   }
@@ -416,13 +417,14 @@
           dispatch, "cap_ms", cap / 10);
     }
     try {
-      appServers.dispatch(x, dispatch, (int) srv, cap);
+      appServers.startAttempt(x, dispatch, (int) srv, cap);
     } catch (RuntimeException e) {
       // Guards against a fault of this side that stops the module half-way through what it wants of
       // other reqs.
       LOG.error("dispatch failed", e);
       counters.add(Metric.EXCEPTIONS);
-      ended(x, dispatch, (int) srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
+      attemptEnded(x, dispatch, (int) srv,
+          AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
     }
   }
 
@@ -447,7 +449,7 @@
   @Override
   public void cancelAttempt(long rid, int dispatch) {
     RequestContext x = exchanges.find(rid);
-    if (x != null) appServers.cancel(x, dispatch);
+    if (x != null) appServers.cancelAttempt(x, dispatch);
   }
 
   @Override
@@ -457,12 +459,12 @@
 
   @Override
   public void checkHealth(long srv) {
-    appServers.probe((int) srv, configuration.connectTime());
+    appServers.checkHealth((int) srv, configuration.connectTime());
   }
 
   @Override
   public void closeIdleConnections(long srv) {
-    appServers.closeIdle((int) srv);
+    appServers.closeIdleConnections((int) srv);
   }
 
   @Override
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -54,9 +54,9 @@
    * another event loop.
    */
   public String figures() {
-    if (Vertx.currentContext() == loop) return pilot.figures();
+    if (Vertx.currentContext() == loop) return pilot.infoText();
     CompletableFuture<String> text = new CompletableFuture<>();
-    loop.runOnContext(v -> text.complete(pilot.figures()));
+    loop.runOnContext(v -> text.complete(pilot.infoText()));
     return text.join();
   }
 
--- a/src/main/java/saltlatch/wire/FramingLostException.java
+++ b/src/main/java/saltlatch/wire/FramingLostException.java
@@ -12,7 +12,7 @@
     super(where, what, null, null);
   }
 
-  /** Says which limit, given with its unit, a partner's message passed, and where. */
+  /** Says which limit, given with its unit, a partner's message exceeds, and where. */
   public FramingLostException(String where, String what, String limit) {
     super(where, what, limit, null);
   }
--- a/src/main/java/saltlatch/wire/LimitExceededException.java
+++ b/src/main/java/saltlatch/wire/LimitExceededException.java
@@ -7,7 +7,7 @@
 public final class LimitExceededException extends ProtocolException {
   private static final long serialVersionUID = 1;
 
-  /** Says which limit, given with its unit, was passed and where. */
+  /** Says which limit, given with its unit, was exceeded and where. */
   public LimitExceededException(String where, String what, String limit) {
     super(where, what, limit, null);
   }
--- a/src/main/java/saltlatch/wire/MalformedMessageException.java
+++ b/src/main/java/saltlatch/wire/MalformedMessageException.java
@@ -12,7 +12,7 @@
     super(where, what, null, null);
   }
 
-  /** Says which limit, given with its unit, a part of the message passed. */
+  /** Says which limit, given with its unit, a part of the message exceeds. */
   public MalformedMessageException(String where, String what, String limit) {
     super(where, what, limit, null);
   }
--- a/src/main/java/saltlatch/wire/ProtocolException.java
+++ b/src/main/java/saltlatch/wire/ProtocolException.java
@@ -18,7 +18,7 @@
    *
    * @param where the partner's message, and the part of it, at which reading stopped
    * @param what  what is wrong there, in a few words
-   * @param limit the limit that was passed, with its unit; null where none was
+   * @param limit the limit that was exceeded, with its unit; null where none was
    * @param cause the library's failure behind it; null where there is none
    */
   protected ProtocolException(String where, String what, String limit, Throwable cause) {
@@ -39,7 +39,7 @@
     return what;
   }
 
-  /** The limit that was passed, with its unit; null where none was. */
+  /** The limit that was exceeded, with its unit; null where none was. */
   public final String limit() {
     return limit;
   }
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import saltlatch.state.ConnectionPool;
+import saltlatch.api.Ticks;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.RequestContext;
@@ -16,207 +16,246 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * The client side towards app srvs. A connection carries one dispatch at a time, since giving one
- * up ends its connection, and an answer must not wait for another's; it is used again once its
- * dispatch was answered.
+ * Makes the calls to app servers that the policy wants: attempts and health checks. A connection
+ * carries one call at a time, since giving up an attempt ends its connection, and a reply must not
+ * wait for another's; it is used again once its call was answered. Called on the node's event loop.
+ *
+ * <p>
+ * Owns the servers' addresses, one for each server in the endpoint list, and the connections to
+ * them, of which there are {@code maxConnections} at most.
  */
 public final class AppServerClient {
-  /** Whom the ends of dispatches are told to. */
+  /** Who is notified of the ends of calls; called on the event loop. */
   public interface Listener {
-    void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent);
+    /** An attempt has ended; called once for each, perhaps before the attempt's start returns. */
+    void attemptEnded(RequestContext request, int attempt, int server, AppServerReply reply,
+        long elapsedTicks);
 
-    void probed(int srv, AppServerReply answer, long spent);
+    /** A health check has ended; called once for each, perhaps before its start returns. */
+    void healthChecked(int server, AppServerReply reply, long elapsedTicks);
 
-    /** Whether a dispatch whose connection has just come up may still begin. */
-    boolean mayBegin(RequestContext x, int dispatch);
+    /** Whether an attempt whose connection has just come up may still be sent. */
+    boolean mayStartAttempt(RequestContext request, int attempt);
   }
 
-  /** An app srv that the list names. */
-  private static final class Srv {
+  /** An app server that the endpoint list names. */
+  private static final class Server {
     private SocketAddress address;
-    private Links links; // null: none open, as with most of a large list
+    private ServerConnections connections; // null: none open, as with most of a long list
   }
 
-  /** The connections to one app srv. */
-  private static final class Links {
-    private final ConnectionPool<AppServerConnection> pool = new ConnectionPool<>();
-    private final List<AppServerConnection> busy = new ArrayList<>();
-
-    boolean isEmpty() {
-      return busy.isEmpty() && pool.oldest() == Long.MAX_VALUE;
-    }
-  }
-
-  // 3 ms: what was sent behind an answer, unasked, has come by then
-  private static final long SETTLING = 30;
-  private static final long SWEEP = 5_000; // 0.5 s between looks for idle connections
+  /** 3 ms: a second reply, or noise, behind a reply has come by then. */
+  private static final long SETTLING_TICKS = 3 * Ticks.PER_MILLISECOND;
+  private static final long SWEEP_INTERVAL_TICKS = Ticks.PER_SECOND / 2;
+  /** An idle connection is closed so many intervals before the app server would close it. */
+  private static final long IDLE_MARGIN_SWEEPS = 4;
 
   private final NetClient client;
   private final Scheduler scheduler;
-  private final Listener host;
-  private final NodeMetrics counters;
-  private final List<Srv> srvs = new ArrayList<>(); // by number; null: none has it
-  // those with connections, the only ones walked
-  private final Set<Srv> linked = new LinkedHashSet<>();
-  private final long connectTime;
-  private final long idleTime;
-  private final int mostLinks;
-  private int links;
-
-  /** {@code idleTime}: an app srv closes a connection that has stood idle for so long. */
-  public AppServerClient(Vertx vertx, Scheduler scheduler, Listener host, NodeMetrics counters,
-      long connectTime, long idleTime, int mostLinks) {
+  private final Listener listener;
+  private final NodeMetrics metrics;
+  private final List<Server> servers = new ArrayList<>(); // by number; null: none has it
+  // in the order in which they got a connection; the only ones walked
+  private final Set<Server> connectedServers = new LinkedHashSet<>();
+  private final long connectTimeoutTicks;
+  private final long idleTimeoutTicks;
+  private final int maxConnections;
+  private int connectionCount;
+
+  /**
+   * Starts with no servers.
+   *
+   * @param connectTimeoutTicks how long a connection may take to come up
+   * @param idleTimeoutTicks    after which app servers close an idle connection
+   * @param maxConnections      to all app servers together
+   */
+  public AppServerClient(Vertx vertx, Scheduler scheduler, Listener listener, NodeMetrics metrics,
+      long connectTimeoutTicks, long idleTimeoutTicks, int maxConnections) {
     this.scheduler = scheduler;
-    this.host = host;
-    this.counters = counters;
-    this.mostLinks = mostLinks;
-    this.connectTime = connectTime;
-    this.idleTime = Math.max(idleTime / 2, idleTime - 4 * SWEEP); // before the other side does
-    client = TcpConnector.client(vertx, Math.max(1, connectTime / 10));
+    this.listener = listener;
+    this.metrics = metrics;
+    this.maxConnections = maxConnections;
+    this.connectTimeoutTicks = connectTimeoutTicks;
+    // Guards against an attempt that crosses the app server's close, and ends as a lost connection:
+    // this side closes first.
+    this.idleTimeoutTicks = Math.max(idleTimeoutTicks / 2,
+        idleTimeoutTicks - IDLE_MARGIN_SWEEPS * SWEEP_INTERVAL_TICKS);
+    client = TcpConnector.client(vertx, Math.max(1, connectTimeoutTicks / Ticks.PER_MILLISECOND));
     sweep();
   }
 
-  /** The address at which a listed app srv is reached from here. */
-  public void locate(int srv, SocketAddress address) {
-    while (srvs.size() <= srv) srvs.add(null);
-    if (srvs.get(srv) == null) srvs.set(srv, new Srv());
-    Srv s = srvs.get(srv);
-    if (s.address != null && !s.address.equals(address)) closeIdle(srv);
-    s.address = address;
+  /** Adds a listed server, or moves it: idle connections to its former address are closed. */
+  public void setAddress(int server, SocketAddress address) {
+    while (servers.size() <= server) servers.add(null);
+    if (servers.get(server) == null) servers.set(server, new Server());
+    Server entry = servers.get(server);
+    if (entry.address != null && !entry.address.equals(address)) closeIdleConnections(server);
+    entry.address = address;
   }
 
-  /** True if nothing is held there, so that its number can be given to another. */
-  public boolean forget(int srv) {
-    Srv s = find(srv);
-    if (s == null) return true;
-    closeIdle(srv);
-    if (s.links != null) return false;
-    srvs.set(srv, null);
+  /**
+   * Removes a server with its idle connections.
+   *
+   * @return whether no call is in flight there, so that the server's number can be given to another
+   */
+  public boolean remove(int server) {
+    Server entry = find(server);
+    if (entry == null) return true;
+    closeIdleConnections(server);
+    if (entry.connections != null) return false;
+    servers.set(server, null);
     return true;
   }
 
-  private Srv find(int srv) {
-    return srv >= 0 && srv < srvs.size() ? srvs.get(srv) : null;
+  /** Forwards a request to a server, and waits for its reply for so long. */
+  public void startAttempt(RequestContext request, int attempt, int server, long timeoutTicks) {
+    metrics.add(Metric.DISPATCHED);
+    AppServerConnection connection = takeConnection(server);
+    if (connection == null) {
+      listener.attemptEnded(request, attempt, server, noConnectionFree(), 0);
+      return;
+    }
+    connection.send(new AppServerConnection.Call(request, attempt,
+        timeLeftMs -> AppServerCommandEncoder.forward(request.request.command(), timeLeftMs),
+        timeoutTicks));
   }
 
-  public void dispatch(RequestContext x, int dispatch, int srv, long cap) {
-    counters.add(Metric.DISPATCHED);
-    AppServerConnection link = link(srv);
-    if (link == null) {
-      host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
+  /** Asks a server for its load report, and waits for the reply for so long. */
+  public void checkHealth(int server, long timeoutTicks) {
+    metrics.add(Metric.PROBED);
+    AppServerConnection connection = takeConnection(server);
+    if (connection == null) {
+      listener.healthChecked(server, noConnectionFree(), 0);
       return;
     }
-    link.send(left -> AppServerCommandEncoder.forward(x.request.command(), left), x, dispatch, cap);
+    connection.send(AppServerConnection.Call
+        .healthCheck(timeLeftMs -> AppServerCommandEncoder.healthCheck(), timeoutTicks));
   }
 
-  public void probe(int srv, long cap) {
-    counters.add(Metric.PROBED);
-    AppServerConnection link = link(srv);
-    if (link == null)
-      host.probed(srv, AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
-    else link.send(left -> AppServerCommandEncoder.healthCheck(), null, 0, cap);
+  private static AppServerReply noConnectionFree() {
+    return AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE);
   }
 
-  public void cancel(RequestContext x, int dispatch) {
-    for (Srv s : linked) {
-      for (AppServerConnection link : s.links.busy) {
-        if (link.carries(x, dispatch)) {
-          link.end(AppServerReply.withoutValue(CallResult.CANCELLED));
-          return;
-        }
+  /** Gives up an attempt, which ends its connection; nothing if it has ended. */
+  public void cancelAttempt(RequestContext request, int attempt) {
+    for (Server server : connectedServers) {
+      AppServerConnection connection = server.connections.findCarrying(request, attempt);
+      if (connection != null) {
+        connection.end(AppServerReply.withoutValue(CallResult.CANCELLED));
+        return;
       }
     }
   }
 
-  public void closeIdle(int srv) {
-    Srv s = find(srv);
-    if (s != null && s.links != null) closeOlder(s, Long.MAX_VALUE);
+  /** Closes the connections to a server that carry no call. */
+  public void closeIdleConnections(int server) {
+    Server entry = find(server);
+    if (entry != null && entry.connections != null) closeIdleBefore(entry, Long.MAX_VALUE);
+  }
+
+  private Server find(int server) {
+    return server >= 0 && server < servers.size() ? servers.get(server) : null;
   }
 
-  private void closeOlder(Srv s, long than) {
-    s.links.pool.takeOlder(than).forEach(AppServerConnection::close);
-    settle(s);
+  private void closeIdleBefore(Server server, long ticks) {
+    server.connections.takeIdleBefore(ticks).forEach(AppServerConnection::close);
+    dropIfUnconnected(server);
   }
 
-  /** Keeps nothing for an app srv whose last connection is gone. */
-  private void settle(Srv s) {
-    if (s.links == null || !s.links.isEmpty()) return;
-    s.links = null;
-    linked.remove(s);
+  private void dropIfUnconnected(Server server) {
+    if (server.connections == null || !server.connections.isEmpty()) return;
+    server.connections = null;
+    connectedServers.remove(server);
   }
 
-  private AppServerConnection link(int srv) {
-    Srv s = find(srv);
-    if (s == null) return null;
-    // Guards against a second copy or noise right behind an answer that is taken for that of the
-    // next dispatch.
-    AppServerConnection link = s.links == null ? null
-        : s.links.pool.take(scheduler.now() - SETTLING);
-    if (link == null) {
-      if (links >= mostLinks && !closeOldest()) return null;
-      links++;
-      counters.add(Metric.CONNECTIONS_OPENED);
-      link = new AppServerConnection(this, srv);
-      link.open(client, s.address);
+  /**
+   * An idle connection to the server, or a new one; null if none may be opened. Guards against a
+   * second reply, or noise, behind a reply, which would be taken for that to the next call: a
+   * connection rests before it is used again, and what comes meanwhile ends it.
+   */
+  private AppServerConnection takeConnection(int server) {
+    Server entry = find(server);
+    if (entry == null) return null;
+    AppServerConnection connection = entry.connections == null ? null
+        : entry.connections.takeIdleSince(scheduler.now() - SETTLING_TICKS);
+    if (connection == null) {
+      if (connectionCount >= maxConnections && !closeOldestIdle()) return null;
+      connectionCount++;
+      metrics.add(Metric.CONNECTIONS_OPENED);
+      connection = new AppServerConnection(this, server);
+      connection.open(client, entry.address);
     }
-    if (s.links == null) s.links = new Links();
-    linked.add(s);
-    s.links.busy.add(link);
-    return link;
+    if (entry.connections == null) entry.connections = new ServerConnections();
+    connectedServers.add(entry);
+    entry.connections.addBusy(connection);
+    return connection;
   }
 
-  private boolean closeOldest() {
-    Srv oldest = null;
-    for (Srv s : linked) {
-      if (oldest == null || s.links.pool.oldest() < oldest.links.pool.oldest()) oldest = s;
+  /** Makes room for a new connection; false if every one carries a call. */
+  private boolean closeOldestIdle() {
+    Server oldest = null;
+    long oldestSince = Long.MAX_VALUE;
+    for (Server server : connectedServers) {
+      long since = server.connections.oldestIdleSince();
+      if (since < oldestSince) {
+        oldest = server;
+        oldestSince = since;
+      }
     }
-    if (oldest == null || oldest.links.pool.oldest() == Long.MAX_VALUE) return false;
-    closeOlder(oldest, oldest.links.pool.oldest() + 1);
+    if (oldest == null) return false;
+    closeIdleBefore(oldest, oldestSince + 1);
     return true;
   }
 
   private void sweep() {
-    for (Srv s : List.copyOf(linked)) {
-      if (s.links != null) closeOlder(s, scheduler.now() - idleTime);
+    for (Server server : List.copyOf(connectedServers)) {
+      if (server.connections != null) closeIdleBefore(server, scheduler.now() - idleTimeoutTicks);
     }
-    scheduler.at(scheduler.now() + SWEEP, this::sweep);
+    scheduler.at(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
-  boolean mayBegin(RequestContext x, int dispatch) {
-    return host.mayBegin(x, dispatch);
+  // ---- for the connections
+
+  boolean mayStartAttempt(RequestContext request, int attempt) {
+    return listener.mayStartAttempt(request, attempt);
   }
 
-  /** A connection comes up within this, so the rest of an answer that has begun does too. */
-  long restTime() {
-    return connectTime;
+  /** How long the rest of a reply that has begun may take: as long as a connection to come up. */
+  long restOfReplyTimeoutTicks() {
+    return connectTimeoutTicks;
   }
 
   Scheduler scheduler() {
     return scheduler;
   }
 
-  NodeMetrics counters() {
-    return counters;
+  NodeMetrics metrics() {
+    return metrics;
   }
 
-  /** A dispatch or probe has ended on this connection, which may be used again or is gone. */
-  void ended(AppServerConnection link, boolean open, RequestContext x, int dispatch,
-      AppServerReply answer, long spent) {
-    Srv s = find(link.srv);
-    s.links.busy.remove(link);
-    if (open) s.links.pool.put(link, scheduler.now());
-    settle(s);
-    counters.add(answer.result() == CallResult.ANSWERED ? Metric.DISPATCHES_PASSED
+  /** A call has ended on this connection, which may be used again or has closed. */
+  void callEnded(AppServerConnection connection, boolean reusable, AppServerConnection.Call call,
+      AppServerReply reply, long elapsedTicks) {
+    Server server = find(connection.server());
+    server.connections.removeBusy(connection);
+    if (reusable) server.connections.addIdle(connection, scheduler.now());
+    dropIfUnconnected(server);
+    metrics.add(reply.result() == CallResult.ANSWERED ? Metric.DISPATCHES_PASSED
         : Metric.DISPATCHES_ENDED_OTHERWISE);
-    if (x == null) host.probed(link.srv, answer, spent);
-    else host.ended(x, dispatch, link.srv, answer, spent);
+    if (call.isHealthCheck()) {
+      listener.healthChecked(connection.server(), reply, elapsedTicks);
+    } else {
+      listener.attemptEnded(call.request(), call.attempt(), connection.server(), reply,
+          elapsedTicks);
+    }
   }
 
-  void gone(AppServerConnection link) {
-    links--;
-    Srv s = find(link.srv);
-    if (s == null || s.links == null) return;
-    s.links.pool.remove(link);
-    settle(s);
+  /** This connection has closed; a call on it is ended behind this. */
+  void connectionClosed(AppServerConnection connection) {
+    connectionCount--;
+    Server server = find(connection.server());
+    if (server == null || server.connections == null) return;
+    server.connections.removeIdle(connection);
+    dropIfUnconnected(server);
   }
 }
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -5,6 +5,7 @@
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
 import java.util.function.LongFunction;
+import saltlatch.api.Ticks;
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.RequestContext;
 import saltlatch.state.TimerQueue;
@@ -14,143 +15,181 @@
 import saltlatch.wire.transport.CallResult;
 import saltlatch.wire.transport.SocketCloser;
 
-/** One connection to an app srv, with at most one dispatch (or probe) out on it. */
+/**
+ * One connection to an app server, with at most one call in flight on it. Runs on the event loop;
+ * every call ends exactly once, with {@link AppServerClient#callEnded}.
+ */
 final class AppServerConnection {
-  private static final int TICKS_PER_MS = 10; // of the scheduler
-  private static final AppServerReply SPOILT = AppServerReply
+  private static final AppServerReply MALFORMED = AppServerReply
       .withoutValue(CallResult.MALFORMED_REPLY);
 
-  final int srv;
+  /**
+   * An attempt or a health check.
+   *
+   * @param request      whose attempt it is; null: a health check
+   * @param attempt      the attempt's number within the request
+   * @param command      its text, given the ms that are left to wait once it is written
+   * @param timeoutTicks how long its reply is waited for
+   */
+  record Call(RequestContext request, int attempt, LongFunction<Buffer> command,
+      long timeoutTicks) {
+    static Call healthCheck(LongFunction<Buffer> command, long timeoutTicks) {
+      return new Call(null, 0, command, timeoutTicks);
+    }
+
+    boolean isHealthCheck() {
+      return request == null;
+    }
+  }
+
   private final AppServerClient owner;
-  private final RespDecoder in = new RespDecoder();
-  private NetSocket socket;
+  private final int server;
+  private final RespDecoder decoder = new RespDecoder();
+  private NetSocket socket; // null: not up
   private boolean closed;
-  private boolean out;
-  private boolean written;
-  private LongFunction<Buffer> unsent; // the command by the ms that are left to wait; null: written
-  private RequestContext x; // null: a probe
-  private int dispatch;
-  private long sent;
-  private long cap;
-  private TimerQueue.Timer limit;
-  private TimerQueue.Timer rest; // of an answer that has begun to come
-
-  AppServerConnection(AppServerClient owner, int srv) {
+  private Call call; // the one in flight; null: idle, so that no request is kept in memory
+  private LongFunction<Buffer> unsentCommand; // null: it was handed to the socket
+  private boolean commandWritten; // its last byte
+  private long sentTicks;
+  private long deadlineTicks;
+  private TimerQueue.Timer timeout;
+  private TimerQueue.Timer restOfReplyTimeout; // null: no reply has begun to come
+
+  AppServerConnection(AppServerClient owner, int server) {
     this.owner = owner;
-    this.srv = srv;
+    this.server = server;
+  }
+
+  /** The number of the server to which it leads. */
+  int server() {
+    return server;
   }
 
+  /** Connects; a call may be given to it at once, and is written when it is up. */
   void open(NetClient client, SocketAddress address) {
-    client.connect(address).onComplete(done -> {
-      if (done.failed()) {
-        end(AppServerReply.withoutValue(CallResult.CONNECT_FAILED));
-        return;
-      }
-      socket = done.result();
-      if (closed) {
-        SocketCloser.closeNow(socket);
-        return;
-      }
-      socket.handler(this::read);
-      socket.exceptionHandler(e -> owner.counters().add(Metric.CONNECTIONS_BROKEN));
-      socket.closeHandler(v -> end(AppServerReply.withoutValue(
-          written ? CallResult.CONNECTION_LOST : CallResult.CONNECTION_LOST_UNWRITTEN)));
-      owner.scheduler().afterTurn(this::begin);
+    client.connect(address).onComplete(connected -> {
+      if (connected.failed()) end(AppServerReply.withoutValue(CallResult.CONNECT_FAILED));
+      else connected(connected.result());
     });
   }
 
+  private void connected(NetSocket newSocket) {
+    socket = newSocket;
+    if (closed) {
+      SocketCloser.closeNow(socket);
+      return;
+    }
+    socket.handler(this::read);
+    socket.exceptionHandler(e -> owner.metrics().add(Metric.CONNECTIONS_BROKEN));
+    socket.closeHandler(v -> end(AppServerReply.withoutValue(
+        commandWritten ? CallResult.CONNECTION_LOST : CallResult.CONNECTION_LOST_UNWRITTEN)));
+    owner.scheduler().afterTurn(this::sendFirstCall);
+  }
+
   /**
-   * Guards against a dispatch that begins when what allowed it is past: its client gone, its app
-   * srv told to drain, its repeat window over. The asking tells the module all that came meanwhile,
-   * which may end this dispatch as well.
+   * Guards against an attempt that is sent when what allowed it is past: its client has gone away,
+   * its app server is draining, the time in which it may be sent again is over. It would show as a
+   * request executed for nobody, or twice. Asking the policy hands it all that came while the
+   * connection came up, which may also end this attempt.
    */
-  private void begin() {
-    boolean allowed = closed || x == null || owner.mayBegin(x, dispatch);
+  private void sendFirstCall() {
+    boolean allowed = closed || call == null || call.isHealthCheck()
+        || owner.mayStartAttempt(call.request(), call.attempt());
     if (closed) return;
     if (allowed) write();
     else end(AppServerReply.withoutValue(CallResult.WITHDRAWN));
   }
 
-  /**
-   * {@code command}: its text by the ms that are left of {@code cap} once it is written, which may
-   * be later.
-   */
-  void send(LongFunction<Buffer> command, RequestContext x, int dispatch, long cap) {
-    this.x = x;
-    this.dispatch = dispatch;
-    this.cap = cap;
-    out = true;
-    written = false;
-    unsent = command;
-    sent = owner.scheduler().now();
-    limit = owner.scheduler().at(sent + cap, () -> end(AppServerReply
-        .withoutValue(written ? CallResult.TIMED_OUT : CallResult.TIMED_OUT_UNWRITTEN)));
+  /** Sends a call, at once or when the connection is up. No other may be in flight. */
+  void send(Call newCall) {
+    call = newCall;
+    commandWritten = false;
+    unsentCommand = newCall.command();
+    sentTicks = owner.scheduler().now();
+    deadlineTicks = sentTicks + newCall.timeoutTicks();
+    timeout = owner.scheduler().at(deadlineTicks, () -> end(AppServerReply
+        .withoutValue(commandWritten ? CallResult.TIMED_OUT : CallResult.TIMED_OUT_UNWRITTEN)));
     if (socket != null) write();
   }
 
-  boolean carries(RequestContext x, int dispatch) {
-    return out && this.x == x && this.dispatch == dispatch;
+  boolean carries(RequestContext request, int attempt) {
+    return call != null && call.request() == request && call.attempt() == attempt;
   }
 
+  /**
+   * Guards against an app server that works on for nobody: where the connection came up late, the
+   * command gives the time that is left, not the whole of it.
+   */
   private void write() {
-    if (unsent == null) return;
-    // Guards against a connection that came up late: an app srv told the whole time would work for
-    // nobody at its end.
-    Buffer command = unsent.apply(Math.max(0, sent + cap - owner.scheduler().now()) / TICKS_PER_MS);
-    unsent = null;
-    socket.write(command).onSuccess(v -> written = true);
+    if (unsentCommand == null) return;
+    long leftTicks = Math.max(0, deadlineTicks - owner.scheduler().now());
+    Buffer command = unsentCommand.apply(leftTicks / Ticks.PER_MILLISECOND);
+    unsentCommand = null;
+    socket.write(command).onSuccess(v -> commandWritten = true);
   }
 
+  /**
+   * Guards against half a line, or a second reply, on an idle connection: the next call's reply
+   * would come behind it and be taken for another's. The connection closes instead.
+   */
   private void read(Buffer more) {
     if (closed) return;
-    // Guards against half a line or a second answer on a resting connection, which the next
-    // dispatch's answer would follow.
-    if (!out) {
+    if (call == null) {
       close();
       return;
     }
-    in.feed(more);
+    decoder.feed(more);
     try {
-      RespValue resp = in.next();
-      if (resp == null) {
-        // Guards against an answer whose length is wrong, which would hold its req until the client
-        // timeout.
-        if (rest == null) rest = owner.scheduler().at(owner.scheduler().now() + owner.restTime(),
-            () -> end(SPOILT));
-        return;
-      }
-      // Guards against an answer that is taken for that of the next dispatch: what comes behind one
-      // was not asked for.
-      AppServerReply answer = x == null ? AppServerReply.ofHealthCheck(resp)
-          : AppServerReply.ofAttempt(resp);
-      if (in.isEmpty() && answer.result() != CallResult.MALFORMED_REPLY) finish(true, answer);
-      else end(answer);
+      RespValue reply = decoder.next();
+      if (reply == null) limitRestOfReply();
+      else replied(reply);
     } catch (FramingLostException e) {
-      end(SPOILT);
+      end(MALFORMED);
     }
   }
 
-  /** Ends the connection and what is out on it. */
-  void end(AppServerReply answer) {
+  /**
+   * Guards against a reply that gives a wrong length, so that its end never comes: its request
+   * would stay in flight until the client's timeout.
+   */
+  private void limitRestOfReply() {
+    if (restOfReplyTimeout != null) return;
+    long dueTicks = owner.scheduler().now() + owner.restOfReplyTimeoutTicks();
+    restOfReplyTimeout = owner.scheduler().at(dueTicks, () -> end(MALFORMED));
+  }
+
+  /**
+   * Guards against bytes behind the reply, which nobody asked for and which would be taken for the
+   * next call's reply: the connection is not used again.
+   */
+  private void replied(RespValue value) {
+    AppServerReply reply = call.isHealthCheck() ? AppServerReply.ofHealthCheck(value)
+        : AppServerReply.ofAttempt(value);
+    if (decoder.isEmpty() && reply.result() != CallResult.MALFORMED_REPLY) finish(true, reply);
+    else end(reply);
+  }
+
+  /** Closes the connection and ends the call that is in flight on it. */
+  void end(AppServerReply reply) {
     if (closed) return;
     close();
-    if (out) finish(false, answer);
+    if (call != null) finish(false, reply);
   }
 
+  /** Closes the connection; called from outside only while it is idle. */
   void close() {
     if (closed) return;
     closed = true;
     if (socket != null) SocketCloser.closeNow(socket);
-    owner.gone(this);
+    owner.connectionClosed(this);
   }
 
-  private void finish(boolean open, AppServerReply answer) {
-    RequestContext was = x;
-    out = false;
-    x = null;
-    limit.cancel();
-    if (rest != null) rest.cancel();
-    rest = null;
-    owner.ended(this, open, was, dispatch, answer, owner.scheduler().now() - sent);
+  private void finish(boolean reusable, AppServerReply reply) {
+    Call ended = call;
+    call = null;
+    timeout.cancel();
+    if (restOfReplyTimeout != null) restOfReplyTimeout.cancel();
+    restOfReplyTimeout = null;
+    owner.callEnded(this, reusable, ended, reply, owner.scheduler().now() - sentTicks);
   }
 }
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -12,7 +12,8 @@
  * @param result           how it ended
  * @param value            the client's answer; only with {@link CallResult#ANSWERED}
  * @param actualUnits      what the request used of the quota; 0: not said
- * @param fleetUtilization what all nodes together have in use there, by the app server; 0: not said
+ * @param fleetUtilization 1 + the customer's use over all nodes in the metered period before, as a
+ *                         percentage of its rate; 0: not said
  * @param loadReport       figures by name, as {@link NamedFigures} reads them; empty: none came
  */
 public record AppServerReply(CallResult result, byte[] value, double actualUnits,
@@ -60,7 +61,7 @@
     return new AppServerReply(result, null, 0, 0, trailingLoadReport(text));
   }
 
-  /** An error line may end in a load report, which a {@code =} tells from the error's own words. */
+  /** An error line may end in a load report, known from the error's own words by its {@code =}. */
   private static String trailingLoadReport(String text) {
     int space = text.lastIndexOf(' ');
     return space >= 0 && text.indexOf('=', space) > 0 ? text.substring(space + 1) : "";
--- /dev/null
+++ b/src/main/java/saltlatch/wire/appserver/ServerConnections.java
@@ -0,0 +1,58 @@
+package saltlatch.wire.appserver;
+
+import java.util.ArrayList;
+import java.util.List;
+import saltlatch.state.ConnectionPool;
+import saltlatch.state.RequestContext;
+
+/**
+ * The open connections to one app server, idle or with a call in flight. Owned by
+ * {@link AppServerClient}, which sets their bound.
+ */
+final class ServerConnections {
+  private final ConnectionPool<AppServerConnection> idle = new ConnectionPool<>();
+  private final List<AppServerConnection> busy = new ArrayList<>();
+
+  boolean isEmpty() {
+    return busy.isEmpty() && idle.oldest() == Long.MAX_VALUE;
+  }
+
+  /** The connection used last among those idle since then or longer; null if there is none. */
+  AppServerConnection takeIdleSince(long ticks) {
+    return idle.take(ticks);
+  }
+
+  /** Takes out the connections idle since before then. */
+  List<AppServerConnection> takeIdleBefore(long ticks) {
+    return idle.takeOlder(ticks);
+  }
+
+  /** Since when the oldest one is idle, in ticks; {@link Long#MAX_VALUE} if none is. */
+  long oldestIdleSince() {
+    return idle.oldest();
+  }
+
+  void addIdle(AppServerConnection connection, long nowTicks) {
+    idle.put(connection, nowTicks);
+  }
+
+  void removeIdle(AppServerConnection connection) {
+    idle.remove(connection);
+  }
+
+  void addBusy(AppServerConnection connection) {
+    busy.add(connection);
+  }
+
+  void removeBusy(AppServerConnection connection) {
+    busy.remove(connection);
+  }
+
+  /** The connection with this attempt in flight; null if there is none. */
+  AppServerConnection findCarrying(RequestContext request, int attempt) {
+    for (AppServerConnection connection : busy) {
+      if (connection.carries(request, attempt)) return connection;
+    }
+    return null;
+  }
+}
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -6,8 +6,8 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import saltlatch.state.ClientRequest;
+import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
-import saltlatch.state.RequestContext;
 import saltlatch.wire.FramingLostException;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.resp.RespDecoder;
@@ -17,238 +17,204 @@
 import saltlatch.wire.transport.UnreadAge;
 
 /**
- * One client's connection. Commands are handed on as they come; answers go out in the order of the
- * commands.
+ * One client's connection. Hands requests on as their commands come, and writes replies in the
+ * order of the commands. Runs on the event loop; owns the replies that are pending. Reading stops
+ * at {@link #MAX_PENDING_REPLIES}, so there are no more than these and what a single read brings.
  */
 final class ClientConnection {
-  // commands without answer on a connection before reading stops: 4 MB of answers
-  private static final int MOST_OWED = 64;
-  // 0.2 s: a client's end that crosses this side's has come by then
-  private static final long LINGER = 2_000;
-  // 2 s: a client that has not taken its answers by then takes none
-  private static final long UNTAKEN = 20_000;
-  // of what crosses: two of the longest commands
-  private static final int LINGER_BYTES = 128 * 1024;
-
-  /** The place of one command's answer in the order. */
-  private final class PendingReply implements RequestContext.ResponseSink {
-    private RequestContext x;
-    private Buffer answer;
-
-    @Override
-    public void succeed(byte[] value) {
-      listener.counters().add(Metric.ANSWERED_PASSED);
-      fill(RespEncoder.bulk(value));
-    }
-
-    @Override
-    public void reject(long pauseMs) {
-      listener.counters().add(Metric.ANSWERED_DENIED);
-      fill(RespEncoder.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
-    }
-
-    @Override
-    public void fail() {
-      listener.counters().add(Metric.ANSWERED_ABORTED);
-      fill(RespEncoder.line("-ERR aborted"));
-    }
-
-    /** Its req is held and has no final answer yet. */
-    private boolean waits() {
-      return x != null && answer == null;
-    }
-
-    @Override
-    public long unreadTicks() {
-      return UnreadAge.ofSocketTicks(socket);
-    }
-
-    private void fill(Buffer text) {
-      answer = text;
-      flush();
-    }
-  }
+  /** Commands without a reply before reading stops; 4 MB of replies. */
+  private static final int MAX_PENDING_REPLIES = 64;
 
   private final ClientListener listener;
   private final NetSocket socket;
-  private final RespDecoder in = new RespDecoder();
-  private final ArrayDeque<PendingReply> owed = new ArrayDeque<>();
-  private boolean broken; // its framing is lost: nothing more is read
-  private boolean closed;
+  private final RespDecoder decoder = new RespDecoder();
+  private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
+  private boolean framingLost; // nothing more is read
+  private boolean closed; // or lingering: nothing more is taken or written
   private boolean reading; // what came is being taken, command by command
-  private boolean spoke;
-  private int crossed; // bytes that came after this side's end
-  private long usedAt; // acceptance, the last whole command, or the first byte of the next one
+  private boolean hasSentCommand;
+  private long usedAtTicks; // acceptance, the last whole command, or the first byte of the next one
 
   ClientConnection(ClientListener listener, NetSocket socket) {
     this.listener = listener;
     this.socket = socket;
-    usedAt = listener.scheduler().now();
+    usedAtTicks = listener.scheduler().now();
     socket.handler(this::read);
-    socket.exceptionHandler(e -> listener.counters().add(Metric.CLIENTS_BROKEN));
-    socket.closeHandler(v -> ended());
-    socket.drainHandler(v -> resume());
+    socket.exceptionHandler(e -> metrics().add(Metric.CLIENTS_BROKEN));
+    socket.closeHandler(v -> connectionEnded());
+    socket.drainHandler(v -> resumeReading());
   }
 
-  boolean owesNothing() {
-    return owed.isEmpty();
+  /** Whether no reply is pending. */
+  boolean isIdle() {
+    return pendingReplies.isEmpty();
   }
 
-  long usedAt() {
-    return usedAt;
+  long usedAtTicks() {
+    return usedAtTicks;
   }
 
+  NodeMetrics metrics() {
+    return listener.metrics();
+  }
+
+  /** How long the last bytes lay unread in the operating system; 0 if that is not known. */
+  long unreadTicks() {
+    return UnreadAge.ofSocketTicks(socket);
+  }
+
+  // ---- how it ends
+
   /**
-   * At once: whatever is unread makes the system reset the connection, and the client sends that
-   * again elsewhere.
+   * Closes at once. What is unread makes the operating system reset the connection, from which the
+   * client knows that it was not taken, and sends it again on a new connection.
    */
   void close() {
     closed = true;
-    listener.gone(this);
+    listener.closed(this);
     SocketCloser.closeNow(socket);
   }
 
-  /**
-   * Ends this side only, and waits within bounds for the client's end. Guards against a close over
-   * unread bytes, with which the system resets the connection and the answers just written go. What
-   * crosses stays unread, so that its client knows that it was not taken; behind broken framing it
-   * is read and thrown away, since a client in the middle of it would not look up.
-   */
   private void linger() {
     closed = true;
     listener.lingers(this);
-    endsWithin(listener.isRefusing() ? LINGER : UNTAKEN);
-    socket.handler(more -> {
-      crossed += more.length();
-      if (crossed > LINGER_BYTES) SocketCloser.closeNow(socket);
-    });
-    takeWhatCrosses();
-    socket.write(Buffer.buffer()).onComplete(v -> { // behind the answers
-      takeWhatCrosses(); // once more: behind what was pending the library reads again
-      SocketCloser.shutdownOutput(socket);
-      endsWithin(LINGER);
-    });
+    new LingeringClose(socket, listener.scheduler(), framingLost).begin(listener.isRejecting());
   }
 
-  private void takeWhatCrosses() {
-    if (broken) socket.resume();
-    else SocketCloser.stopReading(socket);
+  /** Closes if it has sent no whole command, or half of one, since then or before. */
+  void closeIfIncompleteSince(long ticks) {
+    boolean isBetweenCommands = hasSentCommand && decoder.isEmpty();
+    if (closed || usedAtTicks > ticks || !isIdle() || isBetweenCommands) return;
+    metrics().add(Metric.CLIENTS_MUTE);
+    framingLost = true;
+    if (decoder.isEmpty()) close();
+    else replyLine("-ERR command incomplete");
   }
 
-  private void endsWithin(long time) {
-    listener.scheduler().at(listener.scheduler().now() + time, () -> SocketCloser.closeNow(socket));
+  void closeIfIdle() {
+    if (!closed && isIdle()) linger();
   }
 
-  /** Ends it if it has sent no whole command, or half of one, since long before. */
-  void closeIfMute(long since) {
-    if (closed || usedAt > since || !owed.isEmpty() || spoke && in.isEmpty()) return;
-    listener.counters().add(Metric.CLIENTS_MUTE);
-    broken = true;
-    if (in.isEmpty()) close();
-    else say("-ERR command incomplete");
+  /** Has the requests that wait for a final response get one now. */
+  void abandonRequests() {
+    List.copyOf(pendingReplies).stream().filter(PendingReply::isAwaitingResponse)
+        .forEach(pending -> listener.handler().abandon(pending.request()));
   }
 
-  void closeIfDone() {
-    if (!closed && owed.isEmpty()) linger();
+  /**
+   * Guards, while this node stops, against a connection that ends in front of commands that were
+   * read together with the one just answered: they get their replies too, or their clients would
+   * take them for lost.
+   */
+  private void lingerIfDue() {
+    if (closed || reading || !isIdle()) return;
+    if (framingLost || listener.isClosing() && decoder.isEmpty()) linger();
   }
 
-  void abandon() {
-    List.copyOf(owed).stream().filter(PendingReply::waits)
-        .forEach(pendingReply -> listener.host().abandon(pendingReply.x));
+  private void connectionEnded() {
+    closed = true;
+    listener.connectionEnded(this);
+    for (PendingReply pending : pendingReplies) {
+      if (pending.isAwaitingResponse()) listener.handler().clientDisconnected(pending.request());
+    }
+    pendingReplies.clear();
   }
 
+  // ---- commands
+
   private void read(Buffer more) {
-    if (broken || closed) return;
-    if (in.isEmpty()) usedAt = listener.scheduler().now();
-    in.feed(more);
+    if (framingLost || closed) return;
+    if (decoder.isEmpty()) usedAtTicks = listener.scheduler().now();
+    decoder.feed(more);
     reading = true;
     try {
-      for (RespValue command = in.next(); command != null; command = in.next()) {
-        usedAt = listener.scheduler().now();
-        spoke = true;
-        listener.spoke(this);
-        take(command);
-      }
+      takeCommands();
     } catch (FramingLostException e) {
-      listener.counters().add(Metric.COMMANDS_LOST_FRAMING);
-      broken = true;
-      say("-ERR Protocol error: " + e.what());
+      metrics().add(Metric.COMMANDS_LOST_FRAMING);
+      framingLost = true;
+      replyLine("-ERR Protocol error: " + e.what());
     }
     reading = false;
-    if (broken || owed.size() >= MOST_OWED) socket.pause();
-    endIfDue();
+    if (framingLost || isFull()) socket.pause();
+    lingerIfDue();
+  }
+
+  private void takeCommands() throws FramingLostException {
+    for (RespValue command = decoder.next(); command != null; command = decoder.next()) {
+      usedAtTicks = listener.scheduler().now();
+      hasSentCommand = true;
+      listener.commandReceived(this);
+      take(command);
+    }
   }
 
   private void take(RespValue command) throws FramingLostException {
-    if (!(command instanceof RespValue.Array m))
+    if (!(command instanceof RespValue.Array array))
       throw new FramingLostException("command", "a command is an array");
-    List<RespValue> words = m.elements() == null ? List.of() : m.elements();
-    String verb = !words.isEmpty() && words.get(0) instanceof RespValue.Bulk b ? b.text() : "";
+    List<RespValue> words = array.elements() == null ? List.of() : array.elements();
+    String verb = verb(words);
     if (verb.startsWith(ClientCommandDecoder.VERB_PREFIX)) {
-      serve(words);
+      takeRequest(words);
     } else if (verb.equalsIgnoreCase("PING")) {
-      say(listener.isReady() ? "+PONG" : "-ERR not ready");
+      replyLine(listener.isReady() ? "+PONG" : "-ERR not ready");
     } else if (verb.equalsIgnoreCase("INFO")) {
-      pendingReply()
-          .fill(RespEncoder.bulk(listener.host().figures().getBytes(StandardCharsets.ISO_8859_1)));
+      byte[] text = listener.handler().infoText().getBytes(StandardCharsets.ISO_8859_1);
+      addPendingReply().fill(RespEncoder.bulk(text));
     } else {
-      listener.counters().add(Metric.COMMANDS_UNKNOWN);
-      say("-ERR unknown command");
+      metrics().add(Metric.COMMANDS_UNKNOWN);
+      replyLine("-ERR unknown command");
     }
   }
 
-  private void serve(List<RespValue> words) {
-    ClientRequest req;
+  private static String verb(List<RespValue> words) {
+    return !words.isEmpty() && words.get(0) instanceof RespValue.Bulk verb ? verb.text() : "";
+  }
+
+  private void takeRequest(List<RespValue> words) {
+    ClientRequest request;
     try {
-      req = ClientCommandDecoder.decode(words);
+      request = ClientCommandDecoder.decode(words);
     } catch (MalformedMessageException e) {
-      listener.counters().add(Metric.COMMANDS_MALFORMED);
-      say("-ERR malformed command");
+      metrics().add(Metric.COMMANDS_MALFORMED);
+      replyLine("-ERR malformed command");
       return;
     }
-    PendingReply pendingReply = pendingReply();
-    if (listener.isRefusing()) pendingReply.reject(0);
-    else pendingReply.x = listener.host().arrived(req, pendingReply);
+    PendingReply pending = addPendingReply();
+    if (listener.isRejecting()) pending.reject(0);
+    else pending.awaits(listener.handler().requestArrived(request, pending));
   }
 
-  private PendingReply pendingReply() {
-    PendingReply pendingReply = new PendingReply();
-    owed.add(pendingReply);
-    return pendingReply;
+  // ---- replies
+
+  private PendingReply addPendingReply() {
+    PendingReply pending = new PendingReply(this);
+    pendingReplies.add(pending);
+    return pending;
   }
 
-  private void say(String line) {
-    pendingReply().fill(RespEncoder.line(line));
+  private void replyLine(String line) {
+    addPendingReply().fill(RespEncoder.line(line));
   }
 
-  private void flush() {
+  /** Writes the replies in front that have come; those behind one that is pending wait for it. */
+  void flushReplies() {
     if (closed) return;
-    while (!owed.isEmpty() && owed.peek().answer != null) socket.write(owed.poll().answer);
-    resume();
-    endIfDue();
+    while (!pendingReplies.isEmpty() && pendingReplies.peek().isFilled()) {
+      socket.write(pendingReplies.poll().reply());
+    }
+    resumeReading();
+    lingerIfDue();
   }
 
-  /**
-   * Guards, while this node ends, against commands that were read with the one just answered: they
-   * get their answers too.
-   */
-  private void endIfDue() {
-    if (closed || reading || !owed.isEmpty()) return;
-    if (broken || listener.isClosing() && in.isEmpty()) linger();
+  private boolean isFull() {
+    return pendingReplies.size() >= MAX_PENDING_REPLIES;
   }
 
-  private void resume() {
+  /** Guards against a client that reads no replies, or too few: no more commands are taken. */
+  private void resumeReading() {
     if (closed) return;
-    if (!broken && owed.size() < MOST_OWED && !socket.writeQueueFull()) socket.resume();
-    else if (socket.writeQueueFull()) socket.pause();
-  }
-
-  private void ended() {
-    closed = true;
-    listener.ended(this);
-    for (PendingReply pendingReply : owed) {
-      if (pendingReply.waits()) listener.host().left(pendingReply.x);
-    }
-    owed.clear();
+    boolean writesQueued = socket.writeQueueFull();
+    if (!framingLost && !isFull() && !writesQueued) socket.resume();
+    else if (writesQueued) socket.pause();
   }
 }
--- a/src/main/java/saltlatch/wire/client/ClientListener.java
+++ b/src/main/java/saltlatch/wire/client/ClientListener.java
@@ -6,10 +6,7 @@
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
+import saltlatch.api.Ticks;
 import saltlatch.state.ClientRequest;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
@@ -17,60 +14,66 @@
 import saltlatch.wire.transport.Scheduler;
 import saltlatch.wire.transport.SocketCloser;
 
-/** The server side: clients' connections, their commands in and the answers out. */
+/**
+ * Listens for clients: their commands in, the replies out. Called on the node's event loop; owns
+ * the clients' connections, of which there are {@code maxConnections} at most.
+ */
 public final class ClientListener {
-  /** Whom reqs are handed to. */
+  /** Who handles clients' requests; called on the event loop. */
   public interface Handler {
-    /** Null when the req was answered at once, since it can't be taken. */
-    RequestContext arrived(ClientRequest req, RequestContext.ResponseSink client);
+    /**
+     * A request has come. Its final response goes to {@code client}, now or later.
+     *
+     * @return null if it was answered at once, since it can't be taken
+     */
+    RequestContext requestArrived(ClientRequest request, RequestContext.ResponseSink client);
 
-    void left(RequestContext x);
+    /** The client of a request has closed its connection before the final response. */
+    void clientDisconnected(RequestContext request);
 
-    /** The req gets its final answer now, since this node ends. */
-    void abandon(RequestContext x);
+    /** A request must get its final response now, since this node stops. */
+    void abandon(RequestContext request);
 
-    /** Text for the command INFO. */
-    String figures();
+    /** The text that the command INFO gets. */
+    String infoText();
   }
 
-  // 2 s: a connection with no open req may be closed after that
-  private static final long MUTE = 20_000;
-  // 0.25 s between looks, so that a silent one ends well within 3 s
-  private static final long SWEEP = 2_500;
+  /** After so long a connection without a request in flight may be closed. */
+  private static final long STALE_AFTER_TICKS = 2 * Ticks.PER_SECOND;
+  /** Short enough that a connection without a command ends within 3 s. */
+  private static final long SWEEP_INTERVAL_TICKS = Ticks.PER_SECOND / 4;
+  private static final int BACKLOG_PER_CONNECTION = 16;
 
-  private final Handler host;
-  private final NodeMetrics counters;
+  private final Handler handler;
+  private final NodeMetrics metrics;
   private final NetServer server;
-  private final int mostLinks;
+  private final int maxConnections;
   private final Scheduler scheduler;
-  // no whole command yet, oldest first
-  private final Set<ClientConnection> silent = new LinkedHashSet<>();
-  // the one that spoke last comes last
-  private final Set<ClientConnection> known = new LinkedHashSet<>();
-  // wait for their client's end, for an instant; oldest first
-  private final Set<ClientConnection> ending = new LinkedHashSet<>();
-  private int open; // connections, those that are just ending too
+  private final ClientConnections connections = new ClientConnections();
+  private int openConnections; // until the client's end has come, so more than are in the set
   private boolean ready;
   private boolean closing;
-  private boolean refusing;
+  private boolean rejecting;
 
-  public ClientListener(Vertx vertx, Scheduler scheduler, Handler host, NodeMetrics counters,
-      int mostLinks) {
+  /** Listens once {@link #open} is called. */
+  public ClientListener(Vertx vertx, Scheduler scheduler, Handler handler, NodeMetrics metrics,
+      int maxConnections) {
     this.scheduler = scheduler;
-    this.host = host;
-    this.counters = counters;
-    this.mostLinks = mostLinks;
-    // Guards against a crowd that connects at once: past a short backlog usual clients would be
-    // turned away with it.
+    this.handler = handler;
+    this.metrics = metrics;
+    this.maxConnections = maxConnections;
+    // Guards against many clients that connect at once: past a short backlog the system would drop
+    // the connections of others with theirs, which shows as clients that wait a second to connect.
     server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true)
-        .setAcceptBacklog(16 * mostLinks));
+        .setAcceptBacklog(BACKLOG_PER_CONNECTION * maxConnections));
     server.connectHandler(this::accept);
-    server.exceptionHandler(e -> counters.add(Metric.CLIENTS_BROKEN));
+    server.exceptionHandler(e -> metrics.add(Metric.CLIENTS_BROKEN));
   }
 
-  public Future<?> open(SocketAddress at) {
+  /** Listens at this address; done once connections are accepted, failed if it is taken. */
+  public Future<?> open(SocketAddress address) {
     sweep();
-    return server.listen(at);
+    return server.listen(address);
   }
 
   /** The port in use, which the system chose if it was asked for 0. */
@@ -78,126 +81,117 @@
     return server.actualPort();
   }
 
-  /** From now on PING is answered with PONG. */
+  /** From now on PING is answered with PONG, which has clients counted on this node. */
   public void ready() {
     ready = true;
   }
 
   /**
-   * From now on a connection ends right behind an answer. Guards against a req that crosses the end
-   * of an idle one and is lost with it: whoever has just been answered has not written the next
-   * yet.
+   * From now on a connection ends right behind a reply. Guards against a request that crosses the
+   * end of an idle connection and is lost with it: whoever has just been answered has not sent the
+   * next one yet.
    */
-  public void closeWhenAnswered() {
+  public void closeConnectionsWhenAnswered() {
     closing = true;
   }
 
   /**
-   * Aborts what is still owed and denies what still comes, so that idle connections are all that is
-   * left.
+   * Gives each request in flight its final response, and rejects what still comes, so that idle
+   * connections are all that is left. For the last moment before this node's end.
    */
-  public void refuse() {
-    refusing = true;
-    all().forEach(ClientConnection::abandon);
+  public void failPendingAndRejectNew() {
+    rejecting = true;
+    connections.open().forEach(ClientConnection::abandonRequests);
   }
 
-  public void closeIdle() {
-    all().forEach(ClientConnection::closeIfDone);
+  /** Ends the connections that have no reply pending. */
+  public void closeIdleConnections() {
+    connections.open().forEach(ClientConnection::closeIfIdle);
   }
 
-  /** Clients' connections that are open. */
-  public int links() {
-    return open;
+  /** How many connections of clients are open, those included whose end is on its way. */
+  public int openConnections() {
+    return openConnections;
   }
 
-  boolean isReady() {
-    return ready;
+  /** Whether every request that comes is rejected. */
+  public boolean isRejecting() {
+    return rejecting;
   }
 
-  boolean isClosing() {
-    return closing;
+  private void accept(NetSocket socket) {
+    metrics.add(Metric.CLIENTS_ACCEPTED);
+    if (connections.size() >= maxConnections && !closeLeastNeeded()) {
+      SocketCloser.closeNow(socket);
+      return;
+    }
+    openConnections++;
+    connections.add(new ClientConnection(this, socket));
   }
 
-  public boolean isRefusing() {
-    return refusing;
+  /**
+   * Guards against connections that send nothing, or have sent a request once and stay: they would
+   * use up the limit, and other clients could not connect.
+   */
+  private boolean closeLeastNeeded() {
+    metrics.add(Metric.CLIENTS_OVER_LIMIT);
+    ClientConnection least = connections.leastNeeded(scheduler.now() - STALE_AFTER_TICKS);
+    if (least == null) return false;
+    least.close();
+    return true;
   }
 
-  Handler host() {
-    return host;
+  /**
+   * Guards against connections that send nothing, or half a command and no more, and would stay for
+   * good: by the protocol they are ended within 3 s.
+   */
+  private void sweep() {
+    for (ClientConnection connection : connections.open()) {
+      connection.closeIfIncompleteSince(scheduler.now() - STALE_AFTER_TICKS);
+    }
+    scheduler.at(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
-  NodeMetrics counters() {
-    return counters;
-  }
+  // ---- for the connections
 
-  private List<ClientConnection> all() {
-    List<ClientConnection> all = new ArrayList<>(silent);
-    all.addAll(known);
-    return all;
+  boolean isReady() {
+    return ready;
   }
 
-  Scheduler scheduler() {
-    return scheduler;
+  boolean isClosing() {
+    return closing;
   }
 
-  void spoke(ClientConnection link) {
-    silent.remove(link);
-    known.remove(link);
-    known.add(link);
+  Handler handler() {
+    return handler;
   }
 
-  void ended(ClientConnection link) {
-    open--;
-    gone(link);
+  NodeMetrics metrics() {
+    return metrics;
   }
 
-  void gone(ClientConnection link) {
-    silent.remove(link);
-    known.remove(link);
-    ending.remove(link);
+  Scheduler scheduler() {
+    return scheduler;
   }
 
-  void lingers(ClientConnection link) {
-    gone(link);
-    ending.add(link);
+  /** A whole command has come on this connection. */
+  void commandReceived(ClientConnection connection) {
+    connections.commandReceived(connection);
   }
 
-  /**
-   * Guards against connections that say nothing, or half a command and no more: they are owed an
-   * end within 3 s.
-   */
-  private void sweep() {
-    all().forEach(link -> link.closeIfMute(scheduler.now() - MUTE));
-    scheduler.at(scheduler.now() + SWEEP, this::sweep);
+  /** This side of the connection ends behind its replies. */
+  void lingers(ClientConnection connection) {
+    connections.lingers(connection);
   }
 
-  /**
-   * Guards against clients crowded out by connections that say nothing, or that asked once and
-   * stay: first goes one that is ending anyway; then the one still for longest, if no client can
-   * count on it any more; then the oldest that has said nothing; then one that is idle just now,
-   * whose client may ask again on a new connection.
-   */
-  private ClientConnection leastNeeded() {
-    if (!ending.isEmpty()) return ending.iterator().next();
-    ClientConnection idle = known.stream().filter(ClientConnection::owesNothing).findFirst()
-        .orElse(null);
-    ClientConnection mute = silent.isEmpty() ? null : silent.iterator().next();
-    if (idle != null && idle.usedAt() <= scheduler.now() - MUTE) return idle;
-    return mute != null ? mute : idle;
+  /** This side has closed; the end of the connection itself follows. */
+  void closed(ClientConnection connection) {
+    connections.remove(connection);
   }
 
-  private void accept(NetSocket socket) {
-    counters.add(Metric.CLIENTS_ACCEPTED);
-    if (silent.size() + known.size() + ending.size() >= mostLinks) {
-      counters.add(Metric.CLIENTS_OVER_LIMIT);
-      ClientConnection least = leastNeeded();
-      if (least == null) {
-        SocketCloser.closeNow(socket);
-        return;
-      }
-      least.close();
-    }
-    open++;
-    silent.add(new ClientConnection(this, socket));
+  /** The connection is gone, whichever side ended it. */
+  void connectionEnded(ClientConnection connection) {
+    openConnections--;
+    connections.remove(connection);
   }
 }
--- a/src/main/java/saltlatch/wire/package-info.java
+++ b/src/main/java/saltlatch/wire/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The edge of the node: one package for each partner ({@code client}, {@code appserver},
- * {@code counter}, {@code discovery}, {@code peer}, {@code configuration}), each with the partner's codec and the sockets
- * that carry it, and what they share ({@code resp}, {@code transport}). This package itself holds
- * only the family of errors that all codecs throw.
+ * {@code counter}, {@code discovery}, {@code peer}, {@code configuration}), each with the partner's
+ * codec and the sockets that carry it, and what they share ({@code resp}, {@code transport}). This
+ * package itself holds only the family of errors that all codecs throw.
  *
  * <p>
  * The protocol's own field names are known in the codecs alone, which map them to the names that
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -47,7 +47,8 @@
     scheduler.onLoop(() -> {
       client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(), 50_000,
           100_000, 4);
-      client.locate(SERVER, SocketAddress.inetSocketAddress(appServer.getLocalPort(), "127.0.0.1"));
+      client.setAddress(SERVER,
+          SocketAddress.inetSocketAddress(appServer.getLocalPort(), "127.0.0.1"));
     });
   }
 
@@ -60,18 +61,18 @@
 
   private final class EndRecorder implements AppServerClient.Listener {
     @Override
-    public void ended(RequestContext request, int attempt, int server, AppServerReply reply,
+    public void attemptEnded(RequestContext request, int attempt, int server, AppServerReply reply,
         long elapsedTicks) {
       ends.add("attempt " + attempt + " " + reply.result());
     }
 
     @Override
-    public void probed(int server, AppServerReply reply, long elapsedTicks) {
+    public void healthChecked(int server, AppServerReply reply, long elapsedTicks) {
       ends.add("health check " + reply.result() + " " + reply.loadReport());
     }
 
     @Override
-    public boolean mayBegin(RequestContext request, int attempt) {
+    public boolean mayStartAttempt(RequestContext request, int attempt) {
       return true;
     }
   }
@@ -102,7 +103,7 @@
   void forwardedCommandWithoutBody() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
         + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n");
-    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
         + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n";
     assertEquals(expected, received(expected.length()));
@@ -112,22 +113,22 @@
   void forwardedCommandWithBody() throws Exception {
     RequestContext request = request("*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
         + "$2\r\nid\r\n$39\r\nd=2000,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n");
-    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     String expected = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
         + "$2\r\nid\r\n$38\r\nd=480,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n";
     assertEquals(expected, received(expected.length()));
   }
 
   /**
-   * A connection that takes long to come up uses part of the attempt's time. The app server is told
+   * A connection that takes long to come up uses part of the attempt's time. The app server gets
    * what is left when the command is written: with the whole time it would work on for nobody.
    */
   @Test
-  void forwardedCommandTellsTheTimeLeft() throws Exception {
+  void forwardedCommandGivesTheTimeLeft() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
     scheduler.onLoop(() -> {
-      client.dispatch(request, 0, SERVER, TIMEOUT_TICKS);
+      client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS);
       scheduler.advanceOnLoop(305);
     });
     String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
@@ -137,10 +138,10 @@
 
   /** Never 0: an app server may take that for no limit. */
   @Test
-  void forwardedCommandTellsOneMillisecondAtLeast() throws Exception {
+  void forwardedCommandGivesOneMillisecondAtLeast() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
-    scheduler.onLoop(() -> client.dispatch(request, 0, SERVER, 9));
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, 9));
     String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$11\r\nc=a,t=b,d=1\r\n";
     assertEquals(expected, received(expected.length()));
@@ -149,12 +150,12 @@
   /** A health check, and a command behind it on the same connection: nothing else is written. */
   @Test
   void healthCheckCommand() throws Exception {
-    scheduler.onLoop(() -> client.probe(SERVER, TIMEOUT_TICKS));
+    scheduler.onLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
     String expected = "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
     assertEquals(expected, received(expected.length()));
     reply("$10\r\ninflight=7\r\n", 1);
     scheduler.advance(30);
-    scheduler.onLoop(() -> client.probe(SERVER, TIMEOUT_TICKS));
+    scheduler.onLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
     assertEquals(expected, received(expected.length()));
     reply("-NOPERM\r\n", 2);
     assertEquals(List.of("health check ANSWERED inflight=7", "health check MALFORMED_REPLY "),
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -28,8 +28,8 @@
 @Timeout(60)
 class ClientListenerTest {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
-  private static final String QUERY = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$2\r\n10\r\n"
-      + "$19\r\nc=read,t=plan,d=900\r\n";
+  private static final String QUERY = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+      + "$2\r\n10\r\n$19\r\nc=read,t=plan,d=900\r\n";
   private static final int MOST_CONNECTIONS = 4;
   private static final String INFO_TEXT = "reqs=1\nheld=0\n";
 
@@ -64,12 +64,12 @@
   /** Answers as the test says, and fails what the listener abandons. */
   private final class ScriptedHandler implements ClientListener.Handler {
     @Override
-    public RequestContext arrived(ClientRequest request, ResponseSink client) {
+    public RequestContext requestArrived(ClientRequest request, ResponseSink client) {
       return whenArrived.apply(request, client);
     }
 
     @Override
-    public void left(RequestContext request) {}
+    public void clientDisconnected(RequestContext request) {}
 
     @Override
     public void abandon(RequestContext request) {
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public String figures() {
+    public String infoText() {
       return INFO_TEXT;
     }
   }
@@ -236,7 +236,7 @@
     Socket socket = connect();
     send(socket, QUERY + PING);
     awaitInFlight(1);
-    scheduler.onLoop(() -> listener.refuse());
+    scheduler.onLoop(() -> listener.failPendingAndRejectNew());
     assertEquals("-ERR aborted\r\n+PONG\r\n", receive(socket, 21));
     assertReply("-BUSY\r\n", QUERY);
   }
