--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -1,6 +1,7 @@
 package saltlatch.wire.appserver;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -9,6 +10,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,14 +26,24 @@
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.ManualScheduler;
 
-/** The bytes that an app server gets, on a real connection. */
+/**
+ * The bytes that an app server gets, and how calls end; on real connections, with a clock that the
+ * test moves.
+ */
 @Timeout(60)
 class AppServerClientTest {
   private static final int SERVER = 0;
   private static final long TIMEOUT_TICKS = 4_800;
+  private static final long CONNECT_TIMEOUT_TICKS = 50_000;
+  private static final long IDLE_TIMEOUT_TICKS = 100_000;
+  private static final int MAX_CONNECTIONS = 4;
+  private static final String COMMAND = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
+      + "$2\r\n10\r\n$17\r\nc=a,t=b,d=9000,e=\r\n";
+  private static final String ANSWER = "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n";
 
   private final InFlightRequests requests = new InFlightRequests(1 << 20);
   private final List<String> ends = new ArrayList<>();
+  private boolean mayStart = true;
   private Vertx vertx;
   private ManualScheduler scheduler;
   private ServerSocket appServer;
@@ -45,8 +57,8 @@
     appServer = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     appServer.setSoTimeout(20_000);
     scheduler.onLoop(() -> {
-      client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(), 50_000,
-          100_000, 4);
+      client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(),
+          CONNECT_TIMEOUT_TICKS, IDLE_TIMEOUT_TICKS, MAX_CONNECTIONS);
       client.setAddress(SERVER,
           SocketAddress.inetSocketAddress(appServer.getLocalPort(), "127.0.0.1"));
     });
@@ -73,7 +85,7 @@
 
     @Override
     public boolean mayStartAttempt(RequestContext request, int attempt) {
-      return true;
+      return mayStart;
     }
   }
 
@@ -95,8 +107,26 @@
 
   private void reply(String text, int endsSoFar) throws Exception {
     connection.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    awaitEnds(endsSoFar);
+  }
+
+  private void awaitEnds(int count) throws Exception {
     boolean[] reached = new boolean[1];
-    while (!reached[0]) scheduler.onLoop(() -> reached[0] = ends.size() == endsSoFar);
+    while (!reached[0]) scheduler.onLoop(() -> reached[0] = ends.size() == count);
+  }
+
+  /** A short request, of which an attempt has come whole to the app server. */
+  private RequestContext startedAttempt(long timeoutTicks) throws Exception {
+    RequestContext request = request(COMMAND);
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, timeoutTicks));
+    receivedCommand();
+    return request;
+  }
+
+  /** Reads one forwarded command, which ends in its terms. */
+  private void receivedCommand() throws IOException {
+    StringBuilder command = new StringBuilder();
+    while (!command.toString().endsWith(",e=\r\n")) command.append(received(1));
   }
 
   @Test
@@ -162,4 +192,153 @@
         ends);
     assertEquals("", received(1));
   }
+
+  @Test
+  void answeredAttempt() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    reply(ANSWER, 1);
+    assertEquals(List.of("attempt 0 ANSWERED"), ends);
+  }
+
+  /**
+   * An app server sends a second reply right behind the first. On a connection that is used again
+   * it would be taken for the next request's answer, and that client would get another's value.
+   */
+  @Test
+  void bytesBehindAReplyEndTheConnection() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    reply(ANSWER + ANSWER, 1);
+    assertEquals(List.of("attempt 0 ANSWERED"), ends);
+    assertEquals("", received(1));
+  }
+
+  /**
+   * A second reply may also come a moment later. A connection rests before it is used again, so a
+   * request that comes at once gets a new one, and one that comes later the old one.
+   */
+  @Test
+  void connectionRestsBeforeItIsUsedAgain() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    reply(ANSWER, 1);
+    Socket first = connection;
+    scheduler.advance(29);
+    connection = null;
+    startedAttempt(TIMEOUT_TICKS);
+    Socket second = connection;
+    connection = first;
+    scheduler.advance(1);
+    startedAttempt(TIMEOUT_TICKS);
+    second.close();
+  }
+
+  @Test
+  void timedOutAttemptEndsItsConnection() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    scheduler.advance(TIMEOUT_TICKS - 1);
+    assertEquals(List.of(), ends);
+    scheduler.advance(1);
+    assertEquals(List.of("attempt 0 TIMED_OUT"), ends);
+    assertEquals("", received(1));
+  }
+
+  @Test
+  void timedOutBeforeTheConnectionIsUp() throws Exception {
+    RequestContext request = request(COMMAND);
+    scheduler.onLoop(() -> {
+      client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS);
+      scheduler.advanceOnLoop(TIMEOUT_TICKS);
+    });
+    assertEquals(List.of("attempt 0 TIMED_OUT_UNWRITTEN"), ends);
+    assertEquals("", received(1));
+  }
+
+  /**
+   * A reply gives a wrong length, and its end never comes. Its request would be in flight until the
+   * client's own timeout; it ends after the time that a connection may take to come up.
+   */
+  @Test
+  void replyWithoutItsEnd() throws Exception {
+    startedAttempt(Long.MAX_VALUE / 2);
+    connection.getOutputStream().write("*3\r\n$200\r\nok".getBytes(StandardCharsets.ISO_8859_1));
+    while (ends.isEmpty()) scheduler.advance(CONNECT_TIMEOUT_TICKS);
+    assertEquals(List.of("attempt 0 MALFORMED_REPLY"), ends);
+    assertEquals("", received(1));
+  }
+
+  @Test
+  void cancelledAttemptEndsItsConnection() throws Exception {
+    RequestContext request = startedAttempt(TIMEOUT_TICKS);
+    scheduler.onLoop(() -> client.cancelAttempt(request, 1));
+    assertEquals(List.of(), ends);
+    scheduler.onLoop(() -> client.cancelAttempt(request, 0));
+    assertEquals(List.of("attempt 0 CANCELLED"), ends);
+    assertEquals("", received(1));
+  }
+
+  @Test
+  void lostConnection() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    connection.close();
+    awaitEnds(1);
+    assertEquals(List.of("attempt 0 CONNECTION_LOST"), ends);
+  }
+
+  @Test
+  void refusedConnection() throws Exception {
+    appServer.close();
+    RequestContext request = request(COMMAND);
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    awaitEnds(1);
+    assertEquals(List.of("attempt 0 CONNECT_FAILED"), ends);
+  }
+
+  /**
+   * While a connection comes up, what allowed the attempt can pass: its client has gone away, or
+   * the app server is draining. The policy is asked once more, and nothing is written.
+   */
+  @Test
+  void withdrawnAttemptWritesNothing() throws Exception {
+    mayStart = false;
+    RequestContext request = request(COMMAND);
+    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    assertEquals("", received(1));
+    awaitEnds(1);
+    assertEquals(List.of("attempt 0 WITHDRAWN"), ends);
+  }
+
+  @Test
+  void noConnectionBeyondTheLimit() throws Exception {
+    RequestContext request = request(COMMAND);
+    scheduler.onLoop(() -> {
+      for (int attempt = 0; attempt <= MAX_CONNECTIONS; attempt++) {
+        client.startAttempt(request, attempt, SERVER, TIMEOUT_TICKS);
+      }
+    });
+    assertEquals(List.of("attempt 4 NO_CONNECTION_FREE"), ends);
+  }
+
+  /** Half of the time after which the app server would close it, or 2 s before, if that is later. */
+  @Test
+  void idleConnectionIsClosedBeforeTheAppServerDoes() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    reply(ANSWER, 1);
+    scheduler.advance(IDLE_TIMEOUT_TICKS - 20_000);
+    connection.setSoTimeout(200);
+    assertThrows(SocketTimeoutException.class, () -> received(1));
+    scheduler.advance(5_000);
+    connection.setSoTimeout(20_000);
+    assertEquals("", received(1));
+  }
+
+  /** The number of a server that has left the list goes to another once nothing is in flight. */
+  @Test
+  void serverIsRemovedOnceNothingIsInFlight() throws Exception {
+    startedAttempt(TIMEOUT_TICKS);
+    List<Boolean> removed = new ArrayList<>();
+    scheduler.onLoop(() -> removed.add(client.remove(SERVER)));
+    reply(ANSWER, 1);
+    scheduler.onLoop(() -> removed.add(client.remove(SERVER)));
+    assertEquals(List.of(false, true), removed);
+    assertEquals("", received(1));
+  }
 }
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -24,7 +24,10 @@
 import saltlatch.state.RequestContext.ResponseSink;
 import saltlatch.wire.transport.ManualScheduler;
 
-/** The bytes of every reply that a client can get, on a real connection. */
+/**
+ * The bytes of every reply that a client can get, and which connections are closed; on real
+ * connections, with a clock that the test moves.
+ */
 @Timeout(60)
 class ClientListenerTest {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
@@ -246,6 +249,74 @@
     while (!reached[0]) scheduler.onLoop(() -> reached[0] = requests.size() == count);
   }
 
+  /** A client that has been answered: its connection is known to be accepted. */
+  private Socket answered() throws IOException {
+    Socket socket = connect();
+    ping(socket);
+    return socket;
+  }
+
+  private static void ping(Socket socket) throws IOException {
+    send(socket, PING);
+    assertEquals("+PONG\r\n", receive(socket, 7));
+  }
+
+  /**
+   * Clients send a request each and stay, until the limit is used up: others could not connect. The
+   * connection idle for longest goes.
+   */
+  @Test
+  void newConnectionClosesTheOneIdleForLongest() throws Exception {
+    Socket first = answered();
+    Socket second = answered();
+    Socket third = answered();
+    Socket fourth = answered();
+    scheduler.advance(20_000);
+    ping(first);
+    Socket fifth = answered();
+    assertEquals("", receive(second, 1));
+    for (Socket socket : List.of(first, third, fourth, fifth)) ping(socket);
+  }
+
+  /**
+   * Connections that send nothing use up the limit. The oldest of them goes before one that was
+   * used just now, whose client counts on it.
+   */
+  @Test
+  void newConnectionClosesASilentOneBeforeOneUsedJustNow() throws Exception {
+    Socket first = answered();
+    Socket silent = connect();
+    Socket third = answered();
+    Socket fourth = answered();
+    Socket fifth = answered();
+    assertEquals("", receive(silent, 1));
+    for (Socket socket : List.of(first, third, fourth, fifth)) ping(socket);
+  }
+
+  /** With a reply pending on every connection, the new one goes. */
+  @Test
+  void newConnectionIsClosedWhereAllAreNeeded() throws Exception {
+    List<Socket> pending = new ArrayList<>();
+    for (int i = 0; i < MOST_CONNECTIONS; i++) {
+      pending.add(connect());
+      send(pending.get(i), QUERY);
+    }
+    awaitInFlight(MOST_CONNECTIONS);
+    assertEquals("", receive(connect(), 1));
+    scheduler.onLoop(() -> listener.failPendingAndRejectNew());
+    for (Socket socket : pending) assertEquals("-ERR aborted\r\n", receive(socket, 14));
+  }
+
+  /** By the protocol a connection that sends nothing is ended within 3 s. */
+  @Test
+  void silentConnectionIsClosed() throws Exception {
+    Socket silent = connect();
+    answered();
+    scheduler.advance(19_999);
+    scheduler.advance(5_000);
+    assertEquals("", receive(silent, 1));
+  }
+
   @Test
   void replyToPingBeforeReady() throws Exception {
     ClientListener early = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
