--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -25,6 +25,15 @@
   /** Commands without a reply before reading stops; 4 MB of replies. */
   private static final int MAX_PENDING_REPLIES = 64;
 
+  private static final String PING = "PING";
+  private static final String INFO = "INFO";
+  private static final String PONG = "+PONG";
+  private static final String NOT_READY = "-ERR not ready";
+  private static final String UNKNOWN_COMMAND = "-ERR unknown command";
+  private static final String MALFORMED_COMMAND = "-ERR malformed command";
+  private static final String INCOMPLETE_COMMAND = "-ERR command incomplete";
+  private static final String PROTOCOL_ERROR_PREFIX = "-ERR Protocol error: ";
+
   private final ClientListener listener;
   private final NetSocket socket;
   private final RespDecoder decoder = new RespDecoder();
@@ -81,14 +90,14 @@
     new LingeringClose(socket, listener.scheduler(), framingLost).begin(listener.isRejecting());
   }
 
-  /** Closes if it has sent no whole command, or half of one, since then or before. */
+  /** Closes if, since then or before, it has sent nothing, or half a command and no more. */
   void closeIfIncompleteSince(long ticks) {
     boolean isBetweenCommands = hasSentCommand && decoder.isEmpty();
     if (closed || usedAtTicks > ticks || !isIdle() || isBetweenCommands) return;
     metrics().add(Metric.CLIENTS_MUTE);
     framingLost = true;
     if (decoder.isEmpty()) close();
-    else replyLine("-ERR command incomplete");
+    else replyLine(INCOMPLETE_COMMAND);
   }
 
   void closeIfIdle() {
@@ -132,7 +141,7 @@
     } catch (FramingLostException e) {
       metrics().add(Metric.COMMANDS_LOST_FRAMING);
       framingLost = true;
-      replyLine("-ERR Protocol error: " + e.what());
+      replyLine(PROTOCOL_ERROR_PREFIX + e.what());
     }
     reading = false;
     if (framingLost || isFull()) socket.pause();
@@ -155,14 +164,14 @@
     String verb = verb(words);
     if (verb.startsWith(ClientCommandDecoder.VERB_PREFIX)) {
       takeRequest(words);
-    } else if (verb.equalsIgnoreCase("PING")) {
-      replyLine(listener.isReady() ? "+PONG" : "-ERR not ready");
-    } else if (verb.equalsIgnoreCase("INFO")) {
+    } else if (verb.equalsIgnoreCase(PING)) {
+      replyLine(listener.isReady() ? PONG : NOT_READY);
+    } else if (verb.equalsIgnoreCase(INFO)) {
       byte[] text = listener.handler().infoText().getBytes(StandardCharsets.ISO_8859_1);
       addPendingReply().fill(RespEncoder.bulk(text));
     } else {
       metrics().add(Metric.COMMANDS_UNKNOWN);
-      replyLine("-ERR unknown command");
+      replyLine(UNKNOWN_COMMAND);
     }
   }
 
@@ -176,7 +185,7 @@
       request = ClientCommandDecoder.decode(words);
     } catch (MalformedMessageException e) {
       metrics().add(Metric.COMMANDS_MALFORMED);
-      replyLine("-ERR malformed command");
+      replyLine(MALFORMED_COMMAND);
       return;
     }
     PendingReply pending = addPendingReply();
