--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -317,7 +317,7 @@
     assertEquals(List.of("attempt 4 NO_CONNECTION_FREE"), ends);
   }
 
-  /** Half of the time after which the app server would close it, or 2 s before, if that is later. */
+  /** At half of the app server's idle time, or 2 s before its end, whichever is later. */
   @Test
   void idleConnectionIsClosedBeforeTheAppServerDoes() throws Exception {
     startedAttempt(TIMEOUT_TICKS);
--- a/src/test/java/saltlatch/wire/transport/ManualScheduler.java
+++ b/src/test/java/saltlatch/wire/transport/ManualScheduler.java
@@ -14,6 +14,7 @@
   private final TimerQueue timers = new TimerQueue();
   private long nowTicks = 1_000_000;
 
+  /** The clock starts 100 s after its origin. */
   public ManualScheduler(Context loop) {
     this.loop = loop;
   }
