--- a/src/main/java/saltlatch/state/ClientRequest.java
+++ b/src/main/java/saltlatch/state/ClientRequest.java
@@ -22,18 +22,68 @@
     boolean hasIdempotencyKey, Command command) {
 
   /**
-   * The parts of a command as they came. An app server gets them unchanged but for the client's
-   * timeout, whose value stood between {@code termsBeforeTimeout} and {@code termsAfterTimeout}.
-   *
-   * @param verb               what is asked for
-   * @param customer           the customer's digits
-   * @param id                 the request's id
-   * @param termsBeforeTimeout the list of names and values up to the timeout's value
-   * @param termsAfterTimeout  the same list behind that value
-   * @param body               the request's content; null: it has none
+   * The parts of a command as they came; compared by identity. An app server gets them unchanged
+   * but for the client's timeout, whose value stood between {@code termsBeforeTimeout} and
+   * {@code termsAfterTimeout}.
    */
-  public record Command(byte[] verb, byte[] customer, byte[] id, byte[] termsBeforeTimeout,
-      byte[] termsAfterTimeout, byte[] body) {
+  public static final class Command {
+    private final byte[] verb;
+    private final byte[] customer;
+    private final byte[] id;
+    private final byte[] termsBeforeTimeout;
+    private final byte[] termsAfterTimeout;
+    private final byte[] body;
+
+    /**
+     * Keeps the arrays.
+     *
+     * @param verb               what is asked for
+     * @param customer           the customer's digits
+     * @param id                 the request's id
+     * @param termsBeforeTimeout the list of names and values up to the timeout's value
+     * @param termsAfterTimeout  the same list behind that value
+     * @param body               the request's content; null: it has none
+     */
+    public Command(byte[] verb, byte[] customer, byte[] id, byte[] termsBeforeTimeout,
+        byte[] termsAfterTimeout, byte[] body) {
+      this.verb = verb;
+      this.customer = customer;
+      this.id = id;
+      this.termsBeforeTimeout = termsBeforeTimeout;
+      this.termsAfterTimeout = termsAfterTimeout;
+      this.body = body;
+    }
+
+    /** What is asked for. */
+    public byte[] verb() {
+      return verb;
+    }
+
+    /** The customer's digits. */
+    public byte[] customer() {
+      return customer;
+    }
+
+    /** The request's id. */
+    public byte[] id() {
+      return id;
+    }
+
+    /** The list of names and values up to the timeout's value. */
+    public byte[] termsBeforeTimeout() {
+      return termsBeforeTimeout;
+    }
+
+    /** The list of names and values behind the timeout's value. */
+    public byte[] termsAfterTimeout() {
+      return termsAfterTimeout;
+    }
+
+    /** The request's content; null: it has none. */
+    public byte[] body() {
+      return body;
+    }
+
     /** Bytes that its parts hold in memory, without what the JVM adds. */
     public int sizeBytes() {
       return verb.length + customer.length + id.length + termsBeforeTimeout.length
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -7,17 +7,10 @@
 
 /**
  * How an attempt or a health check at an app server ended, and what its reply said; decoded once,
- * and the only place that knows the words of app servers' replies.
- *
- * @param result           how it ended
- * @param value            the client's answer; only with {@link CallResult#ANSWERED}
- * @param actualUnits      what the request used of the quota; 0: not said
- * @param fleetUtilization 1 + the customer's use over all nodes in the metered period before, as a
- *                         percentage of its rate; 0: not said
- * @param loadReport       figures by name, as {@link NamedFigures} reads them; empty: none came
+ * and the only place that knows the words of app servers' replies. Immutable but for the value's
+ * bytes, which nobody writes to; compared by identity.
  */
-public record AppServerReply(CallResult result, byte[] value, double actualUnits,
-    double fleetUtilization, String loadReport) {
+public final class AppServerReply {
   private static final String ACTUAL_UNITS = "cost";
   private static final String FLEET_UTILIZATION = "used";
   private static final String BUSY = "BUSY";
@@ -27,6 +20,21 @@
   private static final int USE_ELEMENT = 1;
   private static final int LOAD_ELEMENT = 2;
 
+  private final CallResult result;
+  private final byte[] value;
+  private final double actualUnits;
+  private final double fleetUtilization;
+  private final String loadReport;
+
+  private AppServerReply(CallResult result, byte[] value, double actualUnits,
+      double fleetUtilization, String loadReport) {
+    this.result = result;
+    this.value = value;
+    this.actualUnits = actualUnits;
+    this.fleetUtilization = fleetUtilization;
+    this.loadReport = loadReport;
+  }
+
   /**
    * Decodes the reply to an attempt: an array that begins with the value, or an error line. Guards
    * against noise that is taken for an app server's word, {@code BUSY} above all, which says that
@@ -83,4 +91,32 @@
     return elements.size() > position && elements.get(position) instanceof RespValue.Bulk bulk
         ? bulk.text() : "";
   }
+
+  /** How the call ended. */
+  public CallResult result() {
+    return result;
+  }
+
+  /** The client's answer; null but with {@link CallResult#ANSWERED}. */
+  public byte[] value() {
+    return value;
+  }
+
+  /** What the request used of the quota, in units; 0: not said. */
+  public double actualUnits() {
+    return actualUnits;
+  }
+
+  /**
+   * 1 + the customer's use over all nodes in the metered period before, as a percentage of its
+   * rate; 0: not said.
+   */
+  public double fleetUtilization() {
+    return fleetUtilization;
+  }
+
+  /** Figures by name, as {@link NamedFigures} reads them; empty: none came. */
+  public String loadReport() {
+    return loadReport;
+  }
 }
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -117,7 +117,7 @@
    */
   private void lingerIfDue() {
     if (closed || reading || !isIdle()) return;
-    if (framingLost || listener.isClosing() && decoder.isEmpty()) linger();
+    if (framingLost || (listener.isClosing() && decoder.isEmpty())) linger();
   }
 
   private void connectionEnded() {
--- a/src/main/java/saltlatch/wire/resp/NamedFigures.java
+++ b/src/main/java/saltlatch/wire/resp/NamedFigures.java
@@ -12,9 +12,8 @@
 
   /** The figure of that name; 0, which says nothing, if there is none or it is out of range. */
   public static double find(String text, String name) {
-    if (text.isEmpty()) return 0;
     String prefix = name + "=";
-    for (String part : text.split(",")) {
+    for (String part : text.split(",", -1)) {
       if (part.startsWith(prefix))
         return inRange(DecimalFormat.parse(part.substring(prefix.length())));
     }
--- a/src/main/java/saltlatch/wire/resp/RespValue.java
+++ b/src/main/java/saltlatch/wire/resp/RespValue.java
@@ -13,12 +13,20 @@
    */
   record Line(char type, String text) implements RespValue {}
 
-  /**
-   * A string of any bytes.
-   *
-   * @param bytes its content; null: the null bulk string
-   */
-  record Bulk(byte[] bytes) implements RespValue {
+  /** A string of any bytes; compared by identity. */
+  final class Bulk implements RespValue {
+    private final byte[] bytes;
+
+    /** Keeps the array; null: the null bulk string. */
+    public Bulk(byte[] bytes) {
+      this.bytes = bytes;
+    }
+
+    /** Its content; null: the null bulk string. */
+    public byte[] bytes() {
+      return bytes;
+    }
+
     /** Its bytes as a character each; empty for the null bulk string. */
     public String text() {
       return bytes == null ? "" : new String(bytes, StandardCharsets.ISO_8859_1);
--- a/src/main/java/saltlatch/wire/transport/SocketCloser.java
+++ b/src/main/java/saltlatch/wire/transport/SocketCloser.java
@@ -1,6 +1,7 @@
 package saltlatch.wire.transport;
 
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.socket.DuplexChannel;
 import io.vertx.core.internal.net.NetSocketInternal;
@@ -8,7 +9,8 @@
 
 /**
  * Ways to close a connection that Vert.x does not offer: its close waits until all that was written
- * has been taken. Called on the connection's event loop; has no state.
+ * has been taken. Called on the connection's event loop; has no state. How a close itself ends is
+ * not looked at: the connection's end is notified in any case.
  */
 public final class SocketCloser {
   private SocketCloser() {}
@@ -16,8 +18,11 @@
   /** Ends this side's sending alone: what the other side still sends can be read. */
   public static void shutdownOutput(NetSocket socket) {
     Channel channel = context(socket).channel();
-    if (channel instanceof DuplexChannel duplex && channel.isActive()) duplex.shutdownOutput();
-    else closeNow(socket);
+    if (channel instanceof DuplexChannel duplex && channel.isActive()) {
+      ChannelFuture unused = duplex.shutdownOutput();
+    } else {
+      closeNow(socket);
+    }
   }
 
   /**
@@ -27,7 +32,7 @@
    * Vert.x's own handler, the one that waits.
    */
   public static void closeNow(NetSocket socket) {
-    context(socket).close();
+    ChannelFuture unused = context(socket).close();
   }
 
   /**
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -54,7 +54,7 @@
   void start() throws Exception {
     vertx = Vertx.vertx();
     scheduler = new ManualScheduler(vertx.getOrCreateContext());
-    appServer = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    appServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     appServer.setSoTimeout(20_000);
     scheduler.onLoop(() -> {
       client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(),
--- a/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import saltlatch.wire.ProtocolException;
 import saltlatch.wire.resp.NamedFigures;
@@ -18,8 +19,9 @@
         "*3\r\n$2\r\nok\r\n$9\r\ncost=-1e9\r\n$23\r\ninflight=NaN,util=1e999\r\n"}) {
       AppServerReply reply = AppServerReply.ofAttempt(RespText.read(text));
       decoded.append(reply.result().outcome()).append(' ')
-          .append(reply.value() == null ? "-" : new String(reply.value())).append(' ')
-          .append(NamedFigures.find(reply.loadReport(), "inflight")).append(' ')
+          .append(
+              reply.value() == null ? "-" : new String(reply.value(), StandardCharsets.ISO_8859_1))
+          .append(' ').append(NamedFigures.find(reply.loadReport(), "inflight")).append(' ')
           .append(NamedFigures.find(reply.loadReport(), "util")).append('\n');
     }
     assertEquals("""
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -7,6 +7,7 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -86,7 +87,7 @@
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket("127.0.0.1", listener.port());
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), listener.port());
     socket.setSoTimeout(20_000);
     sockets.add(socket);
     return socket;
@@ -324,7 +325,7 @@
     List<Future<?>> open = new ArrayList<>();
     scheduler.onLoop(() -> open.add(early.open(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
     ManualScheduler.await(open.get(0));
-    try (Socket socket = new Socket("127.0.0.1", early.port())) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), early.port())) {
       socket.setSoTimeout(20_000);
       send(socket, PING);
       assertEquals("-ERR not ready\r\n", receive(socket, 16));
--- a/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
+++ b/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
@@ -15,8 +15,8 @@
     RespDecoder decoder = new RespDecoder();
     StringBuilder decoded = new StringBuilder();
     String text = "*3\r\n$2\r\nab\r\n$-1\r\n$4\r\nx=,y\r\n-BUSY\r\n";
-    for (char character : text.toCharArray()) {
-      decoder.feed(Buffer.buffer(String.valueOf(character)));
+    for (int i = 0; i < text.length(); i++) {
+      decoder.feed(Buffer.buffer(text.substring(i, i + 1)));
       RespValue value = decoder.next();
       if (value instanceof RespValue.Array array) {
         decoded.append("array ");
