--- a/src/main/java/saltlatch/policy/QuotaWindow.java
+++ b/src/main/java/saltlatch/policy/QuotaWindow.java
@@ -16,7 +16,7 @@
   final long counterName;
   final long endsAtTicks;
 
-  // The engine
+  // QuotaCharges
   final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
   /** Charged or refunded by this node, carried by no call yet. */
   double uncarriedUnits;
