--- a/src/main/java/saltlatch/cli/HollowCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCommand.java
@@ -1,7 +1,11 @@
 package saltlatch.cli;
 
-import java.io.PrintWriter;
+import java.io.BufferedWriter;
+import java.io.FileDescriptor;
+import java.io.FileOutputStream;
+import java.io.OutputStreamWriter;
 import java.io.Writer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -76,9 +80,7 @@
     List<NodeConfig> configs = IntStream.range(first, first + nodes)
         .mapToObj(number -> new NodeConfig(number, all, discovery, membership, peerPort, 1))
         .toList();
-    try (
-        Writer writer = report == null ? new PrintWriter(System.out)
-            : Files.newBufferedWriter(report);
+    try (Writer writer = report == null ? standardOutput() : Files.newBufferedWriter(report);
         HollowFleet fleet = new HollowFleet(loops, configs)) {
       HollowRun run = new HollowRun(fleet, writer, System.err);
       // The JVM ends once its hooks are done: the hook waits for the report.
@@ -87,4 +89,9 @@
     }
     return 0;
   }
+
+  private static Writer standardOutput() {
+    return new BufferedWriter(
+        new OutputStreamWriter(new FileOutputStream(FileDescriptor.out), StandardCharsets.UTF_8));
+  }
 }
--- a/src/main/java/saltlatch/cli/RelayScaleCommand.java
+++ b/src/main/java/saltlatch/cli/RelayScaleCommand.java
@@ -1,5 +1,6 @@
 package saltlatch.cli;
 
+import java.io.PrintStream;
 import java.io.Writer;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -73,10 +74,11 @@
     Path jar = Path
         .of(RelayScaleCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (out.getParent() != null) Files.createDirectories(out.getParent());
+    PrintStream progress = System.out;
     try (
         Writer writer = Files.newBufferedWriter(out, StandardOpenOption.CREATE,
             StandardOpenOption.APPEND);
-        RelayScale scale = new RelayScale(plan, jar, dir, writer, System.out, commit, repeat)) {
+        RelayScale scale = new RelayScale(plan, jar, dir, writer, progress, commit, repeat)) {
       scale.run(seconds);
     }
   }
--- a/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
+++ b/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
@@ -98,7 +98,7 @@
     }
     Measurement first = repeats.get(0);
     List<String> commits = repeats.stream().map(Measurement::commit).distinct().sorted().toList();
-    return List.of(first.what(), Numbers.show(first.size()) + " " + first.grows(),
+    return List.of(first.what(), Numbers.show((double) first.size()) + " " + first.grows(),
         Integer.toString(repeats.size()), String.join(", ", values), String.join(", ", commits));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/RelayRuns.java
+++ b/src/main/java/saltlatch/lab/capacity/RelayRuns.java
@@ -70,8 +70,8 @@
       boolean enough) {
     String name = Fits.name(series.id(), quantity);
     if (largest == null) return Figure.missing(name);
-    String source = name + " (" + Numbers.inFull(largest.nodes) + " nodes, "
-        + Numbers.inFull(largest.entries) + " app servers)";
+    String source = name + " (" + Numbers.inFull((double) largest.nodes) + " nodes, "
+        + Numbers.inFull((double) largest.entries) + " app servers)";
     if (!enough) return Figure.missing(source);
     List<Double> repeats = told(series, quantity).stream()
         .filter(run -> run.nodes == largest.nodes && run.entries == largest.entries)
--- a/src/main/java/saltlatch/lab/check/Line.java
+++ b/src/main/java/saltlatch/lab/check/Line.java
@@ -41,7 +41,7 @@
       files = found.filter(p -> p.toString().endsWith(".jsonl")).sorted().toList();
     }
     for (Path p : files) {
-      String[] lines = Files.readString(p).split("\n");
+      String[] lines = Files.readString(p).split("\n", 0);
       for (int i = 0; i < lines.length; i++) {
         if (lines[i].isBlank()) continue;
         try {
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The properties that hold from the start; later subsystems add theirs to {@link #ALL}'s like. */
+/** The properties that hold from the start; later subsystems add theirs. */
 public final class Properties {
   private Properties() {}
 
@@ -107,7 +107,7 @@
       List<Violation> out = new ArrayList<>();
       for (Line l : history) {
         if (!l.kind().equals("got")
-            || !l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT"))
+            || (!l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT")))
           continue;
         Line s = sent.get(l.get("id"));
         long from = s == null ? l.monoNs() : s.monoNs();
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -39,7 +39,7 @@
   private long spoilt;
 
   /** One stand-in server, listening on a port of its own. */
-  final class Server {
+  static final class Server {
     final Box box;
     final Set<Conn> conns = new LinkedHashSet<>();
     NetServer net;
--- a/src/main/java/saltlatch/lab/emulator/CounterStub.java
+++ b/src/main/java/saltlatch/lab/emulator/CounterStub.java
@@ -11,6 +11,7 @@
 import java.math.MathContext;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -59,7 +60,7 @@
     double expiresMs;
   }
 
-  private final class Conn {
+  private static final class Conn {
     final NetSocket socket;
     final int group;
     final ArrayDeque<String[]> slots = new ArrayDeque<>();
@@ -81,7 +82,7 @@
     for (Fault f : spec.faults())
       if (f.kind().equals("split")) g = Math.max(g, Math.max(2, f.groups()));
     this.groups = g;
-    for (Fault f : spec.faults()) emptied.add(false);
+    emptied.addAll(Collections.nCopies(spec.faults().size(), false));
   }
 
   Future<Void> start() {
@@ -154,7 +155,7 @@
     bytesIn += line.length() + END_OF_LINE.length();
     String[] slot = new String[1];
     c.slots.addLast(slot);
-    String[] w = line.split(" ");
+    String[] w = line.split(" ", 0);
     if (w.length == 1 && w[0].equals("ping")) {
       answer(c, slot, "pong", now);
       return;
--- a/src/main/java/saltlatch/lab/emulator/LabClock.java
+++ b/src/main/java/saltlatch/lab/emulator/LabClock.java
@@ -8,18 +8,25 @@
   // before a run begins no fault's time has come
   private static final long AHEAD_NS = 3_600_000_000_000L;
 
-  private volatile long startNanos = System.nanoTime();
-  private volatile long startEpochMs = System.currentTimeMillis();
+  private volatile long startNanos;
+  private volatile long startEpochMs;
+
+  /** A clock whose run begins now. */
+  public LabClock() {
+    this(0);
+  }
+
+  private LabClock(long aheadNs) {
+    startNanos = System.nanoTime() + aheadNs;
+    startEpochMs = System.currentTimeMillis() + aheadNs / 1_000_000;
+  }
 
   /**
    * A clock that stands an hour before the run's beginning until {@link #begin()}: nodes may take
    * their time to start.
    */
   public static LabClock waiting() {
-    LabClock c = new LabClock();
-    c.startNanos += AHEAD_NS;
-    c.startEpochMs += AHEAD_NS / 1_000_000;
-    return c;
+    return new LabClock(AHEAD_NS);
   }
 
   /** The run begins now: the load's first moment, from which the faults' times count. */
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -78,7 +78,7 @@
   private Promise<Void> done;
 
   /** One try in flight. */
-  private final class Try {
+  private static final class Try {
     final Arrival a;
     final String id;
     final int node;
@@ -97,7 +97,7 @@
   }
 
   /** A client connection to one node, with its tries in order. */
-  private final class Conn {
+  private static final class Conn {
     final int node;
     final ArrayDeque<Try> queue = new ArrayDeque<>();
     final RespDecoder reader = new RespDecoder();
@@ -341,9 +341,9 @@
     long latency = Math.min(HIGHEST_US, Math.max(0, now - t.dueUs));
     answered.recordValue(latency);
     Outcome o;
-    if (r instanceof RespValue.Bulk b && b.bytes() != null
-        || r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
-            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null) {
+    if ((r instanceof RespValue.Bulk b && b.bytes() != null)
+        || (r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
+            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null)) {
       o = Outcome.PASSED;
       passed.recordValue(latency);
       passedIds.add(t.id);
--- a/src/main/java/saltlatch/lab/load/RunResult.java
+++ b/src/main/java/saltlatch/lab/load/RunResult.java
@@ -13,7 +13,7 @@
     double seconds, int nodes, int servers, long offered, long tries, Map<Outcome, Long> outcomes,
     long deniedWithRetryAfter, long deniedWithRoom, Map<String, Long> latencyUs,
     Map<String, Long> senderLateUs, List<long[]> perSecond, Truth truth, Map<String, Long> emulator,
-    List<Map<String, Long>> nodeCounters, List<Customer> customers, Process process,
+    List<Map<String, Long>> nodeCounters, List<Customer> customers, ProcessUsage process,
     List<Check> checks, List<Fault> faults, Map<String, Long> relayDelayUs, List<String> violations,
     double recoveryS, MemberTimes members) {
 
@@ -39,7 +39,7 @@
   /**
    * CPU seconds and resident MB of the lab's process (nodes in-process share it), and its threads.
    */
-  public record Process(double cpuSeconds, double rssMb, int threads) {}
+  public record ProcessUsage(double cpuSeconds, double rssMb, int threads) {}
 
   /** A pass/fail check of the run and what it saw. */
   public record Check(String name, boolean passed, String detail) {}
--- a/src/main/java/saltlatch/lab/plan/Group.java
+++ b/src/main/java/saltlatch/lab/plan/Group.java
@@ -25,7 +25,7 @@
       }
       if (!word.matches("[ns]\\d{1,4}(-\\d{1,4})?"))
         throw new IllegalArgumentException("group: what is " + word);
-      String[] ends = word.substring(1).split("-");
+      String[] ends = word.substring(1).split("-", 0);
       for (int i = Integer.parseInt(ends[0]); i <= Integer.parseInt(ends[ends.length - 1]); i++) {
         g.names.add(word.charAt(0) + "" + i);
       }
--- a/src/main/java/saltlatch/lab/plan/Links.java
+++ b/src/main/java/saltlatch/lab/plan/Links.java
@@ -18,7 +18,7 @@
 
   private record Rule(LinkFault fault, Group from, Group to) {
     boolean touches(String a, String b) {
-      return from.holds(a) && to.holds(b) || !fault.oneWay() && from.holds(b) && to.holds(a);
+      return (from.holds(a) && to.holds(b)) || (!fault.oneWay() && from.holds(b) && to.holds(a));
     }
   }
 
--- a/src/main/java/saltlatch/lab/plan/Offered.java
+++ b/src/main/java/saltlatch/lab/plan/Offered.java
@@ -41,14 +41,14 @@
       double rate = l.rate() * factor(l.bursts(), t / 1e6);
       t += -Math.log(1 - chance.nextDouble()) / rate * 1e6;
       if (t >= endUs) break;
-      long customer = 1 + pick(cdf, chance.nextDouble());
+      long customer = 1L + pick(cdf, chance.nextDouble());
       boolean submit = chance.nextDouble() < l.submitShare();
       int units = l.unitsMin() + chance.nextInt(l.unitsMax() - l.unitsMin() + 1);
       long deadline = (long) l.deadlineMs();
       long leave = chance.nextDouble() < l.giveUpShare() ? (long) (deadline * 1000 * l.giveUpAt())
           : 0;
       int eager = chance.nextDouble() < l.eagerShare() ? l.eagerTries() : 0;
-      String id = String.format("%016x", s.seed() * 0x9E3779B97F4A7C15L + (++n));
+      String id = String.format("%016x", s.seed() * 0x9E3779B97F4A7C15L + ++n);
       out.add(new Arrival((long) t, customer, id, submit, units, deadline, leave, eager));
     }
     return out;
--- a/src/main/java/saltlatch/lab/rig/ProcessFigures.java
+++ b/src/main/java/saltlatch/lab/rig/ProcessFigures.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -46,7 +47,7 @@
   /** CPU time that the process has used; fails once it is gone. */
   public static Cpu cpu(long pid) throws IOException {
     String stat = Files.readString(PROC.resolve(pid + "/stat"));
-    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+    String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
     long ticks = Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
     Map<Long, Long> threads = new HashMap<>();
     try (DirectoryStream<Path> tasks = Files.newDirectoryStream(PROC.resolve(pid + "/task"))) {
@@ -57,7 +58,7 @@
 
   private static void thread(Path task, Map<Long, Long> into) throws IOException {
     try {
-      String[] used = Files.readString(task.resolve("schedstat")).split(" ");
+      String[] used = Files.readString(task.resolve("schedstat")).split(" ", 0);
       into.put(Long.parseLong(task.getFileName().toString()), Long.parseLong(used[0]));
     } catch (NoSuchFileException e) {
       into.remove(Long.parseLong(task.getFileName().toString())); // it ended meanwhile
@@ -85,7 +86,7 @@
   public static long heldHeapBytes(long pid) throws IOException, InterruptedException {
     Process jcmd = new ProcessBuilder(List.of("jcmd", Long.toString(pid), "GC.class_histogram"))
         .redirectErrorStream(true).start();
-    String text = new String(jcmd.getInputStream().readAllBytes());
+    String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     jcmd.waitFor(1, TimeUnit.MINUTES);
     Matcher total = TOTAL.matcher(text);
     if (!total.find()) throw new IOException("no histogram of process " + pid + ": " + text);
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -13,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -56,7 +57,7 @@
       if (!m.find()) throw new IOException("no run line in " + balancer);
       String tmp = System.getenv().getOrDefault("TMPDIR", "/tmp");
       return new Program(List.of(m.group(1).replaceAll(" -XX:SharedArchiveFile=\\S+", "")
-          .replace("${TMPDIR:-/tmp}", tmp).split(" ")), jar, dir);
+          .replace("${TMPDIR:-/tmp}", tmp).split(" ", 0)), jar, dir);
     }
   }
 
@@ -150,7 +151,7 @@
           if (closed) return;
           act(s.act(), s.nodes());
           for (int n : s.nodes())
-            faults.add("fault", "kind", s.act().name().toLowerCase(), "node", "n" + n);
+            faults.add("fault", "kind", s.act().name().toLowerCase(Locale.ROOT), "node", "n" + n);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -215,7 +216,7 @@
         m.putAll(counters(info.text()));
       }
       long pid = processes.get(i).pid();
-      String[] stat = Files.readString(Path.of("/proc/" + pid + "/stat")).split(" ");
+      String[] stat = Files.readString(Path.of("/proc/" + pid + "/stat")).split(" ", 0);
       // clock ticks of 10 ms
       m.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10);
       for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
@@ -234,7 +235,7 @@
    */
   public static Map<String, Long> counters(String info) {
     Map<String, Long> m = new LinkedHashMap<>();
-    for (String line : info.split("\n")) {
+    for (String line : info.split("\n", 0)) {
       int eq = line.indexOf('=');
       String value = line.substring(eq + 1).trim();
       if (eq > 0 && value.matches("-?[0-9]{1,18}"))
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -133,7 +133,8 @@
           .toCompletableFuture().get(5, TimeUnit.SECONDS);
       Map<String, Long> emu = emulator.figures().toCompletionStage().toCompletableFuture().get(5,
           TimeUnit.SECONDS);
-      RunResult.Process process = new RunResult.Process(cpu, rssMb(), Thread.activeCount());
+      RunResult.ProcessUsage process = new RunResult.ProcessUsage(cpu, rssMb(),
+          Thread.activeCount());
       List<RunResult.Check> checks = checks(truth, load, nodeCounters, !faults.isEmpty());
       if (processes != null) processes.close();
       List<Line> history = dir == null ? List.of() : Line.readAll(dir);
--- a/src/main/java/saltlatch/lab/scale/FleetScale.java
+++ b/src/main/java/saltlatch/lab/scale/FleetScale.java
@@ -137,7 +137,7 @@
     List<Double> times = new ArrayList<>();
     for (int i = 0; i < PROCESSES; i++) {
       String text = Files.readString(report(i));
-      for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n")) {
+      for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n", 0)) {
         JsonObject told = JsonParser.parseString(line).getAsJsonObject();
         if (!told.has("node") || !puts.containsKey(told.get("index").getAsLong())) continue;
         long putAt = puts.get(told.get("index").getAsLong());
--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -191,7 +191,7 @@
       public Datagrams datagrams() throws IOException {
         Datagrams newest = null;
         String text = Files.readString(report);
-        for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n")) {
+        for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n", 0)) {
           JsonObject told = JsonParser.parseString(line).getAsJsonObject();
           if (told.has("sample_nanos"))
             newest = new Datagrams(told.get("datagrams_out").getAsLong(),
--- a/src/main/java/saltlatch/lab/scale/HollowScale.java
+++ b/src/main/java/saltlatch/lab/scale/HollowScale.java
@@ -70,14 +70,15 @@
                 source.address(), "--report", report.toString()),
             bench.dir().resolve("hollow.log"))) {
       double seconds = awaitLists(report, size);
-      Values start = Values.of(Quantity.CPU_MS, ProcessFigures.cpu(process.pid()).processMs())
-          .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, source.sent().bytesOut());
+      Values start = Values
+          .of(Quantity.CPU_MS, (double) ProcessFigures.cpu(process.pid()).processMs())
+          .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut());
       Thread.sleep(SETTLE_MS);
       Readings.Used rest = window(process.pid(), source, 0);
       Readings.Used changes = window(process.pid(), source, CHANGES_PER_SECOND);
       double atRest = rest.cpuMs() / rest.seconds();
-      start.and(Quantity.RSS_BYTES, ProcessFigures.rssBytes(process.pid())).and(Quantity.HEAP_BYTES,
-          ProcessFigures.heldHeapBytes(process.pid()));
+      start.and(Quantity.RSS_BYTES, (double) ProcessFigures.rssBytes(process.pid()))
+          .and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(process.pid()));
       measured.put("hollow.start", start);
       measured.put("hollow.rest", Values.of(Quantity.CPU_MS, atRest));
       measured.put("hollow.change",
--- a/src/main/java/saltlatch/lab/scale/ListScale.java
+++ b/src/main/java/saltlatch/lab/scale/ListScale.java
@@ -67,8 +67,8 @@
       if (start.map().get(Quantity.COUNT) > 0) {
         measured.put("list.change", change(rest, window(nodes.pid(0), source, CHANGES_PER_SECOND)));
       }
-      start.and(Quantity.RSS_BYTES, ProcessFigures.peakRssBytes(nodes.pid(0)));
-      start.and(Quantity.HEAP_BYTES, ProcessFigures.heldHeapBytes(nodes.pid(0)));
+      start.and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(nodes.pid(0)));
+      start.and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(nodes.pid(0)));
     }
     return measured;
   }
@@ -81,9 +81,9 @@
       Thread.sleep(LOOK_MS);
     double seconds = (System.nanoTime() - from) / NANOS;
     Thread.sleep(APPLY_MS);
-    return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(nodes.pid(0)).processMs())
-        .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, source.sent().bytesOut())
-        .and(Quantity.COUNT, lists(nodes));
+    return Values.of(Quantity.CPU_MS, (double) ProcessFigures.cpu(nodes.pid(0)).processMs())
+        .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut())
+        .and(Quantity.COUNT, (double) lists(nodes));
   }
 
   private static long lists(Processes nodes) {
--- a/src/main/java/saltlatch/lab/scale/PlansScale.java
+++ b/src/main/java/saltlatch/lab/scale/PlansScale.java
@@ -72,10 +72,11 @@
       }
       started = Math.max(started, size);
       long pid = nodes.pid(0);
-      return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(pid).processMs())
+      return Values.of(Quantity.CPU_MS, (double) ProcessFigures.cpu(pid).processMs())
           .and(Quantity.SECONDS, (System.nanoTime() - from) / NANOS)
-          .and(Quantity.RSS_BYTES, ProcessFigures.peakRssBytes(pid))
-          .and(Quantity.HEAP_BYTES, ProcessFigures.heldHeapBytes(pid)).and(Quantity.COUNT, 1);
+          .and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(pid))
+          .and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(pid))
+          .and(Quantity.COUNT, 1);
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Slope.java
+++ b/src/main/java/saltlatch/lab/scale/Slope.java
@@ -56,7 +56,7 @@
     LineFit smaller = LineFit.of(all.stream().filter(point -> point.size() < largest).toList());
     double measured = all.stream().filter(point -> point.size() == largest)
         .mapToDouble(LineFit.Point::value).average().orElse(Double.NaN);
-    return new Slope(what, quantity, smaller, LineFit.of(all), largest, smaller.at(largest),
-        measured);
+    return new Slope(what, quantity, smaller, LineFit.of(all), largest,
+        smaller.at((double) largest), measured);
   }
 }
--- a/src/main/java/saltlatch/lab/scale/WatchersScale.java
+++ b/src/main/java/saltlatch/lab/scale/WatchersScale.java
@@ -116,7 +116,7 @@
     measured.put("watchers.rest",
         Values.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
             .and(Quantity.BYTES_OUT, rest.bytes() / rest.seconds())
-            .and(Quantity.RSS_BYTES, ProcessFigures.rssBytes(source.pid())));
+            .and(Quantity.RSS_BYTES, (double) ProcessFigures.rssBytes(source.pid())));
     double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
     double[] times = times(source.puts(), watchers.reads());
     measured.put("watchers.change",
@@ -160,9 +160,9 @@
     }
     double seconds = (System.nanoTime() - from) / NANOS;
     return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(source.pid()).msSince(before))
-        .and(Quantity.BYTES_OUT, sent.bytesOut() - already.bytesOut())
-        .and(Quantity.MESSAGES_OUT, sent.snapshots() - already.snapshots())
+        .and(Quantity.BYTES_OUT, (double) (sent.bytesOut() - already.bytesOut()))
+        .and(Quantity.MESSAGES_OUT, (double) (sent.snapshots() - already.snapshots()))
         .and(Quantity.SECONDS, seconds)
-        .and(Quantity.RSS_BYTES, ProcessFigures.peakRssBytes(source.pid()));
+        .and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(source.pid()));
   }
 }
--- a/src/main/java/saltlatch/lab/tiers/HollowGroup.java
+++ b/src/main/java/saltlatch/lab/tiers/HollowGroup.java
@@ -54,7 +54,7 @@
     if (!process.alive()) throw new IOException("a process of hollow nodes has ended, see " + log);
     List<String> said = Files.readAllLines(log);
     for (int i = said.size() - 1; i >= 0; i--) {
-      String[] words = said.get(i).replace(",", "").split(" ");
+      String[] words = said.get(i).replace(",", "").split(" ", 0);
       if (!words[0].equals("hollow:") || words.length <= INDEX_WORD) continue;
       return words[1].equals(words[3]) && Long.parseLong(words[INDEX_WORD]) >= index;
     }
--- a/src/main/java/saltlatch/lab/tiers/RelayScale.java
+++ b/src/main/java/saltlatch/lab/tiers/RelayScale.java
@@ -171,7 +171,7 @@
     for (Server server : tier) {
       cpu += after.cpuMs.get(server.name()) - before.cpuMs.get(server.name());
       bytes += after.bytes.get(server.name()) - before.bytes.get(server.name());
-      rss = Math.max(rss, server.rssBytes());
+      rss = Math.max(rss, (double) server.rssBytes());
     }
     double each = tier.size() * seconds(before, after);
     write(what, Values.of(Quantity.CPU_MS, cpu / each).and(Quantity.BYTES_OUT, bytes / each)
--- a/src/main/java/saltlatch/relay/Connection.java
+++ b/src/main/java/saltlatch/relay/Connection.java
@@ -36,7 +36,7 @@
    * meets nobody that holds it up.
    */
   void close() {
-    first.close();
+    var unused = first.close();
   }
 
   /** Guards against requests written without end behind a watch or answers that nobody reads. */
--- a/src/main/java/saltlatch/relay/MessageEncoder.java
+++ b/src/main/java/saltlatch/relay/MessageEncoder.java
@@ -10,7 +10,7 @@
  * between its watchers, so that those who come one after the other share it as well.
  */
 final class MessageEncoder {
-  private final Map<Message, EncodedMessage> used = new IdentityHashMap<>();
+  private final IdentityHashMap<Message, EncodedMessage> used = new IdentityHashMap<>();
   private final Map<Message.Kind, EncodedMessage> latest = new EnumMap<>(Message.Kind.class);
   private long encodings;
 
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -174,7 +174,7 @@
     idle.remove(connection);
     HttpServerResponse response = request.response();
     response.endHandler(v -> answered(request.connection()));
-    if (request.method() != HttpMethod.GET) {
+    if (!request.method().equals(HttpMethod.GET)) {
       response.putHeader("allow", "GET").putHeader("connection", "close")
           .setStatusCode(METHOD_NOT_ALLOWED).end();
     } else if (hasBody(request)) {
@@ -197,7 +197,7 @@
 
   private static boolean hasBody(HttpServerRequest request) {
     String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-    return length != null && !length.equals("0")
+    return (length != null && !length.equals("0"))
         || request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
   }
 
--- a/src/test/java/saltlatch/distribution/DecisionTrace.java
+++ b/src/test/java/saltlatch/distribution/DecisionTrace.java
@@ -11,6 +11,7 @@
 import java.util.IdentityHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
@@ -27,7 +28,7 @@
 
   private final StringBuilder played = new StringBuilder();
   private final Map<String, Integer> options = new HashMap<>();
-  private final Map<Message, Integer> numbers = new IdentityHashMap<>();
+  private final IdentityHashMap<Message, Integer> numbers = new IdentityHashMap<>();
   private final Set<Long> stopped = new LinkedHashSet<>();
   private final Deque<Long> taken = new ArrayDeque<>();
   private final Map<Long, Integer> keepAlives = new TreeMap<>();
@@ -49,7 +50,7 @@
   /** What becomes of the events of a trace. */
   static String play(String trace) {
     DecisionTrace player = new DecisionTrace();
-    for (String line : trace.split("\n")) {
+    for (String line : trace.split("\n", 0)) {
       if (!line.contains("-> ")) {
         player.played.append(line).append('\n');
         player.line(line.strip().split(" +"));
@@ -82,7 +83,7 @@
 
   private void limits(String[] words) {
     for (int word = 1; word < words.length; word++) {
-      String[] option = words[word].split("=");
+      String[] option = words[word].split("=", 0);
       options.put(option[0], Integer.parseInt(option[1]));
     }
     Limits limits = new Limits(options.get("watchers"), options.get("entries"), options.get("log"),
@@ -99,7 +100,7 @@
       case "alive" -> distributor.upstreamAlive(number, now);
       case "whole", "changes" -> distributor.upstreamTold(number, update(words), now);
       case "failed" -> distributor.upstreamFailed(number,
-          Distributor.Failure.valueOf(words[3].toUpperCase()), now);
+          Distributor.Failure.valueOf(words[3].toUpperCase(Locale.ROOT)), now);
       case "watcher" -> distributor.watcherOpened(number, version(words[4]), now);
       case "stops" -> stopped.add((long) number);
       case "progressed" -> distributor.watcherProgressed(number, now);
@@ -139,7 +140,7 @@
     String all = status.toString().replaceAll("Version.series=(\\d+), index=(\\d+).", "$1/$2");
     Map<String, String> values = new HashMap<>();
     for (String field : all.substring(all.indexOf('[') + 1, all.length() - 1)
-        .split(", (?=[a-zA-Z]+=)")) {
+        .split(", (?=[a-zA-Z]+=)", 0)) {
       values.put(field.substring(0, field.indexOf('=')), field.substring(field.indexOf('=') + 1));
     }
     List<String> asked = new ArrayList<>();
@@ -150,7 +151,7 @@
   }
 
   private static Version version(String text) {
-    String[] parts = text.split("/");
+    String[] parts = text.split("/", 0);
     return new Version(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
   }
 
@@ -160,7 +161,7 @@
       boolean removed = words[word].endsWith("-");
       String[] parts = removed
           ? new String[] {words[word].substring(0, words[word].length() - 1), ""}
-          : words[word].split("=");
+          : words[word].split("=", 0);
       entries.add(new Entry(parts[0], removed, parts[1]));
     }
     return new Update(version(words[3]), words[1].equals("whole"), entries);
@@ -199,7 +200,7 @@
     String entries = message.entries().stream()
         .map(entry -> entry.name() + (entry.removed() ? "-" : "=" + entry.json()))
         .collect(Collectors.joining(" "));
-    return message.kind().name().toLowerCase() + " #" + numbers.get(message) + " "
+    return message.kind().name().toLowerCase(Locale.ROOT) + " #" + numbers.get(message) + " "
         + text(message.version()) + " [" + entries + "]";
   }
 
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -80,7 +80,7 @@
     Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
     long listBytes = 64
-        + IntStream.range(0, 100).map(number -> entry(number, 0).json().length() + 1).sum();
+        + IntStream.range(0, 100).mapToLong(number -> entry(number, 0).json().length() + 1L).sum();
     for (int watcher = 0; watcher < WATCHERS; watcher++) {
       host.distributor.watcherOpened(watcher, watcher % 3 == 0 ? new Version(6, 5) : Version.NONE,
           host.now);
--- a/src/test/java/saltlatch/distribution/ModelFleet.java
+++ b/src/test/java/saltlatch/distribution/ModelFleet.java
@@ -102,7 +102,7 @@
   final List<ModelRelay> relays = new ArrayList<>();
   final List<Node> watcherNodes = new ArrayList<>();
   final List<ModelWatcher> watchers = new ArrayList<>();
-  private final Map<Message, Whole> lists = new IdentityHashMap<>();
+  private final IdentityHashMap<Message, Whole> lists = new IdentityHashMap<>();
   private final Map<Path, Long> cutUntil = new HashMap<>();
   private long links;
 
--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -172,7 +172,7 @@
 
   private void next(long earliest) {
     long due = Math.max(earliest, distributor.nextTick());
-    if (due == Long.MAX_VALUE || due >= tickAt && tickAt > now()) {
+    if (due == Long.MAX_VALUE || (due >= tickAt && tickAt > now())) {
       return;
     }
     tickAt = due;
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -128,7 +128,7 @@
   void beyondGrowsWithinAnInterval() {
     history.clear();
     for (int s = 0; s < 6; s++) {
-      ms = s * 1000;
+      ms = s * 1000L;
       add("stand-ins", "served", "id", "x" + s, "units", s == 4 ? "9" : "3", "customer", "7");
     }
     // At 1 unit a second and a burst of 2 it stands 1, 3, 5, 7, 15, 17 beyond at seconds 0 to 5.
@@ -140,8 +140,8 @@
   void recoveryIsTheFirstSteadySecond() {
     history.clear();
     for (int s = 0; s < 20; s++) {
-      ms = s * 1000;
-      boolean down = s >= 8 && s < 12 || s == 13;
+      ms = s * 1000L;
+      boolean down = (s >= 8 && s < 12) || s == 13;
       add("clients", "sent", "id", "x" + s, "node", "n0");
       add("clients", "got", "id", "x" + s, "node", "n0", "how", down ? "DENIED" : "PASSED");
     }
--- a/src/test/java/saltlatch/lab/ProcessesIT.java
+++ b/src/test/java/saltlatch/lab/ProcessesIT.java
@@ -93,8 +93,19 @@
    */
   @Test
   void killedAndBackAtOnce() throws Exception {
-    run("[[processes.faults]]\nkind = \"kill\"\nat_s = 4\nnodes = \"n2\"\nrestart = true\nold_config = true\n"
-        + "[old_plan]\nrate = 19\nburst = 70\naim_ms = 1000\ndeadline_ms = 2000\n");
+    run("""
+        [[processes.faults]]
+        kind = "kill"
+        at_s = 4
+        nodes = "n2"
+        restart = true
+        old_config = true
+        [old_plan]
+        rate = 19
+        burst = 70
+        aim_ms = 1000
+        deadline_ms = 2000
+        """);
     assertTrue(Files.readString(dir.resolve("n2.json")).contains("\"refill\":19.0"),
         "not the older configuration");
     List<Line> started = of("n2", "started");
--- a/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
+++ b/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
@@ -7,6 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.io.StringWriter;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -51,8 +52,9 @@
     @Override
     public Map<String, Values> measure(long size, int repeat) {
       measured.add(size);
-      shownBefore.add(table.toString());
-      return Map.of("made.thing", Values.of(Quantity.CPU_MS, size <= 100 ? 5 + 2 * size : 4_010));
+      shownBefore.add(table.toString(StandardCharsets.UTF_8));
+      return Map.of("made.thing",
+          Values.of(Quantity.CPU_MS, (double) (size <= 100 ? 5 + 2 * size : 4_010)));
     }
 
     @Override
@@ -74,7 +76,7 @@
     assertEquals("", test.shownBefore.get(5), "nothing foretold before the smaller sizes are done");
     assertTrue(test.shownBefore.get(6).contains("foretold for 290 things")
         && test.shownBefore.get(6).contains("585"), test.shownBefore.get(6)); // 5 + 2 x 290
-    String shown = table.toString();
+    String shown = table.toString(StandardCharsets.UTF_8);
     assertTrue(shown.contains("4010") && shown.contains("-85 %"), shown); // 585 foretold of 4,010
     List<Measurement> lines = measurements.toString().lines().map(Measurement::parse).toList();
     assertEquals(9, lines.size());
--- a/src/test/java/saltlatch/lab/scale/SourceTest.java
+++ b/src/test/java/saltlatch/lab/scale/SourceTest.java
@@ -99,9 +99,10 @@
     start(77);
     rate(200);
     BufferedReader follower = watch(1);
-    while (next(follower).get("index").getAsLong() < 30) continue;
+    long index = 0;
+    while (index < 30) index = next(follower).get("index").getAsLong();
     rate(0);
-    long index = figures().get("index").getAsLong();
+    index = figures().get("index").getAsLong();
     JsonObject resumed = next(watch(20));
     assertFalse(resumed.get("snapshot").getAsBoolean());
     assertEquals(index, resumed.get("index").getAsLong());
--- a/src/test/java/saltlatch/relay/RelayConfigTest.java
+++ b/src/test/java/saltlatch/relay/RelayConfigTest.java
@@ -67,7 +67,7 @@
     Path bad = Files.writeString(dir.resolve("bad.json"),
         GOOD.replace('\'', '"').replace(":5,", ":-5,"));
     assertEquals(2, run(bad, "limits.watchers"));
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       Path elsewhere = Files.writeString(dir.resolve("taken.json"),
           GOOD.replace('\'', '"').replace("127.0.0.1:7000", "127.0.0.1:" + taken.getLocalPort()));
       assertEquals(3, run(elsewhere, "can't listen on 127.0.0.1:" + taken.getLocalPort()));
--- a/src/test/java/saltlatch/relay/RelayTest.java
+++ b/src/test/java/saltlatch/relay/RelayTest.java
@@ -50,7 +50,7 @@
     upstream.tell(
         changes(6, entry("s-1", "Gone")).replace("\"snapshot\"", "\"series\":77,\"snapshot\""));
     assertEquals("{\"index\":6,\"series\":77,\"snapshot\":false",
-        watcher.list().toString().split(",\"endpoints")[0]);
+        watcher.list().toString().split(",\"endpoints", 0)[0]);
     upstream.reset();
     assertEquals("/api/targets?follow=1&since=6&series=77", upstream.answer());
   }
--- a/src/test/java/saltlatch/relay/TestUpstream.java
+++ b/src/test/java/saltlatch/relay/TestUpstream.java
@@ -20,7 +20,7 @@
   }
 
   TestUpstream(int port) throws IOException {
-    server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
+    server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
     server.setSoTimeout(TestWatcher.WAIT_MS);
   }
 
@@ -41,7 +41,7 @@
     watch.setSoTimeout(TestWatcher.WAIT_MS);
     String request = line(watch.getInputStream());
     for (String header = request; !header.isEmpty();) header = line(watch.getInputStream());
-    return request.split(" ")[1];
+    return request.split(" ", 0)[1];
   }
 
   /** Writes as one chunk. */
--- a/src/test/java/saltlatch/relay/TestWatcher.java
+++ b/src/test/java/saltlatch/relay/TestWatcher.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -23,7 +24,7 @@
   /** Connects; {@code receiveBuffer} 0 leaves the system's own. */
   TestWatcher(int port, int receiveBuffer) throws IOException {
     if (receiveBuffer > 0) socket.setReceiveBufferSize(receiveBuffer);
-    socket.connect(new InetSocketAddress("127.0.0.1", port), WAIT_MS);
+    socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), WAIT_MS);
     socket.setSoTimeout(WAIT_MS);
     in = receiveBuffer > 0 ? socket.getInputStream()
         : new BufferedInputStream(socket.getInputStream());
@@ -84,7 +85,9 @@
    */
   boolean isEnded() throws IOException {
     try {
-      while (in.read() >= 0) continue;
+      while (in.read() >= 0) {
+        // what comes before the end is dropped
+      }
     } catch (java.net.SocketTimeoutException e) {
       return false;
     } catch (IOException e) {
@@ -97,7 +100,9 @@
     opened = true;
     String status = plainLine();
     if (!status.equals("HTTP/1.1 200 OK")) throw new IOException(status);
-    while (!plainLine().isEmpty()) continue;
+    while (!plainLine().isEmpty()) {
+      // headers
+    }
   }
 
   private int bodyByte() throws IOException {
