--- /dev/null
+++ b/src/test/java/saltlatch/policy/ServerListTest.java
@@ -0,0 +1,68 @@
+package saltlatch.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.api.GatewayEvent.EndpointUpdateKind;
+
+class ServerListTest {
+  private final SplittableRandom random = new SplittableRandom(1);
+  private final ServerList servers = new ServerList(new SlowStart(PolicyFixtures.LIMITS, random),
+      new OutlierDetection(), random);
+
+  private List<Long> ids() {
+    List<Long> ids = new ArrayList<>();
+    servers.forEach(server -> ids.add(server.id));
+    return ids;
+  }
+
+  @Test
+  void aSnapshotRemovesWhatItDoesNotName() {
+    servers.update(PolicyFixtures.readyServers(3), 0);
+    assertEquals(3, servers.readyServers());
+    servers.update(PolicyFixtures.readyServers(2), 0);
+    assertEquals(List.of(0L, 1L), ids());
+    assertEquals(2, servers.readyServers());
+  }
+
+  @Test
+  void aDeltaKeepsTheOthers() {
+    servers.update(PolicyFixtures.readyServers(2), 0);
+    servers.update(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.DELTA,
+        List.of(PolicyFixtures.endpoint(0, EndpointState.REMOVED, 1))), 0);
+    assertEquals(List.of(1L), ids());
+  }
+
+  /** A server drains with an attempt in flight: it is kept until the attempt has ended. */
+  @Test
+  void aDrainingServerIsKeptWhileAttemptsAreInFlight() {
+    servers.update(PolicyFixtures.readyServers(1), 0);
+    servers.forEach(server -> server.inFlight = 1);
+    servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(0, EndpointState.DRAINING, 1)),
+        0);
+    assertEquals(List.of(0L), ids());
+    assertEquals(0, servers.readyServers());
+    servers.forEach(server -> {
+      server.inFlight = 0;
+      servers.releaseIfGone(server);
+    });
+    assertEquals(List.of(), ids());
+  }
+
+  /** A server that starts counts by its capacity: a fifth at first. */
+  @Test
+  void startingServersCountInPart() {
+    long startedAt = 1_000;
+    servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(0, EndpointState.READY, 1),
+        new GatewayEvent.Endpoint(1, startedAt, 0, 1, EndpointState.READY, 1, 0)), startedAt);
+    assertEquals(2, servers.readyServers());
+    assertEquals(1.2, servers.effectiveServers(), 1e-9);
+    servers.recount(startedAt + 100_000);
+    assertEquals(2, servers.effectiveServers());
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/policy/WeightedRoundRobinLoadBalancerTest.java
@@ -0,0 +1,85 @@
+package saltlatch.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import saltlatch.api.GatewayEvent.AttemptOutcome;
+import saltlatch.api.GatewayEvent.EndpointState;
+
+class WeightedRoundRobinLoadBalancerTest {
+  private final SplittableRandom random = new SplittableRandom(1);
+  private final SlowStart slowStart = new SlowStart(PolicyFixtures.LIMITS, random);
+  private final OutlierDetection outliers = new OutlierDetection();
+  private final ServerList servers = new ServerList(slowStart, outliers, random);
+  private final WeightedRoundRobinLoadBalancer balancer = new WeightedRoundRobinLoadBalancer(
+      servers, slowStart, outliers);
+
+  private ServerState choose() {
+    return balancer.choose(PolicyFixtures.request(DecisionTrace.IDEMPOTENT), 0);
+  }
+
+  private List<Long> choices(int count) {
+    List<Long> chosen = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      chosen.add(choose().id);
+    }
+    return chosen;
+  }
+
+  private static long countOf(List<Long> chosen, long id) {
+    return chosen.stream().filter(each -> each == id).count();
+  }
+
+  @Test
+  void turnsFollowTheWeights() {
+    servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(1, EndpointState.READY, 1),
+        PolicyFixtures.endpoint(2, EndpointState.READY, 3)), 0);
+    List<Long> chosen = choices(400);
+    assertEquals(100, countOf(chosen, 1), 1);
+    assertEquals(300, countOf(chosen, 2), 1);
+  }
+
+  /** One failure makes a server 11 / 3 times as slow: it gets the square of that less. */
+  @Test
+  void aSlowServerGetsLess() {
+    servers.update(PolicyFixtures.readyServers(2), 0);
+    servers.forEach(server -> {
+      if (server.id == 0) {
+        outliers.recordEnd(new Attempt(server, 0, 100), AttemptOutcome.SERVER_ERROR, 0);
+      }
+    });
+    double part = 1 / (1 + Math.pow(11 / 3.0, 2));
+    assertEquals(1_000 * part, countOf(choices(1_000), 0), 2);
+  }
+
+  /** A server pauses and holds all that is in flight: its turns go to the others. */
+  @Test
+  void aSaturatedServerGivesUpItsTurn() {
+    servers.update(PolicyFixtures.readyServers(3), 0);
+    servers.forEach(server -> server.inFlight = server.id == 1 ? 10 : 0);
+    assertEquals(0, countOf(choices(30), 1));
+  }
+
+  @Test
+  void theSecondAttemptGoesElsewhere() {
+    servers.update(PolicyFixtures.readyServers(2), 0);
+    for (int i = 0; i < 10; i++) {
+      RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
+      request.lastServer = balancer.choose(request, 0);
+      request.attemptCount = 1;
+      assertNotEquals(request.lastServer, balancer.choose(request, 0));
+    }
+  }
+
+  @Test
+  void drainingServersGetNothing() {
+    servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(1, EndpointState.DRAINING, 1)),
+        0);
+    assertNull(choose());
+  }
+}
