--- a/src/main/java/saltlatch/cli/EmulateCommand.java
+++ b/src/main/java/saltlatch/cli/EmulateCommand.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
-import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.scenario.Scenario;
 
 /**
--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltlatch.lab.emulator.LabClock;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.plan.Offered;
 import saltlatch.lab.scenario.Scenario;
--- a/src/main/java/saltlatch/lab/emulator/LabClock.java
+++ b/src/main/java/saltlatch/lab/clock/LabClock.java
@@ -1,4 +1,4 @@
-package saltlatch.lab.emulator;
+package saltlatch.lab.clock;
 
 /**
  * The laboratory's one clock: ms since the run began, from the monotonic clock; epoch ms only for
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Set;
 import saltlatch.history.History;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Box;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.scenario.Scenario;
--- a/src/main/java/saltlatch/lab/emulator/CounterStub.java
+++ b/src/main/java/saltlatch/lab/emulator/CounterStub.java
@@ -15,6 +15,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.lab.scenario.Scenario.Fault;
 
--- a/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
+++ b/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntBinaryOperator;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.lab.scenario.Scenario.Fault;
 
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -15,6 +15,7 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.history.History;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.rig.Relays;
 import saltlatch.lab.scenario.Scenario;
--- a/src/main/java/saltlatch/lab/emulator/PeerRelay.java
+++ b/src/main/java/saltlatch/lab/emulator/PeerRelay.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Links;
 import saltlatch.lab.scenario.Scenario;
 
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import saltlatch.history.History;
-import saltlatch.lab.emulator.LabClock;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
 import saltlatch.lab.scenario.Scenario;
--- a/src/main/java/saltlatch/lab/plan/Links.java
+++ b/src/main/java/saltlatch/lab/plan/Links.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario.LinkFault;
 
 /**
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario.ProcessFault;
 
 /**
--- a/src/main/java/saltlatch/lab/rig/Relays.java
+++ b/src/main/java/saltlatch/lab/rig/Relays.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.HdrHistogram.Histogram;
-import saltlatch.lab.emulator.LabClock;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Links;
 
 /**
--- a/src/main/java/saltlatch/lab/plan/Group.java
+++ b/src/main/java/saltlatch/lab/scenario/Group.java
@@ -1,4 +1,4 @@
-package saltlatch.lab.plan;
+package saltlatch.lab.scenario;
 
 import java.util.Set;
 import java.util.TreeSet;
--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -8,7 +8,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import saltlatch.lab.plan.Group;
 
 /**
  * A laboratory scenario, read from TOML (docs/lab.md gives the format). Times are seconds
--- a/src/test/java/saltlatch/lab/EmulatorTest.java
+++ b/src/test/java/saltlatch/lab/EmulatorTest.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
-import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.scenario.Scenario;
 
 /**
--- a/src/test/java/saltlatch/lab/LabTest.java
+++ b/src/test/java/saltlatch/lab/LabTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import saltlatch.lab.emulator.LabClock;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
