--- a/src/main/java/saltlatch/api/package-info.java
+++ b/src/main/java/saltlatch/api/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The interface between the decisions of a gateway node and their host: events in
- * ({@link saltlatch.api.GatewayEvent}), actions out ({@link saltlatch.api.GatewayActions}), settings
- * at start ({@link saltlatch.api.GatewaySettings}).
+ * ({@link saltlatch.api.GatewayEvent}), actions out ({@link saltlatch.api.GatewayActions}),
+ * settings at start ({@link saltlatch.api.GatewaySettings}).
  *
  * <p>Imports nothing of saltlatch. {@code saltlatch.policy} implements
  * {@link saltlatch.api.GatewayPolicy}; the hosts ({@code saltlatch.node} on sockets,
--- a/src/main/java/saltlatch/policy/AttemptTracker.java
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -4,8 +4,8 @@
 
 /**
  * Counts attempts in flight and hands what each shows to the rules that learn from it:
- * {@link OutlierDetection}, {@link LoadShedding}, {@link SlowStart}, {@link RequestClassStats}. Owns
- * {@link Attempt} and the numbers in flight of servers and customers. Times are in ticks.
+ * {@link OutlierDetection}, {@link LoadShedding}, {@link SlowStart}, {@link RequestClassStats}.
+ * Owns {@link Attempt} and the numbers in flight of servers and customers. Times are in ticks.
  */
 final class AttemptTracker {
   private final ServerList servers;
--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -7,9 +7,9 @@
 import saltlatch.api.Ticks;
 
 /**
- * Whether a request may be sent again, to which app servers, and which final answer is safe. Inputs:
- * the request class's retry safety, what is known of earlier attempts, the number of attempts.
- * Times are in ticks.
+ * Whether a request may be sent again, to which app servers, and which final answer is safe.
+ * Inputs: the request class's retry safety, what is known of earlier attempts, the number of
+ * attempts. Times are in ticks.
  *
  * <p>An idempotent request may always be sent again. One with an idempotency key may while the
  * servers remember the key of its first attempt that may have been executed, and only to servers
