--- a/src/main/java/saltlatch/membership/MembershipTimings.java
+++ b/src/main/java/saltlatch/membership/MembershipTimings.java
@@ -1,138 +1,163 @@
 package saltlatch.membership;
 
+import saltlatch.api.Ticks;
+
 /**
- * What membership runs by, worked out of the settings: the roster's size and the datagrams a second
- * that a node takes in of the others. Times are tenths of a ms. Every promised time is a formula
- * here.
+ * Times of the protocol, and the bounds that it promises, as formulas of the fleet's size.
+ *
+ * <p>Immutable; {@link #of} works it out of the settings. The bounds hold with at most a tenth of
+ * the datagrams lost; docs/member-design.md derives them. Constants that only one rule uses stand
+ * beside that rule.
+ *
+ * @param memberCount members by the configuration, live or not
+ * @param periodTicks time between two probes of a node that is not slow
  */
-public record MembershipTimings(int members, long periodTicks) {
-  // One block of constants, each with its unit and reason.
-  // 0.5 s between a node's probes: a failure is seen within seconds
-  static final long LEAST_PERIOD = 5_000;
-  // others asked to probe what did not answer: one of them lost in a thousand at 10 % loss
-  static final int INDIRECT = 3;
-  // of what a node takes in; the rest is for what nodes tell of quotas
-  static final double INTAKE_PART = 0.5;
-  // datagrams a node takes in a period if every probe needs the others
-  static final int WORST_COST = 2 + 4 * INDIRECT;
-  static final double DIRECT = 0.4; // part of the period that a direct answer is waited for
-  // part of the period after which one asked for help says that it has no answer
-  static final double RELAYED = 0.7;
-  // the local health multiplier's bound, as Lifeguard's evaluation has it
-  static final int HEALTH_MOST = 8;
-  // after an absence: it asks at a third of its pace until two have answered
-  static final int HEALTH_BACK = 2;
-  // periods, times log10 of the fleet: time to hear a refutation
-  static final double SUSPECT_LEAST = 4;
-  // times the least: a suspicion that nobody else confirms waits so long
-  static final double SUSPECT_MOST = 6;
-  static final int CONFIRMED = 3; // others' suspicions that bring the time down to the least
-  // every third period one that is failed or unknown is tried: a healed cut is found
-  static final int RECALL = 3;
-  static final int SPREAD = 4; // times log2 of the fleet that one piece of news is sent on
-  // 50 ms between a node's looks at what is due: a tenth of the least period
-  static final long TICK = 500;
-  // rounds of probes: a member's word outlives two lost probes of it
-  static final int LEASE_ROUNDS = 3;
-  // how far a clock may run fast or slow: a hundredfold of a bad crystal's
-  static final double DRIFT = 0.01;
-  static final int AWAY = 2; // periods without a tick: this node did not run
-  // periods, times log2 of the fleet, in which news reaches all at up to 30 % loss
-  static final int ROUNDS = 3;
+public record MembershipTimings(int memberCount, long periodTicks) {
+  /** A failure is to be seen within seconds: 0.5 s. */
+  static final long MIN_PERIOD_TICKS = Ticks.PER_SECOND / 2;
+
+  /** Proxies asked when a direct probe fails: at 10 % loss all are lost one time in a thousand. */
+  static final int INDIRECT_PROBES = 3;
+
+  /** Others' suspicions that shorten a suspicion to its minimum. */
+  static final int MAX_CONFIRMATIONS = 3;
+
+  /** One probe in so many goes to a member that is failed or unknown, to find a healed split. */
+  static final int RECONNECT_PERIODS = 3;
+
+  /** Part of the datagrams a node takes in; the rest is for gossip of quotas. */
+  private static final double MAX_INTAKE_FRACTION = 0.5;
+
+  /** Datagrams that a node takes in each period if every probe needs proxies. */
+  private static final int MAX_DATAGRAMS_PER_PERIOD = 2 + 4 * INDIRECT_PROBES;
+
+  /** Minimum suspicion in periods, times log10 of the fleet: time enough for a refutation. */
+  private static final double MIN_SUSPICION_PERIODS = 4;
+
+  /** An unconfirmed suspicion lasts so many minimum ones. */
+  private static final double MAX_SUSPICION_FACTOR = 6;
+
+  /** An update is sent so often, times log2 of the fleet. */
+  private static final int RETRANSMIT_FACTOR = 4;
+
+  /** Periods, times log2 of the fleet, in which an update reaches all at up to 30 % loss. */
+  private static final int DISSEMINATION_PERIODS = 3;
+
+  /** A lease outlives two lost probes of the same member. */
+  private static final int LEASE_ROUNDS = 3;
+
+  /** How far a clock may run fast or slow: a hundred times as bad as a poor crystal. */
+  private static final double MAX_CLOCK_DRIFT = 0.01;
+
+  /** After so many periods without a tick, or without a message, something stood still. */
+  private static final int ABSENCE_PERIODS = 2;
+
+  /** Time between two ticks: 50 ms, a tenth of the shortest period. */
+  private static final long TICK_INTERVAL_TICKS = Ticks.PER_SECOND / 20;
 
   /**
-   * {@code intake}: datagrams a second that a node takes in; 0 leaves membership off, which is the
-   * host's to know.
+   * Works out the period.
+   *
+   * @param intakePerSecond datagrams a second that a node takes in of its peers, above 0
    */
-  public static MembershipTimings of(int members, double intake) {
-    return new MembershipTimings(members,
-        Math.max(LEAST_PERIOD, (long) Math.ceil(10_000 * WORST_COST / (INTAKE_PART * intake))));
+  public static MembershipTimings of(int memberCount, double intakePerSecond) {
+    return new MembershipTimings(memberCount, Math.max(MIN_PERIOD_TICKS, (long) Math.ceil(
+        Ticks.PER_SECOND * MAX_DATAGRAMS_PER_PERIOD / (MAX_INTAKE_FRACTION * intakePerSecond))));
   }
 
   private double log2Members() {
-    return Math.log(Math.max(2, members)) / Math.log(2);
+    return Math.log(Math.max(2, memberCount)) / Math.log(2);
   }
 
-  /** How often one piece of news is sent. */
+  /** How often one update is sent. */
   int retransmitLimit() {
-    return (int) Math.ceil(SPREAD * log2Members());
+    return (int) Math.ceil(RETRANSMIT_FACTOR * log2Members());
   }
 
+  /** How long a suspicion lasts that enough others confirm. */
   long minSuspicionTicks() {
-    return (long) (SUSPECT_LEAST * Math.max(1, Math.log10(members)) * periodTicks);
+    return (long) (MIN_SUSPICION_PERIODS * Math.max(1, Math.log10(memberCount)) * periodTicks);
   }
 
+  /** How long a suspicion lasts that nobody confirms. */
   long maxSuspicionTicks() {
-    return (long) (SUSPECT_MOST * minSuspicionTicks());
+    return (long) (MAX_SUSPICION_FACTOR * minSuspicionTicks());
   }
 
-  /** How long a suspicion lasts that so many others confirm, as Lifeguard lets it shrink. */
+  /** How long a suspicion lasts that so many others confirm, by Lifeguard's formula. */
   long suspicionTicks(int confirmations) {
-    double part = Math.log(confirmations + 1) / Math.log(CONFIRMED + 1);
+    double fraction = Math.log(confirmations + 1) / Math.log(MAX_CONFIRMATIONS + 1);
     return Math.max(minSuspicionTicks(), (long) (maxSuspicionTicks()
-        - (maxSuspicionTicks() - minSuspicionTicks()) * Math.min(1, part)));
+        - (maxSuspicionTicks() - minSuspicionTicks()) * Math.min(1, fraction)));
+  }
+
+  /** How long without ticks a node has not run, or without messages it hears nobody. */
+  long absenceTicks() {
+    return ABSENCE_PERIODS * periodTicks;
   }
 
   private long disseminationTicks() {
-    return (long) (ROUNDS * Math.ceil(log2Members()) * periodTicks);
+    return (long) (DISSEMINATION_PERIODS * Math.ceil(log2Members()) * periodTicks);
+  }
+
+  /** Rounds of probes in which the whole fleet meets a member, at most. */
+  private long disseminationRounds() {
+    return DISSEMINATION_PERIODS * (long) Math.ceil(log2Members());
   }
 
   /**
-   * T1: a dead member is failed at every live one that can be reached within this: each of the
-   * others meets it at the latest in the second of two rounds of its probes (of small fleets; in
-   * large ones some other does long before), a suspicion at its longest, and the news' way.
+   * T1, the bound until every live member that can be reached holds a dead one failed: the second
+   * round of probes at the latest (in large fleets some other member's probe comes long before), a
+   * suspicion at its longest, and the update's way.
    */
   public long failureDetectionTicks() {
-    return Math.min(2L * members, ROUNDS * (long) Math.ceil(log2Members())) * periodTicks
-        + maxSuspicionTicks() + disseminationTicks();
+    return Math.min(2L * memberCount, disseminationRounds()) * periodTicks + maxSuspicionTicks()
+        + disseminationTicks();
   }
 
   /**
-   * T2: a live, reachable, running member that is held failed is not so for longer: it is tried
-   * again at the latest when all recalls have gone round, hears of it, and the news makes its way.
+   * T2, the bound on how long a live, reachable, running member is held failed: it is probed again
+   * once all members that are not live have had their turn, hears of it, and refutes it.
    */
   public long falseFailureTicks() {
-    return (long) RECALL * Math.min(members, ROUNDS * (long) Math.ceil(log2Members())) * periodTicks
+    return (long) RECONNECT_PERIODS * Math.min(memberCount, disseminationRounds()) * periodTicks
         + 2 * disseminationTicks();
   }
 
-  /** T3: after a heal all views are equal within this. */
+  /** T3, the bound until all views are equal after a split has healed. */
   public long convergenceTicks() {
     return falseFailureTicks() + maxSuspicionTicks() + 2 * disseminationTicks();
   }
 
-  /** L: how long a direct answer is gone by, counted from the sending of its probe. */
+  /** L, how long a direct answer counts, from the sending of its probe. */
   public long leaseTicks() {
-    return LEASE_ROUNDS * members * periodTicks;
+    return LEASE_ROUNDS * memberCount * periodTicks;
   }
 
   /**
-   * W: how long a majority must have held a member failed before its surplus is taken over, and how
-   * long one that held it so does not vouch for it again: a lease by the slowest clock, measured by
-   * the fastest.
+   * W, a lease by the slowest clock, measured by the fastest: how long a majority must have held a
+   * member failed before its surplus is taken over, and how long a member that held it so does not
+   * vouch for it.
    */
   public long leaseExpiryTicks() {
-    return (long) Math.ceil(leaseTicks() * (1 + 4 * DRIFT));
+    return (long) Math.ceil(leaseTicks() * (1 + 4 * MAX_CLOCK_DRIFT));
   }
 
   /**
-   * After all hold it failed: more than half have been met (in two rounds at the latest), a wait,
-   * and their next round.
+   * The bound until a dead member's surplus is in use again, from when all hold it failed: more
+   * than half are probed (two rounds at most), W, and their next round.
    */
   public long takeoverTicks() {
-    return disseminationTicks() + 4L * members * periodTicks + leaseExpiryTicks();
+    return disseminationTicks() + 4L * memberCount * periodTicks + leaseExpiryTicks();
   }
 
-  /** Between two ticks, which the host is to keep. */
+  /** Time between two ticks, for the host to keep. */
   public static long tickIntervalTicks() {
-    return TICK;
+    return TICK_INTERVAL_TICKS;
   }
 
-  /**
-   * Datagrams a second that a node takes in, at the most in the mean: if every probe of the fleet
-   * needs the others' help.
-   */
+  /** Datagrams a second that a node takes in, in the mean, if every probe needs proxies. */
   public double datagramsPerSecond() {
-    return 10_000.0 * WORST_COST / periodTicks;
+    return (double) Ticks.PER_SECOND * MAX_DATAGRAMS_PER_PERIOD / periodTicks;
   }
 }
--- a/src/main/java/saltlatch/membership/QuotaLeases.java
+++ b/src/main/java/saltlatch/membership/QuotaLeases.java
@@ -3,71 +3,92 @@
 import java.util.Arrays;
 
 /**
- * For how long this node may use its whole share of quotas, and what others left of theirs, by its
- * own clock. Both rest on direct answers to its own probes, counted from when the probe was sent.
- * It holds its surplus while at least half of the roster (itself counted) answered within a lease
- * that they have not held it failed or left for longer than a lease. It takes others' surplus while
- * more than half answered within a lease with its own view, of those failed for longer than a lease
- * without a gap. Any half and any majority share a member, which cannot have said both
- * (docs/member-design.md).
+ * For how long this node may use its whole share of quotas, and what others left of theirs.
+ *
+ * <p>Both rest on direct answers to this node's own probes, counted by its own clock from the sending
+ * of the probe. It keeps its surplus while at least half of the members (itself among them) vouched
+ * for it within a lease. It takes over others' surplus while more than half answered within a lease
+ * with this node's own view of the fleet; of failed members only once they did so for a lease without
+ * a gap. Times are ticks.
+ *
+ * <p>Guards against a quota used twice during a split: the side of a dead member's peers would take
+ * its share over while it lives on the other side. Any half and any majority share a member, and
+ * that member cannot have said both (docs/member-design.md has the proof). Harms a fleet of which
+ * half is dead: the rest cannot distinguish that from a split, and gives its surplus up.
  */
 final class QuotaLeases {
-  private static final long NEVER = -1;
+  private static final long NO_EQUAL_VIEW = -1;
 
-  private final MembershipTimings terms;
-  private final long[] heldUntil; // by member: its word that it holds this node alive runs so long
-  private final long[] sameSince; // its view has been this node's own since; NEVER: it is not
-  private final long[] sameSent; // sending of the last probe that it answered so
+  private final MembershipTimings timings;
+  // all by member
+  private final long[] vouchedUntilTicks;
+  private final long[] equalViewSinceTicks;
+  private final long[] equalViewProbeSentAtTicks;
 
-  QuotaLeases(MembershipTimings terms) {
-    this.terms = terms;
-    heldUntil = new long[terms.members()];
-    sameSince = new long[terms.members()];
-    sameSent = new long[terms.members()];
+  QuotaLeases(MembershipTimings timings) {
+    this.timings = timings;
+    vouchedUntilTicks = new long[timings.memberCount()];
+    equalViewSinceTicks = new long[timings.memberCount()];
+    equalViewProbeSentAtTicks = new long[timings.memberCount()];
     viewChanged();
   }
 
   /** This node's own view has changed: nobody has shared the new one yet. */
   void viewChanged() {
-    Arrays.fill(sameSince, NEVER);
+    Arrays.fill(equalViewSinceTicks, NO_EQUAL_VIEW);
   }
 
   /**
-   * {@code vouches}: it has not held this node failed or left for a lease; {@code same}: its view
-   * is this node's.
+   * Takes in a direct answer.
+   *
+   * @param sentAt    when the probe was sent
+   * @param vouches   the member has not held this node failed or left for a lease
+   * @param equalView its view is this node's
    */
-  void recordAnswer(long now, int by, long sentAt, boolean vouches, boolean same) {
-    if (vouches) heldUntil[by] = Math.max(heldUntil[by], sentAt + terms.leaseTicks());
-    if (!same) {
-      sameSince[by] = NEVER;
+  void recordAnswer(long now, int member, long sentAt, boolean vouches, boolean equalView) {
+    if (vouches) {
+      vouchedUntilTicks[member] = Math.max(vouchedUntilTicks[member],
+          sentAt + timings.leaseTicks());
+    }
+    if (!equalView) {
+      equalViewSinceTicks[member] = NO_EQUAL_VIEW;
       return;
     }
-    if (sameSince[by] == NEVER || now - sameSent[by] > terms.leaseTicks()) sameSince[by] = now;
-    sameSent[by] = sentAt;
+    boolean gap = now - equalViewProbeSentAtTicks[member] > timings.leaseTicks();
+    if (equalViewSinceTicks[member] == NO_EQUAL_VIEW || gap) {
+      equalViewSinceTicks[member] = now;
+    }
+    equalViewProbeSentAtTicks[member] = sentAt;
   }
 
-  /** Until when this node holds its surplus if nothing more is heard. */
+  /** Until when this node keeps its surplus if nothing more is received. */
   long leaseUntilTicks() {
-    return least(heldUntil.clone(), (terms.members() + 1) / 2 - 1);
+    return untilSoMany(vouchedUntilTicks.clone(), (timings.memberCount() + 1) / 2 - 1);
   }
 
   /**
-   * Until when it takes the surplus of those that left, or with {@code wait} also of those that
-   * failed; 0: not at all.
+   * Until when this node takes over surplus if nothing more is received; 0: not at all.
+   *
+   * @param minEqualTicks how long a majority must have shared this node's view: 0 for the surplus of
+   *                      members that left, W for that of failed ones
    */
-  long takeoverUntilTicks(long now, long wait) {
-    long[] until = new long[terms.members()];
-    for (int i = 0; i < until.length; i++) {
-      if (sameSince[i] != NEVER && now - sameSince[i] >= wait)
-        until[i] = sameSent[i] + terms.leaseTicks();
+  long takeoverUntilTicks(long now, long minEqualTicks) {
+    long[] until = new long[timings.memberCount()];
+    for (int member = 0; member < until.length; member++) {
+      if (equalViewSinceTicks[member] != NO_EQUAL_VIEW
+          && now - equalViewSinceTicks[member] >= minEqualTicks) {
+        until[member] = equalViewProbeSentAtTicks[member] + timings.leaseTicks();
+      }
     }
-    return least(until, terms.members() / 2);
+    return untilSoMany(until, timings.memberCount() / 2);
   }
 
-  /** The least of the {@code others} greatest: until then so many words hold. */
-  private static long least(long[] until, int others) {
-    if (others <= 0) return Long.MAX_VALUE;
+  /** Until when at least so many of the members' times run. */
+  private static long untilSoMany(long[] until, int members) {
+    if (members <= 0) {
+      return Long.MAX_VALUE;
+    }
     Arrays.sort(until);
-    return until[until.length - others];
+    return until[until.length - members];
   }
 }
--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -6,144 +6,176 @@
 import saltlatch.api.GossipMessage;
 
 /**
- * Which part of a quota this node may go by while the counter is silent. Shares are parts of the
- * quota in service; a customer's are divided by its set of nodes, so many of the roster from a
- * first one on, whoever lives. A member's even share is its floor, which is never another's, and
- * its surplus, which it gives up by its own clock once it is not sure of the fleet any more, and
- * which the others take over only after that (Leases tells when). Where nodes tell each other what
- * they pass, those that hear exactly each other go by the sum of their shares, and nobody belongs
- * to two such pools. No I/O, no clock of its own; docs/member-design.md has the proof.
+ * Which part of a quota this node may use while the counter is silent.
+ *
+ * <p>A customer's quota is divided evenly by its set of nodes: {@code setWidth} members from {@code
+ * firstNode} on, whoever lives. Of an even share a fixed part is the floor, which no other member
+ * ever uses; the rest is the surplus, which a member gives up by its own clock when its lease runs
+ * out, and which others take over only later ({@link QuotaLeases}). Where nodes gossip, those that
+ * reach exactly each other form a pool and use the sum of their shares.
+ *
+ * <p>Invariant: the parts of a quota in use by all nodes never sum above one, but for the time that
+ * a pool takes to notice a split. Shares are parts of a quota, 0 to 1; times are ticks. No I/O and
+ * no clock; the policy's one thread calls it. docs/member-design.md has the proof.
  */
 public final class QuotaShares {
-  // of an even share: one cut off serves a little, the dead strand no more than that
+  /** A node cut off serves a little, and a dead one strands no more than that. */
   static final double FLOOR_FRACTION = 0.25;
 
-  private final int me;
-  private final int nodes;
-  private final long[] heardAt; // by member; 0: never
-  private final GossipMessage.Reachability[] recordGossip; // what each said last of whom it hears
+  private final int ownIndex;
+  private final int memberCount;
+  // by member
+  private final long[] receivedAtTicks; // of its last gossip; 0: none came
+  private final GossipMessage.Reachability[] reachability; // what it said last; null: nothing
   private MembershipChanged view;
 
-  public QuotaShares(int me, int nodes) {
-    this.me = me;
-    this.nodes = nodes;
-    heardAt = new long[nodes];
-    recordGossip = new GossipMessage.Reachability[nodes];
+  /** Shares of a fleet; {@link #update} must come before any other call. */
+  public QuotaShares(int ownIndex, int memberCount) {
+    this.ownIndex = ownIndex;
+    this.memberCount = memberCount;
+    receivedAtTicks = new long[memberCount];
+    reachability = new GossipMessage.Reachability[memberCount];
   }
 
-  public void update(MembershipChanged m) {
-    view = m;
+  /** Takes in what membership knows of the fleet. */
+  public void update(MembershipChanged event) {
+    view = event;
   }
 
-  /** Nodes that what all may do together is divided by. */
+  /** Nodes by which what all may do together is divided. */
   public int divisorNodes() {
     return view.nodeCount();
   }
 
-  /** Whether it is worth telling that member anything. */
+  /** Whether a member is live, so that gossip may reach it. */
   public boolean isLive(int member) {
     return view.states().get(member) == MemberState.LIVE;
   }
 
-  private boolean holds(long now) {
+  private boolean holdsLease(long now) {
     return now < view.leaseUntilTicks();
   }
 
-  private boolean takes(long now) {
-    return holds(now) && now < view.takeoverUntilTicks();
+  private boolean holdsTakeover(long now) {
+    return holdsLease(now) && now < view.takeoverUntilTicks();
   }
 
-  /**
-   * This node's own part of the quota of a customer whose set is {@code width} nodes from
-   * {@code first} on.
-   */
-  public double ownShare(long now, int first, int width) {
-    if (!inSet(me, first, width)) return 0;
-    return part(holds(now), takes(now) ? taken(first, width) : 0, width);
+  /** This node's own part of a customer's quota; 0 if it isn't of the customer's set. */
+  public double ownShare(long now, int firstNode, int setWidth) {
+    if (!inSet(ownIndex, firstNode, setWidth)) {
+      return 0;
+    }
+    double surplus = holdsTakeover(now) ? takenSurplus(firstNode, setWidth) : 0;
+    return share(holdsLease(now), surplus, setWidth);
   }
 
-  private static double part(boolean holds, double taken, int width) {
-    return ((holds ? 1 : FLOOR_FRACTION) + taken) / width;
+  private static double share(boolean holdsLease, double takenSurplus, int setWidth) {
+    return ((holdsLease ? 1 : FLOOR_FRACTION) + takenSurplus) / setWidth;
   }
 
-  private boolean inSet(int member, int first, int width) {
-    return Math.floorMod(member - first, nodes) < width;
+  private boolean inSet(int member, int firstNode, int setWidth) {
+    return Math.floorMod(member - firstNode, memberCount) < setWidth;
   }
 
-  /**
-   * Of an even share, what each live member of the set has besides its own: the surplus of those
-   * that are gone.
-   */
-  private double taken(int first, int width) {
-    int live = 0;
-    int gone = 0;
-    for (int i = 0; i < Math.min(width, nodes); i++) {
-      MemberState life = view.states().get((first + i) % nodes);
-      live += life == MemberState.LIVE ? 1 : 0;
-      gone += life == MemberState.TAKEN_OVER ? 1 : 0;
-    }
-    return live == 0 ? 0 : (1 - FLOOR_FRACTION) * gone / live;
+  private int memberOfSet(int firstNode, int place) {
+    return (firstNode + place) % memberCount;
   }
 
-  /** A peer was heard; {@code hearing} null: it is from before, and does not say whom it hears. */
-  public void recordGossip(long now, int from, GossipMessage.Reachability hearing) {
-    heardAt[from] = now;
-    recordGossip[from] = hearing;
+  /** What each live member of the set takes over of those that are gone, in even shares. */
+  private double takenSurplus(int firstNode, int setWidth) {
+    int live = 0;
+    int takenOver = 0;
+    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
+      MemberState state = view.states().get(memberOfSet(firstNode, place));
+      live += state == MemberState.LIVE ? 1 : 0;
+      takenOver += state == MemberState.TAKEN_OVER ? 1 : 0;
+    }
+    return live == 0 ? 0 : (1 - FLOOR_FRACTION) * takenOver / live;
   }
 
-  /** Whom this node hears: itself and who was heard within that time. */
-  private BitSet hears(long now, long within) {
-    BitSet all = new BitSet(nodes);
-    all.set(me);
-    for (int i = 0; i < nodes; i++) if (heardAt[i] > 0 && now - heardAt[i] <= within) all.set(i);
-    return all;
+  /**
+   * Takes in a peer's gossip.
+   *
+   * @param sent null from a version of the software that does not say whom it reaches
+   */
+  public void recordGossip(long now, int sender, GossipMessage.Reachability sent) {
+    receivedAtTicks[sender] = now;
+    reachability[sender] = sent;
+  }
+
+  /** This node and those whose gossip came lately. */
+  private BitSet reachableNodes(long now, long validityTicks) {
+    BitSet reachable = new BitSet(memberCount);
+    reachable.set(ownIndex);
+    for (int member = 0; member < memberCount; member++) {
+      if (receivedAtTicks[member] > 0 && now - receivedAtTicks[member] <= validityTicks) {
+        reachable.set(member);
+      }
+    }
+    return reachable;
   }
 
-  /** What this node says of whom it hears; null in a fleet too large for that. */
-  public GossipMessage.Reachability reachability(long now, long within) {
-    return nodes > GossipMessage.MAX_NODES_WITH_REACHABILITY ? null
-        : new GossipMessage.Reachability(hears(now, within), holds(now), takes(now));
+  /**
+   * What this node's gossip says of whom it reaches; null in a fleet too large for that.
+   *
+   * @param validityTicks for how long a peer's gossip shows that it is reachable
+   */
+  public GossipMessage.Reachability reachability(long now, long validityTicks) {
+    return memberCount > GossipMessage.MAX_NODES_WITH_REACHABILITY ? null
+        : new GossipMessage.Reachability(reachableNodes(now, validityTicks), holdsLease(now),
+            holdsTakeover(now));
   }
 
   /**
-   * The part of a quota that those of the customer's set go by who hear exactly each other; at
-   * least this node's own. Equal sets of whom they hear make it a partition: no share is lent to
-   * two sides, whatever links are cut.
+   * The part of a quota that this node's pool may use: the sum of the shares of those members of the
+   * set that reach exactly each other; at least this node's own.
+   *
+   * <p>Guards against a share lent to two sides of a split: equal sets of reachable nodes are a
+   * partition, so a member that bridges the sides belongs to neither pool.
    */
-  public double pooledShare(long now, long within, int first, int width) {
-    if (!inSet(me, first, width)) return 0;
-    BitSet mine = hears(now, within);
-    double taken = takes(now) ? taken(first, width) : 0;
-    double sum = part(holds(now), taken, width);
-    for (int i = 0; i < Math.min(width, nodes); i++) {
-      int member = (first + i) % nodes;
-      if (member == me || !mine.get(member) || recordGossip[member] == null) continue;
-      if (same(mine, recordGossip[member].reachableNodes(), first, width)) {
-        sum += part(recordGossip[member].holdsLease(),
-            recordGossip[member].holdsTakeover() ? taken : 0, width);
+  public double pooledShare(long now, long validityTicks, int firstNode, int setWidth) {
+    if (!inSet(ownIndex, firstNode, setWidth)) {
+      return 0;
+    }
+    BitSet reachable = reachableNodes(now, validityTicks);
+    double surplus = holdsTakeover(now) ? takenSurplus(firstNode, setWidth) : 0;
+    double sum = share(holdsLease(now), surplus, setWidth);
+    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
+      int member = memberOfSet(firstNode, place);
+      GossipMessage.Reachability sent = reachability[member];
+      if (member != ownIndex && reachable.get(member) && sent != null
+          && equalInSet(reachable, sent.reachableNodes(), firstNode, setWidth)) {
+        sum += share(sent.holdsLease(), sent.holdsTakeover() ? surplus : 0, setWidth);
       }
     }
     return Math.min(1, sum);
   }
 
-  /**
-   * Members of the set that still count as heard, but whose last word is older than {@code late}.
-   */
-  public int overdueNodes(long now, long late, long within, int first, int width) {
-    int silent = 0;
-    for (int i = 0; i < Math.min(width, nodes); i++) {
-      int member = (first + i) % nodes;
-      long since = now - heardAt[member];
-      silent += member != me && heardAt[member] > 0 && since > late && since <= within ? 1 : 0;
+  private boolean equalInSet(BitSet some, BitSet others, int firstNode, int setWidth) {
+    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
+      int member = memberOfSet(firstNode, place);
+      if (some.get(member) != others.get(member)) {
+        return false;
+      }
     }
-    return silent;
+    return true;
   }
 
-  private boolean same(BitSet a, BitSet b, int first, int width) {
-    for (int i = 0; i < Math.min(width, nodes); i++) {
-      int member = (first + i) % nodes;
-      if (a.get(member) != b.get(member)) return false;
+  /**
+   * Members of the set that still count as reachable, but whose last gossip is overdue.
+   *
+   * @param overdueTicks  age above which gossip is overdue
+   * @param validityTicks age above which the member does not count as reachable any more
+   */
+  public int overdueNodes(long now, long overdueTicks, long validityTicks, int firstNode,
+      int setWidth) {
+    int overdue = 0;
+    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
+      int member = memberOfSet(firstNode, place);
+      long ageTicks = now - receivedAtTicks[member];
+      boolean received = member != ownIndex && receivedAtTicks[member] > 0;
+      overdue += received && ageTicks > overdueTicks && ageTicks <= validityTicks ? 1 : 0;
     }
-    return true;
+    return overdue;
   }
 }
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -43,7 +43,7 @@
     terms = MembershipTimings.of(configuration.site().nodeCount(),
         configuration.site().peers().datagramsPerSecond());
     long now = scheduler.now();
-    shares = new QuotaShares(configuration.site().peers().ownIndex(), terms.members());
+    shares = new QuotaShares(configuration.site().peers().ownIndex(), terms.memberCount());
     membership = new Membership(terms, configuration.site().peers().ownIndex(), now / SECOND,
         configuration.site().seed(), now, this);
     look();
@@ -91,7 +91,7 @@
     if (is == standing) return;
     standing = is;
     LOG.info("standing {}, {} of {} members live", is.infoName(), membership.liveCount(),
-        terms.members());
+        terms.memberCount());
     if (history != null) {
       history.add("standing", "is", is.infoName(), "live", membership.liveCount(), "view",
           membership.version());
@@ -106,9 +106,10 @@
     if (!is.equals(share)) LOG.info("share {}", is);
     if (history != null && (changed || !is.equals(share))) {
       long now = scheduler.now();
-      history.add("share", "is", is, "part", shares.ownShare(now, 0, terms.members()), "whole",
-          1.0 / terms.members(), "floor", shares.ownShare(Long.MAX_VALUE, 0, terms.members()),
-          "holds_ms", left(told.leaseUntilTicks()), "takes_ms", left(told.takeoverUntilTicks()));
+      history.add("share", "is", is, "part", shares.ownShare(now, 0, terms.memberCount()), "whole",
+          1.0 / terms.memberCount(), "floor",
+          shares.ownShare(Long.MAX_VALUE, 0, terms.memberCount()), "holds_ms",
+          left(told.leaseUntilTicks()), "takes_ms", left(told.takeoverUntilTicks()));
     }
     share = is;
   }
@@ -130,7 +131,7 @@
         + terms.falseFailureTicks() / 10 + "\nmembers_t3_ms=" + terms.convergenceTicks() / 10
         + "\nmembers_lease_ms=" + terms.leaseTicks() / 10 + "\nmembers_takeover_ms="
         + (terms.failureDetectionTicks() + terms.takeoverTicks()) / 10 + "\nmembers_b="
-        + (terms.members() - 1) + "\nmembers_d_ms=" + heardWithin / 10 + "\n";
+        + (terms.memberCount() - 1) + "\nmembers_d_ms=" + heardWithin / 10 + "\n";
   }
 
   // ---- what membership wants
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -3,7 +3,6 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import saltlatch.membership.Membership;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipMessage.Kind;
 import saltlatch.membership.MembershipMessage.MemberUpdate;
@@ -28,7 +27,7 @@
 
   public static byte[] encode(MembershipMessage m) {
     int n = Math.min(m.updates().size(),
-        Math.min(Membership.MAX_UPDATES_PER_MESSAGE, (LONGEST - HEAD) / NEWS));
+        Math.min(MembershipMessage.MAX_UPDATES, (LONGEST - HEAD) / NEWS));
     ByteBuffer b = ByteBuffer.allocate(HEAD + n * NEWS);
     b.put(FIRST).put(VERSION)
         .put((byte) (m.kind().ordinal() | (m.vouchesForReceiver() ? VOUCHES : 0))).putInt(0)
--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -95,7 +95,7 @@
               falseFailures++;
           }
         });
-    shares[i] = new QuotaShares(i, terms.members());
+    shares[i] = new QuotaShares(i, terms.memberCount());
     shares[i].update(self[0].membershipEvent());
     tick(i, self[0]);
   }
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -338,7 +338,7 @@
     assertTrue(MembershipCodec.decode(noise) == null);
     SplittableRandom chance = new SplittableRandom(seed);
     List<MemberUpdate> news = new ArrayList<>();
-    for (int i = chance.nextInt(Membership.MAX_UPDATES_PER_MESSAGE + 1); i > 0; i--) {
+    for (int i = chance.nextInt(MembershipMessage.MAX_UPDATES + 1); i > 0; i--) {
       news.add(new MemberUpdate(chance.nextInt(65_536), State.values()[chance.nextInt(5)],
           chance.nextLong(1L << 32), chance.nextInt(65_536)));
     }
