--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -18,11 +18,13 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import saltlatch.history.History;
-import saltlatch.lab.emulator.LabClock;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
 import saltlatch.lab.scenario.Scenario;
+import saltlatch.wire.FramingLostException;
 import saltlatch.wire.resp.RespDecoder;
+import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
 
 /**
@@ -78,7 +80,7 @@
   private Promise<Void> done;
 
   /** One try in flight. */
-  private final class Try {
+  private static final class Try {
     final Arrival a;
     final String id;
     final int node;
@@ -97,7 +99,7 @@
   }
 
   /** A client connection to one node, with its tries in order. */
-  private final class Conn {
+  private static final class Conn {
     final int node;
     final ArrayDeque<Try> queue = new ArrayDeque<>();
     final RespDecoder reader = new RespDecoder();
@@ -271,7 +273,7 @@
         String.format("%016x", a.customer()), t.id, terms));
     if (a.submit()) words.add("progress-save");
     Buffer b = Buffer.buffer().appendString("*" + words.size() + "\r\n");
-    for (String w : words) RespValue.bulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
+    for (String w : words) RespEncoder.appendBulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
     if (history != null) {
       history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units",
           a.units(), "submit", a.submit(), "wait_ms", a.deadlineMs());
@@ -330,7 +332,7 @@
         if (t == null) continue;
         answered(t, r);
       }
-    } catch (RespDecoder.RespFramingException e) {
+    } catch (FramingLostException e) {
       c.socket.close();
     }
   }
@@ -341,9 +343,9 @@
     long latency = Math.min(HIGHEST_US, Math.max(0, now - t.dueUs));
     answered.recordValue(latency);
     Outcome o;
-    if (r instanceof RespValue.Bulk b && b.bytes() != null
-        || r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
-            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null) {
+    if ((r instanceof RespValue.Bulk b && b.bytes() != null)
+        || (r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
+            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null)) {
       o = Outcome.PASSED;
       passed.recordValue(latency);
       passedIds.add(t.id);
--- a/src/main/java/saltlatch/lab/plan/Links.java
+++ b/src/main/java/saltlatch/lab/plan/Links.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario.LinkFault;
 
 /**
@@ -18,7 +19,7 @@
 
   private record Rule(LinkFault fault, Group from, Group to) {
     boolean touches(String a, String b) {
-      return from.holds(a) && to.holds(b) || !fault.oneWay() && from.holds(b) && to.holds(a);
+      return (from.holds(a) && to.holds(b)) || (!fault.oneWay() && from.holds(b) && to.holds(a));
     }
   }
 
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -20,19 +20,19 @@
 import saltlatch.lab.check.Properties;
 import saltlatch.lab.check.Property;
 import saltlatch.lab.check.Recovery;
+import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
-import saltlatch.lab.emulator.LabClock;
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
 import saltlatch.lab.plan.Drawn;
-import saltlatch.lab.plan.Group;
 import saltlatch.lab.plan.Links;
 import saltlatch.lab.plan.Offered;
 import saltlatch.lab.plan.Timeline;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.rig.Relays;
+import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.node.EdgeNode;
 import saltlatch.policy.PolicyEngine;
@@ -133,7 +133,8 @@
           .toCompletableFuture().get(5, TimeUnit.SECONDS);
       Map<String, Long> emu = emulator.figures().toCompletionStage().toCompletableFuture().get(5,
           TimeUnit.SECONDS);
-      RunResult.Process process = new RunResult.Process(cpu, rssMb(), Thread.activeCount());
+      RunResult.ProcessUsage process = new RunResult.ProcessUsage(cpu, rssMb(),
+          Thread.activeCount());
       List<RunResult.Check> checks = checks(truth, load, nodeCounters, !faults.isEmpty());
       if (processes != null) processes.close();
       List<Line> history = dir == null ? List.of() : Line.readAll(dir);
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -8,8 +8,7 @@
  * <p>{@link QuotaTracker} creates it at the customer's first request and releases it once the
  * customer was idle for long; each group of fields names the rule that writes it. {@code
  * availableUnits} is shared: {@link AvailableUnits} refills and charges it, {@link
- * ShareWithoutCounter} and {@link PooledShare} rescale it to the part of the quota in use. The
- * engine counts {@code inFlight} and keeps the estimates.
+ * ShareWithoutCounter} and {@link PooledShare} rescale it to the part of the quota in use.
  */
 final class CustomerQuota {
   final long id;
@@ -20,9 +19,11 @@
   long lastRequestAtTicks;
   QuotaWindow window;
 
-  // The engine: attempts in flight, and for each request class the reservation and its steps.
+  // AttemptTracker: attempts in flight.
   int inFlight;
-  double[][] estimates;
+
+  // QuotaCharges: the learned reservation of each request class.
+  QuantileReservation[] estimates;
 
   // AvailableUnits: units left of the part of the quota that this node may use.
   double availableUnits;
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaTracker.java
@@ -165,7 +165,7 @@
     CustomerQuota customer = new CustomerQuota(arrival.customer(),
         settings.quotaPlans().get(arrival.plan()), arrival.firstNode());
     HardCeiling.start(customer, startedAtTicks);
-    customer.estimates = new double[settings.requestClasses().size()][];
+    customer.estimates = new QuantileReservation[settings.requestClasses().size()];
     customer.learnedShare = 1.0 / nodeCount;
     customer.availableUnits = customer.plan.burstUnits();
     customer.availableUnitsAtTicks = now;
--- /dev/null
+++ b/src/test/java/saltlatch/wire/transport/CallResultTest.java
@@ -0,0 +1,43 @@
+package saltlatch.wire.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** How calls to partners end. */
+class CallResultTest {
+  /** Only results that prove it may say that nothing was executed. */
+  @Test
+  void resultsThatProveThatNothingWasExecuted() {
+    StringBuilder results = new StringBuilder();
+    for (CallResult result : CallResult.values()) {
+      results.append(result)
+          .append(result.outcome().neverExecuted() ? " never ran\n" : " may have run\n");
+    }
+    assertEquals("""
+        ANSWERED may have run
+        ERROR_REPLY may have run
+        MALFORMED_REPLY may have run
+        BUSY_REPLY never ran
+        CALL_REFUSED never ran
+        CONNECT_FAILED never ran
+        CONNECTION_LOST_UNWRITTEN never ran
+        CONNECTION_LOST may have run
+        TIMED_OUT_UNWRITTEN never ran
+        TIMED_OUT may have run
+        CANCELLED may have run
+        WITHDRAWN never ran
+        NO_CONNECTION_FREE never ran
+        """, results.toString());
+  }
+
+  /** History files of earlier versions hold these names: a renamed constant keeps its own. */
+  @Test
+  void namesInHistoryFilesStay() {
+    StringBuilder names = new StringBuilder();
+    for (CallResult result : CallResult.values()) names.append(result.historyName()).append(' ');
+    assertEquals("ANSWERED ERROR_ANSWER SPOILT_ANSWER BUSY_ANSWER REFUSED_CALL CONNECT_FAILED "
+        + "BROKE_UNWRITTEN BROKE_WRITTEN TIMED_OUT_UNWRITTEN TIMED_OUT OWN_CANCEL WITHDRAWN "
+        + "NO_DESCRIPTOR ", names.toString());
+  }
+}
