--- a/src/main/java/saltlatch/policy/ActionEmitter.java
+++ b/src/main/java/saltlatch/policy/ActionEmitter.java
@@ -36,7 +36,7 @@
       actions.watchEndpoints(true);
     }
     if (housekeeping.needsTimer()) {
-      actions.setTimer(housekeeping.dueAt(), HousekeepingSchedule.TIMER_ID);
+      actions.setTimer(housekeeping.dueAtTicks(), HousekeepingSchedule.TIMER_ID);
       housekeeping.recordTimer();
     }
     for (RequestState request : requests.changed()) {
@@ -55,7 +55,7 @@
     request.nextServer = null;
     emitCancellation(request);
     if (!request.finished && !request.deadlineTimerSet) {
-      actions.setTimer(request.deadline, request.arrival.requestId());
+      actions.setTimer(request.deadlineTicks, request.arrival.requestId());
     }
     request.deadlineTimerSet = true;
     if (request.finished && request.attempt == null && !request.awaitingCounter) {
@@ -77,7 +77,8 @@
 
   private void emitAttempt(RequestState request, long now) {
     Attempt attempt = attempts.start(request, now);
-    actions.startAttempt(request.arrival.requestId(), attempt.server.id, request.deadline - now);
+    actions.startAttempt(request.arrival.requestId(), attempt.server.id,
+        request.deadlineTicks - now);
   }
 
   private void emitCancellation(RequestState request) {
--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -39,7 +39,7 @@
 
   /** A request has arrived: decides it, or wants the counter call that will. */
   void decideOrCallCounter(RequestState request, long now) {
-    if (request.deadline <= now) {
+    if (request.deadlineTicks <= now) {
       completion.rejectLate(request);
     } else if (request.customer.plan.ratePerSecond() <= 0) {
       decide(request, true, now);
@@ -110,7 +110,7 @@
     if (request.finished || request.wantedEnd != RequestEnd.NONE) {
       return;
     }
-    if (request.deadline <= now) {
+    if (request.deadlineTicks <= now) {
       // A counter's reply that was read long after it came: nobody waits for this request any more.
       completion.rejectLate(request);
     } else if (!hasQuota) {
--- a/src/main/java/saltlatch/policy/Attempt.java
+++ b/src/main/java/saltlatch/policy/Attempt.java
@@ -7,13 +7,13 @@
  */
 final class Attempt {
   final ServerState server;
-  final long startedAt;
+  final long startedAtTicks;
   /** When the app server had last started, as known when the attempt did. */
-  final long serverStartedAt;
+  final long serverStartedAtTicks;
   /** How long the attempt was thought to take. */
   final double expectedTicks;
   /** The attempt's start, later by the time for which this node was stalled meanwhile. */
-  long measuredFrom;
+  long measuredFromTicks;
   boolean cancelled;
   /** Too long on an outlier: no longer counted as in flight by {@link LoadShedding}. */
   boolean abandoned;
@@ -21,8 +21,8 @@
   Attempt(ServerState server, long now, double expectedTicks) {
     this.server = server;
     this.expectedTicks = expectedTicks;
-    startedAt = now;
-    measuredFrom = now;
-    serverStartedAt = server.startedAt;
+    startedAtTicks = now;
+    measuredFromTicks = now;
+    serverStartedAtTicks = server.startedAtTicks;
   }
 }
--- a/src/main/java/saltlatch/policy/AttemptTracker.java
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -52,7 +52,7 @@
     if (succeeded) {
       completions.recordSuccess();
     }
-    request.stats.recordAttempt(request.arrival.estimatedUnits(), now - attempt.measuredFrom,
+    request.stats.recordAttempt(request.arrival.estimatedUnits(), now - attempt.measuredFromTicks,
         succeeded);
     servers.releaseIfGone(attempt.server);
     recordExecution(request, attempt, outcome);
@@ -62,7 +62,7 @@
   private static void recordExecution(RequestState request, Attempt attempt,
       AttemptOutcome outcome) {
     if (!outcome.neverExecuted() && !request.possiblyExecuted()) {
-      request.possiblyExecutedAt = attempt.startedAt;
+      request.possiblyExecutedAtTicks = attempt.startedAtTicks;
       request.possiblyExecutedOn = attempt.server;
     }
   }
@@ -83,7 +83,7 @@
   void excludeStall(RequestState request, long stallTicks) {
     Attempt attempt = request.attempt;
     if (attempt != null) {
-      attempt.measuredFrom += stallTicks;
+      attempt.measuredFromTicks += stallTicks;
       outliers.excludeStall(attempt, stallTicks);
     }
   }
--- a/src/main/java/saltlatch/policy/CounterCall.java
+++ b/src/main/java/saltlatch/policy/CounterCall.java
@@ -6,6 +6,6 @@
  * @param window  the window whose count is added to
  * @param request the request that waits for the total; null where units are only carried
  * @param units   what is added, below 0 where units are given back
- * @param sentAt  when it was wanted, in ticks
+ * @param sentAtTicks  when it was wanted, in ticks
  */
-record CounterCall(QuotaWindow window, RequestState request, double units, long sentAt) {}
+record CounterCall(QuotaWindow window, RequestState request, double units, long sentAtTicks) {}
--- a/src/main/java/saltlatch/policy/CounterHealth.java
+++ b/src/main/java/saltlatch/policy/CounterHealth.java
@@ -37,9 +37,9 @@
   private final FleetSize fleet;
   private int consecutiveMisses;
   private double backoffTicks;
-  private long nextCallAt;
-  private long nextGrowthAt;
-  private long lastReplyAt;
+  private long nextCallAtTicks;
+  private long nextGrowthAtTicks;
+  private long lastReplyAtTicks;
 
   CounterHealth(GatewaySettings settings, FleetSize fleet) {
     available = settings.counter().available();
@@ -63,12 +63,12 @@
 
   /** Whether a call may go out for a request, healthy or as the backoff's one. */
   boolean mayCall(long now) {
-    return available && now >= nextCallAt;
+    return available && now >= nextCallAtTicks;
   }
 
   /** A request's call goes out. */
   void recordCall(long now) {
-    nextCallAt = now + (long) backoffTicks;
+    nextCallAtTicks = now + (long) backoffTicks;
   }
 
   /** Zero where there is none. */
@@ -78,7 +78,7 @@
 
   /** Ticks until a call may go out again. */
   long ticksUntilNextCall(long now) {
-    return Math.max(0, nextCallAt - now);
+    return Math.max(0, nextCallAtTicks - now);
   }
 
   /** A call has ended; true if that started the backoff or made it longer. */
@@ -88,14 +88,14 @@
     boolean grows = false;
     if (answered) {
       shrink(stretch, now);
-    } else
-      if ((consecutiveMisses >= MISSES_BEFORE_BACKOFF || backoffTicks > 0) && now >= nextGrowthAt) {
-        nextGrowthAt = now + BACKOFF_GROWTH_PERIOD_TICKS;
-        backoffTicks = Math.min(MAX_BACKOFF_TICKS * stretch,
-            Math.max(MIN_BACKOFF_TICKS * stretch, backoffTicks * BACKOFF_GROWTH));
-        grows = true;
-      }
-    lastReplyAt = now;
+    } else if ((consecutiveMisses >= MISSES_BEFORE_BACKOFF || backoffTicks > 0)
+        && now >= nextGrowthAtTicks) {
+          nextGrowthAtTicks = now + BACKOFF_GROWTH_PERIOD_TICKS;
+          backoffTicks = Math.min(MAX_BACKOFF_TICKS * stretch,
+              Math.max(MIN_BACKOFF_TICKS * stretch, backoffTicks * BACKOFF_GROWTH));
+          grows = true;
+        }
+    lastReplyAtTicks = now;
     return grows;
   }
 
@@ -104,7 +104,7 @@
    * often than calls may: the time since the last reply counts too.
    */
   private void shrink(double stretch, long now) {
-    long sinceReplyTicks = Math.min(MAX_RECOVERY_STEP_TICKS, now - lastReplyAt);
+    long sinceReplyTicks = Math.min(MAX_RECOVERY_STEP_TICKS, now - lastReplyAtTicks);
     backoffTicks *= Math.exp(
         -Math.max(backoffTicks / RECOVERY_BY_CALLS_TICKS, sinceReplyTicks / RECOVERY_BY_TIME_TICKS)
             / stretch);
--- a/src/main/java/saltlatch/policy/EndpointWatch.java
+++ b/src/main/java/saltlatch/policy/EndpointWatch.java
@@ -15,7 +15,7 @@
 
   private final boolean mustOpen;
   private final SplittableRandom random;
-  private long openAt;
+  private long openAtTicks;
 
   EndpointWatch(GatewaySettings.Limits limits, SplittableRandom random) {
     mustOpen = limits.mustOpenWatch();
@@ -24,14 +24,14 @@
 
   /** The watch ended, or could not be opened. */
   void recordFailure(long now) {
-    openAt = now + RETRY_PAUSE_TICKS + (long) (RETRY_PAUSE_TICKS * random.nextDouble());
+    openAtTicks = now + RETRY_PAUSE_TICKS + (long) (RETRY_PAUSE_TICKS * random.nextDouble());
   }
 
   boolean isDue(long now) {
-    return mustOpen && now >= openAt;
+    return mustOpen && now >= openAtTicks;
   }
 
   void recordOpened() {
-    openAt = NEVER;
+    openAtTicks = NEVER;
   }
 }
--- a/src/main/java/saltlatch/policy/HousekeepingSchedule.java
+++ b/src/main/java/saltlatch/policy/HousekeepingSchedule.java
@@ -11,32 +11,32 @@
   /** Timers with an id below 0 are the housekeeping's; others are those of requests. */
   static final long TIMER_ID = -1;
 
-  private long dueAt;
-  private long timerAt;
+  private long dueAtTicks;
+  private long timerAtTicks;
 
   HousekeepingSchedule(long now) {
-    dueAt = now + PERIOD_TICKS;
+    dueAtTicks = now + PERIOD_TICKS;
   }
 
   /** It runs now; the next is due a period later. */
   void restart(long now) {
-    dueAt = now + PERIOD_TICKS;
+    dueAtTicks = now + PERIOD_TICKS;
   }
 
-  long dueAt() {
-    return dueAt;
+  long dueAtTicks() {
+    return dueAtTicks;
   }
 
   /** When the timer last asked for fires; 0: none was. */
-  long timerAt() {
-    return timerAt;
+  long timerAtTicks() {
+    return timerAtTicks;
   }
 
   boolean needsTimer() {
-    return timerAt != dueAt;
+    return timerAtTicks != dueAtTicks;
   }
 
   void recordTimer() {
-    timerAt = dueAt;
+    timerAtTicks = dueAtTicks;
   }
 }
--- a/src/main/java/saltlatch/policy/LoadShedding.java
+++ b/src/main/java/saltlatch/policy/LoadShedding.java
@@ -60,7 +60,7 @@
         * priorityStretch(request);
     double freeAttempts = FREE_ATTEMPTS_PER_SERVER * servers.effectiveServers() / fleet.nodes();
     double waitTicks = fraction
-        * Math.min(request.stats.requestClass.latencyObjectiveTicks(), request.deadline - now);
+        * Math.min(request.stats.requestClass.latencyObjectiveTicks(), request.deadlineTicks - now);
     double completing = waitTicks * completions.attemptsInWindow() / CompletionRate.WINDOW_TICKS;
     return inFlight >= Math.max(freeAttempts, completing) + headroom(request, waitTicks);
   }
--- a/src/main/java/saltlatch/policy/OutlierDetection.java
+++ b/src/main/java/saltlatch/policy/OutlierDetection.java
@@ -54,7 +54,7 @@
   void recordStart(Attempt attempt, long now) {
     ServerState server = attempt.server;
     if (server.inFlight == 0) {
-      server.lastResponseAt = now;
+      server.lastResponseAtTicks = now;
     }
     server.inverseExpectedSum += 1 / attempt.expectedTicks;
     server.startOverExpectedSum += now / attempt.expectedTicks;
@@ -63,12 +63,12 @@
   /** An attempt has ended; called once it is no longer counted as in flight. */
   void recordEnd(Attempt attempt, AttemptOutcome outcome, long now) {
     ServerState server = attempt.server;
-    server.lastResponseAt = now;
+    server.lastResponseAtTicks = now;
     boolean idle = server.inFlight == 0;
     // Set to 0, so that no rounding error of the sums outlives the attempts.
     server.inverseExpectedSum = idle ? 0 : server.inverseExpectedSum - 1 / attempt.expectedTicks;
     server.startOverExpectedSum = idle ? 0
-        : server.startOverExpectedSum - attempt.measuredFrom / attempt.expectedTicks;
+        : server.startOverExpectedSum - attempt.measuredFromTicks / attempt.expectedTicks;
     decay(server, now);
     if (outcome == AttemptOutcome.SUCCEEDED) {
       server.completed++;
@@ -80,7 +80,7 @@
   private static double spentTime(Attempt attempt, AttemptOutcome outcome, long now) {
     return switch (outcome) {
       case SUCCEEDED, CANCELLED, TIMED_OUT ->
-        (double) (now - attempt.measuredFrom) / attempt.expectedTicks;
+        (double) (now - attempt.measuredFromTicks) / attempt.expectedTicks;
       case NOT_SENT, WITHDRAWN -> 0;
       case SERVER_ERROR, SERVER_BUSY, CONNECT_FAILED, CONNECTION_LOST -> FAILURE_EXPECTED_TIMES;
     };
@@ -88,7 +88,7 @@
 
   /** This node was stalled: the server's silence begins anew. */
   void recordStall(ServerState server, long now) {
-    server.lastResponseAt = now;
+    server.lastResponseAtTicks = now;
   }
 
   /** This node was stalled: takes the stall out of an attempt in flight. */
@@ -116,19 +116,19 @@
   /** Expected times since the server's last outcome, while something is in flight there. */
   private static double silence(ServerState server, long now) {
     return server.inFlight == 0 ? 0
-        : (now - server.lastResponseAt) * server.inverseExpectedSum / server.inFlight;
+        : (now - server.lastResponseAtTicks) * server.inverseExpectedSum / server.inFlight;
   }
 
   private void decay(ServerState server, long now) {
-    double factor = Math.exp((server.decayedAt - now) / memoryTicks);
+    double factor = Math.exp((server.decayedAtTicks - now) / memoryTicks);
     server.completed *= factor;
     server.spentTime *= factor;
-    server.decayedAt = now;
+    server.decayedAtTicks = now;
   }
 
   /** Whether an attempt in flight has taken too long on an outlier. */
   boolean isStuck(Attempt attempt, long latencyObjectiveTicks, long now) {
-    if (now - attempt.measuredFrom <= ABANDON_OBJECTIVE_FRACTION * latencyObjectiveTicks) {
+    if (now - attempt.measuredFromTicks <= ABANDON_OBJECTIVE_FRACTION * latencyObjectiveTicks) {
       return false;
     }
     return slowness(attempt.server, now) >= OUTLIER_SLOWNESS
--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -147,7 +147,7 @@
     }
     RequestState request = call.request();
     boolean answered = reply.outcome() == AttemptOutcome.SUCCEEDED;
-    if (!stalls.spansStall(call.sentAt()) && counterHealth.recordReply(answered, now)) {
+    if (!stalls.spansStall(call.sentAtTicks()) && counterHealth.recordReply(answered, now)) {
       gossip.counterUnhealthy(now);
     }
     if (answered) {
--- a/src/main/java/saltlatch/policy/RequestLifecycle.java
+++ b/src/main/java/saltlatch/policy/RequestLifecycle.java
@@ -52,7 +52,7 @@
     RequestState request = new RequestState(arrival, stats, quotas.customerFor(arrival));
     requests.add(request);
     requests.markChanged(request);
-    request.deadline = now + arrival.clientTimeoutTicks() - arrival.ageTicks()
+    request.deadlineTicks = now + arrival.clientTimeoutTicks() - arrival.ageTicks()
         - deadlineMarginTicks;
     request.lateRetry = clientRetries.isLateRetry(arrival, stats);
     admission.decideOrCallCounter(request, now);
@@ -134,11 +134,11 @@
    */
   boolean mayStartAttempt(long requestId, int attemptNumber, long now) {
     RequestState request = requests.find(requestId);
-    if (!isInFlight(request, attemptNumber) || request.finished || now >= request.deadline) {
+    if (!isInFlight(request, attemptNumber) || request.finished || now >= request.deadlineTicks) {
       return false;
     }
     ServerState server = request.attempt.server;
-    return server.ready && server.startedAt == request.attempt.serverStartedAt
+    return server.ready && server.startedAtTicks == request.attempt.serverStartedAtTicks
         && retryPolicy.isAttemptSafe(request, now);
   }
 }
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -14,7 +14,7 @@
   /** A client's retry that comes too late for its latency objective. */
   boolean lateRetry;
   /** The final answer is out by then. */
-  long deadline;
+  long deadlineTicks;
 
   // Admission; written by AdmissionControl and QuotaCharges.
   /** The window that is charged; null where the plan has no quota. */
@@ -31,7 +31,7 @@
   int attemptCount;
   ServerState lastServer;
   /** Start of the first attempt that may have been executed; below 0: there is none. */
-  long possiblyExecutedAt = -1;
+  long possiblyExecutedAtTicks = -1;
   ServerState possiblyExecutedOn;
   boolean streaming;
 
@@ -54,6 +54,6 @@
 
   /** Whether an attempt may have been executed. */
   boolean possiblyExecuted() {
-    return possiblyExecutedAt >= 0;
+    return possiblyExecutedAtTicks >= 0;
   }
 }
--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -33,7 +33,7 @@
    * @param outcome how the last attempt ended
    */
   boolean mayRetry(RequestState request, AttemptOutcome outcome, long now) {
-    return isAttemptSafe(request, now) && !request.streaming && now < request.deadline
+    return isAttemptSafe(request, now) && !request.streaming && now < request.deadlineTicks
         && outcome != AttemptOutcome.NOT_SENT && request.attemptCount < maxAttempts;
   }
 
@@ -48,7 +48,7 @@
   private static boolean isKeyRemembered(RequestState request, long now) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
     return requestClass.retrySafety() == RetrySafety.IDEMPOTENT_BY_KEY
-        && now + SENDING_TICKS < request.possiblyExecutedAt + requestClass.keyTtlTicks();
+        && now + SENDING_TICKS < request.possiblyExecutedAtTicks + requestClass.keyTtlTicks();
   }
 
   /** Whether that server knows the request's key, if it has to. */
--- a/src/main/java/saltlatch/policy/ServerList.java
+++ b/src/main/java/saltlatch/policy/ServerList.java
@@ -57,8 +57,8 @@
     if (!known) {
       server = add(endpoint.serverId(), now);
     }
-    boolean restarted = endpoint.startedAtTicks() != server.startedAt;
-    server.startedAt = endpoint.startedAtTicks();
+    boolean restarted = endpoint.startedAtTicks() != server.startedAtTicks;
+    server.startedAtTicks = endpoint.startedAtTicks();
     if (restarted && known) {
       outliers.forget(server);
     }
@@ -73,7 +73,7 @@
 
   private ServerState add(long serverId, long now) {
     ServerState server = servers.put(serverId, new ServerState(serverId));
-    server.decayedAt = now;
+    server.decayedAtTicks = now;
     // Many nodes with few requests each must not all begin with the same servers.
     server.rotationCredit = random.nextDouble();
     return server;
--- a/src/main/java/saltlatch/policy/ServerState.java
+++ b/src/main/java/saltlatch/policy/ServerState.java
@@ -9,7 +9,7 @@
 
   // Written by ServerList, from the endpoint list.
   /** When it last started; 0: long ago. */
-  long startedAt;
+  long startedAtTicks;
   int zone;
   int keyGroup;
   /** Capacity relative to others. */
@@ -29,9 +29,9 @@
   double completed;
   /** Time that ended attempts took, in expected times; decays. */
   double spentTime;
-  long decayedAt;
+  long decayedAtTicks;
   /** Last outcome, or start of the first attempt in flight if that is later. */
-  long lastResponseAt;
+  long lastResponseAtTicks;
 
   // Written by WeightedRoundRobinLoadBalancer.
   /** Turns of the rotation that it has to come; below 0: that it had ahead of its part. */
@@ -40,7 +40,7 @@
   // Written by SlowStart.
   /** Units that it may be sent while it warms up; below 0: sent ahead. */
   double warmUpBudgetUnits;
-  long warmUpBudgetAt;
+  long warmUpBudgetAtTicks;
 
   ServerState(long id) {
     this.id = id;
--- a/src/main/java/saltlatch/policy/SlowStart.java
+++ b/src/main/java/saltlatch/policy/SlowStart.java
@@ -31,8 +31,8 @@
 
   /** Part of its full capacity that a server has now, 1 once it is warm. */
   double capacity(ServerState server, long now) {
-    long age = now - server.startedAt;
-    if (server.startedAt <= 0 || age >= limits.warmUpTicks()) {
+    long age = now - server.startedAtTicks;
+    if (server.startedAtTicks <= 0 || age >= limits.warmUpTicks()) {
       return 1;
     }
     return limits.initialCapacity()
@@ -46,7 +46,7 @@
   /** A server has started, or is first known to have: its budget begins. */
   void beginWarmUp(ServerState server, long now) {
     server.warmUpBudgetUnits = random.nextDouble();
-    server.warmUpBudgetAt = now;
+    server.warmUpBudgetAtTicks = now;
   }
 
   /**
@@ -63,11 +63,11 @@
     // to carry much.
     double carriedUnits = Math.max(sentUnits, wantedUnits) / Math.max(1, readyServers);
     double budgetUnits = BUDGET_FRACTION * limits.warmUpBudgetFactor() * capacity * carriedUnits;
-    double gainedUnits = budgetUnits * (now - server.warmUpBudgetAt)
+    double gainedUnits = budgetUnits * (now - server.warmUpBudgetAtTicks)
         / Math.max(1, limits.warmUpWindowTicks());
     server.warmUpBudgetUnits = Math.min(Math.max(1, budgetUnits),
         server.warmUpBudgetUnits + gainedUnits);
-    server.warmUpBudgetAt = now;
+    server.warmUpBudgetAtTicks = now;
     return server.warmUpBudgetUnits >= 1;
   }
 
--- a/src/main/java/saltlatch/policy/StallDetection.java
+++ b/src/main/java/saltlatch/policy/StallDetection.java
@@ -19,7 +19,7 @@
 
   private final HousekeepingSchedule schedule;
   private final long thresholdTicks;
-  private long resumedAt;
+  private long resumedAtTicks;
 
   StallDetection(ObjectiveBounds bounds, HousekeepingSchedule schedule) {
     this.schedule = schedule;
@@ -37,16 +37,16 @@
    * @param lastRunAt when it last ran
    */
   long stallTicks(long lastRunAt, long now) {
-    long timerAt = schedule.timerAt();
+    long timerAt = schedule.timerAtTicks();
     if (timerAt <= 0 || now - Math.max(timerAt, lastRunAt) <= thresholdTicks) {
       return 0;
     }
-    resumedAt = now;
+    resumedAtTicks = now;
     return now - lastRunAt;
   }
 
   /** Whether what began at that time was in flight during the last stall. */
   boolean spansStall(long beganAt) {
-    return beganAt < resumedAt;
+    return beganAt < resumedAtTicks;
   }
 }
--- a/src/test/java/saltlatch/policy/LoadSheddingTest.java
+++ b/src/test/java/saltlatch/policy/LoadSheddingTest.java
@@ -62,7 +62,7 @@
   void aClientWithLittleTimeIsRejectedSooner() {
     complete(100);
     RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
-    request.deadline = 5_000;
+    request.deadlineTicks = 5_000;
     assertEquals(15 + 4, limit(shedding, request));
   }
 
--- a/src/test/java/saltlatch/policy/PolicyEngineCounterTest.java
+++ b/src/test/java/saltlatch/policy/PolicyEngineCounterTest.java
@@ -5,7 +5,6 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltlatch.api.GatewayEvent;
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 import saltlatch.api.GatewaySettings;
 
--- a/src/test/java/saltlatch/policy/PolicyFixtures.java
+++ b/src/test/java/saltlatch/policy/PolicyFixtures.java
@@ -29,7 +29,7 @@
     customer.nodeCount = 2;
     RequestState request = new RequestState(arrival(30_000, false),
         new RequestClassStats(requestClass), customer);
-    request.deadline = 30_000;
+    request.deadlineTicks = 30_000;
     return request;
   }
 
--- a/src/test/java/saltlatch/policy/RetryPolicyTest.java
+++ b/src/test/java/saltlatch/policy/RetryPolicyTest.java
@@ -18,7 +18,7 @@
   private static RequestState possiblyExecuted(GatewaySettings.RequestClass requestClass) {
     RequestState request = PolicyFixtures.request(requestClass);
     request.attemptCount = 1;
-    request.possiblyExecutedAt = 0;
+    request.possiblyExecutedAtTicks = 0;
     request.possiblyExecutedOn = server(1, 1);
     return request;
   }
@@ -64,8 +64,8 @@
     exhausted.attemptCount = 4;
     assertFalse(mayRetry(exhausted, 100));
     RequestState late = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
-    assertTrue(mayRetry(late, late.deadline - 1));
-    assertFalse(mayRetry(late, late.deadline));
+    assertTrue(mayRetry(late, late.deadlineTicks - 1));
+    assertFalse(mayRetry(late, late.deadlineTicks));
     assertFalse(policy.mayRetry(late, AttemptOutcome.NOT_SENT, 100));
   }
 
--- a/src/test/java/saltlatch/policy/SlowStartTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartTest.java
@@ -16,7 +16,7 @@
   private final ServerState server = new ServerState(1);
 
   SlowStartTest() {
-    server.startedAt = STARTED_AT;
+    server.startedAtTicks = STARTED_AT;
     slowStart.beginWarmUp(server, STARTED_AT);
   }
 
