--- a/src/main/java/saltlatch/policy/package-info.java
+++ b/src/main/java/saltlatch/policy/package-info.java
@@ -10,9 +10,10 @@
  * <li>Rejected requests: {@link saltlatch.policy.AdmissionControl},
  * {@link saltlatch.policy.LoadShedding}, {@link saltlatch.policy.ClientRetryDetection},
  * {@link saltlatch.policy.RetryAfterAdvice}.
- * <li>Quotas and the counter: {@link saltlatch.policy.QuotaTracker},
- * {@link saltlatch.policy.QuotaCharges}, {@link saltlatch.policy.QuantileReservation},
- * {@link saltlatch.policy.CounterHealth}, {@link saltlatch.policy.QuotaGossip}.
+ * <li>Quotas: {@link saltlatch.policy.QuotaTracker}, whose comment names the rules of who may use
+ * which part, and {@link saltlatch.policy.QuotaGossip}.
+ * <li>The counter: {@link saltlatch.policy.QuotaCharges},
+ * {@link saltlatch.policy.QuantileReservation}, {@link saltlatch.policy.CounterHealth}.
  * <li>App servers: {@link saltlatch.policy.ServerList},
  * {@link saltlatch.policy.WeightedRoundRobinLoadBalancer},
  * {@link saltlatch.policy.OutlierDetection}, {@link saltlatch.policy.SlowStart}.
