--- a/src/main/java/saltlatch/membership/package-info.java
+++ b/src/main/java/saltlatch/membership/package-info.java
@@ -10,8 +10,8 @@
  * saltlatch.node.MembershipAdapter} then runs one {@link saltlatch.membership.Membership} on the
  * node's event loop, sends its datagrams by {@code saltlatch.wire.peer.MembershipCodec}, and hands
  * its {@code MembershipChanged} events to the policy, which keeps a {@link
- * saltlatch.membership.QuotaShares}. Without the key none of these classes is loaded, and shares are
- * learned. Not wired in: members are fixed by the configuration, so that none can join or be
+ * saltlatch.membership.QuotaShares}. Without the key none of these classes is loaded, and shares
+ * are learned. Not wired in: members are fixed by the configuration, so that none can join or be
  * replaced while a node runs; the {@link saltlatch.membership.FleetView} decides nothing. The lab's
  * capacity pages use {@link saltlatch.membership.MembershipTimings} without a fleet.
  *
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaTracker.java
@@ -9,9 +9,9 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * Quotas of all customers as this node knows them. Owns every {@link CustomerQuota} and
- * {@link QuotaWindow}, and brings counter totals, gossip and this node's own admissions to the rules
- * that act on them.
+ * Quotas of all customers as this node knows them. Owns every {@link CustomerQuota} and {@link
+ * QuotaWindow}, and brings counter totals, gossip and this node's own admissions to the rules that
+ * act on them.
  *
  * <p>Who may use which part of a quota:
  * <ul>
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -28,15 +28,15 @@
 
   @Test
   void oneSeedOneHistory() {
-    String[] told = new String[2];
+    String[] histories = new String[2];
     for (int i = 0; i < 2; i++) {
       Fleet f = joined(9, 4);
       f.loss = 0.2;
       f.dead[3] = true;
       f.pass(60 * Fleet.SECOND);
-      told[i] = f.history.toString();
+      histories[i] = f.history.toString();
     }
-    assertEquals(told[0], told[1]);
+    assertEquals(histories[0], histories[1]);
   }
 
   @Test
@@ -77,7 +77,7 @@
    * within T2.
    */
   @Test
-  void pausedMemberBlamesNobody() {
+  void pausedMemberSuspectsNobody() {
     Fleet f = joined(8, 5);
     f.paused[1] = true;
     f.pass(2 * f.terms.failureDetectionTicks());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void plannedEndIsTold() {
+  void plannedLeaveIsDisseminated() {
     Fleet f = joined(12, 6);
     f.members[5].leave();
     f.pass(Fleet.SECOND);
@@ -135,7 +135,7 @@
   }
 
   /**
-   * One way: member 0 hears member 1 and is not heard by it. Others vouch for both: nobody is
+   * One way: member 0 receives from member 1 and cannot reach it. Others vouch for both: nobody is
    * failed.
    */
   @Test
@@ -144,7 +144,7 @@
     f.reach = (a, b) -> !(a == 0 && b == 1);
     f.pass(120 * Fleet.SECOND);
     assertTrue(f.agree(), "a one-way cut between two failed someone");
-    // member 2 hears both sides, which don't hear each other
+    // member 2 reaches both sides, which don't reach each other
     f.reach = (a, b) -> a == 2 || b == 2 || a < 2 == b < 2;
     f.pass(120 * Fleet.SECOND);
     f.reach = (a, b) -> true;
@@ -296,7 +296,7 @@
     assertTrue(f.mostShared <= 1 + 1e-9, f.mostShared + " quotas in use");
   }
 
-  /** Whatever is told in whatever order, a lower incarnation never overrides a higher one. */
+  /** Whatever updates come in whatever order, a lower incarnation never overrides a higher one. */
   @Property(tries = 40, seed = "32")
   void incarnationsNeverFall(@ForAll @IntRange(max = 1_000_000) int seed) {
     SplittableRandom chance = new SplittableRandom(seed);
@@ -334,7 +334,8 @@
    * none.
    */
   @Property(tries = 200, seed = "33")
-  void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
+  void messageIsReadBackOrRejected(@ForAll byte[] noise,
+      @ForAll @IntRange(max = 1_000_000) int seed) {
     assertTrue(MembershipCodec.decode(noise) == null);
     SplittableRandom chance = new SplittableRandom(seed);
     List<MemberUpdate> news = new ArrayList<>();
--- a/src/test/java/saltlatch/membership/QuotaSharesTest.java
+++ b/src/test/java/saltlatch/membership/QuotaSharesTest.java
@@ -18,7 +18,7 @@
 import saltlatch.wire.peer.GossipCodec;
 
 /**
- * Which part of a quota a node goes by: its own, and that of those that hear exactly each other.
+ * Which part of a quota a node goes by: its own, and that of those that reach exactly each other.
  */
 class QuotaSharesTest {
   private static final long WITHIN = 30_000;
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Each tells the others whom it hears, through the form, a few rounds long; {@code reach[a][b]}:
+   * Each gossips whom it reaches, through the codec, a few rounds long; {@code reach[a][b]}:
    * a's words come to b.
    */
-  private static List<QuotaShares> told(boolean[][] reach) {
+  private static List<QuotaShares> afterGossip(boolean[][] reach) {
     int n = reach.length;
     List<QuotaShares> all = new ArrayList<>();
     for (int i = 0; i < n; i++) all.add(node(i, n, Long.MAX_VALUE));
@@ -57,26 +57,27 @@
   }
 
   @Test
-  void thoseThatHearEachOtherGoByAllOfTheirShares() {
-    for (QuotaShares s : told(links(5, (a, b) -> true)))
+  void poolUsesTheSumOfItsShares() {
+    for (QuotaShares s : afterGossip(links(5, (a, b) -> true)))
       assertEquals(1, s.pooledShare(60_000, WITHIN, 0, 5), 1e-9);
-    List<QuotaShares> split = told(links(5, (a, b) -> a < 2 == b < 2));
+    List<QuotaShares> split = afterGossip(links(5, (a, b) -> a < 2 == b < 2));
     assertEquals(0.4, split.get(0).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.6, split.get(4).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
-    assertEquals(0.5, split.get(4).pooledShare(60_000, WITHIN, 4, 2), 1e-9); // the set is nodes 4 and 0
+    // the set is nodes 4 and 0
+    assertEquals(0.5, split.get(4).pooledShare(60_000, WITHIN, 4, 2), 1e-9);
     assertEquals(0, split.get(1).pooledShare(60_000, WITHIN, 2, 3)); // not of the set
   }
 
   /**
-   * Node 2 hears both sides, which do not hear each other: it lends to neither. One that is not
-   * heard lends nothing.
+   * Node 2 reaches both sides, which do not reach each other: it lends to neither. One that is
+   * not reached lends nothing.
    */
   @Test
-  void aBridgeAndAOneWayCutLendNothingTwice() {
-    List<QuotaShares> bridge = told(links(5, (a, b) -> a == 2 || b == 2 || a < 2 == b < 2));
+  void bridgesAndOneWayCutsLendNoShareTwice() {
+    List<QuotaShares> bridge = afterGossip(links(5, (a, b) -> a == 2 || b == 2 || a < 2 == b < 2));
     assertEquals(0.4, bridge.get(0).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.2, bridge.get(2).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
-    List<QuotaShares> deaf = told(links(3, (a, b) -> a != 0));
+    List<QuotaShares> deaf = afterGossip(links(3, (a, b) -> a != 0));
     assertEquals(1 / 3.0, deaf.get(0).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
     assertEquals(2 / 3.0, deaf.get(1).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
   }
@@ -91,7 +92,7 @@
     SplittableRandom chance = new SplittableRandom(seed);
     double cut = 0.5 * chance.nextDouble();
     boolean[][] reach = links(n, (a, b) -> chance.nextDouble() >= cut);
-    List<QuotaShares> all = told(reach);
+    List<QuotaShares> all = afterGossip(reach);
     double sum = 0;
     // each of a pool of k has k even shares: all of them together count it once
     for (QuotaShares s : all) {
@@ -102,33 +103,34 @@
   }
 
   /**
-   * A node from before says nothing of whom it hears: it is listened to and lends nothing; it reads
+   * An older version says nothing of whom it reaches: its sums count and it lends nothing; it reads
    * what is new as sums.
    */
   @Test
   void olderNodesLendNothing() {
-    List<QuotaShares> all = told(links(3, (a, b) -> true));
+    List<QuotaShares> all = afterGossip(links(3, (a, b) -> true));
     all.get(0).recordGossip(60_000, 2, null);
     assertEquals(2 / 3.0, all.get(0).pooledShare(60_000, WITHIN, 0, 3), 1e-9);
-    byte[] words = GossipCodec
+    byte[] datagram = GossipCodec
         .encode(new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
             all.get(0).reachability(60_000, WITHIN)));
-    assertTrue(words[0] == 0x51 && (words.length - 1) % 7 == 0 && words.length <= 256);
-    for (int at = 1; at + 7 < words.length; at += 7)
-      assertEquals(-1, words[at], "an id that customers have");
+    assertTrue(datagram[0] == 0x51 && (datagram.length - 1) % 7 == 0 && datagram.length <= 256);
+    for (int at = 1; at + 7 < datagram.length; at += 7)
+      assertEquals(-1, datagram[at], "an id that customers have");
   }
 
   /**
-   * Any bytes are sums or refused; what is written is read back, however many nodes are told of.
+   * Any bytes are sums or refused; what is written is read back, however many nodes it names.
    */
   @Property(tries = 300, seed = "42")
-  void formIsReadBackOrRefused(@ForAll byte[] noise, @ForAll @IntRange(max = 1_000_000) int seed) {
+  void gossipIsReadBackOrRejected(@ForAll byte[] noise,
+      @ForAll @IntRange(max = 1_000_000) int seed) {
     GossipCodec.decode(noise);
     SplittableRandom chance = new SplittableRandom(seed);
     int nodes = 1 + chance.nextInt(GossipMessage.MAX_NODES_WITH_REACHABILITY);
-    BitSet heard = new BitSet();
-    heard.set(chance.nextInt(nodes));
-    for (int i = 0; i < nodes; i++) heard.set(i, heard.get(i) || chance.nextBoolean());
+    BitSet reachable = new BitSet();
+    reachable.set(chance.nextInt(nodes));
+    for (int i = 0; i < nodes; i++) reachable.set(i, reachable.get(i) || chance.nextBoolean());
     List<GossipMessage.WindowUsage> sums = new ArrayList<>();
     for (int i = chance.nextInt(GossipMessage.maxUsageEntries(nodes) + 1); i > 0; i--) {
       sums.add(new GossipMessage.WindowUsage(chance.nextInt(), chance.nextInt(128),
@@ -136,10 +138,10 @@
     }
     sums.replaceAll(s -> new GossipMessage.WindowUsage(s.customer() & 0xffffffffL, s.windowNumber(),
         s.units()));
-    GossipMessage told = new GossipMessage(sums,
-        new GossipMessage.Reachability(heard, chance.nextBoolean(), chance.nextBoolean()));
-    byte[] words = GossipCodec.encode(told);
-    assertTrue(words.length <= 256);
-    assertEquals(told, GossipCodec.decode(words));
+    GossipMessage message = new GossipMessage(sums,
+        new GossipMessage.Reachability(reachable, chance.nextBoolean(), chance.nextBoolean()));
+    byte[] datagram = GossipCodec.encode(message);
+    assertTrue(datagram.length <= 256);
+    assertEquals(message, GossipCodec.decode(datagram));
   }
 }
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -18,8 +18,8 @@
 import saltlatch.wire.peer.GossipCodec;
 
 /**
- * What nodes tell each other while the counter cannot take a call for each req, and what they make
- * of it.
+ * What nodes report to each other while the counter cannot take a call for each request, and what
+ * they make of it.
  */
 class QuotaGossipTest {
   private static final long SECOND = 10_000;
@@ -27,67 +27,69 @@
       1); // 1 unit a second, 8 at once
 
   /**
-   * Sums go to the nodes of the customer's set alone, once a period, and only in and after a jam.
+   * Sums go to the nodes of the customer's set alone, once a period, and only while and after the
+   * counter is unhealthy.
    */
   @Test
-  void tellsTheCustomersNodes() {
-    QuotaGossip g = new QuotaGossip(1, 6, 40, 0);
-    g.recordAdmitted(70, 7, 130, 0, 3, 2.5);
-    assertEquals(Map.of(), g.dueMessages(SECOND));
-    g.counterUnhealthy(SECOND);
-    g.recordAdmitted(70, 7, 130, 0, 3, 2.5);
-    g.recordAdmitted(70, 7, 130, 0, 3, 4.5);
-    Map<Integer, GossipMessage> told = g.dueMessages(SECOND);
-    assertEquals(List.of(2, 3, 5, 0), List.copyOf(told.keySet()));
-    // not of the set, but near: that nothing was passed for it is told as well
-    assertEquals(List.of(), told.get(3).usage());
+  void sendsSumsToTheCustomersNodes() {
+    QuotaGossip gossip = new QuotaGossip(1, 6, 40, 0);
+    gossip.recordAdmitted(70, 7, 130, 0, 3, 2.5);
+    assertEquals(Map.of(), gossip.dueMessages(SECOND));
+    gossip.counterUnhealthy(SECOND);
+    gossip.recordAdmitted(70, 7, 130, 0, 3, 2.5);
+    gossip.recordAdmitted(70, 7, 130, 0, 3, 4.5);
+    Map<Integer, GossipMessage> messages = gossip.dueMessages(SECOND);
+    assertEquals(List.of(2, 3, 5, 0), List.copyOf(messages.keySet()));
+    // not of the set, but near: it gets a message without sums, so as not to look cut off
+    assertEquals(List.of(), messages.get(3).usage());
     assertEquals(List.of(new GossipMessage.WindowUsage(7, 2, 4.5)),
-        new QuotaGossip(2, 6, 40, 0).receive(SECOND, 1, told.get(2)));
-    g.recordAdmitted(70, 7, 130, 0, 3, 5);
-    assertEquals(Map.of(), g.dueMessages(SECOND + 5_000));
-    assertEquals(4, g.dueMessages(2 * SECOND).size());
-    g.recordAdmitted(70, 7, 130, 0, 3, 6);
-    assertEquals(Map.of(), g.dueMessages(9 * SECOND)); // the jam is over for long
+        new QuotaGossip(2, 6, 40, 0).receive(SECOND, 1, messages.get(2)));
+    gossip.recordAdmitted(70, 7, 130, 0, 3, 5);
+    assertEquals(Map.of(), gossip.dueMessages(SECOND + 5_000));
+    assertEquals(4, gossip.dueMessages(2 * SECOND).size());
+    gossip.recordAdmitted(70, 7, 130, 0, 3, 6);
+    assertEquals(Map.of(), gossip.dueMessages(9 * SECOND)); // the counter has been healthy for long
   }
 
   /**
    * A datagram holds what fits, the latest first; one of another form, cut short or from a stranger
-   * tells nothing.
+   * reports nothing.
    */
   @Test
-  void datagramsOfAnotherForm() {
-    QuotaGossip g = new QuotaGossip(0, 2, 40, 0);
-    g.counterUnhealthy(0);
-    for (int i = 0; i < 100; i++) g.recordAdmitted(i, i, 0, 0, 2, 1);
-    byte[] words = GossipCodec.encode(g.dueMessages(SECOND).get(1));
-    assertTrue(words.length <= QuotaGossip.MAX_DATAGRAM_BYTES && words.length > 250);
+  void fillsDatagramsAndIgnoresMalformedOnes() {
+    QuotaGossip gossip = new QuotaGossip(0, 2, 40, 0);
+    gossip.counterUnhealthy(0);
+    for (int i = 0; i < 100; i++) gossip.recordAdmitted(i, i, 0, 0, 2, 1);
+    byte[] datagram = GossipCodec.encode(gossip.dueMessages(SECOND).get(1));
+    assertTrue(datagram.length <= QuotaGossip.MAX_DATAGRAM_BYTES && datagram.length > 250);
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
     peer.counterUnhealthy(0);
-    GossipMessage told = GossipCodec.decode(words);
-    List<GossipMessage.WindowUsage> sums = peer.receive(SECOND, 0, told);
+    GossipMessage message = GossipCodec.decode(datagram);
+    List<GossipMessage.WindowUsage> sums = peer.receive(SECOND, 0, message);
     assertEquals(new GossipMessage.WindowUsage(99, 0, 1), sums.get(0));
     assertEquals(36, sums.size());
-    byte[] other = words.clone();
+    byte[] other = datagram.clone();
     other[0] = 0;
-    for (byte[] bad : List.of(new byte[0], Arrays.copyOf(words, 12), other, new byte[300])) {
+    for (byte[] bad : List.of(new byte[0], Arrays.copyOf(datagram, 12), other, new byte[300])) {
       assertEquals(null, GossipCodec.decode(bad));
     }
-    QuotaGossip deaf = new QuotaGossip(1, 2, 40, 0);
-    deaf.counterUnhealthy(0);
-    assertEquals(List.of(), deaf.receive(SECOND, -1, told));
-    assertEquals(List.of(), deaf.receive(SECOND, 1, told));
-    assertFalse(deaf.isUsageFresh(SECOND, 2));
+    QuotaGossip isolated = new QuotaGossip(1, 2, 40, 0);
+    isolated.counterUnhealthy(0);
+    assertEquals(List.of(), isolated.receive(SECOND, -1, message));
+    assertEquals(List.of(), isolated.receive(SECOND, 1, message));
+    assertFalse(isolated.isUsageFresh(SECOND, 2));
     assertTrue(peer.isUsageFresh(SECOND, 2));
     assertFalse(peer.isUsageFresh(5 * SECOND, 2)); // silent for more than three periods
   }
 
-  /** More nodes that share customers tell more seldom: no node is told more than it takes in. */
+  /** More nodes that share customers send less often: no node gets more than it takes in. */
   @Test
   void periodFollowsTheIntake() {
-    QuotaGossip g = new QuotaGossip(0, 100, 40, 0);
-    assertEquals(SECOND, g.periodTicks());
-    g.recordAdmitted(1, 1, 0, 0, 40, 1);
-    assertTrue(78 / (g.periodTicks() / SECOND) <= 40 * GossipSchedule.MAX_INTAKE_FRACTION + 0.01);
+    QuotaGossip gossip = new QuotaGossip(0, 100, 40, 0);
+    assertEquals(SECOND, gossip.periodTicks());
+    gossip.recordAdmitted(1, 1, 0, 0, 40, 1);
+    assertTrue(
+        78 / (gossip.periodTicks() / SECOND) <= 40 * GossipSchedule.MAX_INTAKE_FRACTION + 0.01);
   }
 
   /**
@@ -95,68 +97,68 @@
    * shares.
    */
   @Test
-  void wideSetsAreNotTold() {
-    QuotaGossip g = new QuotaGossip(0, 100, 40, 0.041);
-    g.counterUnhealthy(0);
-    g.recordAdmitted(1, 1, 0, 0, 60, 1);
-    assertEquals(Map.of(), g.dueMessages(SECOND));
-    g.receive(SECOND, 1, new GossipMessage(List.of(), null));
-    assertTrue(g.isUsageFresh(SECOND, 14));
-    assertFalse(g.isUsageFresh(SECOND, 60));
-    g.recordAdmitted(2, 2, 0, 0, 14, 1);
+  void doesNotReportOnWideSets() {
+    QuotaGossip gossip = new QuotaGossip(0, 100, 40, 0.041);
+    gossip.counterUnhealthy(0);
+    gossip.recordAdmitted(1, 1, 0, 0, 60, 1);
+    assertEquals(Map.of(), gossip.dueMessages(SECOND));
+    gossip.receive(SECOND, 1, new GossipMessage(List.of(), null));
+    assertTrue(gossip.isUsageFresh(SECOND, 14));
+    assertFalse(gossip.isUsageFresh(SECOND, 60));
+    gossip.recordAdmitted(2, 2, 0, 0, 14, 1);
     assertEquals(13,
-        g.dueMessages(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
+        gossip.dueMessages(3 * SECOND).values().stream().filter(w -> !w.usage().isEmpty()).count());
   }
 
   /**
-   * Plays ten nodes of one customer without a counter; the units they pass and the reqs they deny
-   * with room left.
+   * Plays ten nodes of one customer without a counter; the units they admit, and those they reject
+   * with capacity left.
    */
-  private static double[] play(double intake, double reqsPerSecond, double lost) {
-    SplittableRandom chance = new SplittableRandom(5);
-    int n = 10;
+  private static double[] play(double intake, double requestsPerSecond, double lossRate) {
+    SplittableRandom random = new SplittableRandom(5);
+    int nodeCount = 10;
     List<QuotaGossip> gossips = new ArrayList<>();
-    List<QuotaTracker> quotas = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      GatewaySettings site = DecisionTrace.settings(i, n, PLAN, false, false, i, intake);
-      gossips.add(new QuotaGossip(i, n, intake, 0));
-      quotas.add(new QuotaTracker(0, site, gossips.get(i), new SplittableRandom(i)));
+    List<QuotaTracker> trackers = new ArrayList<>();
+    for (int i = 0; i < nodeCount; i++) {
+      GatewaySettings site = DecisionTrace.settings(i, nodeCount, PLAN, false, false, i, intake);
+      gossips.add(new QuotaGossip(i, nodeCount, intake, 0));
+      trackers.add(new QuotaTracker(0, site, gossips.get(i), new SplittableRandom(i)));
     }
-    double store = PLAN.burstUnits();
-    double passed = 0;
-    double beyond = 0;
-    double withRoom = 0;
+    double availableUnits = PLAN.burstUnits();
+    double admittedUnits = 0;
+    double unitsBeyondQuota = 0;
+    double rejectedWithCapacity = 0;
     for (long now = 0; now < 120 * SECOND; now += 200) {
-      store = Math.min(PLAN.burstUnits(), store + 0.02 * PLAN.ratePerSecond());
-      for (int i = 0; i < n; i++) {
-        quotas.get(i).advanceTo(now);
+      availableUnits = Math.min(PLAN.burstUnits(), availableUnits + 0.02 * PLAN.ratePerSecond());
+      for (int i = 0; i < nodeCount; i++) {
+        trackers.get(i).advanceTo(now);
         gossips.get(i).counterUnhealthy(now);
         for (Map.Entry<Integer, GossipMessage> m : gossips.get(i).dueMessages(now).entrySet()) {
-          quotas.get(m.getKey()).advanceTo(now);
-          if (chance.nextDouble() >= lost)
-            quotas.get(m.getKey()).applyGossip(new GatewayEvent.GossipReceived(i, m.getValue()));
+          trackers.get(m.getKey()).advanceTo(now);
+          if (random.nextDouble() >= lossRate)
+            trackers.get(m.getKey()).applyGossip(new GatewayEvent.GossipReceived(i, m.getValue()));
         }
       }
-      if (chance.nextDouble() >= 0.02 * reqsPerSecond) continue;
-      QuotaTracker q = quotas.get(chance.nextInt(n));
-      CustomerQuota c = q
-          .customerFor(new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, n, 0, false, 0));
-      QuotaWindow w = q.currentWindow(c, false);
-      if (q.hasLocalCapacity(c, 2)) {
-        q.recordAdmitted(w, 2);
-        c.admittedWithoutCounter += c.admittedWithoutCounter >= 0 ? 2 : 0;
-        passed += 2;
-        beyond += store < 2 ? 2 : 0;
-        store -= store < 2 ? 0 : 2;
-      } else if (store >= 2) {
-        withRoom += 2;
+      if (random.nextDouble() >= 0.02 * requestsPerSecond) continue;
+      QuotaTracker tracker = trackers.get(random.nextInt(nodeCount));
+      CustomerQuota customer = tracker.customerFor(
+          new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, nodeCount, 0, false, 0));
+      QuotaWindow window = tracker.currentWindow(customer, false);
+      if (tracker.hasLocalCapacity(customer, 2)) {
+        tracker.recordAdmitted(window, 2);
+        customer.admittedWithoutCounter += customer.admittedWithoutCounter >= 0 ? 2 : 0;
+        admittedUnits += 2;
+        unitsBeyondQuota += availableUnits < 2 ? 2 : 0;
+        availableUnits -= availableUnits < 2 ? 0 : 2;
+      } else if (availableUnits >= 2) {
+        rejectedWithCapacity += 2;
       }
     }
-    return new double[] {passed, beyond, withRoom};
+    return new double[] {admittedUnits, unitsBeyondQuota, rejectedWithCapacity};
   }
 
   /**
-   * A customer far within its quota is not denied; one that asks four times as much gets it and a
+   * A customer far within its quota is not rejected; one that asks four times as much gets it and a
    * third more at most.
    */
   @Test
@@ -173,7 +175,10 @@
     assertTrue(heavyOnShares[0] - heavyOnShares[1] < 0.9 * quota, Arrays.toString(heavyOnShares));
   }
 
-  /** In a jam a node denies at once, and without a call, what its peers' sums leave no room for. */
+  /**
+   * Without the counter a node rejects at once, and without a call, what its peers' sums leave no
+   * capacity for.
+   */
   @Test
   void peersSumsDecide() throws IOException {
     DecisionTrace t = new DecisionTrace(
@@ -200,7 +205,7 @@
   }
 
   /**
-   * Nodes that know each other, the counter silent and no peer heard: this one goes by its even
+   * Nodes that know each other, the counter silent and no peer reporting: this one goes by its even
    * share while its lease runs, by the floor once it has run out by its own clock, and by more when
    * it takes over what one that left had.
    */
@@ -219,33 +224,33 @@
       t.endAttempt(i, 0, AttemptOutcome.SUCCEEDED, 0);
     }
     t.say("its share is half of 20 units, 3 of the whole are spent: 8.5 left, admits "
-        + passed(t, 100));
+        + countAdmitted(t, 100));
     t.advance(6 * SECOND);
-    t.say("the lease ran out: an eighth, 2.5 units, admits " + passed(t, 200));
+    t.say("the lease ran out: an eighth, 2.5 units, admits " + countAdmitted(t, 200));
     t.deliver(new GatewayEvent.MembershipChanged(
         List.of(GatewayEvent.MemberState.LIVE, GatewayEvent.MemberState.TAKEN_OVER),
         t.now + 99 * SECOND, t.now + 99 * SECOND, 2));
-    t.say("takes over the other's share from its next request on, admits " + passed(t, 250));
+    t.say("takes over the other's share from its next request on, admits " + countAdmitted(t, 250));
     t.advance(20 * SECOND);
-    t.say("takes over the other's share, 7 eighths: 17.5 units, admits " + passed(t, 300));
+    t.say("takes over the other's share, 7 eighths: 17.5 units, admits " + countAdmitted(t, 300));
     t.matches("shares-follow-leases");
   }
 
-  /** How many of twenty reqs pass at one instant, each answered at once. */
-  private static int passed(DecisionTrace t, int from) {
-    int passed = 0;
+  /** How many of twenty requests are admitted at one instant, each answered at once. */
+  private static int countAdmitted(DecisionTrace t, int from) {
+    int admitted = 0;
     for (int i = from; i < from + 20; i++) {
       t.muted = true;
       t.clientTimeoutTicks = 3_000_000;
       t.arrive(i, 0, 1);
       t.muted = false;
       if (t.wasAttempted(i)) {
-        passed++;
+        admitted++;
         t.muted = true;
         t.endAttempt(i, 0, AttemptOutcome.SUCCEEDED, 0);
       }
     }
     t.muted = false;
-    return passed;
+    return admitted;
   }
 }
--- a/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
+++ b/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
@@ -15,7 +15,7 @@
 
 /**
  * Quotas of a deployment that has no counter hold for the fleet, also where a node's share is a
- * small part of one req.
+ * small part of one request.
  */
 class QuotaWithoutCounterTest {
   private static final GatewaySettings.QuotaPlan PLAN = new GatewaySettings.QuotaPlan(1, 5, 0, 0, 0,
@@ -37,39 +37,39 @@
         .customerFor(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
   }
 
-  /** Passed of one customer by all nodes together, each asked about every other second. */
+  /** Units admitted of one customer by all nodes together, each asked about every other second. */
   private static double play(int nodes, long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     GatewaySettings site = site(seed, nodes);
-    List<QuotaTracker> all = new ArrayList<>();
+    List<QuotaTracker> trackers = new ArrayList<>();
     for (int i = 0; i < nodes; i++)
-      all.add(new QuotaTracker(0, site, new QuotaGossip(i, nodes, 0, 0), chance.split()));
-    double passed = 0;
+      trackers.add(new QuotaTracker(0, site, new QuotaGossip(i, nodes, 0, 0), random.split()));
+    double admittedUnits = 0;
     for (long now = 1_000; now <= SECONDS * 10_000L; now += 1_000) {
-      for (QuotaTracker q : all) {
-        if (chance.nextInt(20) > 0) continue;
-        q.advanceTo(now);
-        CustomerQuota c = customer(q, nodes);
-        QuotaWindow w = q.currentWindow(c, false);
-        if (!q.hasLocalCapacity(c, 1)) continue;
-        q.recordAdmitted(w, 1);
-        passed++;
+      for (QuotaTracker tracker : trackers) {
+        if (random.nextInt(20) > 0) continue;
+        tracker.advanceTo(now);
+        CustomerQuota customer = customer(tracker, nodes);
+        QuotaWindow window = tracker.currentWindow(customer, false);
+        if (!tracker.hasLocalCapacity(customer, 1)) continue;
+        tracker.recordAdmitted(window, 1);
+        admittedUnits++;
       }
     }
-    return passed;
+    return admittedUnits;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {3, 6, 12, 30, 100})
-  void fleetPassesWhatItsSharesHold(int nodes) {
+  void fleetAdmitsWhatItsSharesHold(int nodes) {
     double quota = PLAN.burstUnits() + PLAN.ratePerSecond() * SECONDS;
     double bound = quota + 2 * Math.sqrt(quota) + 2; // that much is chance
     double sum = 0;
     int beyond = 0;
     for (int seed = 0; seed < DRAWS; seed++) {
-      double passed = play(nodes, seed);
-      sum += passed / DRAWS;
-      if (passed > bound) beyond++;
+      double admittedUnits = play(nodes, seed);
+      sum += admittedUnits / DRAWS;
+      if (admittedUnits > bound) beyond++;
     }
     assertTrue(beyond <= DRAWS / 50,
         beyond + " of " + DRAWS + " draws beyond " + bound + ", " + sum + " on average");
@@ -77,11 +77,11 @@
   }
 
   /**
-   * Where a node began on the way to its next req is no use of the quota: it is not charged once
-   * peers are heard.
+   * Where a node began on the way to its next request is no use of the quota: it is not charged
+   * once peers report.
    */
   @Test
-  void drawIsNoDebtAmongPeers() {
+  void startOffsetIsNotChargedOncePeersReport() {
     int nodes = 100;
     QuotaGossip gossip = new QuotaGossip(0, nodes, 40, 0);
     QuotaTracker quotas = new QuotaTracker(0, site(0, nodes), gossip, new SplittableRandom(1));
