--- /dev/null
+++ b/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
@@ -0,0 +1,133 @@
+package saltlatch.wire.configuration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import saltlatch.api.GatewaySettings.KeyScope;
+import saltlatch.api.GatewaySettings.QuotaPlan;
+import saltlatch.api.GatewaySettings.RequestClass;
+import saltlatch.api.GatewaySettings.RetrySafety;
+import saltlatch.configuration.ConfigurationFollower;
+import saltlatch.configuration.ConfigurationVersion;
+import saltlatch.configuration.SharedConfiguration;
+
+/** The JSON text of configurations, of nodes' reports and of keepers' answers. */
+class ConfigurationCodecTest {
+  private static final String CONFIGURATION = "{\"epoch\":3,\"number\":17,\"expired\":\"wait\","
+      + "\"pins\":[\"customers\",\"plans.team\"],\"plans\":{\"free\":{\"rate\":0.0,\"burst\":0.0,"
+      + "\"parallel\":0,\"ceiling_rate\":0.0,\"ceiling_burst\":0.0,\"price\":0.0},"
+      + "\"team\":{\"rate\":2.5,\"burst\":10.0,\"parallel\":4,\"ceiling_rate\":9.0,"
+      + "\"ceiling_burst\":18.0,\"price\":0.25}},"
+      + "\"frontends\":{\"order\":{\"effect\":\"uniqued\",\"group\":\"cell\","
+      + "\"remembered_ms\":60000.0,\"target_ms\":100.5,\"client_timeout_ms\":200.0,"
+      + "\"value\":2.0},\"read\":{\"effect\":\"replayable\",\"group\":\"all\","
+      + "\"remembered_ms\":0.0,\"target_ms\":100.0,\"client_timeout_ms\":200.0,\"value\":1.0},"
+      + "\"write\":{\"effect\":\"non_replayable\",\"group\":\"zone\",\"remembered_ms\":0.0,"
+      + "\"target_ms\":100.0,\"client_timeout_ms\":200.0,\"value\":1.0}},"
+      + "\"limits\":{\"send_cap\":4,\"longest_pause_ms\":12.3},\"held_out\":[\"s-1\",\"s-2\"],"
+      + "\"barred\":[\"7\",\"9b1f03aa\"],\"exempt\":[\"1ffffffff\"],\"roster\":[\"n0\",\"n1\"]}";
+
+  private static SharedConfiguration configuration() {
+    return new SharedConfiguration(new ConfigurationVersion(3, 17),
+        Map.of("team", new QuotaPlan(2.5, 10, 4, 9, 18, 0.25), "free",
+            new QuotaPlan(0, 0, 0, 0, 0, 0)),
+        Map.of("read", new RequestClass(RetrySafety.IDEMPOTENT, KeyScope.ALL, 0, 1_000, 2_000, 1),
+            "order",
+            new RequestClass(RetrySafety.IDEMPOTENT_BY_KEY, KeyScope.GROUP, 600_000, 1_005, 2_000,
+                2),
+            "write",
+            new RequestClass(RetrySafety.NOT_IDEMPOTENT, KeyScope.ZONE, 0, 1_000, 2_000, 1)),
+        new SharedConfiguration.Limits(4, 123), new TreeSet<>(List.of("s-2", "s-1")),
+        new TreeSet<>(List.of(0x9b1f03aaL, 7L)), new TreeSet<>(List.of(0x1ffffffffL)),
+        new TreeSet<>(List.of("n1", "n0")), new TreeSet<>(List.of("plans.team", "customers")),
+        SharedConfiguration.Expired.WAIT);
+  }
+
+  @Test
+  void textOfAConfiguration() throws Exception {
+    assertEquals(CONFIGURATION, ConfigurationCodec.write(configuration()));
+    assertEquals(configuration(), ConfigurationCodec.read(CONFIGURATION));
+  }
+
+  /** Of all but the version, so that it is the same under another one. */
+  @Test
+  void hashOfAConfiguration() {
+    assertEquals("45615706b031e35e", ConfigurationCodec.hash(configuration()));
+    assertEquals("45615706b031e35e",
+        ConfigurationCodec.hash(configuration().as(new ConfigurationVersion(4, 1))));
+  }
+
+  /** What may be left out, and the value that stands for it. */
+  @Test
+  void shortestText() throws Exception {
+    SharedConfiguration read = ConfigurationCodec.read("{\"epoch\":1,\"plans\":{\"p\":{}},"
+        + "\"frontends\":{\"f\":{\"effect\":\"replayable\",\"group\":\"zone\"}},\"limits\":{}}");
+    assertEquals("{\"epoch\":1,\"number\":0,\"expired\":\"deny\",\"pins\":[],\"plans\":{\"p\":"
+        + "{\"rate\":0.0,\"burst\":0.0,\"parallel\":0,\"ceiling_rate\":0.0,\"ceiling_burst\":0.0,"
+        + "\"price\":0.0}},\"frontends\":{\"f\":{\"effect\":\"replayable\",\"group\":\"zone\","
+        + "\"remembered_ms\":0.0,\"target_ms\":0.0,\"client_timeout_ms\":0.0,\"value\":0.0}},"
+        + "\"limits\":{\"send_cap\":0,\"longest_pause_ms\":0.0},\"held_out\":[],\"barred\":[],"
+        + "\"exempt\":[],\"roster\":[]}", ConfigurationCodec.write(read));
+  }
+
+  @Test
+  void textOfReports() throws Exception {
+    assertReport("{\"node\":\"n1\",\"acts\":\"1.1\",\"prepared\":\"0.0\"}",
+        new ConfigurationFollower.Report("n1", new ConfigurationVersion(1, 1),
+            ConfigurationVersion.NONE, null, null));
+    assertReport(
+        "{\"node\":\"n1\",\"acts\":\"1.1\",\"prepared\":\"0.0\",\"rejected\":\"1.2\","
+            + "\"reason\":\"plans.team: no\"}",
+        new ConfigurationFollower.Report("n1", new ConfigurationVersion(1, 1),
+            ConfigurationVersion.NONE, new ConfigurationVersion(1, 2), "plans.team: no"));
+  }
+
+  private static void assertReport(String text, ConfigurationFollower.Report report)
+      throws Exception {
+    assertEquals(text, ConfigurationCodec.write(report));
+    assertEquals(report, ConfigurationCodec.report(text));
+  }
+
+  @Test
+  void textOfAnswers() throws Exception {
+    ConfigurationVersion version = new ConfigurationVersion(3, 16);
+    assertAnswer("{\"in_force\":\"3.16\"}", new ConfigurationFollower.Answer(version, null, null));
+    assertAnswer("{\"in_force\":\"3.16\",\"offered\":" + CONFIGURATION + "}",
+        new ConfigurationFollower.Answer(version, null, configuration()));
+    assertAnswer("{\"in_force\":\"3.17\",\"rules\":" + CONFIGURATION + "}",
+        new ConfigurationFollower.Answer(new ConfigurationVersion(3, 17), configuration(), null));
+  }
+
+  private static void assertAnswer(String text, ConfigurationFollower.Answer answer)
+      throws Exception {
+    assertEquals(text, ConfigurationCodec.write(answer));
+    assertEquals(answer, ConfigurationCodec.answer(text));
+  }
+
+  /** Every kind of fault is named with its key. */
+  @Test
+  void faultsNameTheirKey() {
+    assertFault("no JSON: ", "{\"epoch\":");
+    assertFault("the whole: no object", "[]");
+    assertFault("limits: missing",
+        CONFIGURATION.replaceFirst("\"limits\":\\{[^}]*}", "\"limits\":null"));
+    assertFault("epoch: from 0 on", CONFIGURATION.replace("\"epoch\":3", "\"epoch\":-3"));
+    assertFault("number: a whole number", CONFIGURATION.replace("17,", "1e99,"));
+    assertFault("plans.team: no object",
+        CONFIGURATION.replaceFirst("\"team\":\\{[^}]*}", "\"team\":5"));
+    assertFault("expired: no word", CONFIGURATION.replace("\"wait\"", "1"));
+    assertFault("roster: no list", CONFIGURATION.replace("[\"n0\",\"n1\"]", "\"n0\""));
+    assertFault("roster: words alone", CONFIGURATION.replace("[\"n0\",\"n1\"]", "[1]"));
+    assertFault("longer than 1048576 characters", " ".repeat(1 << 20) + CONFIGURATION);
+  }
+
+  private static void assertFault(String message, String text) {
+    String actual = assertThrows(Exception.class, () -> ConfigurationCodec.read(text), message)
+        .getMessage();
+    assertEquals(message, actual.substring(0, Math.min(message.length(), actual.length())));
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -0,0 +1,141 @@
+package saltlatch.wire.counter;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.SocketAddress;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.transport.Scheduler;
+
+/** The bytes of calls to the counter, on a real connection with a clock that stands still. */
+@Timeout(60)
+class CounterClientTest {
+  private static final long TIMEOUT_TICKS = 100_000;
+
+  /** A clock that stands still: nothing times out. */
+  private static final class StoppedClock implements Scheduler {
+    private final TimerQueue timers = new TimerQueue();
+
+    @Override
+    public long now() {
+      return 0;
+    }
+
+    @Override
+    public TimerQueue.Timer at(long when, Runnable then) {
+      return timers.add(when, then);
+    }
+
+    @Override
+    public void afterTurn(Runnable then) {
+      then.run();
+    }
+  }
+
+  private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+  private Vertx vertx;
+  private Context loop;
+  private ServerSocket counter;
+  private Socket connection;
+  private CounterClient client;
+
+  @BeforeEach
+  void start() throws Exception {
+    vertx = Vertx.vertx();
+    loop = vertx.getOrCreateContext();
+    counter = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    counter.setSoTimeout(20_000);
+    client = new CounterClient(vertx,
+        SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"), new StoppedClock(),
+        (name, result, total, ticks) -> answers
+            .add(Long.toHexString(name) + " " + result + " " + total),
+        new NodeMetrics(), TIMEOUT_TICKS);
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    if (connection != null) connection.close();
+    counter.close();
+    vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+  }
+
+  private void onLoop(Runnable task) throws Exception {
+    CompletableFuture<Void> done = new CompletableFuture<>();
+    loop.runOnContext(v -> {
+      task.run();
+      done.complete(null);
+    });
+    done.get(10, TimeUnit.SECONDS);
+  }
+
+  private void accept() throws IOException {
+    connection = counter.accept();
+    connection.setSoTimeout(20_000);
+  }
+
+  private void assertReceived(String expected) throws IOException {
+    byte[] bytes = connection.getInputStream().readNBytes(expected.length());
+    assertEquals(expected, new String(bytes, StandardCharsets.ISO_8859_1));
+  }
+
+  private void assertAnswer(String line, String expected) throws Exception {
+    connection.getOutputStream().write(line.getBytes(StandardCharsets.ISO_8859_1));
+    assertEquals(expected, answers.poll(20, TimeUnit.SECONDS));
+  }
+
+  /**
+   * The name in hexadecimal, also with its highest bit set; units whole, with four places or below
+   * 0; the time to keep it in ms and never less than one.
+   */
+  @Test
+  void bytesOfEachCall() throws Exception {
+    long sameConnection = 8L << 32; // the low bits and the fold choose the connection
+    onLoop(() -> {
+      client.add(0, 1, 40_000, 0);
+      client.add(0, 2.5, 40_009, 0);
+      client.add(0, -0.0001, 9, 0);
+      client.add(sameConnection, 1e-9, 0, 0);
+    });
+    accept();
+    assertReceived(
+        "bump 0 1 4000\r\nbump 0 2.5000 4000\r\nbump 0 -0.0001 1\r\n" + "bump 800000000 0 1\r\n");
+  }
+
+  @Test
+  void bytesOfANameWithItsHighestBitSet() throws Exception {
+    onLoop(() -> client.add(0xffffffffffffffffL, 123456.78901, 1_000_000_000, 0));
+    accept();
+    assertReceived("bump ffffffffffffffff 123456.7890 100000000\r\n");
+  }
+
+  /** Each form of an answer; what is no answer ends the connection and may have been added. */
+  @Test
+  void formsOfAnswers() throws Exception {
+    onLoop(() -> {
+      for (int call = 0; call < 5; call++) client.add(0xff, 1, 10, 0);
+    });
+    accept();
+    assertReceived("bump ff 1 1\r\n".repeat(5));
+    assertAnswer("ok 17.25\r\n", "ff ANSWERED 17.25");
+    assertAnswer("ok 3\n", "ff ANSWERED 3.0");
+    assertAnswer("busy\r\n", "ff BUSY_ANSWER 0.0");
+    assertAnswer("error\r\n", "ff REFUSED_CALL 0.0");
+    assertAnswer("ok 0x1\r\n", "ff SPOILT_ANSWER 0.0");
+    assertEquals(-1, connection.getInputStream().read());
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -0,0 +1,120 @@
+package saltlatch.wire.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.SocketAddress;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.TimerQueue;
+import saltlatch.wire.transport.Scheduler;
+
+/** Every byte of the watch's HTTP request, on a real connection. */
+@Timeout(60)
+class WatchRequestBytesTest {
+  /** A clock that stands still and runs at once what is due. */
+  private static final class StoppedClock implements Scheduler {
+    private final TimerQueue timers = new TimerQueue();
+
+    @Override
+    public long now() {
+      return 0;
+    }
+
+    @Override
+    public TimerQueue.Timer at(long when, Runnable then) {
+      return timers.add(when, then);
+    }
+
+    @Override
+    public void afterTurn(Runnable then) {
+      then.run();
+    }
+  }
+
+  private final StoppedClock clock = new StoppedClock();
+  private Vertx vertx;
+  private Context loop;
+  private ServerSocket agent;
+
+  @BeforeEach
+  void start() throws Exception {
+    vertx = Vertx.vertx();
+    loop = vertx.getOrCreateContext();
+    agent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    agent.setSoTimeout(20_000);
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    agent.close();
+    vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+  }
+
+  /** All that the client sends first when it begins behind this list. */
+  private String requestBehind(EndpointList known) throws Exception {
+    CompletableFuture<Void> done = new CompletableFuture<>();
+    loop.runOnContext(v -> {
+      DiscoveryClient client = new DiscoveryClient(vertx,
+          SocketAddress.inetSocketAddress(agent.getLocalPort(), "127.0.0.1"), clock,
+          new DiscoveryClient.Listener() {
+            @Override
+            public void listed(EndpointList list, Runnable applied) {}
+
+            @Override
+            public void watchEnded() {}
+          }, new NodeMetrics(), known);
+      client.follow();
+      clock.timers.run(0);
+      done.complete(null);
+    });
+    done.get(10, TimeUnit.SECONDS);
+    try (Socket connection = agent.accept()) {
+      connection.setSoTimeout(20_000);
+      return head(connection.getInputStream());
+    }
+  }
+
+  private static String head(InputStream in) throws IOException {
+    StringBuilder head = new StringBuilder();
+    while (head.indexOf("\r\n\r\n") < 0) head.append((char) in.read());
+    byte[] behind = new byte[in.available()];
+    in.readNBytes(behind, 0, behind.length);
+    return head + new String(behind, StandardCharsets.ISO_8859_1);
+  }
+
+  private void assertRequest(String pathAndQuery, EndpointList known) throws Exception {
+    assertEquals(
+        "GET " + pathAndQuery + " HTTP/1.1\r\nhost: 127.0.0.1:" + agent.getLocalPort() + "\r\n\r\n",
+        requestBehind(known));
+  }
+
+  @Test
+  void withoutIndexAndSeries() throws Exception {
+    assertRequest("/api/targets?follow=1&since=0", new EndpointList(0, 0, true, List.of()));
+  }
+
+  @Test
+  void withIndex() throws Exception {
+    assertRequest("/api/targets?follow=1&since=41", new EndpointList(0, 41, true, List.of()));
+  }
+
+  @Test
+  void withIndexAndSeries() throws Exception {
+    assertRequest("/api/targets?follow=1&since=41&series=1764739200000",
+        new EndpointList(1_764_739_200_000L, 41, true, List.of()));
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
@@ -0,0 +1,77 @@
+package saltlatch.wire.peer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.net.SocketAddress;
+import java.net.DatagramPacket;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import saltlatch.state.NodeMetrics;
+
+/** Datagrams to and from peers, on real sockets. */
+@Timeout(60)
+class PeerSocketTest {
+  private static final HexFormat HEX = HexFormat.of();
+
+  private static DatagramSocket bound() throws Exception {
+    DatagramSocket socket = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
+    socket.setSoTimeout(20_000);
+    return socket;
+  }
+
+  private static SocketAddress address(DatagramSocket socket) {
+    return SocketAddress.inetSocketAddress(socket.getLocalPort(), "127.0.0.1");
+  }
+
+  private static String received(DatagramSocket socket) throws Exception {
+    DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+    socket.receive(packet);
+    return HEX.formatHex(Arrays.copyOf(packet.getData(), packet.getLength()));
+  }
+
+  /** To one peer, to all, to none there is, and beyond the 256 bytes that a datagram may have. */
+  @Test
+  void sendsTheBytesAsTheyAre() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    NodeMetrics metrics = new NodeMetrics();
+    try (DatagramSocket first = bound();
+        DatagramSocket second = bound();
+        DatagramSocket all = bound();
+        DatagramSocket free = bound()) {
+      SocketAddress own = address(free);
+      free.close();
+      BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+      PeerSocket peers = new PeerSocket(vertx, own, List.of(address(first), address(second)),
+          address(all), (from, bytes) -> heard.add(from + " " + HEX.formatHex(bytes)), metrics);
+      peers.send(0, HEX.parseHex("5100"));
+      peers.send(1, HEX.parseHex("b701"));
+      peers.send(-1, HEX.parseHex("00"));
+      peers.send(2, HEX.parseHex("ff"));
+      peers.send(0, new byte[257]);
+      peers.send(0, new byte[256]);
+      assertEquals("5100", received(first));
+      assertEquals("b701", received(second));
+      assertEquals("00", received(all));
+      assertEquals("00".repeat(256), received(first));
+      InetSocketAddress to = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), own.port());
+      second.send(new DatagramPacket(new byte[] {0x51, 7}, 2, to));
+      assertEquals("1 5107", heard.poll(20, TimeUnit.SECONDS));
+      all.send(new DatagramPacket(new byte[] {8}, 1, to));
+      assertEquals("-1 08", heard.poll(20, TimeUnit.SECONDS));
+    } finally {
+      vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    }
+    for (String line : List.of("peers_told=4\n", "peers_heard=2\n", "peers_failed=2\n"))
+      assertEquals(true, metrics.text().contains(line), line);
+  }
+}
