--- a/src/main/java/saltlatch/configuration/ActivationCoordinator.java
+++ b/src/main/java/saltlatch/configuration/ActivationCoordinator.java
@@ -6,81 +6,118 @@
 import java.util.TreeMap;
 
 /**
- * What the leading keeper makes of the nodes' reports: when what is offered comes into force, is
- * rejected, or for whom it waits. Its memory is its own: a keeper that has just begun to lead has
- * heard nobody and decides nothing for as long as a lease given before may last. No I/O.
+ * Decides in the quorum's leader, from the nodes' renewals, when the proposed version is activated
+ * or rejected, and for which nodes it waits. Its state is not replicated. No I/O.
+ *
+ * <p>Invariant: a version is activated only once every node that may hold a lease has prepared it.
+ * A new leader has received no renewals yet, so it activates nothing before every lease that its
+ * predecessor may have granted has run out.
+ *
+ * <p>Owned by one thread; times are ticks of the leader's clock.
  */
 public final class ActivationCoordinator {
-  private record Heard(ConfigurationFollower.Report report, long at) {}
+  private record ReceivedRenewal(LeaseRenewal renewal, long receivedAtTicks) {
+    boolean hasPrepared(SharedConfiguration proposed) {
+      return renewal.prepared().equals(proposed.version());
+    }
+  }
 
-  /** A node as {@code rules status} shows it. */
-  public record Seen(String node, ConfigurationVersion acts, ConfigurationVersion prepared,
-      String reason, long silentFor, boolean live) {}
+  /**
+   * A node as the leader knows it.
+   *
+   * @param active         the version it acts on
+   * @param prepared       the proposed version it could act on
+   * @param reason         why it rejects the proposed version, or null
+   * @param silentForTicks since its last renewal
+   * @param live           whether it may still hold a lease
+   */
+  public record NodeStatus(String node, ConfigurationVersion active, ConfigurationVersion prepared,
+      String reason, long silentForTicks, boolean live) {}
 
-  private final LeaseTimings terms;
-  private final Map<String, Heard> heard = new TreeMap<>();
-  private long leadsSince;
+  private final LeaseTimings timings;
+  private final Map<String, ReceivedRenewal> renewals = new TreeMap<>(); // the last, by node
+  private long leaderSinceTicks;
 
-  public ActivationCoordinator(LeaseTimings terms, long now) {
-    this.terms = terms;
-    leadsSince = now;
+  /** Leads from now on. */
+  public ActivationCoordinator(LeaseTimings timings, long nowTicks) {
+    this.timings = timings;
+    leaderSinceTicks = nowTicks;
   }
 
-  /** Leads from now on: what it heard before is forgotten. */
-  public void leads(long now) {
-    heard.clear();
-    leadsSince = now;
+  /** Leads anew from now on; what it received in an earlier term is forgotten. */
+  public void becameLeader(long nowTicks) {
+    renewals.clear();
+    leaderSinceTicks = nowTicks;
   }
 
-  public void reported(long now, ConfigurationFollower.Report r) {
-    heard.put(r.node(), new Heard(r, now));
+  /** Takes in a node's renewal. */
+  public void renewalReceived(long nowTicks, LeaseRenewal renewal) {
+    renewals.put(renewal.node(), new ReceivedRenewal(renewal, nowTicks));
   }
 
-  /** May still hold a lease, so must have prepared what comes into force. */
-  private boolean isLive(Heard h, long now) {
-    return now - h.at <= terms.leaseOver();
+  private boolean mayHoldLease(ReceivedRenewal received, long nowTicks) {
+    return nowTicks - received.receivedAtTicks <= timings.leaseExpiredTicks();
   }
 
   /**
-   * For whom what is offered waits: live nodes that have not prepared it and, where it says so, all
-   * of the roster.
+   * The nodes for which the activation waits: those that may hold a lease and have not prepared the
+   * proposed version, and all other members where it waits for all.
+   *
+   * @param active null before the first activation
    */
-  public List<String> waitsFor(long now, SharedConfiguration inForce, SharedConfiguration offered) {
-    List<String> out = new ArrayList<>();
-    heard.forEach((node, h) -> {
-      if (isLive(h, now) && !h.report.prepared().equals(offered.version())) out.add(node);
+  public List<String> blockingNodes(long nowTicks, SharedConfiguration active,
+      SharedConfiguration proposed) {
+    List<String> blocking = new ArrayList<>();
+    renewals.forEach((node, received) -> {
+      if (mayHoldLease(received, nowTicks) && !received.hasPrepared(proposed)) blocking.add(node);
     });
-    boolean all = inForce != null && (inForce.expired() == SharedConfiguration.Expired.WAIT
-        // a new epoch breaks pins that nodes without a lease go by
-        || offered.version().epoch() > inForce.version().epoch());
-    if (!all) return out;
-    for (String node : inForce.roster()) {
-      Heard h = heard.get(node);
-      boolean ready = h != null && h.report.prepared().equals(offered.version());
-      if (!ready && !out.contains(node)) out.add(node);
+    if (active == null || !waitsForAllMembers(active, proposed)) return blocking;
+    for (String node : active.members()) {
+      ReceivedRenewal received = renewals.get(node);
+      boolean prepared = received != null && received.hasPrepared(proposed);
+      if (!prepared && !blocking.contains(node)) blocking.add(node);
     }
-    return out;
+    return blocking;
   }
 
-  /** The operation that is due on what is offered; null: it waits. */
-  public ConfigurationRegister.Op due(long now, SharedConfiguration inForce,
-      SharedConfiguration offered) {
-    if (offered == null) return null;
-    for (Heard h : heard.values()) {
-      if (offered.version().equals(h.report.rejected())) {
-        return new ConfigurationRegister.Op.Reject(offered.version(), h.report.node(),
-            h.report.reason());
+  private static boolean waitsForAllMembers(SharedConfiguration active,
+      SharedConfiguration proposed) {
+    // A new epoch lifts the locks by which nodes without a lease go on deciding.
+    return active.withoutLease() == SharedConfiguration.WithoutLease.DELAY_ACTIVATION
+        || proposed.version().epoch() > active.version().epoch();
+  }
+
+  /**
+   * The operation that is due on the proposed version; null while it waits.
+   *
+   * @param active   null before the first activation
+   * @param proposed null if there is none
+   */
+  public ConfigurationRegister.Operation nextOperation(long nowTicks, SharedConfiguration active,
+      SharedConfiguration proposed) {
+    if (proposed == null) return null;
+    for (ReceivedRenewal received : renewals.values()) {
+      LeaseRenewal renewal = received.renewal;
+      if (proposed.version().equals(renewal.rejected())) {
+        return new ConfigurationRegister.Operation.Reject(proposed.version(), renewal.node(),
+            renewal.reason());
       }
     }
-    if (now - leadsSince <= terms.leaseOver()) return null;
-    return waitsFor(now, inForce, offered).isEmpty()
-        ? new ConfigurationRegister.Op.Activate(offered.version()) : null;
+    // Guards against a new leader that takes nodes that have not renewed yet for dead: one of them
+    // may hold a lease of the term before and would act on the older version beside the newer one.
+    if (nowTicks - leaderSinceTicks <= timings.leaseExpiredTicks()) return null;
+    return blockingNodes(nowTicks, active, proposed).isEmpty()
+        ? new ConfigurationRegister.Operation.Activate(proposed.version()) : null;
   }
 
-  public List<Seen> seen(long now) {
-    List<Seen> out = new ArrayList<>();
-    heard.forEach((node, h) -> out.add(new Seen(node, h.report.acts(), h.report.prepared(),
-        h.report.reason(), now - h.at, isLive(h, now))));
-    return out;
+  /** Every node that has renewed in this term, by name. */
+  public List<NodeStatus> nodeStatuses(long nowTicks) {
+    List<NodeStatus> statuses = new ArrayList<>();
+    renewals.forEach((node, received) -> {
+      LeaseRenewal renewal = received.renewal;
+      statuses.add(new NodeStatus(node, renewal.active(), renewal.prepared(), renewal.reason(),
+          nowTicks - received.receivedAtTicks, mayHoldLease(received, nowTicks)));
+    });
+    return statuses;
   }
 }
--- a/src/main/java/saltlatch/configuration/ConfigurationFollower.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationFollower.java
@@ -4,177 +4,212 @@
 import java.util.SplittableRandom;
 
 /**
- * A node's side of agreed rules: which version it acts on, which is prepared, and for how long.
- * Answers of the keepers and ticks of the clock go in, renewals and changes come out; no I/O. It
- * never goes backwards. It acts under a lease counted from when it sent the renewal, so that
- * neither a slow answer nor its own absence makes old rules last.
+ * An edge node's side of the shared configuration: which version it acts on, which it has prepared,
+ * and until when it holds a lease. The quorum's responses and ticks of the clock go in, renewals
+ * and activations come out; no I/O.
+ *
+ * <p>Invariants: the active version never goes back; a lease is counted from when the node sent the
+ * renewal that confirmed the version, so that neither a slow response nor a pause of the node's own
+ * makes an old version last.
+ *
+ * <p>Owned by the node's event loop; times are ticks of the node's clock.
  */
 public class ConfigurationFollower {
-  /** Where renewals go, and what changes are told. */
-  public interface Out {
-    /** To any keeper; the number comes back with the answer. */
-    void renew(long number, Report report);
-
-    void acts(SharedConfiguration on, ConfigurationConflicts before);
-  }
-
-  /**
-   * What a node says of itself with each renewal; {@code reason}: why it does not take what is
-   * offered, or null.
-   */
-  public record Report(String node, ConfigurationVersion acts, ConfigurationVersion prepared,
-      ConfigurationVersion rejected, String reason) {}
+  /** What the follower asks of its node. */
+  public interface Actions {
+    /** Sends a renewal to any server of the quorum; the number comes back with the response. */
+    void renew(long number, LeaseRenewal renewal);
+
+    /**
+     * Acts on this version from now on.
+     *
+     * @param conflicts what it forbids of the version before; null for the first one
+     */
+    void activated(SharedConfiguration configuration, ConfigurationConflicts conflicts);
+  }
+
+  /** The node's own check of a proposed configuration against its live state. */
+  public interface LocalCheck {
+    /**
+     * What speaks against the proposed configuration, with its key; null if nothing does.
+     *
+     * @param active null before the first one
+     */
+    String objectionTo(SharedConfiguration active, SharedConfiguration proposed);
+  }
+
+  private static final long NEVER_TICKS = Long.MIN_VALUE / 2;
+
+  private final String node;
+  private final LeaseTimings timings;
+  private final SplittableRandom random;
+  private final LocalCheck localCheck;
+  private final Actions actions;
+  private SharedConfiguration active; // null: none yet
+  private SharedConfiguration prepared; // null: none
+  private ConfigurationVersion rejected; // null: none
+  private String rejectionReason;
+  private long renewalNumber; // of the last renewal sent
+  private long sentAtTicks = NEVER_TICKS; // of the renewal without a response; NEVER_TICKS: none
+  private long leaseUntilTicks = NEVER_TICKS;
+  private long nextRenewalAtTicks;
 
   /**
-   * What the keepers answer: the version in force, with its text if the node has not got it, and
-   * what is offered, if any.
+   * Begins without a lease; the first renewal is due at once.
+   *
+   * @param lastActive the last active version that the node stored, or null; the node holds no
+   *     lease on it before the quorum confirms it
+   * @param seed       of the renewals' jitter
    */
-  public record Answer(ConfigurationVersion inForce, SharedConfiguration text,
-      SharedConfiguration offered) {}
-
-  /** What live state a node may have against a rule set, by key; null: none. */
-  public interface Objections {
-    String to(SharedConfiguration running, SharedConfiguration offered);
-  }
-
-  private static final long NEVER = Long.MIN_VALUE / 2;
-
-  private final String name;
-  private final LeaseTimings terms;
-  private final SplittableRandom chance;
-  private final Objections objections;
-  private final Out out;
-  private SharedConfiguration acts; // null: none yet
-  private SharedConfiguration prepared;
-  private ConfigurationVersion rejected;
-  private String reason;
-  private long number;
-  private long sentAt = NEVER; // of the renewal that is out; NEVER: none
-  private long leaseUntil = NEVER;
-  private long due;
-
-  /**
-   * {@code last}: the last good version that the node kept, or null; it is not acted on before a
-   * keeper confirms it.
-   */
-  public ConfigurationFollower(String name, LeaseTimings terms, SharedConfiguration last, long seed,
-      long now, Objections objections, Out out) {
-    this.name = name;
-    this.terms = terms;
-    this.objections = objections;
-    this.out = out;
-    acts = last;
-    chance = new SplittableRandom(seed);
-    due = now;
+  public ConfigurationFollower(String node, LeaseTimings timings, SharedConfiguration lastActive,
+      long seed, long nowTicks, LocalCheck localCheck, Actions actions) {
+    this.node = node;
+    this.timings = timings;
+    this.localCheck = localCheck;
+    this.actions = actions;
+    active = lastActive;
+    random = new SplittableRandom(seed);
+    nextRenewalAtTicks = nowTicks;
   }
 
-  public SharedConfiguration acts() {
-    return acts;
+  /** The version that the node acts on; null before the first one. */
+  public SharedConfiguration active() {
+    return active;
   }
 
   /**
-   * Asked before each batch of decisions: whether this version is still the one in force as far as
-   * a lease can tell.
+   * Whether the active version is still the quorum's, as far as a lease can say. To be asked
+   * before each batch of decisions.
    */
-  public boolean isCurrent(long now) {
-    return acts != null && now < leaseUntil;
+  public boolean holdsLease(long nowTicks) {
+    return active != null && nowTicks < leaseUntilTicks;
   }
 
-  public long leaseUntil() {
-    return leaseUntil;
+  /** When the lease ends; in the far past before the first one. */
+  public long leaseUntilTicks() {
+    return leaseUntilTicks;
   }
 
   /**
-   * Without a lease: whether this req may go against rules that came into force meanwhile. Where
-   * activation waits for this node, only what it has prepared can have; else whatever may be
-   * offered in this epoch, so all but what is pinned.
+   * Without a lease: whether a decision on such a request may break a version that has become
+   * active meanwhile. Where activation waits for this node, only what it has prepared can have
+   * become active; else any version of this epoch, which may forbid all but what is locked.
    */
-  public boolean mayBeContradicted(String plan, String frontend, long customer) {
-    if (acts == null) return true;
-    if (isWaitedFor()) return prepared != null && between().touch(plan, frontend, customer);
-    return !acts.isPinned(plan, frontend);
+  public boolean mayConflict(String quotaPlan, String requestClass, long customer) {
+    if (active == null) return true;
+    if (doesActivationWaitForThisNode())
+      return prepared != null && preparedConflicts().affects(quotaPlan, requestClass, customer);
+    return !active.isLocked(quotaPlan, requestClass);
   }
 
-  /** The same of an app server that may be held out meanwhile. */
-  public boolean mayBeHeldOut(String srv) {
-    if (acts == null) return true;
-    if (isWaitedFor()) return prepared != null && between().srvs().contains(srv);
-    return !acts.pins().contains("heldOut");
+  /** Without a lease: whether this app server may have been excluded meanwhile. */
+  public boolean mayBeExcluded(String server) {
+    if (active == null) return true;
+    if (doesActivationWaitForThisNode())
+      return prepared != null && preparedConflicts().servers().contains(server);
+    return !active.areServersLocked();
   }
 
   /**
-   * Nothing comes into force without this node, now and under what is prepared: both wait, and for
-   * it too.
+   * Whether nothing becomes active without this node: neither the successor of the active version
+   * nor that of the prepared one.
    */
-  private boolean isWaitedFor() {
-    return waits(acts) && (prepared == null || waits(prepared));
+  private boolean doesActivationWaitForThisNode() {
+    return successorWaitsForThisNode(active)
+        && (prepared == null || successorWaitsForThisNode(prepared));
   }
 
-  private boolean waits(SharedConfiguration r) {
-    return r.expired() == SharedConfiguration.Expired.WAIT && r.roster().contains(name);
+  private boolean successorWaitsForThisNode(SharedConfiguration configuration) {
+    return configuration.withoutLease() == SharedConfiguration.WithoutLease.DELAY_ACTIVATION
+        && configuration.members().contains(node);
   }
 
-  private ConfigurationConflicts between() {
-    return ConfigurationConflicts.between(acts, prepared);
+  private ConfigurationConflicts preparedConflicts() {
+    return ConfigurationConflicts.between(active, prepared);
   }
 
   /** When {@link #tick} is due next. */
-  public long due() {
-    return due;
+  public long nextRenewalAtTicks() {
+    return nextRenewalAtTicks;
+  }
+
+  /** Sends the renewal that is due, if one is. */
+  public void tick(long nowTicks) {
+    if (nowTicks < nextRenewalAtTicks) return;
+    nextRenewalAtTicks = timings.nextRenewalAtTicks(nowTicks, random.nextDouble());
+    sentAtTicks = nowTicks;
+    actions.renew(++renewalNumber,
+        new LeaseRenewal(node, versionOf(active), versionOf(prepared), rejected, rejectionReason));
   }
 
-  public void tick(long now) {
-    if (now < due) return;
-    due = terms.next(now, chance.nextDouble());
-    sentAt = now;
-    out.renew(++number, new Report(name, acts == null ? ConfigurationVersion.NONE : acts.version(),
-        prepared == null ? ConfigurationVersion.NONE : prepared.version(), rejected, reason));
+  private static ConfigurationVersion versionOf(SharedConfiguration configuration) {
+    return configuration == null ? ConfigurationVersion.NONE : configuration.version();
   }
 
   /**
-   * The keepers' answer to the renewal of that number; late ones, and those of a keeper with an old
-   * state, change nothing.
+   * Takes in the response to the renewal of that number. A late one, and one of a server whose
+   * state is older than the node's, change nothing.
    */
-  public void answered(long now, long to, Answer a) {
-    if (to != number || sentAt == NEVER) return;
-    long sent = sentAt;
-    sentAt = NEVER;
-    ConfigurationVersion mine = acts == null ? ConfigurationVersion.NONE : acts.version();
-    if (mine.isAfter(a.inForce)) return; // a keeper that was set back: it confirms nothing
-    if (a.inForce.isAfter(mine)) {
-      SharedConfiguration next = prepared != null && prepared.version().equals(a.inForce) ? prepared
-          : a.text;
-      // its text comes with a later answer
-      if (next == null || !next.version().equals(a.inForce)) return;
-      ConfigurationConflicts before = acts == null ? null
-          : ConfigurationConflicts.between(acts, next);
-      acts = next;
-      if (prepared != null && !prepared.version().isAfter(acts.version())) prepared = null;
-      out.acts(acts, before);
+  public void responseReceived(long nowTicks, long number, LeaseResponse response) {
+    if (number != renewalNumber || sentAtTicks == NEVER_TICKS) return;
+    long renewalSentAtTicks = sentAtTicks;
+    sentAtTicks = NEVER_TICKS;
+    // Guards against a server that was set back to an old state: its version is older than the
+    // node's, and to confirm that would take the node back.
+    if (versionOf(active).isAfter(response.activeVersion())) return;
+    if (response.activeVersion().isAfter(versionOf(active))) {
+      SharedConfiguration successor = successor(response);
+      if (successor == null) return;
+      activate(successor);
     }
-    leaseUntil = Math.max(leaseUntil, leaseFrom(sent, now) + terms.lease());
-    if (a.offered != null) {
-      offered(now, a.offered);
-      return;
-    }
-    prepared = null; // withdrawn, or in force
-    rejected = null;
-    reason = null;
+    leaseUntilTicks = Math.max(leaseUntilTicks,
+        leaseStartTicks(renewalSentAtTicks, nowTicks) + timings.leaseTicks());
+    if (response.proposed() == null) forgetProposal();
+    else prepare(nowTicks, response.proposed());
   }
 
-  /** From its sending: the keepers may have gone on while the answer was on its way. */
-  long leaseFrom(long sent, long now) {
-    return sent;
+  /** The configuration that has become active; null where its text comes with a later response. */
+  private SharedConfiguration successor(LeaseResponse response) {
+    boolean isPrepared = prepared != null && prepared.version().equals(response.activeVersion());
+    SharedConfiguration successor = isPrepared ? prepared : response.active();
+    return successor == null || !successor.version().equals(response.activeVersion()) ? null
+        : successor;
   }
 
-  private void offered(long now, SharedConfiguration o) {
-    if (acts != null && !o.version().isAfter(acts.version())) return;
-    if (prepared != null && prepared.version().equals(o.version()) || o.version().equals(rejected))
-      return;
-    List<String> faults = o.faults();
-    reason = faults.isEmpty() ? objections.to(acts, o) : String.join("; ", faults);
-    prepared = reason == null ? o : null;
-    rejected = reason == null ? null : o.version();
-    due = now; // the keepers wait for this word
+  private void activate(SharedConfiguration successor) {
+    ConfigurationConflicts conflicts = active == null ? null
+        : ConfigurationConflicts.between(active, successor);
+    active = successor;
+    if (prepared != null && !prepared.version().isAfter(active.version())) prepared = null;
+    actions.activated(active, conflicts);
+  }
+
+  /**
+   * From when a lease counts. Guards against a response that was long on its way: the quorum may
+   * have activated another version since, and a lease counted from its receipt would outlast what
+   * {@link LeaseTimings#maxConflictTicks} states.
+   */
+  long leaseStartTicks(long renewalSentAtTicks, long receivedAtTicks) {
+    return renewalSentAtTicks;
+  }
+
+  /** The proposed version was withdrawn, or has become active. */
+  private void forgetProposal() {
+    prepared = null;
+    rejected = null;
+    rejectionReason = null;
+  }
+
+  private void prepare(long nowTicks, SharedConfiguration proposed) {
+    ConfigurationVersion version = proposed.version();
+    if (active != null && !version.isAfter(active.version())) return;
+    boolean isPrepared = prepared != null && prepared.version().equals(version);
+    if (isPrepared || version.equals(rejected)) return;
+    List<String> faults = proposed.faults();
+    rejectionReason = faults.isEmpty() ? localCheck.objectionTo(active, proposed)
+        : String.join("; ", faults);
+    prepared = rejectionReason == null ? proposed : null;
+    rejected = rejectionReason == null ? null : version;
+    nextRenewalAtTicks = nowTicks; // the leader waits for this node's verdict
   }
 }
--- a/src/main/java/saltlatch/configuration/ConfigurationRegister.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationRegister.java
@@ -6,104 +6,150 @@
 import java.util.TreeSet;
 
 /**
- * What the keepers agree on: the version in force, the one offered, and what became of the others.
- * A deterministic state machine: the same operations in the same order give the same state, at each
- * keeper and after each start. No I/O.
+ * The state machine that the quorum replicates: which version is active, which is proposed, and
+ * what became of the others. Deterministic and without I/O, so that the same operations in the same
+ * order give the same state at every server and after every start.
+ *
+ * <p>Invariants: versions only grow; at most one version is proposed at a time; a version becomes
+ * active only from being proposed; within an epoch no active version tightens a key that an earlier
+ * active one locked.
+ *
+ * <p>Owned by the thread that applies the replicated log.
  */
 public final class ConfigurationRegister {
-  static final int KEPT = 64; // outcomes kept for people to read
-
-  /** An operation of the log that the keepers replicate. */
-  public sealed interface Op {
-    /** Offers rules in place of version {@code base}, the newest that its author knew. */
-    record Put(ConfigurationVersion base, SharedConfiguration rules) implements Op {}
-
-    /** Puts the offered version in force. */
-    record Activate(ConfigurationVersion version) implements Op {}
-
-    /** Takes the offered version back, since {@code node} can't act on it. */
-    record Reject(ConfigurationVersion version, String node, String reason) implements Op {}
+  private static final int MAX_OUTCOMES = 64; // kept for people to read
+
+  /** An entry of the replicated log. */
+  public sealed interface Operation {
+    /**
+     * Proposes a configuration.
+     *
+     * @param base          the newest version that its author knew
+     * @param configuration its epoch counts, its number is assigned anew
+     */
+    record Propose(ConfigurationVersion base,
+        SharedConfiguration configuration) implements Operation {}
+
+    /** Makes the proposed version the active one. */
+    record Activate(ConfigurationVersion version) implements Operation {}
+
+    /** Withdraws the proposed version, since {@code node} can't act on it. */
+    record Reject(ConfigurationVersion version, String node, String reason) implements Operation {}
   }
 
-  /** What became of a version. */
-  public record Outcome(ConfigurationVersion version, boolean inForce, String why) {}
-
-  /** All of it, for snapshots. */
-  public record State(SharedConfiguration inForce, SharedConfiguration offered,
+  /**
+   * What became of a version.
+   *
+   * @param activated whether it became active, or was rejected
+   * @param reason    in words, of a rejection with the node's name
+   */
+  public record Outcome(ConfigurationVersion version, boolean activated, String reason) {}
+
+  /**
+   * The whole state, for snapshots.
+   *
+   * @param active   null before the first activation
+   * @param proposed null if none waits
+   * @param newest   the last version assigned
+   * @param outcomes the last ones, oldest first
+   */
+  public record Snapshot(SharedConfiguration active, SharedConfiguration proposed,
       ConfigurationVersion newest, List<Outcome> outcomes) {}
 
-  private SharedConfiguration inForce;
-  private SharedConfiguration offered;
+  private SharedConfiguration active;
+  private SharedConfiguration proposed;
   private ConfigurationVersion newest = ConfigurationVersion.NONE;
   private final List<Outcome> outcomes = new ArrayList<>();
 
-  public State state() {
-    return new State(inForce, offered, newest, List.copyOf(outcomes));
+  /** A copy of the whole state. */
+  public Snapshot snapshot() {
+    return new Snapshot(active, proposed, newest, List.copyOf(outcomes));
   }
 
-  public void restore(State s) {
-    inForce = s.inForce;
-    offered = s.offered;
-    newest = s.newest;
+  /** Takes the state of a snapshot in place of its own. */
+  public void restore(Snapshot snapshot) {
+    active = snapshot.active;
+    proposed = snapshot.proposed;
+    newest = snapshot.newest;
     outcomes.clear();
-    outcomes.addAll(s.outcomes);
+    outcomes.addAll(snapshot.outcomes);
   }
 
-  public SharedConfiguration inForce() {
-    return inForce;
+  /** The active configuration; null before the first activation. */
+  public SharedConfiguration active() {
+    return active;
   }
 
-  public SharedConfiguration offered() {
-    return offered;
+  /** The configuration that waits for activation; null if there is none. */
+  public SharedConfiguration proposed() {
+    return proposed;
   }
 
+  /** The last version assigned, whatever became of it. */
   public ConfigurationVersion newest() {
     return newest;
   }
 
-  /** What to tell who asked: the version given, or why not. */
-  public String apply(Op op) {
-    if (op instanceof Op.Put p) return put(p);
-    if (op instanceof Op.Activate a) return activate(a.version());
-    Op.Reject r = (Op.Reject) op;
-    if (offered == null || !offered.version().equals(r.version()))
-      return "old: " + r.version() + " is not offered";
-    end(new Outcome(r.version(), false, r.node() + ": " + r.reason()));
-    return "rejected " + r.version();
+  /** Applies one entry of the log. */
+  public OperationResult apply(Operation operation) {
+    if (operation instanceof Operation.Propose propose) return propose(propose);
+    if (operation instanceof Operation.Activate activate) return activate(activate.version());
+    return reject((Operation.Reject) operation);
   }
 
-  private String put(Op.Put p) {
-    if (!p.base().equals(newest))
-      return "refused: made for " + p.base() + ", the newest is " + newest;
-    if (offered != null) return "refused: " + offered.version() + " is still offered";
-    long epoch = p.rules().version().epoch();
+  private OperationResult propose(Operation.Propose proposal) {
+    ConfigurationVersion base = proposal.base();
+    // Guards against a proposal made without knowledge of a later one, which it would undo.
+    if (!base.equals(newest))
+      return OperationResult.refused("made for " + base + ", the newest is " + newest);
+    if (proposed != null) return OperationResult.refused(proposed.version() + " is still offered");
+    long epoch = proposal.configuration().version().epoch();
     if (epoch < newest.epoch())
-      return "refused: epoch " + epoch + " is over, the newest is " + newest;
-    ConfigurationVersion v = new ConfigurationVersion(epoch,
-        epoch == newest.epoch() ? newest.number() + 1 : 1);
-    SharedConfiguration rules = p.rules().as(v);
-    if (!rules.faults().isEmpty()) return "refused: " + String.join("; ", rules.faults());
-    if (inForce != null && epoch == inForce.version().epoch()) {
-      Set<String> broken = new TreeSet<>(ConfigurationConflicts.between(inForce, rules).keys());
-      broken.retainAll(inForce.pins());
-      if (!broken.isEmpty())
-        return "refused: pinned in epoch " + epoch + ": " + String.join(", ", broken);
-    }
-    newest = v;
-    offered = rules;
-    return "offered " + v;
+      return OperationResult.refused("epoch " + epoch + " is over, the newest is " + newest);
+    SharedConfiguration successor = proposal.configuration().withVersion(nextVersion(epoch));
+    List<String> faults = successor.faults();
+    if (!faults.isEmpty()) return OperationResult.refused(String.join("; ", faults));
+    Set<String> broken = brokenLocks(successor);
+    if (!broken.isEmpty())
+      return OperationResult.refused("pinned in epoch " + epoch + ": " + String.join(", ", broken));
+    newest = successor.version();
+    proposed = successor;
+    return OperationResult.proposed(newest);
+  }
+
+  private ConfigurationVersion nextVersion(long epoch) {
+    return new ConfigurationVersion(epoch, epoch == newest.epoch() ? newest.number() + 1 : 1);
+  }
+
+  /** The locked keys of the active version that the successor tightens in the same epoch. */
+  private Set<String> brokenLocks(SharedConfiguration successor) {
+    if (active == null || successor.version().epoch() != active.version().epoch()) return Set.of();
+    Set<String> broken = new TreeSet<>(ConfigurationConflicts.between(active, successor).keys());
+    broken.retainAll(active.lockedKeys());
+    return broken;
+  }
+
+  private OperationResult activate(ConfigurationVersion version) {
+    if (!isProposed(version)) return OperationResult.stale(version);
+    active = proposed;
+    close(new Outcome(version, true, "in force"));
+    return OperationResult.activated(version);
+  }
+
+  private OperationResult reject(Operation.Reject rejection) {
+    ConfigurationVersion version = rejection.version();
+    if (!isProposed(version)) return OperationResult.stale(version);
+    close(new Outcome(version, false, rejection.node() + ": " + rejection.reason()));
+    return OperationResult.rejected(version);
   }
 
-  private String activate(ConfigurationVersion v) {
-    if (offered == null || !offered.version().equals(v)) return "old: " + v + " is not offered";
-    inForce = offered;
-    end(new Outcome(v, true, "in force"));
-    return "in force " + v;
+  private boolean isProposed(ConfigurationVersion version) {
+    return proposed != null && proposed.version().equals(version);
   }
 
-  private void end(Outcome o) {
-    offered = null;
-    outcomes.add(o);
-    if (outcomes.size() > KEPT) outcomes.remove(0);
+  private void close(Outcome outcome) {
+    proposed = null;
+    outcomes.add(outcome);
+    if (outcomes.size() > MAX_OUTCOMES) outcomes.remove(0);
   }
 }
--- a/src/main/java/saltlatch/configuration/ConfigurationVersion.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationVersion.java
@@ -1,30 +1,39 @@
 package saltlatch.configuration;
 
 /**
- * Which rule set: the epoch goes before the number. Numbers are the keepers' to give, epochs the
- * operators'.
+ * Identifies a shared configuration. Versions are ordered by epoch, then by number.
+ *
+ * @param epoch  chosen by the operators; a new one lifts the locks of the one before
+ * @param number assigned by the quorum, from 1 in each epoch
  */
 public record ConfigurationVersion(long epoch,
     long number) implements Comparable<ConfigurationVersion> {
+  /** Stands for no configuration at all; before every other version. */
   public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
   @Override
-  public int compareTo(ConfigurationVersion o) {
-    int byEpoch = Long.compare(epoch, o.epoch);
-    return byEpoch != 0 ? byEpoch : Long.compare(number, o.number);
+  public int compareTo(ConfigurationVersion other) {
+    int byEpoch = Long.compare(epoch, other.epoch);
+    return byEpoch != 0 ? byEpoch : Long.compare(number, other.number);
   }
 
-  public boolean isAfter(ConfigurationVersion o) {
-    return compareTo(o) > 0;
+  /** Whether this version is newer than the other. */
+  public boolean isAfter(ConfigurationVersion other) {
+    return compareTo(other) > 0;
   }
 
-  /** As people and the wire write it. */
+  /** {@code EPOCH.NUMBER}, as people and the wire write it. */
   @Override
   public String toString() {
     return epoch + "." + number;
   }
 
-  public static ConfigurationVersion of(String text) {
+  /**
+   * Reads the form of {@link #toString}.
+   *
+   * @throws IllegalArgumentException the text has another form
+   */
+  public static ConfigurationVersion parse(String text) {
     int dot = text.indexOf('.');
     if (dot <= 0) throw new IllegalArgumentException("a version is EPOCH.NUMBER, not " + text);
     return new ConfigurationVersion(Long.parseLong(text.substring(0, dot)),
--- a/src/main/java/saltlatch/configuration/LeaseTimings.java
+++ b/src/main/java/saltlatch/configuration/LeaseTimings.java
@@ -1,41 +1,47 @@
 package saltlatch.configuration;
 
+import saltlatch.api.Ticks;
+
 /**
- * Times of agreed rules, worked out of how often a node renews. Tenths of a ms; every promised time
- * is a formula here.
+ * The times of configuration leases, all derived from how often a node renews. In ticks.
+ *
+ * @param renewalTicks the longest time between two renewals of a node
  */
-public record LeaseTimings(long renewal) {
-  // One block of constants, each with its unit and reason.
-  // 1 s between renewals: a change is in force within seconds, a call a second each
-  public static final long RENEWAL = 10_000;
-  static final int RENEWALS = 3; // renewals that a lease outlives: two lost in a row stop nobody
-  // how far a clock may run fast or slow: a hundredfold of a bad crystal's
-  static final double DRIFT = 0.01;
-  // 200 ms, the longest turn of a loop: what was decided is on its way by then
-  static final long TURN = 2_000;
-  // of a renewal by which renewals are drawn apart: a fleet must not call at once
-  static final double SPREAD = 0.1;
+public record LeaseTimings(long renewalTicks) {
+  /** A change is active everywhere within seconds, at one call a second from each node. */
+  public static final long DEFAULT_RENEWAL_TICKS = Ticks.PER_SECOND;
+
+  private static final int RENEWALS_PER_LEASE = 3; // two lost in a row stop no node
+  private static final double MAX_CLOCK_DRIFT = 0.01; // of the elapsed time
+  // the longest turn of an event loop: what it decided is on its way by then
+  private static final long MAX_LOOP_TURN_TICKS = 200 * Ticks.PER_MILLISECOND;
+  // part of the interval over which renewals are spread, so that a fleet does not call at once
+  private static final double RENEWAL_JITTER = 0.1;
 
   /**
-   * L: a node acts on a version for so long after it sent the renewal that confirmed it, by its own
-   * clock.
+   * For how long a node may act on a version after it sent the renewal that confirmed it, by the
+   * node's own clock.
    */
-  public long lease() {
-    return RENEWALS * renewal;
+  public long leaseTicks() {
+    return RENEWALS_PER_LEASE * renewalTicks;
   }
 
-  /** W: after this by any clock a lease that was given before has run out by its holder's. */
-  public long leaseOver() {
-    return (long) Math.ceil(lease() * (1 + 4 * DRIFT));
+  /** After this time by any clock, a lease granted before has run out by its holder's clock. */
+  public long leaseExpiredTicks() {
+    return (long) Math.ceil(leaseTicks() * (1 + 4 * MAX_CLOCK_DRIFT));
   }
 
-  /** T: the longest for which two nodes act on contradicting versions at once. */
-  public long contradictedAtMost() {
-    return (long) Math.ceil(lease() * (1 + 2 * DRIFT)) + TURN;
+  /** The longest time for which two nodes act on conflicting versions at once. */
+  public long maxConflictTicks() {
+    return (long) Math.ceil(leaseTicks() * (1 + 2 * MAX_CLOCK_DRIFT)) + MAX_LOOP_TURN_TICKS;
   }
 
-  /** When the next renewal is due, drawn apart. */
-  long next(long now, double draw) {
-    return now + (long) (renewal * (1 - SPREAD * draw));
+  /**
+   * When the next renewal is due.
+   *
+   * @param draw a random number from 0 to 1, for the jitter
+   */
+  long nextRenewalAtTicks(long nowTicks, double draw) {
+    return nowTicks + (long) (renewalTicks * (1 - RENEWAL_JITTER * draw));
   }
 }
--- a/src/main/java/saltlatch/configuration/SharedConfiguration.java
+++ b/src/main/java/saltlatch/configuration/SharedConfiguration.java
@@ -1,6 +1,5 @@
 package saltlatch.configuration;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedSet;
@@ -9,75 +8,76 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * All rules that the edge nodes must agree on, of one version: settings (plans, frontends by name,
- * limits) and lists (app servers held out, customers barred or exempt, the roster). Times are
- * tenths of a ms, rates units a second. Maps and sets are sorted, so that one rule set has one form
- * and one hash. {@code pins}: keys ({@code plans.NAME}, {@code frontends.NAME}, {@code heldOut},
- * {@code customers}, {@code sendCap}) that no later version of the same epoch tightens.
+ * Everything that the edge nodes must agree on, in one version. Maps and sets are sorted, so that
+ * equal configurations have one text and one hash.
+ *
+ * @param version          which configuration this is
+ * @param quotaPlans       quotas by the plan's name
+ * @param requestClasses   classes of requests by name
+ * @param limits           what the deployment allows
+ * @param excludedServers  app servers, by name, that get no requests
+ * @param blockedCustomers customers whose requests are rejected
+ * @param exemptCustomers  customers that no quota binds
+ * @param members          names of the nodes that activation waits for, where it waits
+ * @param lockedKeys       keys that no later version of the same epoch may tighten; {@link
+ *     ConfigurationKeys} has them
+ * @param withoutLease     what a node does whose lease on this version has run out
  */
 public record SharedConfiguration(ConfigurationVersion version,
-    Map<String, GatewaySettings.QuotaPlan> plans,
-    Map<String, GatewaySettings.RequestClass> frontends, Limits limits, SortedSet<String> heldOut,
-    SortedSet<Long> barred, SortedSet<Long> exempt, SortedSet<String> roster,
-    SortedSet<String> pins, Expired expired) {
+    Map<String, GatewaySettings.QuotaPlan> quotaPlans,
+    Map<String, GatewaySettings.RequestClass> requestClasses, Limits limits,
+    SortedSet<String> excludedServers, SortedSet<Long> blockedCustomers,
+    SortedSet<Long> exemptCustomers, SortedSet<String> members, SortedSet<String> lockedKeys,
+    WithoutLease withoutLease) {
 
   /**
-   * {@code sendCap}: dispatches of a req at most; {@code longestPause}: the most that a client is
-   * told to wait.
+   * Limits of the whole deployment.
+   *
+   * @param maxAttempts        attempts of one request at most
+   * @param maxRetryAfterTicks the longest Retry-After that clients get
    */
-  public record Limits(int sendCap, long longestPause) {}
+  public record Limits(int maxAttempts, long maxRetryAfterTicks) {}
 
-  /**
-   * What becomes of a rule set whose successor may be in force unknown to a node: it denies, or the
-   * successor waits.
-   */
-  public enum Expired {
-    DENY,
-    WAIT
+  /** What happens while a later version may have become active unknown to a node. */
+  public enum WithoutLease {
+    /** The node rejects the requests that the later version may forbid. */
+    REJECT_REQUESTS,
+    /** No later version is activated before every member has prepared it. */
+    DELAY_ACTIVATION
   }
 
+  /** Copies maps and sets into sorted ones. */
   public SharedConfiguration {
-    plans = new TreeMap<>(plans);
-    frontends = new TreeMap<>(frontends);
-    heldOut = new TreeSet<>(heldOut);
-    barred = new TreeSet<>(barred);
-    exempt = new TreeSet<>(exempt);
-    roster = new TreeSet<>(roster);
-    pins = new TreeSet<>(pins);
+    quotaPlans = new TreeMap<>(quotaPlans);
+    requestClasses = new TreeMap<>(requestClasses);
+    excludedServers = new TreeSet<>(excludedServers);
+    blockedCustomers = new TreeSet<>(blockedCustomers);
+    exemptCustomers = new TreeSet<>(exemptCustomers);
+    members = new TreeSet<>(members);
+    lockedKeys = new TreeSet<>(lockedKeys);
+  }
+
+  /** Whether no later version of this epoch forbids what this one allows of such requests. */
+  public boolean isLocked(String quotaPlan, String requestClass) {
+    return lockedKeys.contains(ConfigurationKeys.quotaPlan(quotaPlan))
+        && lockedKeys.contains(ConfigurationKeys.requestClass(requestClass))
+        && lockedKeys.contains(ConfigurationKeys.CUSTOMERS)
+        && lockedKeys.contains(ConfigurationKeys.MAX_ATTEMPTS);
   }
 
-  /** Whether no later version of this epoch forbids what this one allows of such reqs. */
-  public boolean isPinned(String plan, String frontend) {
-    return pins.contains("plans." + plan) && pins.contains("frontends." + frontend)
-        && pins.contains("customers") && pins.contains("sendCap");
+  /** Whether no later version of this epoch excludes further app servers. */
+  public boolean areServersLocked() {
+    return lockedKeys.contains(ConfigurationKeys.EXCLUDED_SERVERS);
   }
 
-  public SharedConfiguration as(ConfigurationVersion v) {
-    return new SharedConfiguration(v, plans, frontends, limits, heldOut, barred, exempt, roster,
-        pins, expired);
+  /** The same configuration under another version. */
+  public SharedConfiguration withVersion(ConfigurationVersion other) {
+    return new SharedConfiguration(other, quotaPlans, requestClasses, limits, excludedServers,
+        blockedCustomers, exemptCustomers, members, lockedKeys, withoutLease);
   }
 
-  /** What is wrong with it by itself, by key; empty if nothing is. */
+  /** What is wrong with this configuration by itself, each with its key; empty if nothing is. */
   public List<String> faults() {
-    List<String> out = new ArrayList<>();
-    if (plans.isEmpty()) out.add("plans: none");
-    if (frontends.isEmpty()) out.add("frontends: none");
-    plans.forEach((name, p) -> {
-      if (!(p.ratePerSecond() >= 0) || p.ratePerSecond() > 0 && !(p.burstUnits() > 0))
-        out.add("plans." + name + ": a rate wants a burst above 0");
-      if (p.ceilingPerSecond() < 0 || p.ceilingBurstUnits() < 0 || p.maxConcurrent() < 0)
-        out.add("plans." + name + ": below 0");
-    });
-    frontends.forEach((name, f) -> {
-      if (f.latencyObjectiveTicks() <= 0 || f.clientTimeoutTicks() < f.latencyObjectiveTicks())
-        out.add("frontends." + name + ": target above 0, timeout no less");
-      if (f.retrySafety() == GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY && f.keyTtlTicks() <= 0)
-        out.add("frontends." + name + ": uniqued wants remembered");
-    });
-    if (limits.sendCap() < 1) out.add("limits.sendCap: at least 1");
-    for (long c : barred)
-      if (exempt.contains(c)) out.add("barred and exempt: customer " + Long.toHexString(c));
-    if (version.epoch() < 1) out.add("version: epochs begin with 1");
-    return out;
+    return ConfigurationValidator.faults(this);
   }
 }
--- a/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
@@ -1,313 +1,221 @@
 package saltlatch.wire.configuration;
 
 import com.google.gson.JsonArray;
-import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import saltlatch.api.GatewaySettings;
-import saltlatch.configuration.ConfigurationFollower;
+import saltlatch.api.GatewaySettings.KeyScope;
+import saltlatch.api.GatewaySettings.QuotaPlan;
+import saltlatch.api.GatewaySettings.RequestClass;
+import saltlatch.api.GatewaySettings.RetrySafety;
+import saltlatch.api.Ticks;
 import saltlatch.configuration.ConfigurationVersion;
 import saltlatch.configuration.SharedConfiguration;
+import saltlatch.configuration.SharedConfiguration.Limits;
+import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.wire.LimitExceededException;
+import saltlatch.wire.MalformedMessageException;
+import saltlatch.wire.ProtocolException;
 
 /**
- * The form of rule sets, of nodes' reports and of keepers' answers: JSON, times in ms, customers in
- * hexadecimal. What is unknown, missing or of another kind is refused with its key: a misspelt rule
- * must not pass quietly. One rule set has one text, and so one hash.
+ * The JSON form of shared configurations: times in ms, customers in hexadecimal. What is unknown,
+ * missing or of another kind is refused with its key. One configuration has one text, and so one
+ * hash.
  */
 public final class ConfigurationCodec {
-  /** What is wrong, and at which key. */
-  public static final class Malformed extends Exception {
-    private static final long serialVersionUID = 1;
-
-    Malformed(String what) {
-      super(what);
-    }
-  }
-
-  private static final double TENTHS = 10; // of a ms in one
-  // characters of one rule set: far above any fleet's, far below a keeper's memory
-  private static final int LONGEST = 1 << 20;
-
-  /** The form's words for the values that have other names in the code. */
-  private static final Map<Enum<?>, String> WORDS = Map.of(GatewaySettings.RetrySafety.IDEMPOTENT,
-      "replayable", GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY, "uniqued",
-      GatewaySettings.RetrySafety.NOT_IDEMPOTENT, "non_replayable", GatewaySettings.KeyScope.GROUP,
-      "cell");
+  // far above any fleet's configuration, far below the memory of a server of the quorum
+  private static final int MAX_LENGTH_CHARACTERS = 1 << 20;
+  private static final int HASH_BYTES = 8;
+  private static final int HEXADECIMAL = 16;
+
+  private static final String EPOCH = "epoch";
+  private static final String NUMBER = "number";
+  private static final String WITHOUT_LEASE = "expired";
+  private static final String LOCKED_KEYS = "pins";
+  private static final String QUOTA_PLANS = "plans";
+  private static final String REQUEST_CLASSES = "frontends";
+  private static final String LIMITS = "limits";
+  private static final String EXCLUDED_SERVERS = "held_out";
+  private static final String BLOCKED_CUSTOMERS = "barred";
+  private static final String EXEMPT_CUSTOMERS = "exempt";
+  private static final String MEMBERS = "roster";
+  private static final List<String> KEYS = List.of(EPOCH, NUMBER, WITHOUT_LEASE, LOCKED_KEYS,
+      QUOTA_PLANS, REQUEST_CLASSES, LIMITS, EXCLUDED_SERVERS, BLOCKED_CUSTOMERS, EXEMPT_CUSTOMERS,
+      MEMBERS);
+
+  private static final String RATE_PER_SECOND = "rate";
+  private static final String BURST_UNITS = "burst";
+  private static final String MAX_CONCURRENT = "parallel";
+  private static final String CEILING_PER_SECOND = "ceiling_rate";
+  private static final String CEILING_BURST_UNITS = "ceiling_burst";
+  private static final String PLAN_PRIORITY_WEIGHT = "price";
+  private static final List<String> QUOTA_PLAN_KEYS = List.of(RATE_PER_SECOND, BURST_UNITS,
+      MAX_CONCURRENT, CEILING_PER_SECOND, CEILING_BURST_UNITS, PLAN_PRIORITY_WEIGHT);
+
+  private static final String RETRY_SAFETY = "effect";
+  private static final String KEY_SCOPE = "group";
+  private static final String KEY_TTL_MS = "remembered_ms";
+  private static final String LATENCY_OBJECTIVE_MS = "target_ms";
+  private static final String CLIENT_TIMEOUT_MS = "client_timeout_ms";
+  private static final String CLASS_PRIORITY_WEIGHT = "value";
+  private static final List<String> REQUEST_CLASS_KEYS = List.of(RETRY_SAFETY, KEY_SCOPE,
+      KEY_TTL_MS, LATENCY_OBJECTIVE_MS, CLIENT_TIMEOUT_MS, CLASS_PRIORITY_WEIGHT);
+
+  private static final String MAX_ATTEMPTS = "send_cap";
+  private static final String MAX_RETRY_AFTER_MS = "longest_pause_ms";
+  private static final List<String> LIMIT_KEYS = List.of(MAX_ATTEMPTS, MAX_RETRY_AFTER_MS);
 
   private ConfigurationCodec() {}
 
-  // ---- rule sets
-
-  public static SharedConfiguration read(String text) throws Malformed {
-    if (text.length() > LONGEST) throw new Malformed("longer than " + LONGEST + " characters");
-    return rules(new Part("", parsed(text)));
+  /**
+   * Reads a configuration; missing numbers are 0, missing lists empty.
+   *
+   * @throws LimitExceededException    the text is too long
+   * @throws MalformedMessageException what is wrong, and at which key
+   */
+  public static SharedConfiguration decode(String text) throws ProtocolException {
+    if (text.length() > MAX_LENGTH_CHARACTERS) throw new LimitExceededException("configuration",
+        text.length() + " characters", MAX_LENGTH_CHARACTERS + " characters");
+    return decode(JsonObjectReader.ofText(text));
+  }
+
+  static SharedConfiguration decode(JsonObjectReader object) throws MalformedMessageException {
+    object.allowOnly(KEYS);
+    Map<String, QuotaPlan> quotaPlans = new TreeMap<>();
+    for (JsonObjectReader plan : object.child(QUOTA_PLANS).children())
+      quotaPlans.put(plan.name(), quotaPlan(plan));
+    Map<String, RequestClass> requestClasses = new TreeMap<>();
+    for (JsonObjectReader requestClass : object.child(REQUEST_CLASSES).children())
+      requestClasses.put(requestClass.name(), requestClass(requestClass));
+    return new SharedConfiguration(
+        new ConfigurationVersion(object.whole(EPOCH), object.whole(NUMBER)), quotaPlans,
+        requestClasses, limits(object.child(LIMITS)), object.words(EXCLUDED_SERVERS),
+        customers(object, BLOCKED_CUSTOMERS), customers(object, EXEMPT_CUSTOMERS),
+        object.words(MEMBERS), object.words(LOCKED_KEYS), withoutLease(object));
   }
 
-  private static SharedConfiguration rules(Part p) throws Malformed {
-    p.only("epoch", "number", "expired", "pins", "plans", "frontends", "limits", "held_out",
-        "barred", "exempt", "roster");
-    Map<String, GatewaySettings.QuotaPlan> plans = new TreeMap<>();
-    for (Part e : p.part("plans").parts()) plans.put(e.name(), plan(e));
-    Map<String, GatewaySettings.RequestClass> frontends = new TreeMap<>();
-    for (Part e : p.part("frontends").parts()) frontends.put(e.name(), frontend(e));
-    Part limits = p.part("limits");
-    limits.only("send_cap", "longest_pause_ms");
-    return new SharedConfiguration(
-        new ConfigurationVersion(p.whole("epoch"), p.has("number") ? p.whole("number") : 0), plans,
-        frontends,
-        new SharedConfiguration.Limits((int) limits.whole("send_cap"),
-            limits.tenths("longest_pause_ms")),
-        p.words("held_out"), customers(p, "barred"), customers(p, "exempt"), p.words("roster"),
-        p.words("pins"), p.has("expired") ? p.one("expired", SharedConfiguration.Expired.values())
-            : SharedConfiguration.Expired.DENY);
+  private static QuotaPlan quotaPlan(JsonObjectReader object) throws MalformedMessageException {
+    object.allowOnly(QUOTA_PLAN_KEYS);
+    return new QuotaPlan(object.number(RATE_PER_SECOND), object.number(BURST_UNITS),
+        (int) object.whole(MAX_CONCURRENT), object.number(CEILING_PER_SECOND),
+        object.number(CEILING_BURST_UNITS), object.number(PLAN_PRIORITY_WEIGHT));
   }
 
-  private static GatewaySettings.QuotaPlan plan(Part p) throws Malformed {
-    p.only("rate", "burst", "parallel", "ceiling_rate", "ceiling_burst", "price");
-    return new GatewaySettings.QuotaPlan(p.number("rate"), p.number("burst"),
-        (int) p.whole("parallel"), p.number("ceiling_rate"), p.number("ceiling_burst"),
-        p.number("price"));
+  private static RequestClass requestClass(JsonObjectReader object)
+      throws MalformedMessageException {
+    object.allowOnly(REQUEST_CLASS_KEYS);
+    return new RequestClass(EnumWords.read(object, RETRY_SAFETY, RetrySafety.values()),
+        EnumWords.read(object, KEY_SCOPE, KeyScope.values()), object.ticks(KEY_TTL_MS),
+        object.ticks(LATENCY_OBJECTIVE_MS), object.ticks(CLIENT_TIMEOUT_MS),
+        object.number(CLASS_PRIORITY_WEIGHT));
   }
 
-  private static GatewaySettings.RequestClass frontend(Part p) throws Malformed {
-    p.only("effect", "group", "remembered_ms", "target_ms", "client_timeout_ms", "value");
-    return new GatewaySettings.RequestClass(p.one("effect", GatewaySettings.RetrySafety.values()),
-        p.one("group", GatewaySettings.KeyScope.values()), p.tenths("remembered_ms"),
-        p.tenths("target_ms"), p.tenths("client_timeout_ms"), p.number("value"));
+  private static Limits limits(JsonObjectReader object) throws MalformedMessageException {
+    object.allowOnly(LIMIT_KEYS);
+    return new Limits((int) object.whole(MAX_ATTEMPTS), object.ticks(MAX_RETRY_AFTER_MS));
   }
 
-  private static SortedSet<Long> customers(Part p, String key) throws Malformed {
-    SortedSet<Long> out = new TreeSet<>();
-    for (String word : p.words(key)) {
+  private static SortedSet<Long> customers(JsonObjectReader object, String key)
+      throws MalformedMessageException {
+    SortedSet<Long> customers = new TreeSet<>();
+    for (String word : object.words(key)) {
       try {
-        out.add(Long.parseUnsignedLong(word, 16));
+        customers.add(Long.parseUnsignedLong(word, HEXADECIMAL));
       } catch (NumberFormatException e) {
-        throw new Malformed(p.at(key) + ": " + word + " is no customer");
+        throw object.fault(key, word + " is no customer");
       }
     }
-    return out;
+    return customers;
   }
 
-  public static String write(SharedConfiguration r) {
-    return object(r).toString();
+  private static WithoutLease withoutLease(JsonObjectReader object)
+      throws MalformedMessageException {
+    return object.has(WITHOUT_LEASE) ? EnumWords.read(object, WITHOUT_LEASE, WithoutLease.values())
+        : WithoutLease.REJECT_REQUESTS;
   }
 
-  private static JsonObject object(SharedConfiguration r) {
-    JsonObject o = new JsonObject();
-    o.addProperty("epoch", r.version().epoch());
-    o.addProperty("number", r.version().number());
-    o.addProperty("expired", word(r.expired()));
-    o.add("pins", array(r.pins(), w -> w));
-    JsonObject plans = new JsonObject();
-    r.plans().forEach((name, p) -> {
-      JsonObject e = new JsonObject();
-      e.addProperty("rate", p.ratePerSecond());
-      e.addProperty("burst", p.burstUnits());
-      e.addProperty("parallel", p.maxConcurrent());
-      e.addProperty("ceiling_rate", p.ceilingPerSecond());
-      e.addProperty("ceiling_burst", p.ceilingBurstUnits());
-      e.addProperty("price", p.priorityWeight());
-      plans.add(name, e);
-    });
-    o.add("plans", plans);
-    JsonObject frontends = new JsonObject();
-    r.frontends().forEach((name, f) -> {
-      JsonObject e = new JsonObject();
-      e.addProperty("effect", word(f.retrySafety()));
-      e.addProperty("group", word(f.keyScope()));
-      e.addProperty("remembered_ms", f.keyTtlTicks() / TENTHS);
-      e.addProperty("target_ms", f.latencyObjectiveTicks() / TENTHS);
-      e.addProperty("client_timeout_ms", f.clientTimeoutTicks() / TENTHS);
-      e.addProperty("value", f.priorityWeight());
-      frontends.add(name, e);
-    });
-    o.add("frontends", frontends);
-    JsonObject limits = new JsonObject();
-    limits.addProperty("send_cap", r.limits().sendCap());
-    limits.addProperty("longest_pause_ms", r.limits().longestPause() / TENTHS);
-    o.add("limits", limits);
-    o.add("held_out", array(r.heldOut(), w -> w));
-    o.add("barred", array(r.barred(), Long::toHexString));
-    o.add("exempt", array(r.exempt(), Long::toHexString));
-    o.add("roster", array(r.roster(), w -> w));
-    return o;
+  /** The one text of a configuration. */
+  public static String encode(SharedConfiguration configuration) {
+    return toJson(configuration).toString();
   }
 
-  /** Of the text without its version: two versions of one hash hold the same rules. */
-  public static String hash(SharedConfiguration r) {
+  /** 16 hexadecimal digits of all but the version: the same hash stands for the same contents. */
+  public static String hash(SharedConfiguration configuration) {
+    String text = encode(configuration.withVersion(ConfigurationVersion.NONE));
     try {
-      byte[] sum = MessageDigest.getInstance("SHA-256")
-          .digest(write(r.as(ConfigurationVersion.NONE)).getBytes(StandardCharsets.UTF_8));
-      return HexFormat.of().formatHex(sum, 0, 8);
+      byte[] digest = MessageDigest.getInstance("SHA-256")
+          .digest(text.getBytes(StandardCharsets.UTF_8));
+      return HexFormat.of().formatHex(digest, 0, HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // every JDK has it
     }
   }
 
-  // ---- renewals
-
-  public static String write(ConfigurationFollower.Report r) {
-    JsonObject o = new JsonObject();
-    o.addProperty("node", r.node());
-    o.addProperty("acts", r.acts().toString());
-    o.addProperty("prepared", r.prepared().toString());
-    if (r.rejected() != null) {
-      o.addProperty("rejected", r.rejected().toString());
-      o.addProperty("reason", r.reason());
-    }
-    return o.toString();
-  }
-
-  public static ConfigurationFollower.Report report(String text) throws Malformed {
-    Part p = new Part("", parsed(text));
-    p.only("node", "acts", "prepared", "rejected", "reason");
-    boolean rejects = p.has("rejected");
-    return new ConfigurationFollower.Report(p.word("node"), version(p, "acts"),
-        version(p, "prepared"), rejects ? version(p, "rejected") : null,
-        rejects ? p.word("reason") : null);
-  }
-
-  public static String write(ConfigurationFollower.Answer a) {
-    JsonObject o = new JsonObject();
-    o.addProperty("in_force", a.inForce().toString());
-    if (a.text() != null) o.add("rules", object(a.text()));
-    if (a.offered() != null) o.add("offered", object(a.offered()));
-    return o.toString();
-  }
-
-  public static ConfigurationFollower.Answer answer(String text) throws Malformed {
-    Part p = new Part("", parsed(text));
-    p.only("in_force", "rules", "offered");
-    return new ConfigurationFollower.Answer(version(p, "in_force"),
-        p.has("rules") ? rules(p.part("rules")) : null,
-        p.has("offered") ? rules(p.part("offered")) : null);
-  }
-
-  private static JsonElement parsed(String text) throws Malformed {
-    try {
-      return JsonParser.parseString(text);
-    } catch (JsonParseException e) {
-      throw new Malformed("no JSON: " + e.getMessage());
-    }
-  }
-
-  private static ConfigurationVersion version(Part p, String key) throws Malformed {
-    try {
-      return ConfigurationVersion.of(p.word(key));
-    } catch (IllegalArgumentException e) {
-      throw new Malformed(p.at(key) + ": " + e.getMessage());
-    }
-  }
-
-  private static String word(Enum<?> e) {
-    return WORDS.getOrDefault(e, e.name().toLowerCase(Locale.ROOT));
-  }
-
-  private static <T> JsonArray array(Set<T> of, Function<T, String> word) {
-    JsonArray out = new JsonArray();
-    of.forEach(e -> out.add(word.apply(e)));
-    return out;
-  }
-
-  /** A JSON object and where it stands. */
-  private record Part(String path, JsonElement element) {
-    Part {
-      if (element == null) element = new JsonObject();
-    }
-
-    String at(String key) {
-      return path.isEmpty() ? key : path + "." + key;
-    }
-
-    String name() {
-      return path.substring(path.lastIndexOf('.') + 1);
-    }
-
-    private JsonObject object() throws Malformed {
-      if (!element.isJsonObject())
-        throw new Malformed((path.isEmpty() ? "the whole" : path) + ": no object");
-      return element.getAsJsonObject();
-    }
-
-    void only(String... keys) throws Malformed {
-      for (String key : object().keySet())
-        if (!List.of(keys).contains(key)) throw new Malformed(at(key) + ": not known");
-    }
-
-    boolean has(String key) throws Malformed {
-      return object().has(key) && !object().get(key).isJsonNull();
-    }
-
-    private JsonElement get(String key) throws Malformed {
-      if (!has(key)) throw new Malformed(at(key) + ": missing");
-      return object().get(key);
-    }
-
-    Part part(String key) throws Malformed {
-      return new Part(at(key), get(key));
-    }
-
-    List<Part> parts() throws Malformed {
-      return object().entrySet().stream().map(e -> new Part(at(e.getKey()), e.getValue())).toList();
-    }
-
-    String word(String key) throws Malformed {
-      JsonElement e = get(key);
-      if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString())
-        throw new Malformed(at(key) + ": no word");
-      return e.getAsString();
-    }
-
-    double number(String key) throws Malformed {
-      if (!has(key)) return 0;
-      JsonElement e = get(key);
-      if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isNumber())
-        throw new Malformed(at(key) + ": no number");
-      double n = e.getAsDouble();
-      if (!Double.isFinite(n) || n < 0) throw new Malformed(at(key) + ": from 0 on");
-      return n;
-    }
-
-    long whole(String key) throws Malformed {
-      double n = number(key);
-      if (n != Math.rint(n) || n > 1L << 53) throw new Malformed(at(key) + ": a whole number");
-      return (long) n;
-    }
-
-    long tenths(String key) throws Malformed {
-      return Math.round(number(key) * TENTHS);
-    }
-
-    <E extends Enum<E>> E one(String key, E[] of) throws Malformed {
-      String word = word(key);
-      for (E e : of) if (ConfigurationCodec.word(e).equals(word)) return e;
-      throw new Malformed(at(key) + ": " + word + " is none of "
-          + List.of(of).stream().map(ConfigurationCodec::word).toList());
-    }
-
-    SortedSet<String> words(String key) throws Malformed {
-      SortedSet<String> out = new TreeSet<>();
-      if (!has(key)) return out;
-      if (!get(key).isJsonArray()) throw new Malformed(at(key) + ": no list");
-      for (JsonElement e : get(key).getAsJsonArray()) {
-        if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isString())
-          throw new Malformed(at(key) + ": words alone");
-        out.add(e.getAsString());
-      }
-      return out;
-    }
+  /** The order of keys is part of the form: the hash depends on it. */
+  static JsonObject toJson(SharedConfiguration configuration) {
+    JsonObject object = new JsonObject();
+    object.addProperty(EPOCH, configuration.version().epoch());
+    object.addProperty(NUMBER, configuration.version().number());
+    object.addProperty(WITHOUT_LEASE, EnumWords.word(configuration.withoutLease()));
+    object.add(LOCKED_KEYS, array(configuration.lockedKeys(), Function.identity()));
+    object.add(QUOTA_PLANS, objects(configuration.quotaPlans(), ConfigurationCodec::toJson));
+    object.add(REQUEST_CLASSES,
+        objects(configuration.requestClasses(), ConfigurationCodec::toJson));
+    object.add(LIMITS, toJson(configuration.limits()));
+    object.add(EXCLUDED_SERVERS, array(configuration.excludedServers(), Function.identity()));
+    object.add(BLOCKED_CUSTOMERS, array(configuration.blockedCustomers(), Long::toHexString));
+    object.add(EXEMPT_CUSTOMERS, array(configuration.exemptCustomers(), Long::toHexString));
+    object.add(MEMBERS, array(configuration.members(), Function.identity()));
+    return object;
+  }
+
+  private static JsonObject toJson(QuotaPlan plan) {
+    JsonObject object = new JsonObject();
+    object.addProperty(RATE_PER_SECOND, plan.ratePerSecond());
+    object.addProperty(BURST_UNITS, plan.burstUnits());
+    object.addProperty(MAX_CONCURRENT, plan.maxConcurrent());
+    object.addProperty(CEILING_PER_SECOND, plan.ceilingPerSecond());
+    object.addProperty(CEILING_BURST_UNITS, plan.ceilingBurstUnits());
+    object.addProperty(PLAN_PRIORITY_WEIGHT, plan.priorityWeight());
+    return object;
+  }
+
+  private static JsonObject toJson(RequestClass requestClass) {
+    JsonObject object = new JsonObject();
+    object.addProperty(RETRY_SAFETY, EnumWords.word(requestClass.retrySafety()));
+    object.addProperty(KEY_SCOPE, EnumWords.word(requestClass.keyScope()));
+    object.addProperty(KEY_TTL_MS, Ticks.toMillis(requestClass.keyTtlTicks()));
+    object.addProperty(LATENCY_OBJECTIVE_MS, Ticks.toMillis(requestClass.latencyObjectiveTicks()));
+    object.addProperty(CLIENT_TIMEOUT_MS, Ticks.toMillis(requestClass.clientTimeoutTicks()));
+    object.addProperty(CLASS_PRIORITY_WEIGHT, requestClass.priorityWeight());
+    return object;
+  }
+
+  private static JsonObject toJson(Limits limits) {
+    JsonObject object = new JsonObject();
+    object.addProperty(MAX_ATTEMPTS, limits.maxAttempts());
+    object.addProperty(MAX_RETRY_AFTER_MS, Ticks.toMillis(limits.maxRetryAfterTicks()));
+    return object;
+  }
+
+  private static <T> JsonObject objects(Map<String, T> entries, Function<T, JsonObject> toJson) {
+    JsonObject objects = new JsonObject();
+    entries.forEach((name, entry) -> objects.add(name, toJson.apply(entry)));
+    return objects;
+  }
+
+  private static <T> JsonArray array(Set<T> values, Function<T, String> word) {
+    JsonArray array = new JsonArray();
+    values.forEach(value -> array.add(word.apply(value)));
+    return array;
   }
 }
--- /dev/null
+++ b/src/main/java/saltlatch/wire/configuration/EnumWords.java
@@ -0,0 +1,32 @@
+package saltlatch.wire.configuration;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import saltlatch.api.GatewaySettings.KeyScope;
+import saltlatch.api.GatewaySettings.RetrySafety;
+import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.wire.MalformedMessageException;
+
+/** The form's words for values that have other names in the code. */
+final class EnumWords {
+  private static final Map<Enum<?>, String> WORDS = Map.of(RetrySafety.IDEMPOTENT, "replayable",
+      RetrySafety.IDEMPOTENT_BY_KEY, "uniqued", RetrySafety.NOT_IDEMPOTENT, "non_replayable",
+      KeyScope.ALL, "all", KeyScope.ZONE, "zone", KeyScope.GROUP, "cell",
+      WithoutLease.REJECT_REQUESTS, "deny", WithoutLease.DELAY_ACTIVATION, "wait");
+
+  private EnumWords() {}
+
+  static String word(Enum<?> value) {
+    return WORDS.get(value);
+  }
+
+  /** The value at a key, which must be the word of one of these. */
+  static <E extends Enum<E>> E read(JsonObjectReader object, String key, E[] values)
+      throws MalformedMessageException {
+    String word = object.word(key);
+    for (E value : values) if (word(value).equals(word)) return value;
+    List<String> allowed = Arrays.stream(values).map(EnumWords::word).toList();
+    throw object.fault(key, word + " is none of " + allowed);
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/configuration/ActivationCoordinatorTest.java
@@ -0,0 +1,37 @@
+package saltlatch.configuration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import org.junit.jupiter.api.Test;
+import saltlatch.configuration.SharedConfiguration.WithoutLease;
+
+class ActivationCoordinatorTest {
+  private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
+
+  /**
+   * One node can't act on the proposed version: its quota is below what the node has reserved. The
+   * version is rejected, and the last good one stays active everywhere.
+   */
+  @Test
+  void oneObjectionIsEnough() {
+    ConfigurationRegister register = new ConfigurationRegister();
+    ActivationCoordinator coordinator = new ActivationCoordinator(TIMINGS, 0);
+    register.apply(new ConfigurationRegister.Operation.Propose(ConfigurationVersion.NONE,
+        Configurations.withRate(5, WithoutLease.REJECT_REQUESTS)));
+    ConfigurationVersion version = register.proposed().version();
+    long nowTicks = TIMINGS.leaseExpiredTicks() + 1;
+    coordinator.renewalReceived(nowTicks,
+        new LeaseRenewal("n0", ConfigurationVersion.NONE, version, null, null));
+    coordinator.renewalReceived(nowTicks, new LeaseRenewal("n1", ConfigurationVersion.NONE,
+        ConfigurationVersion.NONE, version, "plans.plan: 60 units are reserved"));
+    OperationResult result = register
+        .apply(coordinator.nextOperation(nowTicks, null, register.proposed()));
+    assertEquals(OperationResult.Status.REJECTED, result.status());
+    assertEquals("rejected 1.1", result.description());
+    assertEquals(null, register.active());
+    assertEquals("n1: plans.plan: 60 units are reserved",
+        register.snapshot().outcomes().get(0).reason());
+    assertFalse(coordinator.nodeStatuses(nowTicks).isEmpty());
+  }
+}
