--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -98,7 +98,7 @@
    */
   void release() {
     Iterator<Integer> each = leaving.iterator();
-    for (int freed = 0; freed < DiscoveryClient.SLICE && each.hasNext();) {
+    for (int freed = 0; freed < DiscoveryClient.MAX_ENTRIES_PER_TURN && each.hasNext();) {
       int srv = each.next();
       if (!appServers.forget(srv)) continue;
       names.release(srv);
--- a/src/main/java/saltlatch/node/EndpointListApplier.java
+++ b/src/main/java/saltlatch/node/EndpointListApplier.java
@@ -10,7 +10,7 @@
 
 /**
  * Brings lists and changes to the module in the order they were read: one of at most
- * {@link DiscoveryClient#SLICE} entries as one event, a larger one over several turns of the loop.
+ * {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries as one event, a larger one over several turns of the loop.
  * What is read meanwhile waits for its turn.
  */
 final class EndpointListApplier {
@@ -45,8 +45,8 @@
 
   /** A whole list is as large as what it may remove. */
   private boolean isLarge(EndpointList list) {
-    return list.entries().size() > DiscoveryClient.SLICE
-        || list.snapshot() && directory.size() > DiscoveryClient.SLICE;
+    return list.entries().size() > DiscoveryClient.MAX_ENTRIES_PER_TURN
+        || list.snapshot() && directory.size() > DiscoveryClient.MAX_ENTRIES_PER_TURN;
   }
 
   private void applyWhole(EndpointList list, Runnable applied) {
@@ -64,8 +64,8 @@
       slice(first);
     }
     // Behind the module's turn, so that no two slices fall into one batch.
-    if (!pending.isEmpty()) scheduler
-        .afterTurn(() -> scheduler.at(scheduler.now() + DiscoveryClient.SLICE_PAUSE, this::turn));
+    if (!pending.isEmpty()) scheduler.afterTurn(
+        () -> scheduler.at(scheduler.now() + DiscoveryClient.TURN_PAUSE_TICKS, this::turn));
   }
 
   private void slice(Pending first) {
--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -133,7 +133,7 @@
   }
 
   /** App servers now listed. */
-  int listed() {
+  int endpointsReceived() {
     return directory.listed();
   }
 
@@ -364,12 +364,12 @@
   }
 
   @Override
-  public void counted(long name, CallResult ending, double total, long spent) {
+  public void counterCallEnded(long name, CallResult ending, double total, long spent) {
     add(new GatewayEvent.CounterReplied(name, ending.outcome(), total, spent));
   }
 
   @Override
-  public void listed(EndpointList list, Runnable applied) {
+  public void endpointsReceived(EndpointList list, Runnable applied) {
     lists.apply(list, () -> {
       applied.run();
       listsInBatch.add(list.index());
@@ -386,8 +386,8 @@
   }
 
   @Override
-  public void heard(int from, byte[] words) {
-    if (words.length > 0 && words[0] == MembershipCodec.FIRST) {
+  public void datagramReceived(int from, byte[] words) {
+    if (words.length > 0 && words[0] == MembershipCodec.FIRST_BYTE) {
       if (roster != null) roster.heard(from, words);
       return;
     }
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -82,7 +82,7 @@
   }
 
   private void applied(long index) {
-    listed = pilot.listed();
+    listed = pilot.endpointsReceived();
     listIndex = index;
     hook.accept(index);
   }
--- a/src/main/java/saltlatch/node/IncrementalListUpdate.java
+++ b/src/main/java/saltlatch/node/IncrementalListUpdate.java
@@ -10,7 +10,7 @@
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * A large list or change in steps that look at {@link DiscoveryClient#SLICE} entries at most: first
+ * A large list or change in steps that look at {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries at most: first
  * what a whole list no longer names is removed, then drains and removals are told, then the rest.
  * The module is told all of it as changes.
  */
@@ -57,7 +57,7 @@
 
   private void index() {
     List<EndpointList.Entry> all = list.entries();
-    int end = Math.min(all.size(), at + DiscoveryClient.SLICE);
+    int end = Math.min(all.size(), at + DiscoveryClient.MAX_ENTRIES_PER_TURN);
     for (; at < end; at++) latest.put(all.get(at).name(), all.get(at));
     if (at < all.size()) return;
     at = 0;
@@ -66,7 +66,7 @@
   }
 
   private void removeUnnamed(List<GatewayEvent.Endpoint> entries) {
-    int end = Math.min(directory.numbers(), at + DiscoveryClient.SLICE);
+    int end = Math.min(directory.numbers(), at + DiscoveryClient.MAX_ENTRIES_PER_TURN);
     for (; at < end; at++) {
       String name = directory.name(at);
       if (name != null && !latest.containsKey(name) && directory.isListed(at))
@@ -76,7 +76,8 @@
   }
 
   private void take(boolean ready, List<GatewayEvent.Endpoint> entries) {
-    for (int looked = 0; looked < DiscoveryClient.SLICE && targets.hasNext(); looked++) {
+    for (int looked = 0; looked < DiscoveryClient.MAX_ENTRIES_PER_TURN
+        && targets.hasNext(); looked++) {
       EndpointList.Entry target = targets.next();
       if (ready == (target.state() == GatewayEvent.EndpointState.READY))
         entries.add(directory.take(target));
--- a/src/main/java/saltlatch/node/NodeConfiguration.java
+++ b/src/main/java/saltlatch/node/NodeConfiguration.java
@@ -95,7 +95,7 @@
         words(SettingsReader.part(settings, "report"), "fields"), names(settings, "categories"),
         names(settings, "contracts"), words(settings, "azs"), words(settings, "machineTypes"),
         SettingsReader.typed(all, "known", "list of app servers",
-            e -> EndpointList.of(e.getAsJsonObject())),
+            e -> EndpointList.decode(e.getAsJsonObject())),
         site);
   }
 
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -23,7 +23,7 @@
 public final class CounterClient {
   /** Whom the ends of calls are told to. */
   public interface Listener {
-    void counted(long name, CallResult ending, double total, long spent);
+    void counterCallEnded(long name, CallResult ending, double total, long spent);
   }
 
   // of the 32 that the counter holds: names on its busy parts hold up few others
@@ -225,7 +225,7 @@
       c.limit.cancel();
       counters.add(
           ending == CallResult.ANSWERED ? Metric.COUNTS_ANSWERED : Metric.COUNTS_ENDED_OTHERWISE);
-      host.counted(c.name, ending, total, scheduler.now() - c.sent);
+      host.counterCallEnded(c.name, ending, total, scheduler.now() - c.sent);
       if (retired && !owes()) end();
     }
 
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -28,7 +28,7 @@
   /** Whom the list is told to. */
   public interface Listener {
     /** Runs {@code applied} once all of the list is in force, in the same turn or a later one. */
-    void listed(EndpointList list, Runnable applied);
+    void endpointsReceived(EndpointList list, Runnable applied);
 
     /** Followed again at once by {@link DiscoveryClient#follow()} where changes come unasked. */
     void watchEnded();
@@ -53,9 +53,9 @@
    * Entries that go to the module in one event, and at most are looked at in one turn: well under 5
    * ms, all told.
    */
-  public static final int SLICE = 512;
+  public static final int MAX_ENTRIES_PER_TURN = 512;
   /** Between the slices of a large list: 1 ms for the loop's other work. */
-  public static final long SLICE_PAUSE = 10;
+  public static final long TURN_PAUSE_TICKS = 10;
 
   private final Vertx vertx;
   private HttpClient client; // made when first used, which is after the node serves
@@ -227,7 +227,7 @@
     refusedPause = 0;
     counters.add(Metric.LISTS);
     beingApplied++;
-    host.listed(list, () -> applied(list));
+    host.endpointsReceived(list, () -> applied(list));
   }
 
   private void applied(EndpointList list) {
--- a/src/main/java/saltlatch/wire/discovery/EndpointList.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointList.java
@@ -26,15 +26,15 @@
   public record Entry(String name, SocketAddress address, String zone, String machineType,
       int keyGroup, EndpointState state, double weight, long startedAtMs) {}
 
-  public static EndpointList of(JsonObject o) {
-    return of(o, new ArrayList<>(), UnaryOperator.identity());
+  public static EndpointList decode(JsonObject o) {
+    return decode(o, new ArrayList<>(), UnaryOperator.identity());
   }
 
   /**
    * What stands outside entries, and the entries decoded already; {@code word}: gives words that
    * recur.
    */
-  static EndpointList of(JsonObject o, List<Entry> decoded, UnaryOperator<String> word) {
+  static EndpointList decode(JsonObject o, List<Entry> decoded, UnaryOperator<String> word) {
     for (JsonElement e : o.getAsJsonArray("endpoints"))
       decoded.add(target(e.getAsJsonObject(), word));
     long series = o.has("series") ? o.get("series").getAsLong() : 0;
--- a/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
@@ -55,11 +55,11 @@
    * Entries of one object: twice the 34,000 app servers that are expected; the least heap holds as
    * many.
    */
-  static final int MOST_ENTRIES = 65_536;
+  static final int MAX_ENTRIES = 65_536;
   /**
    * Bytes of one entry, and of all that stands outside entries: 60 times an ordinary entry's 125.
    */
-  static final int LONGEST_PART = 8 << 10;
+  static final int MAX_PART_BYTES = 8 << 10;
   // recurring words kept to be used again: zones, types, hosts
   private static final int MOST_WORDS = 4_096;
   private static final byte[] ENDPOINTS = "\"endpoints\"".getBytes(StandardCharsets.US_ASCII);
@@ -150,7 +150,7 @@
   private void inEntry(byte b, int before) throws Unreadable {
     if (before == 2) {
       if (next == Next.COMMA_OR_END) throw new Unreadable("no comma before an entry", false);
-      if (targets.size() >= MOST_ENTRIES) throw tooLarge("more than " + MOST_ENTRIES + " entries");
+      if (targets.size() >= MAX_ENTRIES) throw tooLarge("more than " + MAX_ENTRIES + " entries");
     }
     write(entry, b, true);
     if (depth != 2) return;
@@ -179,8 +179,8 @@
   }
 
   private void write(Part part, byte b, boolean ofEntry) throws Unreadable {
-    if (part.size() >= LONGEST_PART) {
-      if (ofEntry) throw tooLarge("an entry of more than " + LONGEST_PART + " bytes");
+    if (part.size() >= MAX_PART_BYTES) {
+      if (ofEntry) throw tooLarge("an entry of more than " + MAX_PART_BYTES + " bytes");
       throw new Unreadable("a list without end", false);
     }
     part.write(b);
@@ -215,7 +215,7 @@
     EndpointList list;
     try {
       JsonObject rest = JsonParser.parseString(outside.text()).getAsJsonObject();
-      list = EndpointList.of(rest, targets, this::word);
+      list = EndpointList.decode(rest, targets, this::word);
     } catch (RuntimeException e) {
       throw new Unreadable(e);
     }
--- a/src/main/java/saltlatch/wire/peer/GossipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/GossipCodec.java
@@ -13,7 +13,7 @@
  * none of these, pass them over.
  */
 public final class GossipCodec {
-  static final byte FIRST = 0x51;
+  static final byte FIRST_BYTE = 0x51;
   private static final int ENTRY = 7;
   private static final double GRAIN = 16; // parts of a unit that sums are told in
   private static final long CUSTOMERS = 1L << 33;
@@ -26,7 +26,7 @@
 
   public static byte[] encode(GossipMessage told) {
     byte[] words = new byte[1 + GossipMessage.MAX_ENTRIES * ENTRY];
-    words[0] = FIRST;
+    words[0] = FIRST_BYTE;
     int at = 1;
     if (told.reachability() != null) {
       BitSet bits = bits(told.reachability());
@@ -65,7 +65,7 @@
   /** Null for what is not of this form. */
   public static GossipMessage decode(byte[] words) {
     if (words.length == 0 || words.length > 1 + GossipMessage.MAX_ENTRIES * ENTRY
-        || words[0] != FIRST || (words.length - 1) % ENTRY != 0) {
+        || words[0] != FIRST_BYTE || (words.length - 1) % ENTRY != 0) {
       return null;
     }
     List<GossipMessage.WindowUsage> sums = new ArrayList<>();
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -15,7 +15,7 @@
  * the most. Whatever is not of this form costs that datagram only.
  */
 public final class MembershipCodec {
-  public static final byte FIRST = (byte) 0xB7;
+  public static final byte FIRST_BYTE = (byte) 0xB7;
   private static final byte VERSION = 1;
   private static final int VOUCHES = 0x40; // in the byte of the kind
   private static final int HEAD = 1 + 1 + 1 + 4 + 4 + 2 + 4 + 8 + 1;
@@ -29,7 +29,7 @@
   public static byte[] encode(MembershipMessage m) {
     int n = Math.min(m.news().size(), Math.min(Membership.MOST_NEWS, (LONGEST - HEAD) / NEWS));
     ByteBuffer b = ByteBuffer.allocate(HEAD + n * NEWS);
-    b.put(FIRST).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0)))
+    b.put(FIRST_BYTE).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0)))
         .putInt(0).putInt(m.seq()).putShort((short) m.target()).putInt((int) m.incarnation())
         .putLong(m.digest()).put((byte) n);
     for (int i = 0; i < n; i++) {
@@ -42,7 +42,7 @@
 
   /** Null for what is no membership datagram: another's, truncated, spoilt. */
   public static MembershipMessage decode(byte[] bytes) {
-    if (bytes.length < HEAD || bytes[0] != FIRST || bytes[1] != VERSION) return null;
+    if (bytes.length < HEAD || bytes[0] != FIRST_BYTE || bytes[1] != VERSION) return null;
     ByteBuffer b = ByteBuffer.wrap(bytes.clone());
     int told = b.getInt(3);
     b.putInt(3, 0);
--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -13,7 +13,7 @@
 public final class PeerSocket {
   /** Whom datagrams are told to. */
   public interface Listener {
-    void heard(int from, byte[] words);
+    void datagramReceived(int from, byte[] words);
   }
 
   private static final int LONGEST = 256; // bytes; a longer one voids the run
@@ -32,7 +32,7 @@
     socket.exceptionHandler(e -> counters.add(Metric.PEERS_FAILED));
     socket.handler(packet -> {
       counters.add(Metric.PEERS_HEARD);
-      host.heard(peers.indexOf(packet.sender()), packet.data().getBytes());
+      host.datagramReceived(peers.indexOf(packet.sender()), packet.data().getBytes());
     });
     socket.listen(listen.port(), listen.host()).onFailure(e -> counters.add(Metric.PEERS_FAILED));
   }
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -63,7 +63,7 @@
       GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
       assertEquals(GatewayEvent.EndpointUpdateKind.DELTA, event.kind());
-      assertTrue(event.endpoints().size() <= DiscoveryClient.SLICE,
+      assertTrue(event.endpoints().size() <= DiscoveryClient.MAX_ENTRIES_PER_TURN,
           event.endpoints().size() + " in one event");
       entries.addAll(event.endpoints());
     }
@@ -131,10 +131,10 @@
   @Test
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(1, 1 + DiscoveryClient.SLICE)));
+    stream(s, list(2, true, ready(1, 1 + DiscoveryClient.MAX_ENTRIES_PER_TURN)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
-    assertEquals(DiscoveryClient.SLICE, event.endpoints().size());
+    assertEquals(DiscoveryClient.MAX_ENTRIES_PER_TURN, event.endpoints().size());
   }
 
   /**
@@ -145,9 +145,10 @@
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(0, MANY)));
-    assertEquals(DiscoveryClient.SLICE, events.take().endpoints().size());
+    assertEquals(DiscoveryClient.MAX_ENTRIES_PER_TURN, events.take().endpoints().size());
     s.close();
-    while (distinct(GatewayEvent.EndpointState.READY) < MANY - DiscoveryClient.SLICE) {
+    while (distinct(GatewayEvent.EndpointState.READY) < MANY
+        - DiscoveryClient.MAX_ENTRIES_PER_TURN) {
       entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
     watch("2");
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -60,7 +60,7 @@
   /** Follows again at once, and says that a list is applied when the test wants it to. */
   private final class Follower implements DiscoveryClient.Listener {
     @Override
-    public void listed(EndpointList list, Runnable applied) {
+    public void endpointsReceived(EndpointList list, Runnable applied) {
       events.add("listed " + list.series() + "/" + list.index());
       if (appliesAtOnce) applied.run();
       else toApply.add(applied);
@@ -153,7 +153,7 @@
 
   private static String tooLarge() {
     return "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\""
-        + "x".repeat(EndpointListParser.LONGEST_PART);
+        + "x".repeat(EndpointListParser.MAX_PART_BYTES);
   }
 
   /**
--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -111,7 +111,7 @@
         "[]\n"}) {
       assertFalse(unreadable(text).isTooLarge(), text);
     }
-    assertFalse(unreadable("x".repeat(EndpointListParser.LONGEST_PART + 1)).isTooLarge());
+    assertFalse(unreadable("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)).isTooLarge());
   }
 
   /**
@@ -135,14 +135,14 @@
   @Test
   void bounds() throws Exception {
     String head = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + GONE;
-    String most = head + ("," + GONE).repeat(EndpointListParser.MOST_ENTRIES - 1);
+    String most = head + ("," + GONE).repeat(EndpointListParser.MAX_ENTRIES - 1);
     read(new EndpointListParser(), most + "]}\n");
-    assertEquals(EndpointListParser.MOST_ENTRIES, lists.get(0).entries().size());
+    assertEquals(EndpointListParser.MAX_ENTRIES, lists.get(0).entries().size());
     EndpointListParser.Unreadable many = unreadable(most + "," + GONE + "]}\n");
     assertTrue(many.isTooLarge());
     assertTrue(many.getMessage().contains("65536 entries and " + (most.length() + 2) + " bytes"),
         many.getMessage());
-    assertTrue(unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.LONGEST_PART))
+    assertTrue(unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.MAX_PART_BYTES))
         .isTooLarge());
   }
 }
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -72,7 +72,7 @@
           SocketAddress.inetSocketAddress(agent.getLocalPort(), "127.0.0.1"), clock,
           new DiscoveryClient.Listener() {
             @Override
-            public void listed(EndpointList list, Runnable applied) {}
+            public void endpointsReceived(EndpointList list, Runnable applied) {}
 
             @Override
             public void watchEnded() {}
