--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -133,7 +133,7 @@
   }
 
   /** App servers now listed. */
-  int endpointsReceived() {
+  int listed() {
     return directory.listed();
   }
 
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -82,7 +82,7 @@
   }
 
   private void applied(long index) {
-    listed = pilot.endpointsReceived();
+    listed = pilot.listed();
     listIndex = index;
     hook.accept(index);
   }
