--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -159,8 +159,8 @@
     counters.add(Metric.RELOADS);
     LOG.info("discovery at {}, counter at {}", to.discovery(), to.counter());
     if (history != null) history.add("reloaded");
-    discovery.move(to.discovery());
-    if (counter != null && to.counter() != null) counter.move(to.counter());
+    discovery.moveTo(to.discovery());
+    if (counter != null && to.counter() != null) counter.moveTo(to.counter());
   }
 
   // ---- the clock and the timers
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -101,7 +101,7 @@
    * The list is asked for at another address from now on; a watch that is on goes on there, at
    * once.
    */
-  public void move(SocketAddress to) {
+  public void moveTo(SocketAddress to) {
     if (address.equals(to)) return;
     address = to;
     openedAt -= APART;
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -175,7 +175,7 @@
     more(tooLarge());
     next("ended", "at 10000");
     onLoop(
-        () -> discovery.move(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
+        () -> discovery.moveTo(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
     next("at 0");
   }
 
