--- a/src/main/java/saltlatch/wire/peer/GossipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/GossipCodec.java
@@ -5,87 +5,131 @@
 import java.util.BitSet;
 import java.util.List;
 import saltlatch.api.GossipMessage;
+import saltlatch.api.GossipMessage.Reachability;
+import saltlatch.api.GossipMessage.WindowUsage;
 
 /**
- * The form of a datagram of sums: a byte, then entries of 7 bytes each: 33 bits of the customer, 7
- * of the window's number, 16 of units. Whom the sender hears goes in entries of its own under
- * customers' ids that no sum is told of (the highest 16), so that nodes from before, which know
- * none of these, pass them over.
+ * The form of a gossip datagram: a first byte, then entries of 7 bytes in network byte order: 33
+ * bits of the customer, 7 of the window's number, 16 of units in sixteenths. Reachability comes
+ * first, in entries under the 16 highest customers, for which no usage is sent, so that nodes that
+ * know no reachability pass them over. Such an entry has 23 bits; the first two of all are flags,
+ * then one for each node.
  */
 public final class GossipCodec {
   static final byte FIRST_BYTE = 0x51;
-  private static final int ENTRY = 7;
-  private static final double GRAIN = 16; // parts of a unit that sums are told in
+
+  private static final int ENTRY_BYTES = 7;
+  private static final int HEAD_BYTES = 5; // of an entry: customer and window
+  private static final int MAX_BYTES = 1 + GossipMessage.MAX_ENTRIES * ENTRY_BYTES;
+  private static final int WINDOW_BITS = 7;
+  private static final int WINDOW_MASK = (1 << WINDOW_BITS) - 1;
+  private static final int UNITS_BITS = 16;
+  private static final int UNITS_MASK = (1 << UNITS_BITS) - 1;
+  private static final double FRACTIONS_PER_UNIT = 16;
   private static final long CUSTOMERS = 1L << 33;
-  // from this customer on an entry is of the nodes heard
-  private static final long HEARING = CUSTOMERS - 16;
-  private static final int FLAGS = 2; // bits of the first such entry: holds, takes; each has 23
-  private static final int BITS = GossipMessage.NODES_PER_ENTRY;
+  private static final long FIRST_REACHABILITY_CUSTOMER = CUSTOMERS - 16;
+  private static final int BITS_PER_ENTRY = GossipMessage.NODES_PER_ENTRY;
+  private static final int HOLDS_LEASE_BIT = 0;
+  private static final int HOLDS_TAKEOVER_BIT = 1;
+  private static final int FIRST_NODE_BIT = 2;
 
   private GossipCodec() {}
 
-  public static byte[] encode(GossipMessage told) {
-    byte[] words = new byte[1 + GossipMessage.MAX_ENTRIES * ENTRY];
-    words[0] = FIRST_BYTE;
+  /** The datagram of a message; usage beyond what it holds is left out. */
+  public static byte[] encode(GossipMessage message) {
+    byte[] bytes = new byte[MAX_BYTES];
+    bytes[0] = FIRST_BYTE;
     int at = 1;
-    if (told.reachability() != null) {
-      BitSet bits = bits(told.reachability());
-      for (int i = 0; i * BITS < bits.length(); i++) {
-        int part = 0;
-        for (int b = 0; b < BITS; b++) part |= bits.get(i * BITS + b) ? 1 << b : 0;
-        at = entry(words, at, HEARING + i, part >>> 16, part & 0xffff);
-      }
+    if (message.reachability() != null)
+      at = putReachability(bytes, at, toBits(message.reachability()));
+    for (WindowUsage usage : message.usage()) {
+      if (at + ENTRY_BYTES > bytes.length) break;
+      long customer = usage.customer() & CUSTOMERS - 1;
+      if (customer < FIRST_REACHABILITY_CUSTOMER)
+        at = putEntry(bytes, at, customer, usage.windowNumber(), toFractions(usage.units()));
     }
-    for (GossipMessage.WindowUsage s : told.usage()) {
-      if (at + ENTRY > words.length) break;
-      int units = (int) Math.max(0, Math.min(0xffff, Math.round(s.units() * GRAIN)));
-      long customer = s.customer() & CUSTOMERS - 1;
-      if (customer < HEARING) at = entry(words, at, customer, s.windowNumber(), units);
+    return Arrays.copyOf(bytes, at);
+  }
+
+  private static int putReachability(byte[] bytes, int from, BitSet bits) {
+    int at = from;
+    for (int entry = 0; entry * BITS_PER_ENTRY < bits.length(); entry++) {
+      int part = 0;
+      for (int bit = 0; bit < BITS_PER_ENTRY; bit++)
+        part |= bits.get(entry * BITS_PER_ENTRY + bit) ? 1 << bit : 0;
+      at = putEntry(bytes, at, FIRST_REACHABILITY_CUSTOMER + entry, part >>> UNITS_BITS,
+          part & UNITS_MASK);
     }
-    return Arrays.copyOf(words, at);
+    return at;
   }
 
-  private static BitSet bits(GossipMessage.Reachability h) {
+  private static BitSet toBits(Reachability reachability) {
     BitSet bits = new BitSet();
-    bits.set(0, h.holdsLease());
-    bits.set(1, h.holdsTakeover());
-    h.reachableNodes().stream().filter(n -> n < GossipMessage.MAX_NODES_WITH_REACHABILITY)
-        .forEach(n -> bits.set(n + FLAGS));
+    bits.set(HOLDS_LEASE_BIT, reachability.holdsLease());
+    bits.set(HOLDS_TAKEOVER_BIT, reachability.holdsTakeover());
+    reachability.reachableNodes().stream()
+        .filter(node -> node < GossipMessage.MAX_NODES_WITH_REACHABILITY)
+        .forEach(node -> bits.set(FIRST_NODE_BIT + node));
     return bits;
   }
 
-  private static int entry(byte[] words, int at, long customer, int turn, int units) {
-    long head = customer << 7 | turn;
-    for (int i = 0; i < 5; i++) words[at + i] = (byte) (head >>> 8 * (4 - i));
-    words[at + 5] = (byte) (units >>> 8);
-    words[at + 6] = (byte) units;
-    return at + ENTRY;
+  private static int toFractions(double units) {
+    return (int) Math.max(0, Math.min(UNITS_MASK, Math.round(units * FRACTIONS_PER_UNIT)));
   }
 
-  /** Null for what is not of this form. */
-  public static GossipMessage decode(byte[] words) {
-    if (words.length == 0 || words.length > 1 + GossipMessage.MAX_ENTRIES * ENTRY
-        || words[0] != FIRST_BYTE || (words.length - 1) % ENTRY != 0) {
-      return null;
-    }
-    List<GossipMessage.WindowUsage> sums = new ArrayList<>();
-    BitSet bits = null;
-    for (int at = 1; at < words.length; at += ENTRY) {
-      long head = 0;
-      for (int i = 0; i < 5; i++) head = head << 8 | words[at + i] & 0xff;
-      int units = (words[at + 5] & 0xff) << 8 | words[at + 6] & 0xff;
-      long customer = head >>> 7;
-      int turn = (int) (head & 0x7f);
-      if (customer < HEARING) {
-        sums.add(new GossipMessage.WindowUsage(customer, turn, units / GRAIN));
-        continue;
+  /** Gives where the next entry begins. */
+  private static int putEntry(byte[] bytes, int at, long customer, int window, int units) {
+    long head = customer << WINDOW_BITS | window;
+    for (int i = 0; i < HEAD_BYTES; i++)
+      bytes[at + i] = (byte) (head >>> Byte.SIZE * (HEAD_BYTES - 1 - i));
+    bytes[at + HEAD_BYTES] = (byte) (units >>> Byte.SIZE);
+    bytes[at + HEAD_BYTES + 1] = (byte) units;
+    return at + ENTRY_BYTES;
+  }
+
+  /**
+   * Reads a datagram; null if it is no gossip datagram. That costs this datagram only, since each
+   * stands for itself.
+   */
+  public static GossipMessage decode(byte[] bytes) {
+    if (!hasForm(bytes)) return null;
+    List<WindowUsage> usage = new ArrayList<>();
+    BitSet bits = null; // of the reachability, which a node may leave out
+    for (int at = 1; at < bytes.length; at += ENTRY_BYTES) {
+      long head = unsigned(bytes, at, HEAD_BYTES);
+      int units = (int) unsigned(bytes, at + HEAD_BYTES, ENTRY_BYTES - HEAD_BYTES);
+      long customer = head >>> WINDOW_BITS;
+      int window = (int) (head & WINDOW_MASK);
+      if (customer < FIRST_REACHABILITY_CUSTOMER) {
+        usage.add(new WindowUsage(customer, window, units / FRACTIONS_PER_UNIT));
+      } else {
+        if (bits == null) bits = new BitSet();
+        int entry = (int) (customer - FIRST_REACHABILITY_CUSTOMER);
+        addBits(bits, entry * BITS_PER_ENTRY, window << UNITS_BITS | units);
       }
-      if (bits == null) bits = new BitSet();
-      int part = turn << 16 | units;
-      for (int b = 0; b < BITS; b++)
-        if ((part >>> b & 1) != 0) bits.set((int) (customer - HEARING) * BITS + b);
     }
-    return new GossipMessage(sums, bits == null ? null : new GossipMessage.Reachability(
-        bits.get(FLAGS, Math.max(FLAGS, bits.length())), bits.get(0), bits.get(1)));
+    return new GossipMessage(usage, bits == null ? null : toReachability(bits));
+  }
+
+  private static boolean hasForm(byte[] bytes) {
+    return bytes.length > 0 && bytes.length <= MAX_BYTES && bytes[0] == FIRST_BYTE
+        && (bytes.length - 1) % ENTRY_BYTES == 0;
+  }
+
+  private static long unsigned(byte[] bytes, int from, int count) {
+    long value = 0;
+    for (int i = 0; i < count; i++)
+      value = value << Byte.SIZE | Byte.toUnsignedInt(bytes[from + i]);
+    return value;
+  }
+
+  private static void addBits(BitSet bits, int from, int part) {
+    for (int bit = 0; bit < BITS_PER_ENTRY; bit++)
+      if ((part >>> bit & 1) != 0) bits.set(from + bit);
+  }
+
+  private static Reachability toReachability(BitSet bits) {
+    BitSet nodes = bits.get(FIRST_NODE_BIT, Math.max(FIRST_NODE_BIT, bits.length()));
+    return new Reachability(nodes, bits.get(HOLDS_LEASE_BIT), bits.get(HOLDS_TAKEOVER_BIT));
   }
 }
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -3,6 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.zip.CRC32C;
 import saltlatch.membership.Membership;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipMessage.Kind;
@@ -10,65 +11,108 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * The form of a membership datagram: a byte that no datagram of sums begins with, version, kind, a
- * check sum, number, target, incarnation, digest, and pieces of news of 9 bytes each; 243 bytes at
- * the most. Whatever is not of this form costs that datagram only.
+ * The form of a membership datagram, in network byte order: first byte, version, kind and flag,
+ * check sum (4 bytes), sequence number (4), target (2), incarnation (4), digest (8), number of
+ * entries (1), then entries of member (2), state (1), incarnation (4) and reporter (2).
  */
 public final class MembershipCodec {
+  /** No gossip datagram begins with this byte. */
   public static final byte FIRST_BYTE = (byte) 0xB7;
+
   private static final byte VERSION = 1;
-  private static final int VOUCHES = 0x40; // in the byte of the kind
-  private static final int HEAD = 1 + 1 + 1 + 4 + 4 + 2 + 4 + 8 + 1;
-  private static final int NEWS = 2 + 1 + 4 + 2;
-  private static final int LONGEST = 256; // bytes; a longer one voids the run
+  private static final int VOUCHES_FLAG = 0x40; // in the byte of the kind
+  private static final int KIND_OFFSET = 2;
+  private static final int CHECK_SUM_OFFSET = 3;
+  private static final int SEQUENCE_OFFSET = 7;
+  private static final int HEADER_BYTES = 1 + 1 + 1 + 4 + 4 + 2 + 4 + 8 + 1;
+  private static final int ENTRY_BYTES = 2 + 1 + 4 + 2;
+  private static final int MAX_ENTRIES = Math.min(Membership.MOST_NEWS,
+      (PeerSocket.MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES);
   private static final Kind[] KINDS = Kind.values();
   private static final State[] STATES = State.values();
 
   private MembershipCodec() {}
 
-  public static byte[] encode(MembershipMessage m) {
-    int n = Math.min(m.news().size(), Math.min(Membership.MOST_NEWS, (LONGEST - HEAD) / NEWS));
-    ByteBuffer b = ByteBuffer.allocate(HEAD + n * NEWS);
-    b.put(FIRST_BYTE).put(VERSION).put((byte) (m.kind().ordinal() | (m.vouches() ? VOUCHES : 0)))
-        .putInt(0).putInt(m.seq()).putShort((short) m.target()).putInt((int) m.incarnation())
-        .putLong(m.digest()).put((byte) n);
-    for (int i = 0; i < n; i++) {
-      News x = m.news().get(i);
-      b.putShort((short) x.member()).put((byte) x.state().ordinal()).putInt((int) x.incarnation())
-          .putShort((short) x.by());
-    }
-    return b.putInt(3, sum(b.array())).array();
+  /** The datagram of a message; entries beyond what it holds are left out. */
+  public static byte[] encode(MembershipMessage message) {
+    int entries = Math.min(message.news().size(), MAX_ENTRIES);
+    ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries * ENTRY_BYTES);
+    buffer.put(FIRST_BYTE);
+    buffer.put(VERSION);
+    buffer.put((byte) (message.kind().ordinal() | (message.vouches() ? VOUCHES_FLAG : 0)));
+    buffer.putInt(0); // the check sum is of the bytes with nought in its place
+    buffer.putInt(message.seq());
+    buffer.putShort((short) message.target());
+    buffer.putInt((int) message.incarnation());
+    buffer.putLong(message.digest());
+    buffer.put((byte) entries);
+    for (News entry : message.news().subList(0, entries)) putEntry(buffer, entry);
+    return buffer.putInt(CHECK_SUM_OFFSET, checkSum(buffer.array())).array();
+  }
+
+  private static void putEntry(ByteBuffer buffer, News entry) {
+    buffer.putShort((short) entry.member());
+    buffer.put((byte) entry.state().ordinal());
+    buffer.putInt((int) entry.incarnation());
+    buffer.putShort((short) entry.by());
   }
 
-  /** Null for what is no membership datagram: another's, truncated, spoilt. */
+  /**
+   * Reads a datagram; null if it is no membership datagram: of another form, cut off, or spoilt.
+   * That costs this datagram only, since each stands for itself.
+   */
   public static MembershipMessage decode(byte[] bytes) {
-    if (bytes.length < HEAD || bytes[0] != FIRST_BYTE || bytes[1] != VERSION) return null;
-    ByteBuffer b = ByteBuffer.wrap(bytes.clone());
-    int told = b.getInt(3);
-    b.putInt(3, 0);
-    if (told != sum(b.array())) return null;
-    int kind = b.get(2) & ~VOUCHES;
-    boolean vouches = (b.get(2) & VOUCHES) != 0;
-    b.position(7);
-    int seq = b.getInt();
-    int target = b.getShort() & 0xffff;
-    long incarnation = b.getInt() & 0xffffffffL;
-    long digest = b.getLong();
-    int n = b.get() & 0xff;
-    if (kind < 0 || kind >= KINDS.length || b.remaining() != n * NEWS) return null;
-    List<News> news = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      int member = b.getShort() & 0xffff;
-      int state = b.get();
+    if (bytes.length < HEADER_BYTES || bytes[0] != FIRST_BYTE || bytes[1] != VERSION) return null;
+    ByteBuffer buffer = ByteBuffer.wrap(bytes.clone());
+    if (!hasCheckSum(buffer)) return null;
+    int kindAndFlag = buffer.get(KIND_OFFSET);
+    int kind = kindAndFlag & ~VOUCHES_FLAG;
+    if (kind < 0 || kind >= KINDS.length) return null;
+    buffer.position(SEQUENCE_OFFSET);
+    int sequence = buffer.getInt();
+    int target = unsignedShort(buffer);
+    long incarnation = unsignedInt(buffer);
+    long digest = buffer.getLong();
+    List<News> entries = entries(buffer);
+    return entries == null ? null : new MembershipMessage(KINDS[kind], sequence, target,
+        incarnation, digest, (kindAndFlag & VOUCHES_FLAG) != 0, entries);
+  }
+
+  /**
+   * Guards against a datagram that was spoilt on its way: a state or incarnation that nobody sent
+   * would spread to all members. Leaves nought in the check sum's place.
+   */
+  private static boolean hasCheckSum(ByteBuffer buffer) {
+    int received = buffer.getInt(CHECK_SUM_OFFSET);
+    buffer.putInt(CHECK_SUM_OFFSET, 0);
+    return received == checkSum(buffer.array());
+  }
+
+  /** The entries behind their number; null unless they fill the datagram exactly. */
+  private static List<News> entries(ByteBuffer buffer) {
+    int count = Byte.toUnsignedInt(buffer.get());
+    if (buffer.remaining() != count * ENTRY_BYTES) return null;
+    List<News> entries = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      int member = unsignedShort(buffer);
+      int state = buffer.get();
       if (state < 0 || state >= STATES.length) return null;
-      news.add(new News(member, STATES[state], b.getInt() & 0xffffffffL, b.getShort() & 0xffff));
+      entries.add(new News(member, STATES[state], unsignedInt(buffer), unsignedShort(buffer)));
     }
-    return new MembershipMessage(KINDS[kind], seq, target, incarnation, digest, vouches, news);
+    return entries;
+  }
+
+  private static int unsignedShort(ByteBuffer buffer) {
+    return Short.toUnsignedInt(buffer.getShort());
+  }
+
+  private static long unsignedInt(ByteBuffer buffer) {
+    return Integer.toUnsignedLong(buffer.getInt());
   }
 
-  private static int sum(byte[] bytes) {
-    java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-    crc.update(bytes);
-    return (int) crc.getValue();
+  private static int checkSum(byte[] bytes) {
+    CRC32C checkSum = new CRC32C();
+    checkSum.update(bytes);
+    return (int) checkSum.getValue();
   }
 }
--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -9,43 +9,67 @@
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
 
-/** Datagrams between edge nodes. */
+/**
+ * Sends and receives datagrams between edge nodes. A datagram that can't be sent is dropped and
+ * counted. Owned by the node's event loop.
+ */
 public final class PeerSocket {
-  /** Whom datagrams are told to. */
+  /** Gets datagrams, on the node's event loop. */
   public interface Listener {
-    void datagramReceived(int from, byte[] words);
+    /**
+     * A datagram has come.
+     *
+     * @param fromPeer the sender's place in the list of peers; -1: none of them
+     */
+    void datagramReceived(int fromPeer, byte[] bytes);
   }
 
-  private static final int LONGEST = 256; // bytes; a longer one voids the run
+  /** The longest datagram that the network between nodes carries. */
+  static final int MAX_DATAGRAM_BYTES = 256;
 
   private final DatagramSocket socket;
   private final List<SocketAddress> peers;
-  private final SocketAddress all;
-  private final NodeMetrics counters;
+  private final SocketAddress broadcast;
+  private final NodeMetrics metrics;
 
-  public PeerSocket(Vertx vertx, SocketAddress listen, List<SocketAddress> peers, SocketAddress all,
-      Listener host, NodeMetrics counters) {
+  /**
+   * Begins to receive.
+   *
+   * @param peers     addresses by the peers' numbers
+   * @param broadcast the address that reaches all of them
+   */
+  public PeerSocket(Vertx vertx, SocketAddress listen, List<SocketAddress> peers,
+      SocketAddress broadcast, Listener listener, NodeMetrics metrics) {
     this.peers = peers;
-    this.all = all;
-    this.counters = counters;
+    this.broadcast = broadcast;
+    this.metrics = metrics;
     socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-    socket.exceptionHandler(e -> counters.add(Metric.PEERS_FAILED));
+    socket.exceptionHandler(e -> metrics.add(Metric.PEERS_FAILED));
     socket.handler(packet -> {
-      counters.add(Metric.PEERS_HEARD);
-      host.datagramReceived(peers.indexOf(packet.sender()), packet.data().getBytes());
+      metrics.add(Metric.PEERS_HEARD);
+      listener.datagramReceived(peers.indexOf(packet.sender()), packet.data().getBytes());
     });
-    socket.listen(listen.port(), listen.host()).onFailure(e -> counters.add(Metric.PEERS_FAILED));
+    socket.listen(listen.port(), listen.host()).onFailure(e -> metrics.add(Metric.PEERS_FAILED));
   }
 
-  /** {@code peer} below 0: all of them. */
-  public void send(int peer, byte[] words) {
-    SocketAddress to = peer < 0 ? all : peer < peers.size() ? peers.get(peer) : null;
-    if (to == null || words.length > LONGEST) {
-      counters.add(Metric.PEERS_FAILED);
+  /**
+   * Sends a datagram.
+   *
+   * @param peer its number; below 0: all peers
+   */
+  public void send(int peer, byte[] bytes) {
+    SocketAddress address = addressOf(peer);
+    if (address == null || bytes.length > MAX_DATAGRAM_BYTES) {
+      metrics.add(Metric.PEERS_FAILED);
       return;
     }
-    counters.add(Metric.PEERS_TOLD);
-    socket.send(Buffer.buffer(words), to.port(), to.host())
-        .onFailure(e -> counters.add(Metric.PEERS_FAILED));
+    metrics.add(Metric.PEERS_TOLD);
+    socket.send(Buffer.buffer(bytes), address.port(), address.host())
+        .onFailure(e -> metrics.add(Metric.PEERS_FAILED));
+  }
+
+  private SocketAddress addressOf(int peer) {
+    if (peer < 0) return broadcast;
+    return peer < peers.size() ? peers.get(peer) : null;
   }
 }
