--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -10,245 +10,238 @@
 import io.vertx.core.net.SocketAddress;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import saltlatch.api.Ticks;
 import saltlatch.state.HeapExhaustion;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.TimerQueue;
+import saltlatch.wire.LimitExceededException;
+import saltlatch.wire.ProtocolException;
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Follows the list of app srvs. What discovery has and can tell is known here within
- * {@link #SILENT} and one round trip: a watch that says nothing for so long is given up, one that
- * does not begin within {@link #BEGINS} sooner, and the next opens at once, or {@link #APART}
- * behind the last one's opening. That stays under the 6 s after which a change counts as told. A
- * list that is too large is the exception: the same would come again, so it is asked for ever more
- * seldom.
+ * Follows the endpoint list by a watch: one HTTP request whose response never ends and brings each
+ * change as it happens. A watch that is silent, or does not begin, is given up after a time limit,
+ * and the listener opens the next one. So whatever discovery has, and can send, is known here
+ * within {@link #SILENCE_TIMEOUT_TICKS} and a round trip. A list that is too large is the
+ * exception: {@link WatchPacing} asks for it ever more seldom.
+ *
+ * <p>At most one watch is on; what comes late from an ended one is ignored by its number. No watch
+ * is opened while a list is being applied.
+ *
+ * <p>Owned by the node's event loop; times are ticks.
  */
 public final class DiscoveryClient {
-  /** Whom the list is told to. */
+  /** Gets the list and its changes, on the node's event loop. */
   public interface Listener {
-    /** Runs {@code applied} once all of the list is in force, in the same turn or a later one. */
+    /**
+     * A list or change has come.
+     *
+     * @param applied to be run once all of it is applied, in the same turn or a later one
+     */
     void endpointsReceived(EndpointList list, Runnable applied);
 
-    /** Followed again at once by {@link DiscoveryClient#follow()} where changes come unasked. */
+    /** The watch has ended; {@link DiscoveryClient#follow()} opens the next one. */
     void watchEnded();
   }
 
+  /** Entries of a list that are applied, or looked at, in one turn of the event loop. */
+  public static final int MAX_ENTRIES_PER_TURN = 512;
+  /** Between two such turns, for the event loop's other work. */
+  public static final long TURN_PAUSE_TICKS = Ticks.PER_MILLISECOND;
+
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-  // Pacing; times are tenths of a ms.
-  private static final long SILENT = 45_000; // 4.5 s: two of the empty lines that come every 2 s
-  // 2 s: the agent is on this machine and answers at once, or it is down
-  private static final long BEGINS = 20_000;
-  // 1 s between openings: an agent that resets each must not be stormed
-  private static final long APART = 10_000;
-  // 1 s after a list too large: it may be cut down at once
-  private static final long REFUSED_FIRST = 10_000;
-  // 5 min: 4 MB read for nothing each time are 14 KB/s by then
-  private static final long REFUSED_MOST = 3_000_000;
-  // bytes decoded in a row: some 260 entries, about 1 ms
-  private static final int READ_AT_ONCE = 32 << 10;
-  private static final long READ_PAUSE = 10; // 1 ms for the loop's other work, between such rows
-  /**
-   * Entries that go to the module in one event, and at most are looked at in one turn: well under 5
-   * ms, all told.
-   */
-  public static final int MAX_ENTRIES_PER_TURN = 512;
-  /** Between the slices of a large list: 1 ms for the loop's other work. */
-  public static final long TURN_PAUSE_TICKS = 10;
+  // two of the empty lines that come every 2 s, and some time for the second
+  private static final long SILENCE_TIMEOUT_TICKS = 4_500 * Ticks.PER_MILLISECOND;
+  // the agent is on this machine: it answers at once, or it is down
+  private static final long BEGIN_TIMEOUT_TICKS = 2 * Ticks.PER_SECOND;
+  private static final int MAX_BYTES_IN_A_ROW = 32 << 10; // decoded in about 1 ms
+  private static final long READ_PAUSE_TICKS = Ticks.PER_MILLISECOND;
+  private static final int STATUS_OK = 200;
 
   private final Vertx vertx;
-  private HttpClient client; // made when first used, which is after the node serves
-  private SocketAddress address;
   private final Scheduler scheduler;
-  private final Listener host;
-  private final NodeMetrics counters;
-  private long series; // of the newest list taken
-  private long newest; // its index; it may be on its way to being applied
-  private long index; // of the newest list applied in full: the watch goes on from there
-  private int beingApplied; // lists
-  private Runnable whenApplied; // null: nothing waits for that
-  private boolean wantsWhole; // a change of an unknown series came: what it builds on is asked for
-  private long refusedPause; // after the last list, which was too large; 0: it was not
-  private long notBefore = Long.MIN_VALUE / 2; // the next opening, for that pause
-  private int readInRow; // bytes
-  private HttpClientRequest watch;
-  // of what must come next: the opening, the first line, another line; null: no watch is on
-  private TimerQueue.Timer limit;
-  private long openedAt = Long.MIN_VALUE / 2;
-  private int turn; // of the watches, so that what comes late from an ended one is passed over
-
-  public DiscoveryClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener host,
-      NodeMetrics counters, EndpointList known) {
+  private final Listener listener;
+  private final NodeMetrics metrics;
+  private final WatchPosition position;
+  private final WatchPacing pacing = new WatchPacing();
+  private HttpClient client; // made with the first watch, which is opened after the node serves
+  private SocketAddress address;
+  private int listsBeingApplied;
+  private Runnable whenApplied; // opens the watch that waits for them; null: none does
+  private int bytesInARow;
+  private HttpClientRequest request; // of the watch that is on; null: none
+  // for what must come next: the opening, the first line, another line; null: no watch is on
+  private TimerQueue.Timer timeout;
+  private int currentWatch; // its number; what another one brings is ignored
+
+  /**
+   * Does nothing before {@link #follow()}.
+   *
+   * @param known the list that the node starts with
+   */
+  public DiscoveryClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener listener,
+      NodeMetrics metrics, EndpointList known) {
+    this.vertx = vertx;
     this.address = address;
     this.scheduler = scheduler;
-    this.host = host;
-    this.counters = counters;
-    series = known.series();
-    newest = known.index();
-    index = known.index();
-    this.vertx = vertx;
+    this.listener = listener;
+    this.metrics = metrics;
+    position = new WatchPosition(known);
   }
 
+  /** Opens a watch as soon as the pacing allows; one that is on is ended. */
   public void follow() {
     stop();
-    int mine = ++turn;
-    limit = scheduler.at(Math.max(scheduler.now(), Math.max(openedAt + APART, notBefore)),
-        () -> open(mine));
+    int watch = ++currentWatch;
+    timeout = scheduler.at(pacing.nextOpeningAtTicks(scheduler.now()), () -> open(watch));
   }
 
-  /**
-   * The list is asked for at another address from now on; a watch that is on goes on there, at
-   * once.
-   */
-  public void moveTo(SocketAddress to) {
-    if (address.equals(to)) return;
-    address = to;
-    openedAt -= APART;
-    notBefore = openedAt;
-    refusedPause = 0;
-    if (limit != null) follow();
+  /** Goes on at another address, at once where a watch is on or due. */
+  public void moveTo(SocketAddress newAddress) {
+    if (address.equals(newAddress)) return;
+    address = newAddress;
+    pacing.addressChanged();
+    if (timeout != null) follow();
   }
 
+  /** Ends the watch without a word to the listener. */
   public void stop() {
-    turn++;
-    if (limit != null) limit.cancel();
-    limit = null;
+    currentWatch++;
+    if (timeout != null) timeout.cancel();
+    timeout = null;
     whenApplied = null;
-    if (watch != null) watch.reset();
-    watch = null;
+    if (request != null) request.reset();
+    request = null;
   }
 
-  private void open(int mine) {
-    // Guards against a list that is asked for again while it is being applied.
-    if (beingApplied > 0) {
-      whenApplied = () -> open(mine);
+  private void open(int watch) {
+    // Guards against a list that is asked for and sent again while it is being applied, since the
+    // request could only name the index before it.
+    if (listsBeingApplied > 0) {
+      whenApplied = () -> open(watch);
       return;
     }
+    HttpClient http = client();
+    pacing.opened(scheduler.now());
+    metrics.add(Metric.WATCHES);
+    expectWithin(watch, BEGIN_TIMEOUT_TICKS);
+    http.request(HttpMethod.GET, address.port(), address.host(), position.requestPath())
+        .onComplete(made -> {
+          if (made.failed()) end(watch, made.cause());
+          else if (watch != currentWatch) made.result().reset();
+          else send(made.result(), watch);
+        });
+  }
+
+  private HttpClient client() {
     if (client == null) {
-      client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) BEGINS / 10)
+      client = vertx.createHttpClient(new HttpClientOptions()
+          .setConnectTimeout((int) (BEGIN_TIMEOUT_TICKS / Ticks.PER_MILLISECOND))
           .setDecompressionSupported(false).setIdleTimeout(0));
     }
-    openedAt = scheduler.now();
-    counters.add(Metric.WATCHES);
-    expect(mine, BEGINS);
-    client.request(HttpMethod.GET, address.port(), address.host(), path()).onComplete(made -> {
-      if (mine != turn) {
-        if (made.succeeded()) made.result().reset();
-        return;
-      }
-      if (made.failed()) {
-        broke(mine, made.cause());
-        return;
-      }
-      watch = made.result();
-      watch.exceptionHandler(e -> broke(mine, e));
-      watch.send().onFailure(e -> broke(mine, e)).onSuccess(response -> read(response, mine));
-    });
+    return client;
   }
 
-  private String path() {
-    String path = "/api/targets?follow=1&since=" + (wantsWhole ? 0 : index);
-    return series > 0 ? path + "&series=" + series : path;
+  private void send(HttpClientRequest made, int watch) {
+    request = made;
+    request.exceptionHandler(e -> end(watch, e));
+    request.send().onFailure(e -> end(watch, e)).onSuccess(response -> read(response, watch));
   }
 
-  private void read(HttpClientResponse response, int mine) {
-    if (response.statusCode() != 200) {
-      broke(mine, new IllegalStateException("status " + response.statusCode()));
+  private void read(HttpClientResponse response, int watch) {
+    if (response.statusCode() != STATUS_OK) {
+      end(watch, new IllegalStateException("status " + response.statusCode()));
       return;
     }
-    EndpointListParser lists = new EndpointListParser();
-    readInRow = 0;
-    response.exceptionHandler(e -> broke(mine, e));
-    response.endHandler(v -> broke(mine, null));
-    response.handler(more -> {
-      if (mine != turn) return;
-      feed(lists, more, mine);
-      if (mine == turn) rest(response, more.length(), mine);
+    EndpointListParser parser = new EndpointListParser();
+    bytesInARow = 0;
+    response.exceptionHandler(e -> end(watch, e));
+    response.endHandler(v -> end(watch, null));
+    response.handler(received -> {
+      if (watch != currentWatch) return;
+      parse(parser, received, watch);
+      if (watch == currentWatch) pauseAfterARow(response, received.length(), watch);
     });
   }
 
-  /** What can't be read is asked for again: the changes it held would never be told otherwise. */
-  private void feed(EndpointListParser lists, Buffer more, int mine) {
+  /**
+   * A list that can't be read ends the watch, so that it is asked for again: its changes would
+   * never come otherwise.
+   */
+  private void parse(EndpointListParser parser, Buffer received, int watch) {
     try {
-      // Guards against a line that never ends: only what is whole says that the watch is well.
-      boolean whole = lists.feed(more, list -> take(list, mine));
-      if (whole && mine == turn) expect(mine, SILENT);
-    } catch (EndpointListParser.Unreadable e) {
-      if (e.isTooLarge()) refuse(e.getMessage(), mine);
-      else {
-        counters.add(Metric.LISTS_MALFORMED);
-        broke(mine, e);
-      }
+      // Guards against a line that never ends, whose bytes alone would keep a watch alive that
+      // brings nothing: only what is whole counts as a sign of life.
+      boolean progress = parser.feed(received, list -> take(list, watch));
+      if (progress && watch == currentWatch) expectWithin(watch, SILENCE_TIMEOUT_TICKS);
+    } catch (LimitExceededException e) {
+      refuse(e.getMessage(), watch);
+    } catch (ProtocolException e) {
+      metrics.add(Metric.LISTS_MALFORMED);
+      end(watch, e);
     } catch (OutOfMemoryError e) {
-      refuse(HeapExhaustion.explain(e), mine);
+      refuse(HeapExhaustion.explain(e), watch);
     }
   }
 
   /**
-   * Guards against a long list that holds the loop up: between rows of it the loop does what else
-   * there is.
+   * Guards against a long list that holds the event loop up, so that requests wait and time out:
+   * between two rows of its bytes the loop does its other work.
    */
-  private void rest(HttpClientResponse response, int bytes, int mine) {
-    readInRow += bytes;
-    if (readInRow < READ_AT_ONCE) return;
-    readInRow = 0;
+  private void pauseAfterARow(HttpClientResponse response, int bytes, int watch) {
+    bytesInARow += bytes;
+    if (bytesInARow < MAX_BYTES_IN_A_ROW) return;
+    bytesInARow = 0;
     response.pause();
-    scheduler.at(scheduler.now() + READ_PAUSE, () -> {
-      if (mine == turn) response.resume();
+    scheduler.at(scheduler.now() + READ_PAUSE_TICKS, () -> {
+      if (watch == currentWatch) response.resume();
     });
   }
 
-  private void refuse(String why, int mine) {
-    refusedPause = Math.min(REFUSED_MOST, refusedPause == 0 ? REFUSED_FIRST : 2 * refusedPause);
-    notBefore = scheduler.now() + refusedPause;
-    counters.add(Metric.LISTS_REFUSED);
-    LOG.warn("list refused, asked for again in {} s: {}", refusedPause / 10_000, why);
-    broke(mine, new IllegalStateException("a list too large"));
+  private void refuse(String reason, int watch) {
+    long backoffTicks = pacing.listRefused(scheduler.now());
+    metrics.add(Metric.LISTS_REFUSED);
+    LOG.warn("list refused retry_s={} reason={}", backoffTicks / Ticks.PER_SECOND, reason);
+    end(watch, new IllegalStateException("a list too large"));
   }
 
-  private void take(EndpointList list, int mine) {
-    if (mine != turn) return;
-    // Guards against an agent that is behind the one asked before (SIGHUP, a return): its list
-    // would turn drains back.
-    if (list.series() < series || list.series() == series && list.index() < newest) {
-      counters.add(Metric.LISTS_OLD);
-      return;
-    }
-    if (list.series() > series && !list.snapshot()) {
-      wantsWhole = true;
-      broke(mine,
+  private void take(EndpointList list, int watch) {
+    if (watch != currentWatch) return;
+    switch (position.advanceTo(list)) {
+      case OLD -> metrics.add(Metric.LISTS_OLD);
+      case UNKNOWN_SERIES -> end(watch,
           new IllegalStateException("a change of series " + list.series() + ", not known yet"));
-      return;
+      case TAKE -> {
+        pacing.listTaken();
+        metrics.add(Metric.LISTS);
+        listsBeingApplied++;
+        listener.endpointsReceived(list, () -> applied(list));
+      }
     }
-    wantsWhole = wantsWhole && !list.snapshot();
-    series = list.series();
-    newest = list.index();
-    refusedPause = 0;
-    counters.add(Metric.LISTS);
-    beingApplied++;
-    host.endpointsReceived(list, () -> applied(list));
   }
 
   private void applied(EndpointList list) {
-    index = list.index();
-    beingApplied--;
-    if (beingApplied > 0 || whenApplied == null) return;
-    Runnable then = whenApplied;
+    position.applied(list);
+    listsBeingApplied--;
+    if (listsBeingApplied > 0 || whenApplied == null) return;
+    Runnable opening = whenApplied;
     whenApplied = null;
-    then.run();
+    opening.run();
   }
 
-  private void expect(int mine, long within) {
-    if (limit != null) limit.cancel();
-    limit = scheduler.at(scheduler.now() + within, () -> broke(mine, null));
+  private void expectWithin(int watch, long ticks) {
+    if (timeout != null) timeout.cancel();
+    timeout = scheduler.at(scheduler.now() + ticks, () -> end(watch, null));
   }
 
-  private void broke(int mine, Throwable why) {
-    if (mine != turn) return;
-    counters.add(Metric.WATCHES_BROKEN);
-    LOG.info("watch ended: {}", why == null ? "silent or closed" : why.toString());
+  /** Ends the watch, unless it has ended before; {@code cause} null: silent or closed. */
+  private void end(int watch, Throwable cause) {
+    if (watch != currentWatch) return;
+    metrics.add(Metric.WATCHES_BROKEN);
+    LOG.info("watch ended reason={}", cause == null ? "silent or closed" : cause.toString());
     stop();
-    host.watchEnded();
+    listener.watchEnded();
   }
 }
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -33,10 +33,10 @@
   private static final String READY = "{\"name\":\"s-1\",\"address\":\"127.0.0.1:9\",\"status\":\"Ready\"}";
 
   /**
-   * A clock and timers that move by hand; what is asked of them is told, in tenths of a ms from
+   * A clock and timers that move by hand; what is asked of them is noted, in ticks from
    * then.
    */
-  private final class ManualDesk implements Scheduler {
+  private final class ManualScheduler implements Scheduler {
     private final TimerQueue timers = new TimerQueue();
     private long now = 1_000_000;
 
@@ -76,7 +76,7 @@
   private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
   private final BlockingQueue<Runnable> toApply = new LinkedBlockingQueue<>();
   private final List<Socket> sockets = new ArrayList<>();
-  private final ManualDesk scheduler = new ManualDesk();
+  private final ManualScheduler scheduler = new ManualScheduler();
   private final NodeMetrics counters = new NodeMetrics();
   private volatile boolean appliesAtOnce = true;
   private Vertx vertx;
@@ -114,9 +114,9 @@
     done.get(10, TimeUnit.SECONDS);
   }
 
-  private void pass(long tenths) throws Exception {
+  private void pass(long ticks) throws Exception {
     onLoop(() -> {
-      scheduler.now += tenths;
+      scheduler.now += ticks;
       scheduler.timers.run(scheduler.now);
     });
   }
@@ -125,9 +125,9 @@
     for (String one : expected) assertEquals(one, events.poll(20, TimeUnit.SECONDS));
   }
 
-  /** Opens the watch that is due after {@code tenths}, and has it answered with this beginning. */
-  private void watched(long tenths, String asks, String begins) throws Exception {
-    pass(tenths);
+  /** Opens the watch that is due after {@code ticks}, and has it answered with this beginning. */
+  private void watched(long ticks, String asks, String begins) throws Exception {
+    pass(ticks);
     watch = agent.accept();
     sockets.add(watch);
     String line = new BufferedReader(
--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,6 +12,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import saltlatch.wire.FramingLostException;
+import saltlatch.wire.LimitExceededException;
+import saltlatch.wire.ProtocolException;
 
 /**
  * Objects of discovery's stream, in any order of their fields, cut anywhere, and those beyond a
@@ -23,8 +27,7 @@
 
   private final List<EndpointList> lists = new ArrayList<>();
 
-  private boolean read(EndpointListParser reader, String text)
-      throws EndpointListParser.Unreadable {
+  private boolean read(EndpointListParser reader, String text) throws ProtocolException {
     return reader.feed(Buffer.buffer(text), lists::add);
   }
 
@@ -39,8 +42,8 @@
     return text.toString();
   }
 
-  private static EndpointListParser.Unreadable unreadable(String text) {
-    return assertThrows(EndpointListParser.Unreadable.class,
+  private static ProtocolException unreadable(String text) {
+    return assertThrows(ProtocolException.class,
         () -> new EndpointListParser().feed(Buffer.buffer(text), list -> {}), text);
   }
 
@@ -103,15 +106,16 @@
         ENTRY + "}"};
     for (String one : within) {
       String text = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + one + "]}\n";
-      assertFalse(unreadable(text).isTooLarge(), text);
+      assertInstanceOf(FramingLostException.class, unreadable(text), text);
     }
     for (String text : new String[] {"{\"index\":3,\"snapshot\":true}\n",
         "{\"endpoints\":[" + ENTRY + "]}\n",
         "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + ",\n{\"index\":4}\n", "]\n",
         "[]\n"}) {
-      assertFalse(unreadable(text).isTooLarge(), text);
+      assertInstanceOf(FramingLostException.class, unreadable(text), text);
     }
-    assertFalse(unreadable("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)).isTooLarge());
+    assertInstanceOf(FramingLostException.class,
+        unreadable("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)));
   }
 
   /**
@@ -121,11 +125,11 @@
   void fullHeapIsNoMalformedList() {
     RuntimeException wrapped = new JsonParseException("Failed parsing JSON source",
         new OutOfMemoryError());
-    EndpointListParser.Unreadable full = new EndpointListParser.Unreadable(wrapped);
-    assertTrue(full.isTooLarge());
-    assertTrue(full.getMessage().startsWith("the heap of "), full.getMessage());
-    assertFalse(
-        new EndpointListParser.Unreadable(new JsonParseException("no number")).isTooLarge());
+    ProtocolException full = EndpointListParser.undecodable(wrapped);
+    assertInstanceOf(LimitExceededException.class, full);
+    assertTrue(full.what().startsWith("the heap of "), full.getMessage());
+    assertInstanceOf(FramingLostException.class,
+        EndpointListParser.undecodable(new JsonParseException("no number")));
   }
 
   /**
@@ -138,11 +142,11 @@
     String most = head + ("," + GONE).repeat(EndpointListParser.MAX_ENTRIES - 1);
     read(new EndpointListParser(), most + "]}\n");
     assertEquals(EndpointListParser.MAX_ENTRIES, lists.get(0).entries().size());
-    EndpointListParser.Unreadable many = unreadable(most + "," + GONE + "]}\n");
-    assertTrue(many.isTooLarge());
+    ProtocolException many = unreadable(most + "," + GONE + "]}\n");
+    assertInstanceOf(LimitExceededException.class, many);
     assertTrue(many.getMessage().contains("65536 entries and " + (most.length() + 2) + " bytes"),
         many.getMessage());
-    assertTrue(unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.MAX_PART_BYTES))
-        .isTooLarge());
+    assertInstanceOf(LimitExceededException.class,
+        unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.MAX_PART_BYTES)));
   }
 }
