--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -28,6 +28,7 @@
 import saltlatch.wire.peer.GossipCodec;
 import saltlatch.wire.peer.MembershipCodec;
 import saltlatch.wire.peer.PeerSocket;
+import saltlatch.wire.resp.NamedFigures;
 import saltlatch.wire.transport.CallResult;
 import saltlatch.wire.transport.Scheduler;
 
@@ -281,18 +282,18 @@
   public void abandon(RequestContext x) {
     told(x, "aborted");
     x.fail();
-    left(x);
+    clientDisconnected(x);
   }
 
   @Override
-  public RequestContext arrived(ClientRequest req, RequestContext.ResponseSink client) {
+  public RequestContext requestArrived(ClientRequest req, RequestContext.ResponseSink client) {
     look();
-    int frontend = frontends.find(req.requestClass);
-    int plan = plans.find(req.plan);
+    int frontend = frontends.find(req.requestClass());
+    int plan = plans.find(req.plan());
     counters.add(Metric.REQS);
     // Guards against a stranger who uses the id of a req that is out: an app srv would take it for
     // a second copy.
-    if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id)) {
+    if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id())) {
       counters.add(Metric.REQS_UNKNOWN);
       client.fail();
       return null;
@@ -305,16 +306,17 @@
     }
     long age = age(client);
     if (history != null) {
-      history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units",
-          req.units, "wait_ms", req.clientTimeoutMs, "age_ms", age / 10, "query", req.query);
+      history.add("arrived", "id", req.id(), "customer", Long.toHexString(req.customer()), "units",
+          req.units(), "wait_ms", req.clientTimeoutMs(), "age_ms", age / 10, "query", req.query());
     }
-    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer,
-        req.clientTimeoutMs * 10, req.units, req.nodeCount, req.firstNode, req.retry, age));
+    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer(),
+        req.clientTimeoutMs() * 10, req.units(), req.nodeCount(), req.firstNode(), req.retry(),
+        age));
     return x;
   }
 
   @Override
-  public void left(RequestContext x) {
+  public void clientDisconnected(RequestContext x) {
     told(x, "left");
     x.clientDisconnected();
     counters.add(Metric.CLIENTS_LEFT);
@@ -323,10 +325,11 @@
   }
 
   @Override
-  public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
+  public void attemptEnded(RequestContext x, int dispatch, int srv, AppServerReply answer,
+      long spent) {
     if (history != null) {
-      history.add("ended", "id", x.request.id, "srv", directory.name(srv), "dispatch", dispatch,
-          "how", answer.result().name());
+      history.add("ended", "id", x.request.id(), "srv", directory.name(srv), "dispatch", dispatch,
+          "how", answer.result().historyName());
     }
     if (answer.result() == CallResult.ANSWERED) {
       told(x, "passed");
@@ -340,17 +343,18 @@
 
   /** Its one end, for the history. */
   private void told(RequestContext x, String how) {
-    if (history != null && !x.isFinished()) history.add("answered", "id", x.request.id, "how", how);
+    if (history != null && !x.isFinished())
+      history.add("answered", "id", x.request.id(), "how", how);
   }
 
   @Override
-  public boolean mayBegin(RequestContext x, int dispatch) {
+  public boolean mayStartAttempt(RequestContext x, int dispatch) {
     flush();
     return !x.isFinished() && gateway.mayStartAttempt(clock.now(), x.requestId, dispatch);
   }
 
   @Override
-  public void probed(int srv, AppServerReply answer, long spent) {
+  public void healthChecked(int srv, AppServerReply answer, long spent) {
     add(new GatewayEvent.HealthChecked(srv, answer.result().outcome(), spent, load(answer)));
     directory.release();
   }
@@ -359,7 +363,7 @@
     if (answer.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
     for (String field : configuration.loadFields())
-      values.add(AppServerReply.field(answer.loadReport(), field));
+      values.add(NamedFigures.find(answer.loadReport(), field));
     return values;
   }
 
@@ -396,7 +400,7 @@
   }
 
   @Override
-  public String figures() {
+  public String infoText() {
     String own = counters.text() + "held=" + exchanges.size() + "\n";
     return roster == null ? own : own + roster.figures(gateway.gossipValidityTicks());
   }
@@ -409,17 +413,18 @@
     if (x == null) return;
     int dispatch = exchanges.beginAttempt(x);
     if (history != null) {
-      history.add("dispatched", "id", x.request.id, "srv", directory.name((int) srv), "dispatch",
+      history.add("dispatched", "id", x.request.id(), "srv", directory.name((int) srv), "dispatch",
           dispatch, "cap_ms", cap / 10);
     }
     try {
-      appServers.dispatch(x, dispatch, (int) srv, cap);
+      appServers.startAttempt(x, dispatch, (int) srv, cap);
     } catch (RuntimeException e) {
       // Guards against a fault of this side that stops the module half-way through what it wants of
       // other reqs.
       LOG.error("dispatch failed", e);
       counters.add(Metric.EXCEPTIONS);
-      ended(x, dispatch, (int) srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
+      attemptEnded(x, dispatch, (int) srv,
+          AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
     }
   }
 
@@ -444,7 +449,7 @@
   @Override
   public void cancelAttempt(long rid, int dispatch) {
     RequestContext x = exchanges.find(rid);
-    if (x != null) appServers.cancel(x, dispatch);
+    if (x != null) appServers.cancelAttempt(x, dispatch);
   }
 
   @Override
@@ -454,12 +459,12 @@
 
   @Override
   public void checkHealth(long srv) {
-    appServers.probe((int) srv, configuration.connectTime());
+    appServers.checkHealth((int) srv, configuration.connectTime());
   }
 
   @Override
   public void closeIdleConnections(long srv) {
-    appServers.closeIdle((int) srv);
+    appServers.closeIdleConnections((int) srv);
   }
 
   @Override
--- a/src/main/java/saltlatch/wire/counter/CounterCodec.java
+++ b/src/main/java/saltlatch/wire/counter/CounterCodec.java
@@ -43,9 +43,9 @@
    */
   private static CallResult resultWithoutTotal(String line) {
     return switch (line) {
-      case BUSY -> CallResult.BUSY_ANSWER;
-      case ERROR -> CallResult.REFUSED_CALL;
-      default -> CallResult.SPOILT_ANSWER;
+      case BUSY -> CallResult.BUSY_REPLY;
+      case ERROR -> CallResult.CALL_REFUSED;
+      default -> CallResult.MALFORMED_REPLY;
     };
   }
 }
--- a/src/main/java/saltlatch/wire/counter/CounterConnection.java
+++ b/src/main/java/saltlatch/wire/counter/CounterConnection.java
@@ -145,7 +145,7 @@
     }
     CounterCodec.Answer answer = CounterCodec.decode(text);
     end(call, answer.result(), answer.total());
-    if (answer.result() == CallResult.SPOILT_ANSWER) close();
+    if (answer.result() == CallResult.MALFORMED_REPLY) close();
   }
 
   private void end(CounterCall call, CallResult result, double total) {
@@ -163,7 +163,7 @@
     owner.closed(this, slot);
     if (socket != null) SocketCloser.closeNow(socket);
     for (CounterCall call : calls)
-      end(call, call.written ? CallResult.BROKE_WRITTEN : CallResult.CONNECT_FAILED, 0);
+      end(call, call.written ? CallResult.CONNECTION_LOST : CallResult.CONNECT_FAILED, 0);
     if (successor == null) return;
     successor.predecessor = null;
     successor.writeWaiting();
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -7,7 +7,7 @@
 import saltlatch.membership.Membership;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipMessage.Kind;
-import saltlatch.membership.MembershipMessage.News;
+import saltlatch.membership.MembershipMessage.MemberUpdate;
 import saltlatch.membership.MembershipMessage.State;
 
 /**
@@ -26,7 +26,7 @@
   private static final int SEQUENCE_OFFSET = 7;
   private static final int HEADER_BYTES = 1 + 1 + 1 + 4 + 4 + 2 + 4 + 8 + 1;
   private static final int ENTRY_BYTES = 2 + 1 + 4 + 2;
-  private static final int MAX_ENTRIES = Math.min(Membership.MOST_NEWS,
+  private static final int MAX_ENTRIES = Math.min(Membership.MAX_UPDATES_PER_MESSAGE,
       (PeerSocket.MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES);
   private static final Kind[] KINDS = Kind.values();
   private static final State[] STATES = State.values();
@@ -35,26 +35,27 @@
 
   /** The datagram of a message; entries beyond what it holds are left out. */
   public static byte[] encode(MembershipMessage message) {
-    int entries = Math.min(message.news().size(), MAX_ENTRIES);
+    int entries = Math.min(message.updates().size(), MAX_ENTRIES);
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries * ENTRY_BYTES);
     buffer.put(FIRST_BYTE);
     buffer.put(VERSION);
-    buffer.put((byte) (message.kind().ordinal() | (message.vouches() ? VOUCHES_FLAG : 0)));
+    buffer
+        .put((byte) (message.kind().ordinal() | (message.vouchesForReceiver() ? VOUCHES_FLAG : 0)));
     buffer.putInt(0); // the check sum is of the bytes with nought in its place
-    buffer.putInt(message.seq());
+    buffer.putInt(message.sequenceNumber());
     buffer.putShort((short) message.target());
     buffer.putInt((int) message.incarnation());
     buffer.putLong(message.digest());
     buffer.put((byte) entries);
-    for (News entry : message.news().subList(0, entries)) putEntry(buffer, entry);
+    for (MemberUpdate entry : message.updates().subList(0, entries)) putEntry(buffer, entry);
     return buffer.putInt(CHECK_SUM_OFFSET, checkSum(buffer.array())).array();
   }
 
-  private static void putEntry(ByteBuffer buffer, News entry) {
+  private static void putEntry(ByteBuffer buffer, MemberUpdate entry) {
     buffer.putShort((short) entry.member());
     buffer.put((byte) entry.state().ordinal());
     buffer.putInt((int) entry.incarnation());
-    buffer.putShort((short) entry.by());
+    buffer.putShort((short) entry.reporter());
   }
 
   /**
@@ -73,7 +74,7 @@
     int target = unsignedShort(buffer);
     long incarnation = unsignedInt(buffer);
     long digest = buffer.getLong();
-    List<News> entries = entries(buffer);
+    List<MemberUpdate> entries = entries(buffer);
     return entries == null ? null : new MembershipMessage(KINDS[kind], sequence, target,
         incarnation, digest, (kindAndFlag & VOUCHES_FLAG) != 0, entries);
   }
@@ -89,15 +90,16 @@
   }
 
   /** The entries behind their number; null unless they fill the datagram exactly. */
-  private static List<News> entries(ByteBuffer buffer) {
+  private static List<MemberUpdate> entries(ByteBuffer buffer) {
     int count = Byte.toUnsignedInt(buffer.get());
     if (buffer.remaining() != count * ENTRY_BYTES) return null;
-    List<News> entries = new ArrayList<>();
+    List<MemberUpdate> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       int member = unsignedShort(buffer);
       int state = buffer.get();
       if (state < 0 || state >= STATES.length) return null;
-      entries.add(new News(member, STATES[state], unsignedInt(buffer), unsignedShort(buffer)));
+      entries
+          .add(new MemberUpdate(member, STATES[state], unsignedInt(buffer), unsignedShort(buffer)));
     }
     return entries;
   }
--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -133,9 +133,9 @@
     assertReceived("bump ff 1 1\r\n".repeat(5));
     assertAnswer("ok 17.25\r\n", "ff ANSWERED 17.25");
     assertAnswer("ok 3\n", "ff ANSWERED 3.0");
-    assertAnswer("busy\r\n", "ff BUSY_ANSWER 0.0");
-    assertAnswer("error\r\n", "ff REFUSED_CALL 0.0");
-    assertAnswer("ok 0x1\r\n", "ff SPOILT_ANSWER 0.0");
+    assertAnswer("busy\r\n", "ff BUSY_REPLY 0.0");
+    assertAnswer("error\r\n", "ff CALL_REFUSED 0.0");
+    assertAnswer("ok 0x1\r\n", "ff MALFORMED_REPLY 0.0");
     assertEquals(-1, connection.getInputStream().read());
   }
 }
