--- /dev/null
+++ b/src/test/java/saltlatch/configuration/ConfigurationConflictsTest.java
@@ -0,0 +1,25 @@
+package saltlatch.configuration;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Map;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import saltlatch.configuration.SharedConfiguration.WithoutLease;
+
+class ConfigurationConflictsTest {
+  /** All parts that a newer version may tighten, by their keys. */
+  @Test
+  void keysOfConflicts() {
+    SharedConfiguration older = Configurations.withRate(5, WithoutLease.REJECT_REQUESTS);
+    older.exemptCustomers().add(3L);
+    SharedConfiguration newer = new SharedConfiguration(older.version(),
+        Configurations.withRate(4, WithoutLease.REJECT_REQUESTS).quotaPlans(), Map.of(),
+        new SharedConfiguration.Limits(3, 1_000), older.excludedServers(), older.blockedCustomers(),
+        new TreeSet<>(), older.members(), older.lockedKeys(), older.withoutLease());
+    newer.excludedServers().add("s-1");
+    assertEquals("[customers, frontends.read, heldOut, plans.plan, sendCap]",
+        ConfigurationConflicts.between(older, newer).keys().toString());
+    assertEquals("[]", ConfigurationConflicts.between(older, older).keys().toString());
+  }
+}
--- a/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Map;
-import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import saltlatch.api.GatewaySettings.KeyScope;
 import saltlatch.api.GatewaySettings.RequestClass;
@@ -97,19 +96,4 @@
     faulty.exemptCustomers().add(7L);
     return faulty;
   }
-
-  /** All parts that a newer version may tighten, by their keys. */
-  @Test
-  void keysOfConflicts() {
-    SharedConfiguration older = withRate(5);
-    older.exemptCustomers().add(3L);
-    SharedConfiguration newer = new SharedConfiguration(older.version(), withRate(4).quotaPlans(),
-        Map.of(), new SharedConfiguration.Limits(3, 1_000), older.excludedServers(),
-        older.blockedCustomers(), new TreeSet<>(), older.members(), older.lockedKeys(),
-        older.withoutLease());
-    newer.excludedServers().add("s-1");
-    assertEquals("[customers, frontends.read, heldOut, plans.plan, sendCap]",
-        ConfigurationConflicts.between(older, newer).keys().toString());
-    assertEquals("[]", ConfigurationConflicts.between(older, older).keys().toString());
-  }
 }
