--- a/src/main/java/saltlatch/distribution/ChangeLog.java
+++ b/src/main/java/saltlatch/distribution/ChangeLog.java
@@ -34,7 +34,7 @@
     this.bound = bound;
   }
 
-  /** Forgets all: only who stands at {@code index} or later can be told changes from here on. */
+  /** Forgets all: only who stands at {@code index} or later can get changes from here on. */
   void restart(long index) {
     changes.clear();
     places.clear();
@@ -58,7 +58,7 @@
   /**
    * Notes that the changes from one index to another were found by comparing two whole lists. What
    * was changed and changed back in between is not among them, so that who stands strictly between
-   * the two can't be told changes.
+   * the two can't get changes.
    */
   void leapt(long from, long to) {
     if (to - from <= 1) {
--- a/src/main/java/saltlatch/distribution/Distributor.java
+++ b/src/main/java/saltlatch/distribution/Distributor.java
@@ -2,7 +2,7 @@
 
 /**
  * The decisions of one relay, without I/O: events in, {@link Actions} out. It follows one of
- * several upstreams, keeps the list with a bounded log of its changes, and tells its watchers what
+ * several upstreams, keeps the list with a bounded log of its changes, and sends its watchers what
  * they lack. Times are in milliseconds of one monotonic clock. Events may be reported from within
  * an action; all come from one thread.
  */
@@ -45,9 +45,9 @@
   }
 
   /** A line of the watch. */
-  public void upstreamTold(int upstream, Update update, long now) {
+  public void upstreamUpdated(int upstream, Update update, long now) {
     if (upstreams.follows(upstream)) {
-      told(update, now);
+      apply(update, now);
       outbox.release();
     }
   }
@@ -55,7 +55,7 @@
   /** An empty line, or progress within a long one. */
   public void upstreamAlive(int upstream, long now) {
     if (upstreams.follows(upstream)) {
-      upstreams.heard(now);
+      upstreams.alive(now);
     }
   }
 
@@ -120,7 +120,7 @@
         olderPassedOver, replica.log().size());
   }
 
-  private void told(Update update, long now) {
+  private void apply(Update update, long now) {
     Version former = replica.version();
     switch (replica.apply(update)) {
       case APPLIED -> {
@@ -140,7 +140,7 @@
     if (update.whole() || update.version().series() < replica.version().series()) {
       upstreams.fallsBehind(now);
     } else {
-      upstreams.heard(now);
+      upstreams.alive(now);
     }
   }
 }
--- a/src/main/java/saltlatch/distribution/Message.java
+++ b/src/main/java/saltlatch/distribution/Message.java
@@ -41,7 +41,7 @@
     return version;
   }
 
-  /** The entries told, empty for a keep-alive. */
+  /** The entries sent, empty for a keep-alive. */
   public List<Entry> entries() {
     return entries;
   }
--- a/src/main/java/saltlatch/distribution/Replica.java
+++ b/src/main/java/saltlatch/distribution/Replica.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * The list as last heard, with its version and the log of its changes. Its version never goes
+ * The list as last received, with its version and the log of its changes. Its version never goes
  * backwards.
  */
 final class Replica {
@@ -15,11 +15,11 @@
     APPLIED,
     /** The version held already: nothing new. */
     SAME,
-    /** Of an older version or series: passed over. */
+    /** Of an older version or series: ignored. */
     OLDER,
-    /** A change of a later series, which the list held is no base for: passed over. */
+    /** A change of a later series, which the list held is no base for: ignored. */
     NO_BASE,
-    /** The list would have more entries than are allowed: passed over. */
+    /** The list would have more entries than are allowed: ignored. */
     TOO_LONG
   }
 
@@ -55,7 +55,7 @@
     return update.whole() ? compare(update) : change(update);
   }
 
-  /** Whether any list was heard yet. */
+  /** Whether any list was received yet. */
   boolean listed() {
     return listed;
   }
@@ -139,12 +139,12 @@
   }
 
   private int sizeAfter(Update update) {
-    Map<String, Boolean> touched = new LinkedHashMap<>();
+    Map<String, Boolean> changed = new LinkedHashMap<>();
     for (Entry entry : update.entries()) {
-      touched.put(entry.name(), !entry.removed());
+      changed.put(entry.name(), !entry.removed());
     }
     int size = entries.size();
-    for (Map.Entry<String, Boolean> name : touched.entrySet()) {
+    for (Map.Entry<String, Boolean> name : changed.entrySet()) {
       size += (name.getValue() ? 1 : 0) - (entries.containsKey(name.getKey()) ? 1 : 0);
     }
     return size;
--- a/src/main/java/saltlatch/distribution/Status.java
+++ b/src/main/java/saltlatch/distribution/Status.java
@@ -7,7 +7,7 @@
  * @param entries           entries listed
  * @param upstream          the upstream followed, -1 while none is
  * @param staleMs           ms since the upstream last said anything, 0 while it is in time; -1:
- *     nothing was ever heard
+ *     nothing was ever received
  * @param watchers          watches open
  * @param behind            of these, those that lack the latest version
  * @param waiting           of these, those that wait for a whole list
@@ -18,7 +18,7 @@
  * @param stalled           watchers closed since they took nothing
  * @param upstreamFailures  watches at upstreams that failed
  * @param upstreamMalformed of these, by what could not be read
- * @param olderPassedOver   lines of an older version or series that were passed over
+ * @param olderPassedOver   lines of an older version or series that were ignored
  * @param logChanges        changed entries now kept for watchers that resume
  */
 public record Status(Version version, int entries, int upstream, long staleMs, int watchers,
--- a/src/main/java/saltlatch/distribution/Upstreams.java
+++ b/src/main/java/saltlatch/distribution/Upstreams.java
@@ -10,7 +10,7 @@
   /** An upstream that says nothing for so long is left, ms: two keep-alives and a little. */
   static final long SILENT_MS = 4_500;
   /**
-   * One that is tried for being preferred has so long to answer, ms: meanwhile nothing is heard.
+   * One that is tried for being preferred has so long to answer, ms: meanwhile nothing is received.
    */
   static final long TRIAL_MS = 1_500;
   /** A watch that has gone well for so long clears its upstream's failures, ms. */
@@ -50,7 +50,7 @@
   private boolean fromNone;
   private boolean behind;
   private long openedAt;
-  private long heardAt;
+  private long aliveAtMs;
   private boolean everFresh;
   private long freshAt;
   private long failed;
@@ -93,11 +93,11 @@
   /** The watch was answered, which says nothing yet of how old its list is. */
   void answered(long now) {
     answered = true;
-    heardAt = now;
+    aliveAtMs = now;
   }
 
   /** It said something, whatever it was. */
-  void heard(long now) {
+  void alive(long now) {
     answered(now);
     if (behind || !replica.listed()) {
       return;
@@ -113,13 +113,13 @@
   void level(long now) {
     behind = false;
     fromNone = false;
-    heard(now);
+    alive(now);
   }
 
   /** It has less than this relay holds: another is preferred, if one may be tried. */
   void fallsBehind(long now) {
     behind = true;
-    heard(now);
+    alive(now);
     leaveBehind(now);
   }
 
@@ -184,7 +184,7 @@
   }
 
   /**
-   * Since when nothing was heard of a list as new as the one held, ms; 0 while in time, -1 before
+   * Since when nothing was received of a list as new as the one held, ms; 0 while in time, -1 before
    * any list.
    */
   long staleMs(long now) {
@@ -229,7 +229,7 @@
     behind = false;
     fromNone = since.equals(Version.NONE);
     openedAt = now;
-    heardAt = now;
+    aliveAtMs = now;
     actions.openUpstream(upstream, since);
   }
 
@@ -272,7 +272,7 @@
   }
 
   private long silentAt() {
-    return heardAt + (before != NONE && !answered ? TRIAL_MS : SILENT_MS);
+    return aliveAtMs + (before != NONE && !answered ? TRIAL_MS : SILENT_MS);
   }
 
   private void silent(long now) {
--- a/src/main/java/saltlatch/distribution/Watcher.java
+++ b/src/main/java/saltlatch/distribution/Watcher.java
@@ -16,14 +16,14 @@
   /** When the last message was sent, ms. */
   long sentAt;
   /** When its socket last took anything, or was given something to take, ms. */
-  long touchedAt;
+  long progressedAtMs;
 
   Watcher(long id, Version since, long now) {
     this.id = id;
     version = since;
     listed = !since.equals(Version.NONE);
     waitingSince = now;
-    touchedAt = now;
+    progressedAtMs = now;
   }
 
   /** Whether it lacks something that {@code latest} has. */
--- a/src/main/java/saltlatch/distribution/Watchers.java
+++ b/src/main/java/saltlatch/distribution/Watchers.java
@@ -83,7 +83,7 @@
       return;
     }
     watcher.sending = false;
-    watcher.touchedAt = now;
+    watcher.progressedAtMs = now;
     idle.put(id, watcher);
     serve(watcher, now);
     admit(now);
@@ -95,7 +95,7 @@
     if (watcher == null || now + STALLED_MS > watcher.sentAt + TAKEN_WITHIN_MS) {
       return;
     }
-    watcher.touchedAt = now;
+    watcher.progressedAtMs = now;
     sending.remove(id);
     sending.put(id, watcher);
   }
@@ -109,7 +109,7 @@
     }
   }
 
-  /** The list has moved on from {@code former}: all who are idle are told. */
+  /** The list has moved on from {@code former}: all that are idle get the change. */
   void listChanged(Version former, long now) {
     before = former;
     for (Watcher watcher : new ArrayList<>(idle.values())) {
@@ -130,7 +130,7 @@
   /** When {@link #tick} is wanted, ms. */
   long due() {
     long due = Math.min(keepAliveDue(), admission.due());
-    return sending.isEmpty() ? due : Math.min(due, first(sending).touchedAt + STALLED_MS);
+    return sending.isEmpty() ? due : Math.min(due, first(sending).progressedAtMs + STALLED_MS);
   }
 
   /** Closes all. */
@@ -185,14 +185,14 @@
     if (!replica.listed() || !watcher.lacks(replica.version())) {
       return;
     }
-    if (canBeToldChanges(watcher)) {
+    if (canResume(watcher)) {
       changes(watcher, now);
     } else {
       queue(watcher, now);
     }
   }
 
-  private boolean canBeToldChanges(Watcher watcher) {
+  private boolean canResume(Watcher watcher) {
     return watcher.listed && watcher.version.series() == replica.version().series()
         && replica.log().reaches(watcher.version.index());
   }
@@ -227,7 +227,7 @@
   }
 
   private void closeStalled(long now) {
-    while (!sending.isEmpty() && first(sending).touchedAt + STALLED_MS <= now) {
+    while (!sending.isEmpty() && first(sending).progressedAtMs + STALLED_MS <= now) {
       long id = first(sending).id;
       sending.remove(id);
       stalled++;
@@ -236,11 +236,11 @@
   }
 
   private long keepAliveDue() {
-    return idle.isEmpty() ? Long.MAX_VALUE : first(idle).touchedAt + KEEP_ALIVE_MS;
+    return idle.isEmpty() ? Long.MAX_VALUE : first(idle).progressedAtMs + KEEP_ALIVE_MS;
   }
 
   private void keepAlives(long now) {
-    while (!idle.isEmpty() && first(idle).touchedAt + KEEP_ALIVE_SOONEST_MS <= now) {
+    while (!idle.isEmpty() && first(idle).progressedAtMs + KEEP_ALIVE_SOONEST_MS <= now) {
       keepAlive(first(idle), now);
     }
   }
@@ -257,7 +257,7 @@
     }
     watcher.sending = true;
     watcher.sentAt = now;
-    watcher.touchedAt = now;
+    watcher.progressedAtMs = now;
     sending.put(watcher.id, watcher);
     actions.send(watcher.id, message);
   }
--- a/src/main/java/saltlatch/relay/EncodedMessage.java
+++ b/src/main/java/saltlatch/relay/EncodedMessage.java
@@ -108,7 +108,7 @@
 
   /**
    * A removed entry says so, also where it was only missing in a whole list and its JSON is the
-   * last that was heard.
+   * last that was received.
    */
   private static String goneJson(Entry entry) {
     JsonObject json = JsonParser.parseString(entry.json()).getAsJsonObject();
--- a/src/main/java/saltlatch/relay/Relay.java
+++ b/src/main/java/saltlatch/relay/Relay.java
@@ -40,9 +40,9 @@
   private final HttpClient client;
   private final Distributor distributor;
   private final WatcherServer server;
-  // those that came while one was being told
+  // those that came while another was being handled
   private final Deque<Runnable> events = new ArrayDeque<>();
-  private boolean telling;
+  private boolean handling;
   private UpstreamWatch watch; // null while none is open
   private long timer = -1;
   private long timerDue = Long.MAX_VALUE;
@@ -77,7 +77,7 @@
     return listening.future().onSuccess(v -> loop.runOnContext(x -> {
       LOG.info("{} serves on port {}", config.name(), server.port());
       vertx.setPeriodic(FIGURES_MS, t -> logFigures());
-      tell(() -> distributor.start(now()));
+      handle(() -> distributor.start(now()));
     }));
   }
 
@@ -97,7 +97,7 @@
   public Future<Void> stop() {
     Promise<Void> stopped = Promise.promise();
     loop.runOnContext(v -> {
-      tell(() -> distributor.stop(now()));
+      handle(() -> distributor.stop(now()));
       logFigures();
       stopped.complete();
     });
@@ -106,7 +106,7 @@
 
   /** Looks at the clock, as a timer would: for a clock that was put on. */
   void wake() {
-    loop.runOnContext(v -> tell(() -> distributor.tick(now())));
+    loop.runOnContext(v -> handle(() -> distributor.tick(now())));
   }
 
   private long now() {
@@ -125,17 +125,17 @@
   }
 
   /**
-   * Tells one event after the other: what an action brings about at once comes behind the event
+   * Handles one event after the other: what an action brings about at once comes behind the event
    * that caused it.
    */
-  private void tell(Runnable event) {
+  private void handle(Runnable event) {
     events.add(event);
-    if (telling) return;
-    telling = true;
+    if (handling) return;
+    handling = true;
     try {
       for (Runnable next = events.poll(); next != null; next = events.poll()) next.run();
     } finally {
-      telling = false;
+      handling = false;
     }
     setTimer();
   }
@@ -148,7 +148,7 @@
     timer = vertx.setTimer(Math.max(1, due - now()), t -> {
       timer = -1;
       timerDue = Long.MAX_VALUE;
-      tell(() -> distributor.tick(now()));
+      handle(() -> distributor.tick(now()));
     });
   }
 
@@ -183,46 +183,46 @@
     @Override
     public void opened(int upstream) {
       LOG.info("follows {}", config.upstreams().get(upstream));
-      tell(() -> distributor.upstreamOpened(upstream, now()));
+      handle(() -> distributor.upstreamOpened(upstream, now()));
     }
 
     @Override
-    public void told(int upstream, Update update) {
-      tell(() -> distributor.upstreamTold(upstream, update, now()));
+    public void updateReceived(int upstream, Update update) {
+      handle(() -> distributor.upstreamUpdated(upstream, update, now()));
     }
 
     @Override
     public void alive(int upstream) {
-      tell(() -> distributor.upstreamAlive(upstream, now()));
+      handle(() -> distributor.upstreamAlive(upstream, now()));
     }
 
     @Override
     public void failed(int upstream, Failure failure, String cause) {
       LOG.info("watch at {} failed: {}: {}", config.upstreams().get(upstream), failure, cause);
       watch = null;
-      tell(() -> distributor.upstreamFailed(upstream, failure, now()));
+      handle(() -> distributor.upstreamFailed(upstream, failure, now()));
     }
   };
 
   private final WatcherServer.Host watcherEvents = new WatcherServer.Host() {
     @Override
     public void opened(long watcher, Version since) {
-      tell(() -> distributor.watcherOpened(watcher, since, now()));
+      handle(() -> distributor.watcherOpened(watcher, since, now()));
     }
 
     @Override
     public void drained(long watcher) {
-      tell(() -> distributor.watcherDrained(watcher, now()));
+      handle(() -> distributor.watcherDrained(watcher, now()));
     }
 
     @Override
     public void progressed(long watcher) {
-      tell(() -> distributor.watcherProgressed(watcher, now()));
+      handle(() -> distributor.watcherProgressed(watcher, now()));
     }
 
     @Override
     public void closed(long watcher) {
-      tell(() -> distributor.watcherClosed(watcher, now()));
+      handle(() -> distributor.watcherClosed(watcher, now()));
     }
   };
 }
--- a/src/main/java/saltlatch/relay/UpstreamWatch.java
+++ b/src/main/java/saltlatch/relay/UpstreamWatch.java
@@ -12,17 +12,17 @@
 import saltlatch.distribution.Version;
 
 /**
- * One watch at one upstream, from its opening to its end; it ends once, and nothing is told of it
- * behind that.
+ * One watch at one upstream, from its opening to its end; it ends once, and gives no
+ * event behind that.
  */
 final class UpstreamWatch {
-  /** Whom its events are told to, on the event loop. */
+  /** Gets its events, on the event loop. */
   interface Host {
     /** It was answered with status 200. */
     void opened(int upstream);
 
     /** A whole line has come. */
-    void told(int upstream, Update update);
+    void updateReceived(int upstream, Update update);
 
     /** An empty line has come, or a part of a long one. */
     void alive(int upstream);
@@ -47,8 +47,8 @@
     this.host = host;
     this.parser = new WatchParser(maxEntries, new WatchParser.Sink() {
       @Override
-      public void told(Update update) {
-        if (!ended) host.told(upstream, update);
+      public void updateReceived(Update update) {
+        if (!ended) host.updateReceived(upstream, update);
       }
 
       @Override
--- a/src/main/java/saltlatch/relay/WatchParser.java
+++ b/src/main/java/saltlatch/relay/WatchParser.java
@@ -12,10 +12,10 @@
  * indents. Bounds hold from the first byte beyond.
  */
 final class WatchParser {
-  /** Whom the stream's content is told to, in its order. */
+  /** Gets the stream's content, in its order. */
   interface Sink {
     /** A whole line has come. */
-    void told(Update update);
+    void updateReceived(Update update);
 
     /** An empty line has come. */
     void keptAlive();
@@ -142,7 +142,7 @@
       entries.add(values.entry(entry, entryLength));
     } else if (depth == 0) {
       EntryParser.Envelope line = values.envelope(envelope, envelopeLength);
-      sink.told(new Update(line.version(), line.whole(), entries));
+      sink.updateReceived(new Update(line.version(), line.whole(), entries));
       entries = new ArrayList<>();
     }
   }
@@ -175,7 +175,7 @@
   }
 
   /**
-   * Lines that were broken become one; around the entries as little is kept as tells two values
+   * Lines that were broken become one; around the entries as little is kept as separates two values
    * apart.
    */
   private void keepSpace() throws MalformedWatchException {
--- a/src/main/java/saltlatch/relay/Watcher.java
+++ b/src/main/java/saltlatch/relay/Watcher.java
@@ -14,7 +14,7 @@
  * nothing holds no bytes of its own but those that the system holds for its socket.
  */
 final class Watcher {
-  /** Whom its events are told to, on the event loop. */
+  /** Gets its events, on the event loop. */
   interface Host {
     /** The socket has taken all that was sent. */
     void drained(Watcher watcher);
@@ -111,7 +111,7 @@
     int length = piece.length() + framing(piece.length());
     taken.onComplete(result -> {
       if (result.succeeded()) bytesTaken += length;
-      else ended = true; // the connection breaks, which is told by its own event
+      else ended = true; // the connection breaks, which has an event of its own
       if (!ended && !message.isLast(nextPiece)) {
         nextPiece++;
         host.progressed(this);
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -25,7 +25,7 @@
  * cost.
  */
 final class WatcherServer {
-  /** Whom its events are told to, on the event loop. */
+  /** Gets its events, on the event loop. */
   interface Host {
     /** A watcher asks for what comes after {@code since}. */
     void opened(long watcher, Version since);
@@ -148,7 +148,7 @@
   }
 
   /**
-   * Guards against silent connections that crowd out watchers: the oldest silent one goes, which
+   * Guards against silent connections that keep watchers out: the oldest silent one goes, which
    * may be the new one.
    */
   private void closeOldestIdle() {
--- a/src/test/java/saltlatch/distribution/DecisionTrace.java
+++ b/src/test/java/saltlatch/distribution/DecisionTrace.java
@@ -98,7 +98,7 @@
       case "stop" -> distributor.stop(now);
       case "opened" -> distributor.upstreamOpened(number, now);
       case "alive" -> distributor.upstreamAlive(number, now);
-      case "whole", "changes" -> distributor.upstreamTold(number, update(words), now);
+      case "whole", "changes" -> distributor.upstreamUpdated(number, update(words), now);
       case "failed" -> distributor.upstreamFailed(number,
           Distributor.Failure.valueOf(words[3].toUpperCase(Locale.ROOT)), now);
       case "watcher" -> distributor.watcherOpened(number, version(words[4]), now);
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -62,7 +62,7 @@
     host.distributor = new Distributor(limits, 1, 1, host);
     host.distributor.start(0);
     List<Entry> list = IntStream.range(0, entries).mapToObj(number -> entry(number, 0)).toList();
-    host.distributor.upstreamTold(0, new Update(new Version(7, 1), true, list), 0);
+    host.distributor.upstreamUpdated(0, new Update(new Version(7, 1), true, list), 0);
     return host;
   }
 
@@ -118,7 +118,8 @@
       host.distributor.watcherDrained(watcher, 0);
     }
     host.sent.clear();
-    host.distributor.upstreamTold(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))), 1);
+    host.distributor.upstreamUpdated(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))),
+        1);
     assertEquals(WATCHERS, host.sent.size());
     host.sent.forEach(one -> assertSame(host.sent.get(0).message, one.message));
     assertEquals(List.of(entry(5, 1)), host.sent.get(0).message.entries());
@@ -134,7 +135,8 @@
       host.distributor.watcherOpened(watcher, new Version(7, 1), 0);
     }
     host.sent.clear();
-    host.distributor.upstreamTold(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))), 1);
+    host.distributor.upstreamUpdated(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))),
+        1);
     assertEquals(LongStream.range(0, many).boxed().toList(),
         host.sent.stream().map(Sent::watcher).toList());
   }
@@ -173,7 +175,7 @@
     Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
     for (int change = 2; change < 202; change++) {
-      host.distributor.upstreamTold(0,
+      host.distributor.upstreamUpdated(0,
           new Update(new Version(7, change), false, List.of(entry(change, change))), host.now);
       host.distributor.watcherOpened(change, Version.NONE, host.now);
       run(host, host.now + SECOND / 10);
--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -100,7 +100,7 @@
     } else {
       boolean whole = message.kind() == Message.Kind.SNAPSHOT;
       Version before = status().version();
-      distributor.upstreamTold(upstreamNumber,
+      distributor.upstreamUpdated(upstreamNumber,
           new Update(message.version(), whole, message.entries()), now());
       fleet.check(status().version().compareTo(before) >= 0, node + " went back from " + before);
     }
--- a/src/test/java/saltlatch/relay/WatchParserTest.java
+++ b/src/test/java/saltlatch/relay/WatchParserTest.java
@@ -23,7 +23,7 @@
   private int keptAlive;
   private final WatchParser parser = new WatchParser(10, new WatchParser.Sink() {
     @Override
-    public void told(Update update) {
+    public void updateReceived(Update update) {
       told.add(update);
     }
 
@@ -104,7 +104,7 @@
   private void assertBeyond(String head, String repeated, int bound, String cause) {
     WatchParser fresh = new WatchParser(10, new WatchParser.Sink() {
       @Override
-      public void told(Update update) {
+      public void updateReceived(Update update) {
         told.add(update);
       }
 
