--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import saltlatch.membership.Membership;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipMessage.Kind;
 import saltlatch.membership.MembershipMessage.MemberUpdate;
@@ -26,7 +25,7 @@
   private static final int SEQUENCE_OFFSET = 7;
   private static final int HEADER_BYTES = 1 + 1 + 1 + 4 + 4 + 2 + 4 + 8 + 1;
   private static final int ENTRY_BYTES = 2 + 1 + 4 + 2;
-  private static final int MAX_ENTRIES = Math.min(Membership.MAX_UPDATES_PER_MESSAGE,
+  private static final int MAX_ENTRIES = Math.min(MembershipMessage.MAX_UPDATES,
       (PeerSocket.MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES);
   private static final Kind[] KINDS = Kind.values();
   private static final State[] STATES = State.values();
--- a/src/test/java/saltlatch/wire/peer/MembershipCodecTest.java
+++ b/src/test/java/saltlatch/wire/peer/MembershipCodecTest.java
@@ -44,7 +44,7 @@
   void probeByProxy() {
     assertBytes(
         "b70102" + "c793b7b2" + "00000009" + "0011" + "00000003" + "0000000000000004" + "00",
-        new MembershipMessage(Kind.PING_REQ, 9, 17, 3, 4, false, List.of()));
+        new MembershipMessage(Kind.PING_REQUEST, 9, 17, 3, 4, false, List.of()));
   }
 
   @Test
