--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -160,8 +160,8 @@
     counters.add(Metric.RELOADS);
     LOG.info("discovery at {}, counter at {}", to.discovery(), to.counter());
     if (history != null) history.add("reloaded");
-    discovery.move(to.discovery());
-    if (counter != null && to.counter() != null) counter.move(to.counter());
+    discovery.moveTo(to.discovery());
+    if (counter != null && to.counter() != null) counter.moveTo(to.counter());
   }
 
   // ---- the clock and the timers
@@ -368,12 +368,12 @@
   }
 
   @Override
-  public void counted(long name, CallResult ending, double total, long spent) {
+  public void counterCallEnded(long name, CallResult ending, double total, long spent) {
     add(new GatewayEvent.CounterReplied(name, ending.outcome(), total, spent));
   }
 
   @Override
-  public void listed(EndpointList list, Runnable applied) {
+  public void endpointsReceived(EndpointList list, Runnable applied) {
     lists.apply(list, () -> {
       applied.run();
       listsInBatch.add(list.index());
@@ -390,8 +390,8 @@
   }
 
   @Override
-  public void heard(int from, byte[] words) {
-    if (words.length > 0 && words[0] == MembershipCodec.FIRST) {
+  public void datagramReceived(int from, byte[] words) {
+    if (words.length > 0 && words[0] == MembershipCodec.FIRST_BYTE) {
       if (roster != null) roster.heard(from, words);
       return;
     }
