--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -7,9 +7,9 @@
 import saltlatch.api.Ticks;
 
 /**
- * Whether a request may be sent again, to which app servers, and which final answer is safe. Inputs:
- * the request class's retry safety, what is known of earlier attempts, the number of attempts.
- * Times are in ticks.
+ * Whether a request may be sent again, to which app servers, and which final answer is safe.
+ * Inputs: the request class's retry safety, what is known of earlier attempts, the number of
+ * attempts. Times are in ticks.
  *
  * <p>An idempotent request may always be sent again. One with an idempotency key may while the
  * servers remember the key of its first attempt that may have been executed, and only to servers
@@ -33,7 +33,7 @@
    * @param outcome how the last attempt ended
    */
   boolean mayRetry(RequestState request, AttemptOutcome outcome, long now) {
-    return isAttemptSafe(request, now) && !request.streaming && now < request.deadline
+    return isAttemptSafe(request, now) && !request.streaming && now < request.deadlineTicks
         && outcome != AttemptOutcome.NOT_SENT && request.attemptCount < maxAttempts;
   }
 
@@ -48,7 +48,7 @@
   private static boolean isKeyRemembered(RequestState request, long now) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
     return requestClass.retrySafety() == RetrySafety.IDEMPOTENT_BY_KEY
-        && now + SENDING_TICKS < request.possiblyExecutedAt + requestClass.keyTtlTicks();
+        && now + SENDING_TICKS < request.possiblyExecutedAtTicks + requestClass.keyTtlTicks();
   }
 
   /** Whether that server knows the request's key, if it has to. */
