--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -70,10 +70,6 @@
     schedule.counterUnhealthy(now);
   }
 
-  boolean isActive(long now) {
-    return schedule.isActive(now);
-  }
-
   /** Whether peers' reports on a customer of so many nodes are fresh enough to go by. */
   boolean isUsageFresh(long now, int setWidth) {
     return setWidth <= maxSetWidth && schedule.isFresh(now);
