--- a/src/main/java/saltlatch/membership/Dissemination.java
+++ b/src/main/java/saltlatch/membership/Dissemination.java
@@ -55,8 +55,8 @@
   }
 
   /**
-   * The updates for a datagram to a peer. If the peer is held suspect or failed, that comes first, so
-   * that it can refute it at once.
+   * The updates for a datagram to a peer. If the peer is held suspect or failed, that comes first,
+   * so that it can refute it at once.
    */
   List<MemberUpdate> updatesFor(int peer) {
     List<MemberUpdate> updates = new ArrayList<>();
--- a/src/main/java/saltlatch/membership/FailureDetector.java
+++ b/src/main/java/saltlatch/membership/FailureDetector.java
@@ -101,9 +101,9 @@
     if (unanswered.reconnecting) {
       return;
     }
-    // If neither any member nor the proxies said a word, the fault may be this node's own. Lifeguard
-    // counts each missing nack; where most of a fleet dies at once that would slow every survivor
-    // down, though they reach each other, and failures would be seen too late.
+    // If neither any member nor the proxies said a word, the fault may be this node's own.
+    // Lifeguard counts each missing nack; where most of a fleet dies at once that would slow every
+    // survivor down, though they reach each other, and failures would be seen too late.
     if (now - receivedAtTicks > timings.absenceTicks()) {
       health.degrade(Math.max(1, unanswered.missingNacks));
     }
--- a/src/main/java/saltlatch/membership/MemberStateMachine.java
+++ b/src/main/java/saltlatch/membership/MemberStateMachine.java
@@ -8,10 +8,10 @@
  * timers.
  *
  * <p>Invariants: a state changes only by what the member says itself, by what others say of it
- * ({@link #apply}), by an unanswered probe ({@link #suspect}) or by a suspicion that expires; a lower
- * incarnation never overrides a higher one; this node is always alive in its own table until it
- * leaves. Every change is announced to the other members, ends the leases that rest on an equal view
- * if the digest changed, and goes to the output.
+ * ({@link #apply}), by an unanswered probe ({@link #suspect}) or by a suspicion that expires; a
+ * lower incarnation never overrides a higher one; this node is always alive in its own table until
+ * it leaves. Every change is announced to the other members, ends the leases that rest on an equal
+ * view if the digest changed, and goes to the output.
  */
 final class MemberStateMachine {
   private final MemberTable table;
--- a/src/main/java/saltlatch/membership/MemberTable.java
+++ b/src/main/java/saltlatch/membership/MemberTable.java
@@ -10,9 +10,9 @@
 /**
  * The state and incarnation in which this node holds each member, and the digest of all.
  *
- * <p>Invariants: the members are those of the configuration, by number; a member's incarnation never
- * falls; within an incarnation a state is overridden only by a later one of {@link State}; the
- * version grows with every change. {@link MemberStateMachine} alone writes it.
+ * <p>Invariants: the members are those of the configuration, by number; a member's incarnation
+ * never falls; within an incarnation a state is overridden only by a later one of {@link State};
+ * the version grows with every change. {@link MemberStateMachine} alone writes it.
  */
 final class MemberTable {
   private static final long NEVER_TICKS = Long.MIN_VALUE / 2;
--- a/src/main/java/saltlatch/membership/ProxyProbes.java
+++ b/src/main/java/saltlatch/membership/ProxyProbes.java
@@ -6,8 +6,8 @@
 import saltlatch.membership.MembershipMessage.Kind;
 
 /**
- * Probes that this node sends as another member's proxy (SWIM's ping request), with Lifeguard's nack: the
- * requester learns in time that the target does not answer, and that the proxy does.
+ * Probes that this node sends as another member's proxy (SWIM's ping request), with Lifeguard's
+ * nack: the requester learns in time that the target does not answer, and that the proxy does.
  *
  * <p>Invariant: at most as many at once as the fleet has members; one more is not served.
  */
--- a/src/main/java/saltlatch/membership/QuotaLeases.java
+++ b/src/main/java/saltlatch/membership/QuotaLeases.java
@@ -5,11 +5,11 @@
 /**
  * For how long this node may use its whole share of quotas, and what others left of theirs.
  *
- * <p>Both rest on direct answers to this node's own probes, counted by its own clock from the sending
- * of the probe. It keeps its surplus while at least half of the members (itself among them) vouched
- * for it within a lease. It takes over others' surplus while more than half answered within a lease
- * with this node's own view of the fleet; of failed members only once they did so for a lease without
- * a gap. Times are ticks.
+ * <p>Both rest on direct answers to this node's own probes, counted by its own clock from the
+ * sending of the probe. It keeps its surplus while at least half of the members (itself among them)
+ * vouched for it within a lease. It takes over others' surplus while more than half answered within
+ * a lease with this node's own view of the fleet; of failed members only once they did so for a
+ * lease without a gap. Times are ticks.
  *
  * <p>Guards against a quota used twice during a split: the side of a dead member's peers would take
  * its share over while it lives on the other side. Any half and any majority share a member, and
@@ -69,8 +69,8 @@
   /**
    * Until when this node takes over surplus if nothing more is received; 0: not at all.
    *
-   * @param minEqualTicks how long a majority must have shared this node's view: 0 for the surplus of
-   *                      members that left, W for that of failed ones
+   * @param minEqualTicks how long a majority must have shared this node's view: 0 for the surplus
+   *     of members that left, W for that of failed ones
    */
   long takeoverUntilTicks(long now, long minEqualTicks) {
     long[] until = new long[timings.memberCount()];
--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -127,8 +127,8 @@
   }
 
   /**
-   * The part of a quota that this node's pool may use: the sum of the shares of those members of the
-   * set that reach exactly each other; at least this node's own.
+   * The part of a quota that this node's pool may use: the sum of the shares of those members of
+   * the set that reach exactly each other; at least this node's own.
    *
    * <p>Guards against a share lent to two sides of a split: equal sets of reachable nodes are a
    * partition, so a member that bridges the sides belongs to neither pool.
--- a/src/main/java/saltlatch/membership/SuspicionTimer.java
+++ b/src/main/java/saltlatch/membership/SuspicionTimer.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * How long one member stays suspect before it is held failed, by Lifeguard: each further member that
- * suspects it shortens the time.
+ * How long one member stays suspect before it is held failed, by Lifeguard: each further member
+ * that suspects it shortens the time.
  *
  * <p>Invariants: a reporter counts once, so that one suspicion that comes by many ways is not taken
  * for many; the time never grows but by {@link #restart}. Times are ticks.
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -213,7 +213,8 @@
         pilot.leave();
       });
       vertx.setPeriodic(LATE_MS, LOOK_MS, look -> {
-        if (listener.isRejecting()) listener.closeIdleConnections(); // also those that came since the last look
+        // also those that came since the last look
+        if (listener.isRejecting()) listener.closeIdleConnections();
         if (listener.openConnections() > 0) return;
         vertx.cancelTimer(look);
         listener.failPendingAndRejectNew(); // what comes while all is being closed is not sent on
--- a/src/main/java/saltlatch/node/EndpointListApplier.java
+++ b/src/main/java/saltlatch/node/EndpointListApplier.java
@@ -10,8 +10,8 @@
 
 /**
  * Brings lists and changes to the module in the order they were read: one of at most
- * {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries as one event, a larger one over several turns of the loop.
- * What is read meanwhile waits for its turn.
+ * {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries as one event, a larger one over several
+ * turns of the loop. What is read meanwhile waits for its turn.
  */
 final class EndpointListApplier {
   /** A list and what runs once all of it is applied. */
--- a/src/main/java/saltlatch/node/IncrementalListUpdate.java
+++ b/src/main/java/saltlatch/node/IncrementalListUpdate.java
@@ -10,9 +10,9 @@
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * A large list or change in steps that look at {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries at most: first
- * what a whole list no longer names is removed, then drains and removals are told, then the rest.
- * The module is told all of it as changes.
+ * A large list or change in steps that look at {@link DiscoveryClient#MAX_ENTRIES_PER_TURN} entries
+ * at most: first what a whole list no longer names is removed, then drains and removals are told,
+ * then the rest. The module is told all of it as changes.
  */
 final class IncrementalListUpdate {
   /** What a step works on, in this order. */
--- a/src/main/java/saltlatch/policy/CapacityFromGossip.java
+++ b/src/main/java/saltlatch/policy/CapacityFromGossip.java
@@ -1,8 +1,8 @@
 package saltlatch.policy;
 
 /**
- * Whether a quota has capacity for a request, by what peers report. Decides while the counter is not
- * healthy and gossip is fresh.
+ * Whether a quota has capacity for a request, by what peers report. Decides while the counter is
+ * not healthy and gossip is fresh.
  *
  * <p>Inputs are the customer's available units, the rate at which others use them, and the units
  * that overdue peers may have used; all are units. A request is admitted if the units hold it and
--- a/src/main/java/saltlatch/policy/GossipSchedule.java
+++ b/src/main/java/saltlatch/policy/GossipSchedule.java
@@ -7,7 +7,8 @@
  * When this node gossips, and for how long peers' gossip is fresh. Times are ticks.
  *
  * <p>Gossip is active while the counter is not healthy and some periods longer, since peers may
- * still be without it. Messages go out once a period. Gossip is fresh if any peer was received from lately.
+ * still be without it. Messages go out once a period. Gossip is fresh if any peer was received from
+ * lately.
  *
  * <p>Guards against gossip that overloads its receivers where many nodes share customers: their
  * sockets would drop datagrams, which shows as peers that seem cut off. The period grows with the
--- a/src/main/java/saltlatch/policy/GossipSelection.java
+++ b/src/main/java/saltlatch/policy/GossipSelection.java
@@ -10,8 +10,8 @@
  * Which of this node's sums a peer gets: those of customers whose set of nodes holds the peer, the
  * latest change first, as many as a datagram takes.
  *
- * <p>A sum is what this node admitted of a customer in a window so far, in units, not a step. Guards
- * against datagrams that are lost or overtake each other: the next sum makes up for it.
+ * <p>A sum is what this node admitted of a customer in a window so far, in units, not a step.
+ * Guards against datagrams that are lost or overtake each other: the next sum makes up for it.
  */
 final class GossipSelection {
   private record OwnUsage(WindowUsage usage, int firstNode, int nodeCount) {}
--- a/src/main/java/saltlatch/policy/HardCeiling.java
+++ b/src/main/java/saltlatch/policy/HardCeiling.java
@@ -6,9 +6,9 @@
  * The plan's hard ceiling: a token bucket on each node, of the ceiling's rate and burst divided by
  * the customer's nodes. It decides whether a request may be admitted, from local knowledge alone.
  *
- * <p>Times are ticks, amounts units of the estimate at arrival. The ceiling is a rule that must hold
- * whoever lives and whatever is lost, so it is not lent between nodes and asks no counter. It harms
- * a customer whose requests reach its nodes unevenly.
+ * <p>Times are ticks, amounts units of the estimate at arrival. The ceiling is a rule that must
+ * hold whoever lives and whatever is lost, so it is not lent between nodes and asks no counter. It
+ * harms a customer whose requests reach its nodes unevenly.
  *
  * <p>Guards against a restart that forgives the ceiling: the bucket is empty at the start of the
  * instance, and a customer's bucket is kept until it is full. Otherwise a node that restarts often,
--- a/src/main/java/saltlatch/policy/OverduePeers.java
+++ b/src/main/java/saltlatch/policy/OverduePeers.java
@@ -3,11 +3,11 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * What peers are taken to use of a customer's quota while their gossip is overdue. Serves only where
- * nodes know each other by membership.
+ * What peers are taken to use of a customer's quota while their gossip is overdue. Serves only
+ * where nodes know each other by membership.
  *
- * <p>Inputs are when each peer last sent a message and what this node admitted meanwhile; results are
- * units.
+ * <p>Inputs are when each peer last sent a message and what this node admitted meanwhile; results
+ * are units.
  *
  * <p>Guards against a network split: for as long as a silent peer still counts as reachable, each
  * side sees the same capacity and both use it, which shows as a quota used more than once. Each
@@ -30,7 +30,9 @@
     shares = fleetShares;
   }
 
-  /** Charges what the overdue peers are taken to have admitted, when they are counted on no more. */
+  /**
+   * Charges what the overdue peers are taken to have admitted, when they are counted on no more.
+   */
   void chargePresumedUsage(CustomerQuota customer, long now) {
     if (shares == null) {
       return;
--- a/src/main/java/saltlatch/policy/PooledShare.java
+++ b/src/main/java/saltlatch/policy/PooledShare.java
@@ -4,8 +4,8 @@
 
 /**
  * The part of a customer's quota that this node goes by while peers report and the counter is
- * silent: the sum of the shares of those nodes that hear exactly each other. Serves only where nodes
- * know each other by membership.
+ * silent: the sum of the shares of those nodes that hear exactly each other. Serves only where
+ * nodes know each other by membership.
  *
  * <p>Inputs are the pool's share ({@link QuotaShares#pooledShare}) and when the counter last
  * answered for the customer; the result rescales the available units, which refill at that part of
--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -7,12 +7,13 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * Gossip of quota usage: while the counter cannot take a call for each request, nodes report to each
- * other the units that they admitted of each customer in each window.
+ * Gossip of quota usage: while the counter cannot take a call for each request, nodes report to
+ * each other the units that they admitted of each customer in each window.
  *
- * <p>{@link GossipSchedule} says when, {@link GossipSelection} what each peer gets; this class joins
- * them and takes in what arrives. It does no I/O and reads no clock: {@link PolicyEngine} sends what
- * is due and {@link QuotaTracker} charges what peers report. Times are ticks, amounts units.
+ * <p>{@link GossipSchedule} says when, {@link GossipSelection} what each peer gets; this class
+ * joins them and takes in what arrives. It does no I/O and reads no clock: {@link PolicyEngine}
+ * sends what is due and {@link QuotaTracker} charges what peers report. Times are ticks, amounts
+ * units.
  */
 final class QuotaGossip {
   /** Bytes of a datagram, by the protocol. */
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaTracker.java
@@ -10,16 +10,16 @@
 
 /**
  * Quotas of all customers as this node knows them. Owns every {@link CustomerQuota} and
- * {@link QuotaWindow}, and brings counter totals, gossip and this node's own admissions to the rules
- * that act on them.
+ * {@link QuotaWindow}, and brings counter totals, gossip and this node's own admissions to the
+ * rules that act on them.
  *
  * <p>Who may use which part of a quota:
  * <ul>
  * <li>the counter answers: all of it, less what {@link CounterTotals} shows of the others;
  * <li>it does not, and peers report: {@link CapacityFromGossip}, within {@link PooledShare};
  * <li>neither is to be had: {@link ShareWithoutCounter}.
- * </ul>
- * In each case {@link AvailableUnits} refills what is left, and {@link HardCeiling} bounds all.
+ * </ul> In each case {@link AvailableUnits} refills what is left, and {@link HardCeiling} bounds
+ * all.
  *
  * <p>Does no I/O and reads no clock: {@link PolicyEngine} calls it on its one thread and decides.
  * Times are ticks, amounts units.
--- a/src/main/java/saltlatch/policy/ShareWithoutCounter.java
+++ b/src/main/java/saltlatch/policy/ShareWithoutCounter.java
@@ -77,7 +77,8 @@
    */
   void end(CustomerQuota customer, double countedFraction) {
     if (customer.isOnShareWithoutCounter()) {
-      // The offset is no use of the quota: divided by a small share it would be many bursts of debt.
+      // The offset is no use of the quota: divided by a small share it would be many bursts of
+      // debt.
       customer.availableUnits = Math.min(customer.plan.burstUnits() * customer.shareWithoutCounter,
           customer.availableUnits + customer.startOffset);
       customer.startOffset = 0;
--- a/src/main/java/saltlatch/relay/Relay.java
+++ b/src/main/java/saltlatch/relay/Relay.java
@@ -61,7 +61,7 @@
         .setFileSystemOptions(new FileSystemOptions().setFileCachingEnabled(false)
             .setClassPathResolvingEnabled(false)));
     loop = vertx.getOrCreateContext();
-    loop.exceptionHandler(e -> LOG.error("unexpected", e));
+    loop.exceptionHandler(e -> LOG.error("unexpected_exception", e));
     client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS)
         .setMaxChunkSize(MAX_CHUNK_BYTES).setDecompressionSupported(false).setIdleTimeout(0));
     distributor = new Distributor(config.limits(), config.upstreams().size(), config.seed(),
@@ -114,7 +114,7 @@
   }
 
   private void logFigures() {
-    LOG.info("{}", figures().strip().replace('\n', ' '));
+    LOG.info("metrics {}", figures().strip().replace('\n', ' '));
   }
 
   private String figures() {
@@ -162,7 +162,7 @@
 
     @Override
     public void closeUpstream(int upstream, Reason reason) {
-      LOG.info("watch at {} ended: {}", config.upstreams().get(upstream), reason);
+      LOG.info("watch_ended upstream={} reason={}", config.upstreams().get(upstream), reason);
       if (watch != null) watch.close();
       watch = null;
     }
@@ -182,7 +182,7 @@
   private final UpstreamWatch.Host upstreamEvents = new UpstreamWatch.Host() {
     @Override
     public void opened(int upstream) {
-      LOG.info("follows {}", config.upstreams().get(upstream));
+      LOG.info("watch_opened upstream={}", config.upstreams().get(upstream));
       handle(() -> distributor.upstreamOpened(upstream, now()));
     }
 
@@ -198,7 +198,8 @@
 
     @Override
     public void failed(int upstream, Failure failure, String cause) {
-      LOG.info("watch at {} failed: {}: {}", config.upstreams().get(upstream), failure, cause);
+      LOG.info("watch_failed upstream={} failure={} error={}", config.upstreams().get(upstream),
+          failure, cause);
       watch = null;
       handle(() -> distributor.upstreamFailed(upstream, failure, now()));
     }
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -203,7 +203,7 @@
   private void refuse(String reason, int watch) {
     long backoffTicks = pacing.listRefused(scheduler.now());
     metrics.add(Metric.LISTS_REFUSED);
-    LOG.warn("list refused retry_s={} reason={}", backoffTicks / Ticks.PER_SECOND, reason);
+    LOG.warn("list_refused retry_s={} reason={}", backoffTicks / Ticks.PER_SECOND, reason);
     end(watch, new IllegalStateException("a list too large"));
   }
 
@@ -240,7 +240,7 @@
   private void end(int watch, Throwable cause) {
     if (watch != currentWatch) return;
     metrics.add(Metric.WATCHES_BROKEN);
-    LOG.info("watch ended reason={}", cause == null ? "silent or closed" : cause.toString());
+    LOG.info("watch_ended reason={}", cause == null ? "silent or closed" : cause.toString());
     stop();
     listener.watchEnded();
   }
--- a/src/test/java/saltlatch/ArchitectureTest.java
+++ b/src/test/java/saltlatch/ArchitectureTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The arrows between packages, read from the compiled classes: they run one way (docs/architecture.md), and decisions touch
- * no socket and no clock of their own. config/import-control.xml says the same of each import.
+ * The arrows between packages, read from the compiled classes: they run one way
+ * (docs/architecture.md), and decisions touch no socket and no clock of their own.
+ * config/import-control.xml says the same of each import.
  */
 class ArchitectureTest {
   private static final String[] DECISIONS = {"saltlatch.api..", "saltlatch.policy..",
--- a/src/test/java/saltlatch/membership/QuotaSharesTest.java
+++ b/src/test/java/saltlatch/membership/QuotaSharesTest.java
@@ -63,7 +63,8 @@
     List<QuotaShares> split = told(links(5, (a, b) -> a < 2 == b < 2));
     assertEquals(0.4, split.get(0).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
     assertEquals(0.6, split.get(4).pooledShare(60_000, WITHIN, 0, 5), 1e-9);
-    assertEquals(0.5, split.get(4).pooledShare(60_000, WITHIN, 4, 2), 1e-9); // the set is nodes 4 and 0
+    // the set is nodes 4 and 0
+    assertEquals(0.5, split.get(4).pooledShare(60_000, WITHIN, 4, 2), 1e-9);
     assertEquals(0, split.get(1).pooledShare(60_000, WITHIN, 2, 3)); // not of the set
   }
 
