--- a/src/main/java/saltlatch/distribution/Upstreams.java
+++ b/src/main/java/saltlatch/distribution/Upstreams.java
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Since when nothing was received of a list as new as the one held, ms; 0 while in time, -1 before
-   * any list.
+   * Since when nothing was received of a list as new as the one held, ms; 0 while in time, -1
+   * before any list.
    */
   long staleMs(long now) {
     if (!everFresh) {
