--- a/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
@@ -70,8 +70,8 @@
    */
   private static boolean isRetryTighter(GatewaySettings.RequestClass older,
       GatewaySettings.RequestClass newer) {
-    return newer.retrySafety().ordinal() > older.retrySafety().ordinal()
-        || newer.keyScope().ordinal() > older.keyScope().ordinal()
+    return newer.retrySafety().compareTo(older.retrySafety()) > 0
+        || newer.keyScope().compareTo(older.keyScope()) > 0
         || newer.keyTtlTicks() < older.keyTtlTicks();
   }
 
--- a/src/main/java/saltlatch/configuration/ConfigurationValidator.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationValidator.java
@@ -37,7 +37,7 @@
   private void checkQuotaPlan(String name, GatewaySettings.QuotaPlan plan) {
     String key = ConfigurationKeys.quotaPlan(name);
     // a rate that is no number fails the first comparison, and is a fault
-    if (!(plan.ratePerSecond() >= 0) || plan.ratePerSecond() > 0 && !(plan.burstUnits() > 0))
+    if (!(plan.ratePerSecond() >= 0) || (plan.ratePerSecond() > 0 && !(plan.burstUnits() > 0)))
       add(key, "a rate wants a burst above 0");
     if (plan.ceilingPerSecond() < 0 || plan.ceilingBurstUnits() < 0 || plan.maxConcurrent() < 0)
       add(key, "below 0");
--- a/src/main/java/saltlatch/membership/FailureDetector.java
+++ b/src/main/java/saltlatch/membership/FailureDetector.java
@@ -154,7 +154,7 @@
   /** Ends the open probe if that is its answer; the target's own renews the leases. */
   void acknowledged(int from, MembershipMessage ack, long now) {
     if (probe == null || probe.sequenceNumber != ack.sequenceNumber()
-        || probe.target != from && probe.target != ack.target()) {
+        || (probe.target != from && probe.target != ack.target())) {
       return;
     }
     if (probe.target == from) {
--- a/src/main/java/saltlatch/membership/MemberStateMachine.java
+++ b/src/main/java/saltlatch/membership/MemberStateMachine.java
@@ -63,7 +63,7 @@
   private void refute(MemberUpdate update, long now) {
     boolean wrong = update.state() != State.ALIVE && update.state() != State.UNKNOWN;
     if (update.incarnation() > table.ownIncarnation()
-        || wrong && update.incarnation() == table.ownIncarnation()) {
+        || (wrong && update.incarnation() == table.ownIncarnation())) {
       set(table.ownIndex(), State.ALIVE, update.incarnation() + 1, now);
       if (wrong) {
         health.degrade(1); // it was too slow to be seen
--- a/src/main/java/saltlatch/membership/MemberTable.java
+++ b/src/main/java/saltlatch/membership/MemberTable.java
@@ -101,7 +101,7 @@
       return true;
     }
     return update.incarnation() == incarnations[member]
-        && update.state().ordinal() > states[member].ordinal();
+        && update.state().compareTo(states[member]) > 0;
   }
 
   /** Whether an update suspects a member in the incarnation in which it is suspected already. */
@@ -134,9 +134,8 @@
     if (states[member] == State.UNKNOWN) {
       return 0;
     }
-    long unavailable = incarnations[member] * 0xBF58476D1CE4E5B9L + states[member].ordinal();
-    long mixed = member * 0x9E3779B97F4A7C15L
-        + (isLive(member) ? State.ALIVE.ordinal() : unavailable);
+    long unavailable = incarnations[member] * 0xBF58476D1CE4E5B9L + states[member].code();
+    long mixed = member * 0x9E3779B97F4A7C15L + (isLive(member) ? State.ALIVE.code() : unavailable);
     mixed = (mixed ^ mixed >>> 30) * 0xBF58476D1CE4E5B9L;
     mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
     return mixed ^ mixed >>> 31;
--- a/src/main/java/saltlatch/membership/Membership.java
+++ b/src/main/java/saltlatch/membership/Membership.java
@@ -141,7 +141,7 @@
       return MemberState.LIVE;
     }
     boolean takenOver = table.state(member) == State.LEFT
-        || table.state(member) == State.FAILED && failedTakenOver;
+        || (table.state(member) == State.FAILED && failedTakenOver);
     return takenOver ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE;
   }
 
--- a/src/main/java/saltlatch/membership/MembershipMessage.java
+++ b/src/main/java/saltlatch/membership/MembershipMessage.java
@@ -21,25 +21,66 @@
   /** What a message asks or answers. Codecs write the order of these constants. */
   public enum Kind {
     /** A direct probe. */
-    PING,
+    PING(0),
     /** The answer to a probe, by its target or by the proxy that probed it. */
-    ACK,
+    ACK(1),
     /** Asks the receiver to probe the target for the sender: an indirect probe. */
-    PING_REQUEST,
+    PING_REQUEST(2),
     /** The proxy has no answer of the target. */
-    NACK
+    NACK(3);
+
+    private final int code;
+
+    Kind(int code) {
+      this.code = code;
+    }
+
+    /** The number that stands for it in datagrams and digests. */
+    public int code() {
+      return code;
+    }
+
+    /** Null for a number that stands for none. */
+    public static Kind ofCode(int code) {
+      for (Kind each : values()) {
+        if (each.code == code) {
+          return each;
+        }
+      }
+      return null;
+    }
   }
 
   /**
-   * What a member is held to be. A later constant overrides an earlier one of the same incarnation;
-   * codecs write their order.
+   * What a member is held to be. A later constant overrides an earlier one of the same incarnation.
    */
   public enum State {
-    UNKNOWN,
-    ALIVE,
-    SUSPECT,
-    FAILED,
-    LEFT
+    UNKNOWN(0),
+    ALIVE(1),
+    SUSPECT(2),
+    FAILED(3),
+    LEFT(4);
+
+    private final int code;
+
+    State(int code) {
+      this.code = code;
+    }
+
+    /** The number that stands for it in datagrams and digests. */
+    public int code() {
+      return code;
+    }
+
+    /** Null for a number that stands for none. */
+    public static State ofCode(int code) {
+      for (State each : values()) {
+        if (each.code == code) {
+          return each;
+        }
+      }
+      return null;
+    }
   }
 
   /**
--- a/src/main/java/saltlatch/membership/MembershipTimings.java
+++ b/src/main/java/saltlatch/membership/MembershipTimings.java
@@ -131,7 +131,7 @@
 
   /** L, how long a direct answer counts, from the sending of its probe. */
   public long leaseTicks() {
-    return LEASE_ROUNDS * memberCount * periodTicks;
+    return (long) LEASE_ROUNDS * memberCount * periodTicks;
   }
 
   /**
--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -59,7 +59,7 @@
         ? request.lateRetry || !quotas.hasLocalCapacity(customer, request.reservedUnits)
         : isKnownFull(request);
     boolean mayCall = health.isHealthy()
-        || health.mayCall(now) && !request.lateRetry && !(byGossip && full);
+        || (health.mayCall(now) && !request.lateRetry && !(byGossip && full));
     if (mayCall) {
       health.recordCall(now);
       charges.charge(request, full ? 0 : request.reservedUnits, now);
@@ -82,7 +82,7 @@
     CustomerQuota customer = request.customer;
     boolean withoutRoom = customer.exhausted && !customer.isOnShareWithoutCounter()
         && customer.availableUnits < request.reservedUnits;
-    return withoutRoom || request.lateRetry && (customer.exhausted || !health.isHealthy());
+    return withoutRoom || (request.lateRetry && (customer.exhausted || !health.isHealthy()));
   }
 
   /** The counter has answered the request's call, and the total is taken into its window. */
--- a/src/main/java/saltlatch/policy/AttemptTracker.java
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -52,8 +52,8 @@
     if (succeeded) {
       completions.recordSuccess();
     }
-    request.stats.recordAttempt(request.arrival.estimatedUnits(), now - attempt.measuredFromTicks,
-        succeeded);
+    request.stats.recordAttempt(request.arrival.estimatedUnits(),
+        (double) (now - attempt.measuredFromTicks), succeeded);
     servers.releaseIfGone(attempt.server);
     recordExecution(request, attempt, outcome);
   }
--- a/src/main/java/saltlatch/policy/CapacityFromGossip.java
+++ b/src/main/java/saltlatch/policy/CapacityFromGossip.java
@@ -30,7 +30,7 @@
     double unknownUnits = Math.max(othersUnitsPerTick * gossip.periodTicks(),
         overduePeers.unreportedUnits(customer, othersUnitsPerTick, now));
     return customer.availableUnits >= requestUnits + unknownUnits
-        || customer.availableUnits > 0 && customer.refillAllowance > 0;
+        || (customer.availableUnits > 0 && customer.refillAllowance > 0);
   }
 
   private static void refillAllowance(CustomerQuota customer, long now) {
--- a/src/main/java/saltlatch/policy/QuantileReservation.java
+++ b/src/main/java/saltlatch/policy/QuantileReservation.java
@@ -35,7 +35,8 @@
     double slope = units > actualUnits ? HOLD_COST_PER_UNIT
         : units < actualUnits ? -OVERRUN_COST_PER_UNIT : 0;
     steps++;
-    double step = maxUnits / Math.max(HOLD_COST_PER_UNIT, OVERRUN_COST_PER_UNIT) / Math.sqrt(steps);
+    double step = maxUnits / Math.max(HOLD_COST_PER_UNIT, OVERRUN_COST_PER_UNIT)
+        / Math.sqrt((double) steps);
     units = Math.max(0, Math.min(maxUnits, units - step * slope));
   }
 }
--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -68,9 +68,9 @@
   /** Whether the client may send the request again, wherever that comes to. */
   static boolean isRejectSafe(RequestState request) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
-    return !request.possiblyExecuted() && request.attempt == null
+    return (!request.possiblyExecuted() && request.attempt == null)
         || requestClass.retrySafety() == RetrySafety.IDEMPOTENT
-        || requestClass.retrySafety() == RetrySafety.IDEMPOTENT_BY_KEY
-            && requestClass.keyScope() == KeyScope.ALL;
+        || (requestClass.retrySafety() == RetrySafety.IDEMPOTENT_BY_KEY
+            && requestClass.keyScope() == KeyScope.ALL);
   }
 }
--- a/src/main/java/saltlatch/policy/SlowStart.java
+++ b/src/main/java/saltlatch/policy/SlowStart.java
@@ -84,8 +84,8 @@
 
   /** Called once each housekeeping period. */
   void decay() {
-    double factor = Math
-        .exp(-HousekeepingSchedule.PERIOD_TICKS / Math.max(1.0, limits.warmUpWindowTicks()));
+    double factor = Math.exp(
+        -HousekeepingSchedule.PERIOD_TICKS / Math.max(1.0, (double) limits.warmUpWindowTicks()));
     sentUnits *= factor;
     wantedUnits *= factor;
   }
--- a/src/main/java/saltlatch/wire/discovery/WatchPosition.java
+++ b/src/main/java/saltlatch/wire/discovery/WatchPosition.java
@@ -40,7 +40,7 @@
    * make app servers ready again that are draining.
    */
   Verdict advanceTo(EndpointList list) {
-    if (list.series() < series || list.series() == series && list.index() < newestIndex)
+    if (list.series() < series || (list.series() == series && list.index() < newestIndex))
       return Verdict.OLD;
     if (list.series() > series && !list.snapshot()) {
       needsSnapshot = true;
--- a/src/main/java/saltlatch/wire/peer/GossipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/GossipCodec.java
@@ -81,7 +81,7 @@
   private static int putEntry(byte[] bytes, int at, long customer, int window, int units) {
     long head = customer << WINDOW_BITS | window;
     for (int i = 0; i < HEAD_BYTES; i++)
-      bytes[at + i] = (byte) (head >>> Byte.SIZE * (HEAD_BYTES - 1 - i));
+      bytes[at + i] = (byte) (head >>> (Byte.SIZE * (HEAD_BYTES - 1 - i)));
     bytes[at + HEAD_BYTES] = (byte) (units >>> Byte.SIZE);
     bytes[at + HEAD_BYTES + 1] = (byte) units;
     return at + ENTRY_BYTES;
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -27,8 +27,6 @@
   private static final int ENTRY_BYTES = 2 + 1 + 4 + 2;
   private static final int MAX_ENTRIES = Math.min(MembershipMessage.MAX_UPDATES,
       (PeerSocket.MAX_DATAGRAM_BYTES - HEADER_BYTES) / ENTRY_BYTES);
-  private static final Kind[] KINDS = Kind.values();
-  private static final State[] STATES = State.values();
 
   private MembershipCodec() {}
 
@@ -38,8 +36,7 @@
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries * ENTRY_BYTES);
     buffer.put(FIRST_BYTE);
     buffer.put(VERSION);
-    buffer
-        .put((byte) (message.kind().ordinal() | (message.vouchesForReceiver() ? VOUCHES_FLAG : 0)));
+    buffer.put((byte) (message.kind().code() | (message.vouchesForReceiver() ? VOUCHES_FLAG : 0)));
     buffer.putInt(0); // the check sum is of the bytes with nought in its place
     buffer.putInt(message.sequenceNumber());
     buffer.putShort((short) message.target());
@@ -52,7 +49,7 @@
 
   private static void putEntry(ByteBuffer buffer, MemberUpdate entry) {
     buffer.putShort((short) entry.member());
-    buffer.put((byte) entry.state().ordinal());
+    buffer.put((byte) entry.state().code());
     buffer.putInt((int) entry.incarnation());
     buffer.putShort((short) entry.reporter());
   }
@@ -63,29 +60,31 @@
    */
   public static MembershipMessage decode(byte[] bytes) {
     if (bytes.length < HEADER_BYTES || bytes[0] != FIRST_BYTE || bytes[1] != VERSION) return null;
-    ByteBuffer buffer = ByteBuffer.wrap(bytes.clone());
-    if (!hasCheckSum(buffer)) return null;
+    byte[] copy = bytes.clone();
+    if (!hasCheckSum(copy)) return null;
+    ByteBuffer buffer = ByteBuffer.wrap(copy);
     int kindAndFlag = buffer.get(KIND_OFFSET);
-    int kind = kindAndFlag & ~VOUCHES_FLAG;
-    if (kind < 0 || kind >= KINDS.length) return null;
+    Kind kind = Kind.ofCode(kindAndFlag & ~VOUCHES_FLAG);
+    if (kind == null) return null;
     buffer.position(SEQUENCE_OFFSET);
     int sequence = buffer.getInt();
     int target = unsignedShort(buffer);
     long incarnation = unsignedInt(buffer);
     long digest = buffer.getLong();
     List<MemberUpdate> entries = entries(buffer);
-    return entries == null ? null : new MembershipMessage(KINDS[kind], sequence, target,
-        incarnation, digest, (kindAndFlag & VOUCHES_FLAG) != 0, entries);
+    return entries == null ? null : new MembershipMessage(kind, sequence, target, incarnation,
+        digest, (kindAndFlag & VOUCHES_FLAG) != 0, entries);
   }
 
   /**
    * Guards against a datagram that was spoilt on its way: a state or incarnation that nobody sent
    * would spread to all members. Leaves nought in the check sum's place.
    */
-  private static boolean hasCheckSum(ByteBuffer buffer) {
+  private static boolean hasCheckSum(byte[] bytes) {
+    ByteBuffer buffer = ByteBuffer.wrap(bytes);
     int received = buffer.getInt(CHECK_SUM_OFFSET);
     buffer.putInt(CHECK_SUM_OFFSET, 0);
-    return received == checkSum(buffer.array());
+    return received == checkSum(bytes);
   }
 
   /** The entries behind their number; null unless they fill the datagram exactly. */
@@ -95,10 +94,9 @@
     List<MemberUpdate> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       int member = unsignedShort(buffer);
-      int state = buffer.get();
-      if (state < 0 || state >= STATES.length) return null;
-      entries
-          .add(new MemberUpdate(member, STATES[state], unsignedInt(buffer), unsignedShort(buffer)));
+      State state = State.ofCode(buffer.get());
+      if (state == null) return null;
+      entries.add(new MemberUpdate(member, state, unsignedInt(buffer), unsignedShort(buffer)));
     }
     return entries;
   }
--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -188,7 +188,7 @@
     boolean first = true;
     for (int i = 0; i < members.length; i++) {
       if (dead[i]) continue;
-      if (members[i].liveCount() != live || !first && members[i].digest() != digest) return false;
+      if (members[i].liveCount() != live || (!first && members[i].digest() != digest)) return false;
       digest = members[i].digest();
       first = false;
     }
--- a/src/test/java/saltlatch/membership/MembershipTest.java
+++ b/src/test/java/saltlatch/membership/MembershipTest.java
@@ -300,13 +300,10 @@
   @Property(tries = 40, seed = "32")
   void incarnationsNeverFall(@ForAll @IntRange(max = 1_000_000) int seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    List<MembershipMessage> sent = new ArrayList<>();
     Membership m = new Membership(MembershipTimings.of(6, 60), 0, 5, seed, 0,
         new Membership.Output() {
           @Override
-          public void send(int to, MembershipMessage x) {
-            sent.add(x);
-          }
+          public void send(int to, MembershipMessage x) {}
 
           @Override
           public void stateChanged(int member, State state, long inc, long version) {}
@@ -314,12 +311,12 @@
     long[] high = new long[6];
     for (int i = 0; i < 300; i++) {
       List<MemberUpdate> news = List.of(new MemberUpdate(chance.nextInt(8),
-          State.values()[chance.nextInt(5)], chance.nextInt(9), chance.nextInt(8)));
+          State.ofCode(chance.nextInt(5)), chance.nextInt(9), chance.nextInt(8)));
       int from = chance.nextInt(8) - 1;
-      m.receive(i * 100, from,
-          new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(9),
+      m.receive(i * 100L, from,
+          new MembershipMessage(Kind.ofCode(chance.nextInt(4)), chance.nextInt(9),
               chance.nextInt(9), chance.nextInt(9), chance.nextLong(), chance.nextBoolean(), news));
-      m.tick(i * 100);
+      m.tick(i * 100L);
       for (int k = 0; k < 6; k++) {
         assertTrue(m.incarnation(k) >= high[k],
             "member " + k + " fell from " + high[k] + " to " + m.incarnation(k));
@@ -340,17 +337,17 @@
     SplittableRandom chance = new SplittableRandom(seed);
     List<MemberUpdate> news = new ArrayList<>();
     for (int i = chance.nextInt(MembershipMessage.MAX_UPDATES + 1); i > 0; i--) {
-      news.add(new MemberUpdate(chance.nextInt(65_536), State.values()[chance.nextInt(5)],
+      news.add(new MemberUpdate(chance.nextInt(65_536), State.ofCode(chance.nextInt(5)),
           chance.nextLong(1L << 32), chance.nextInt(65_536)));
     }
-    MembershipMessage m = new MembershipMessage(Kind.values()[chance.nextInt(4)], chance.nextInt(),
+    MembershipMessage m = new MembershipMessage(Kind.ofCode(chance.nextInt(4)), chance.nextInt(),
         chance.nextInt(65_536), chance.nextLong(1L << 32), chance.nextLong(), chance.nextBoolean(),
         news);
     byte[] bytes = MembershipCodec.encode(m);
     assertTrue(bytes.length <= 256);
     assertEquals(m, MembershipCodec.decode(bytes));
     byte[] spoilt = bytes.clone();
-    spoilt[chance.nextInt(bytes.length)] ^= 1 << chance.nextInt(8);
+    spoilt[chance.nextInt(bytes.length)] ^= (byte) (1 << chance.nextInt(8));
     assertTrue(MembershipCodec.decode(spoilt) == null);
     assertTrue(MembershipCodec.decode(java.util.Arrays.copyOf(bytes, bytes.length - 1)) == null);
   }
--- a/src/test/java/saltlatch/policy/DecisionTrace.java
+++ b/src/test/java/saltlatch/policy/DecisionTrace.java
@@ -86,7 +86,7 @@
   void list(String... servers) {
     List<GatewayEvent.Endpoint> entries = new ArrayList<>();
     for (String server : servers) {
-      String[] parts = server.split("[/ ]");
+      String[] parts = server.split("[/ ]", 0);
       boolean marked = parts.length > 2;
       entries.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
           marked && parts[2].equals("starting") ? now : 0, 0, Integer.parseInt(parts[1]),
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 import saltlatch.api.GatewayEvent;
 import saltlatch.api.GatewayEvent.AttemptOutcome;
@@ -133,11 +134,7 @@
       for (int i = 0; i < nodeCount; i++) {
         trackers.get(i).advanceTo(now);
         gossips.get(i).counterUnhealthy(now);
-        for (Map.Entry<Integer, GossipMessage> m : gossips.get(i).dueMessages(now).entrySet()) {
-          trackers.get(m.getKey()).advanceTo(now);
-          if (random.nextDouble() >= lossRate)
-            trackers.get(m.getKey()).applyGossip(new GatewayEvent.GossipReceived(i, m.getValue()));
-        }
+        sendDueGossip(i, gossips.get(i), trackers, now, () -> random.nextDouble() < lossRate);
       }
       if (random.nextDouble() >= 0.02 * requestsPerSecond) continue;
       QuotaTracker tracker = trackers.get(random.nextInt(nodeCount));
@@ -157,6 +154,17 @@
     return new double[] {admittedUnits, unitsBeyondQuota, rejectedWithCapacity};
   }
 
+  private static void sendDueGossip(int sender, QuotaGossip gossip, List<QuotaTracker> trackers,
+      long now, BooleanSupplier isLost) {
+    for (Map.Entry<Integer, GossipMessage> message : gossip.dueMessages(now).entrySet()) {
+      QuotaTracker receiver = trackers.get(message.getKey());
+      receiver.advanceTo(now);
+      if (!isLost.getAsBoolean()) {
+        receiver.applyGossip(new GatewayEvent.GossipReceived(sender, message.getValue()));
+      }
+    }
+  }
+
   /**
    * A customer far within its quota is not rejected; one that asks four times as much gets it and a
    * third more at most.
--- a/src/test/java/saltlatch/policy/SlowStartFleetTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartFleetTest.java
@@ -92,10 +92,7 @@
       long requestId = 0;
       for (long now = STEP_TICKS; now < END_AT; now += STEP_TICKS) {
         Map<Integer, List<GatewayEvent>> events = new TreeMap<>();
-        for (long[] one : sent)
-          add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0,
-              AttemptOutcome.SUCCEEDED, true, STEP_TICKS, 0, 0, List.of()));
-        sent.clear();
+        endAttempts(events);
         double arrivals = WARM_SERVERS * carried * STEP_TICKS / WINDOW_TICKS;
         for (int k = poisson(arrivals, random); k > 0; k--) {
           double at = random.nextDouble() * all;
@@ -107,27 +104,46 @@
         for (int i = 0; i < n; i++) {
           if (now == LISTED_AT && 10 * i < restarted * n)
             fleet.set(i, engine(n, random.nextLong(), now));
-          if (now == LISTED_AT) add(events, i, list(true));
-          if (now % HousekeepingSchedule.PERIOD_TICKS == 0)
-            add(events, i, new GatewayEvent.TimerFired(-1));
+          addListAndTimer(events, i, now);
+        }
+        for (int i : events.keySet()) {
+          node = i;
+          fleet.get(i).handle(now, events.get(i));
         }
-        for (int i : events.keySet()) fleet.get(node = i).handle(now, events.get(i));
         for (long[] one : sent) if (one[2] == STARTED_SERVER) window.add(now);
         while (!window.isEmpty() && window.peek() <= now - WINDOW_TICKS) window.poll();
         if (now < LISTED_AT) continue;
         // Its capacity where the window began: less than at any time in it.
-        double least = multiple * carried * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY)
-            * Math.max(0, now - WINDOW_TICKS - LISTED_AT) / (10.0 * WINDOW_TICKS));
+        double least = multiple * carried
+            * capacityAfter(Math.max(0, now - WINDOW_TICKS - LISTED_AT));
         worst = Math.max(worst, window.size() - (least + 2 * Math.sqrt(least) + 2));
         got += sent.stream().filter(one -> one[2] == STARTED_SERVER).count();
-        budget += multiple * carried
-            * (INITIAL_CAPACITY
-                + (1 - INITIAL_CAPACITY) * (now - LISTED_AT) / (10.0 * WINDOW_TICKS))
-            * STEP_TICKS / WINDOW_TICKS;
+        budget += multiple * carried * capacityAfter(now - LISTED_AT) * STEP_TICKS / WINDOW_TICKS;
       }
       return new double[] {worst, got / budget};
     }
 
+    /** Every attempt of the last step succeeds. */
+    private void endAttempts(Map<Integer, List<GatewayEvent>> events) {
+      for (long[] one : sent) {
+        add(events, (int) one[0], new GatewayEvent.AttemptEnded(one[1], 0, 0,
+            AttemptOutcome.SUCCEEDED, true, STEP_TICKS, 0, 0, List.of()));
+      }
+      sent.clear();
+    }
+
+    private void addListAndTimer(Map<Integer, List<GatewayEvent>> events, int i, long now) {
+      if (now == LISTED_AT) add(events, i, list(true));
+      if (now % HousekeepingSchedule.PERIOD_TICKS == 0) {
+        add(events, i, new GatewayEvent.TimerFired(-1));
+      }
+    }
+
+    /** Capacity of the started server so long after its start: it warms up in ten windows. */
+    private static double capacityAfter(long ticks) {
+      return INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * ticks / (10.0 * WINDOW_TICKS);
+    }
+
     private static void add(Map<Integer, List<GatewayEvent>> events, int node, GatewayEvent e) {
       events.computeIfAbsent(node, k -> new ArrayList<>()).add(e);
     }
--- a/src/test/java/saltlatch/policy/WeightedRoundRobinLoadBalancerTest.java
+++ b/src/test/java/saltlatch/policy/WeightedRoundRobinLoadBalancerTest.java
@@ -40,8 +40,8 @@
     servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(1, EndpointState.READY, 1),
         PolicyFixtures.endpoint(2, EndpointState.READY, 3)), 0);
     List<Long> chosen = choices(400);
-    assertEquals(100, countOf(chosen, 1), 1);
-    assertEquals(300, countOf(chosen, 2), 1);
+    assertEquals(100, (float) countOf(chosen, 1), 1);
+    assertEquals(300, (float) countOf(chosen, 2), 1);
   }
 
   /** One failure makes a server 11 / 3 times as slow: it gets the square of that less. */
@@ -54,7 +54,7 @@
       }
     });
     double part = 1 / (1 + Math.pow(11 / 3.0, 2));
-    assertEquals(1_000 * part, countOf(choices(1_000), 0), 2);
+    assertEquals(1_000 * part, (double) countOf(choices(1_000), 0), 2);
   }
 
   /** A server pauses and holds all that is in flight: its turns go to the others. */
--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -58,7 +58,7 @@
   void start() throws Exception {
     vertx = Vertx.vertx();
     loop = vertx.getOrCreateContext();
-    counter = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     counter.setSoTimeout(20_000);
     client = new CounterClient(vertx,
         SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"), new StoppedClock(),
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -54,7 +54,7 @@
   void start() throws Exception {
     vertx = Vertx.vertx();
     loop = vertx.getOrCreateContext();
-    agent = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     agent.setSoTimeout(20_000);
   }
 
--- a/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
+++ b/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
@@ -24,7 +24,8 @@
   private static final HexFormat HEX = HexFormat.of();
 
   private static DatagramSocket bound() throws Exception {
-    DatagramSocket socket = new DatagramSocket(new InetSocketAddress("127.0.0.1", 0));
+    DatagramSocket socket = new DatagramSocket(
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     socket.setSoTimeout(20_000);
     return socket;
   }
@@ -63,7 +64,7 @@
       assertEquals("b701", received(second));
       assertEquals("00", received(all));
       assertEquals("00".repeat(256), received(first));
-      InetSocketAddress to = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), own.port());
+      InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), own.port());
       second.send(new DatagramPacket(new byte[] {0x51, 7}, 2, to));
       assertEquals("1 5107", heard.poll(20, TimeUnit.SECONDS));
       all.send(new DatagramPacket(new byte[] {8}, 1, to));
