--- /dev/null
+++ b/src/test/java/saltlatch/state/NodeMetricsTest.java
@@ -0,0 +1,43 @@
+package saltlatch.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The names that the command INFO gives: dashboards and the bench read them, so a constant that is
+ * renamed must not rename its line.
+ */
+class NodeMetricsTest {
+  private static final List<String> INFO_NAMES = List.of("clients_accepted", "clients_over_limit",
+      "clients_broken", "clients_left", "clients_mute", "commands_unknown", "commands_malformed",
+      "commands_lost_framing", "reqs", "reqs_unknown", "reqs_over_limit", "answered_passed",
+      "answered_denied", "answered_aborted", "connections_opened", "connections_broken",
+      "dispatched", "dispatches_passed", "dispatches_ended_otherwise", "probed", "counted",
+      "counts_answered", "counts_ended_otherwise", "counter_opened", "counter_broken", "watches",
+      "watches_broken", "lists", "lists_malformed", "lists_old", "lists_refused", "peers_told",
+      "peers_heard", "peers_failed", "reloads", "reloads_failed", "away", "away_ms", "read_late",
+      "exceptions");
+
+  @Test
+  void infoNamesInOrder() {
+    List<String> names = new NodeMetrics().text().lines().map(line -> line.split("=")[0]).toList();
+    assertEquals(INFO_NAMES, names);
+  }
+
+  @Test
+  void eachMetricCountsOnItsOwnLine() {
+    NodeMetrics metrics = new NodeMetrics();
+    NodeMetrics.Metric[] all = NodeMetrics.Metric.values();
+    for (int i = 0; i < all.length; i++) metrics.add(all[i], 100 + i);
+    metrics.add(all[0]);
+    StringBuilder expected = new StringBuilder();
+    for (int i = 0; i < all.length; i++) {
+      expected.append(INFO_NAMES.get(i)).append('=').append(i == 0 ? 101 : 100 + i).append('\n');
+    }
+    assertEquals(expected.toString(), metrics.text());
+    assertEquals(INFO_NAMES.size(), Arrays.stream(all).distinct().count());
+  }
+}
