--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -64,7 +64,7 @@
       entries.add(entry);
       named.add((int) entry.serverId());
     }
-    if (list.snapshot()) names.each(srv -> {
+    if (list.snapshot()) names.forEachNumber(srv -> {
       if (!named.contains(srv)) leaving.add(srv);
     });
     return new GatewayEvent.EndpointsUpdated(kind, entries);
@@ -72,7 +72,7 @@
 
   /** Takes one target in, and gives the module's entry of it. */
   GatewayEvent.Endpoint take(EndpointList.Entry target) {
-    int srv = names.number(target.name());
+    int srv = names.assign(target.name());
     if (target.address() != null) appServers.locate(srv, target.address());
     if (target.state() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
     else leaving.remove(srv);
--- a/src/main/java/saltlatch/node/EventLoopAdapter.java
+++ b/src/main/java/saltlatch/node/EventLoopAdapter.java
@@ -191,7 +191,7 @@
    */
   private void arm() {
     if (ended) return;
-    long next = timers.earliest();
+    long next = timers.earliestTicks();
     if (next == armedFor) return;
     if (armedFor != Long.MAX_VALUE) vertx.cancelTimer(armed);
     armedFor = next;
@@ -199,7 +199,7 @@
     armed = vertx.setTimer(Math.max(1, (next - clock.now() + 9) / 10), id -> {
       look();
       armedFor = Long.MAX_VALUE;
-      timers.run(clock.now());
+      timers.runDue(clock.now());
       arm();
     });
   }
@@ -214,8 +214,8 @@
         && at - Math.max(armedFor, ranAt) > gateway.stallThresholdTicks()) {
       backAt = at;
       awayFor = at - ranAt;
-      counters.add(Metric.AWAY);
-      counters.add(Metric.AWAY_MS, awayFor / 10);
+      counters.add(Metric.STALLS);
+      counters.add(Metric.STALLED_MS, awayFor / 10);
       if (history != null) history.add("away", "for_ms", awayFor / 10);
     }
     ranAt = at;
@@ -228,7 +228,7 @@
   private long age(RequestContext.ResponseSink client) {
     if (backAt == 0 || clock.now() - backAt > awayFor) return 0;
     long age = Math.min(client.unreadTicks(), awayFor + clock.now() - backAt);
-    if (age > gateway.stallThresholdTicks()) counters.add(Metric.READ_LATE);
+    if (age > gateway.stallThresholdTicks()) counters.add(Metric.REQUESTS_READ_LATE);
     return age;
   }
 
@@ -289,17 +289,17 @@
     look();
     int frontend = frontends.find(req.requestClass);
     int plan = plans.find(req.plan);
-    counters.add(Metric.REQS);
+    counters.add(Metric.REQUESTS);
     // Guards against a stranger who uses the id of a req that is out: an app srv would take it for
     // a second copy.
-    if (!configuration.allows(req, frontend, plan) || exchanges.holds(req.id)) {
-      counters.add(Metric.REQS_UNKNOWN);
+    if (!configuration.allows(req, frontend, plan) || exchanges.containsId(req.id)) {
+      counters.add(Metric.REQUESTS_INVALID);
       client.fail();
       return null;
     }
-    RequestContext x = exchanges.open(req, client);
+    RequestContext x = exchanges.register(req, client);
     if (x == null) {
-      counters.add(Metric.REQS_OVER_LIMIT);
+      counters.add(Metric.REQUESTS_OVER_MEMORY_LIMIT);
       client.reject(0);
       return null;
     }
@@ -308,7 +308,7 @@
       history.add("arrived", "id", req.id, "customer", Long.toHexString(req.customer), "units",
           req.units, "wait_ms", req.clientTimeoutMs, "age_ms", age / 10, "query", req.query);
     }
-    add(new GatewayEvent.RequestArrived(x.requestId, frontend, plan, req.customer,
+    add(new GatewayEvent.RequestArrived(x.requestId(), frontend, plan, req.customer,
         req.clientTimeoutMs * 10, req.units, req.nodeCount, req.firstNode, req.retry, age));
     return x;
   }
@@ -317,22 +317,22 @@
   public void left(RequestContext x) {
     told(x, "left");
     x.clientDisconnected();
-    counters.add(Metric.CLIENTS_LEFT);
-    add(new GatewayEvent.ClientDisconnected(x.requestId));
-    exchanges.release(x);
+    counters.add(Metric.CLIENT_DISCONNECTS);
+    add(new GatewayEvent.ClientDisconnected(x.requestId()));
+    exchanges.releaseIfComplete(x);
   }
 
   @Override
   public void ended(RequestContext x, int dispatch, int srv, AppServerReply answer, long spent) {
     if (history != null) {
-      history.add("ended", "id", x.request.id, "srv", directory.name(srv), "dispatch", dispatch,
+      history.add("ended", "id", x.request().id, "srv", directory.name(srv), "dispatch", dispatch,
           "how", answer.result().name());
     }
     if (answer.result() == CallResult.ANSWERED) {
       told(x, "passed");
       x.succeed(answer.value());
     }
-    add(new GatewayEvent.AttemptEnded(x.requestId, srv, dispatch, answer.result().outcome(),
+    add(new GatewayEvent.AttemptEnded(x.requestId(), srv, dispatch, answer.result().outcome(),
         x.isFinished(), spent, answer.actualUnits(), answer.fleetUtilization(), load(answer)));
     exchanges.attemptEnded(x);
     directory.release();
@@ -340,13 +340,14 @@
 
   /** Its one end, for the history. */
   private void told(RequestContext x, String how) {
-    if (history != null && !x.isFinished()) history.add("answered", "id", x.request.id, "how", how);
+    if (history != null && !x.isFinished())
+      history.add("answered", "id", x.request().id, "how", how);
   }
 
   @Override
   public boolean mayBegin(RequestContext x, int dispatch) {
     flush();
-    return !x.isFinished() && gateway.mayStartAttempt(clock.now(), x.requestId, dispatch);
+    return !x.isFinished() && gateway.mayStartAttempt(clock.now(), x.requestId(), dispatch);
   }
 
   @Override
@@ -397,7 +398,7 @@
 
   @Override
   public String figures() {
-    String own = counters.text() + "held=" + exchanges.size() + "\n";
+    String own = counters.infoText() + "held=" + exchanges.size() + "\n";
     return roster == null ? own : own + roster.figures(gateway.gossipValidityTicks());
   }
 
@@ -407,9 +408,9 @@
   public void startAttempt(long rid, long srv, long cap) {
     RequestContext x = exchanges.find(rid);
     if (x == null) return;
-    int dispatch = exchanges.beginAttempt(x);
+    int dispatch = exchanges.startAttempt(x);
     if (history != null) {
-      history.add("dispatched", "id", x.request.id, "srv", directory.name((int) srv), "dispatch",
+      history.add("dispatched", "id", x.request().id, "srv", directory.name((int) srv), "dispatch",
           dispatch, "cap_ms", cap / 10);
     }
     try {
@@ -429,7 +430,7 @@
     if (x == null) return;
     told(x, "denied");
     x.reject(pause / 10);
-    exchanges.release(x);
+    exchanges.releaseIfComplete(x);
   }
 
   @Override
@@ -438,7 +439,7 @@
     if (x == null) return;
     told(x, "aborted");
     x.fail();
-    exchanges.release(x);
+    exchanges.releaseIfComplete(x);
   }
 
   @Override
--- a/src/main/java/saltlatch/state/ConnectionPool.java
+++ b/src/main/java/saltlatch/state/ConnectionPool.java
@@ -6,41 +6,51 @@
 import java.util.List;
 
 /**
- * An app srv's idle connections; the one used last is taken first, so that the others can grow old.
+ * The idle connections to one app server. The one used last is taken first, so that connections
+ * that are not needed grow old and can be closed. Owned by the event loop; times are ticks.
+ *
+ * @param <C> the type of a connection, compared by identity
  */
-public final class ConnectionPool<L> {
-  private record Idle<L>(L link, long since) {}
-
-  private final ArrayDeque<Idle<L>> idle = new ArrayDeque<>();
-
-  /** One that has been idle since then or before. */
-  public L take(long since) {
-    for (Iterator<Idle<L>> i = idle.descendingIterator(); i.hasNext();) {
-      Idle<L> one = i.next();
-      if (one.since() > since) continue;
-      i.remove();
-      return one.link();
+public final class ConnectionPool<C> {
+  private record Idle<C>(C connection, long sinceTicks) {}
+
+  private final ArrayDeque<Idle<C>> idle = new ArrayDeque<>();
+
+  /**
+   * Takes the connection used last among those that have been idle since {@code atOrBeforeTicks} or
+   * longer; null if there is none.
+   */
+  public C takeIdleSince(long atOrBeforeTicks) {
+    for (Iterator<Idle<C>> latestFirst = idle.descendingIterator(); latestFirst.hasNext();) {
+      Idle<C> candidate = latestFirst.next();
+      if (candidate.sinceTicks() > atOrBeforeTicks) continue;
+      latestFirst.remove();
+      return candidate.connection();
     }
     return null;
   }
 
-  public void put(L link, long now) {
-    idle.addLast(new Idle<>(link, now));
+  /** Takes in a connection that is idle from now on. */
+  public void put(C connection, long nowTicks) {
+    idle.addLast(new Idle<>(connection, nowTicks));
   }
 
-  public void remove(L link) {
-    idle.removeIf(i -> i.link() == link);
+  /** Removes a connection, as when it has closed; does nothing if it is not idle. */
+  public void remove(C connection) {
+    idle.removeIf(entry -> entry.connection() == connection);
   }
 
-  /** Takes out what has been idle since before then. */
-  public List<L> takeOlder(long than) {
-    List<L> old = new ArrayList<>();
-    while (!idle.isEmpty() && idle.peekFirst().since() < than) old.add(idle.pollFirst().link());
-    return old;
+  /** Removes and returns the connections idle since before {@code beforeTicks}, oldest first. */
+  public List<C> removeIdleBefore(long beforeTicks) {
+    List<C> removed = new ArrayList<>();
+    while (!idle.isEmpty() && idle.peekFirst().sinceTicks() < beforeTicks) {
+      removed.add(idle.pollFirst().connection());
+    }
+    return removed;
   }
 
-  /** The time since which its oldest one is idle. */
-  public long oldest() {
-    return idle.isEmpty() ? Long.MAX_VALUE : idle.peekFirst().since();
+  /** Since when the oldest one is idle, in ticks; {@link Long#MAX_VALUE} if none is. */
+  public long oldestIdleSinceTicks() {
+    return idle.isEmpty() ? Long.MAX_VALUE : idle.peekFirst().sinceTicks();
   }
 }
--- a/src/main/java/saltlatch/state/HeapExhaustion.java
+++ b/src/main/java/saltlatch/state/HeapExhaustion.java
@@ -1,12 +1,15 @@
 package saltlatch.state;
 
-/** Says plainly that the heap is full, where a library wraps that into an error of its own. */
+/**
+ * Names a full heap as such where a library has wrapped the {@link OutOfMemoryError} into an error
+ * of its own, which would send on-call after the wrong cause. Callable from any thread.
+ */
 public final class HeapExhaustion {
-  private static final int MB = 1 << 20;
+  private static final int BYTES_PER_MB = 1 << 20;
 
   private HeapExhaustion() {}
 
-  /** Whether the heap's end is behind a failure. */
+  /** Whether a full heap is the failure itself or among its causes. */
   public static boolean isCauseOf(Throwable failure) {
     for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
       if (cause instanceof OutOfMemoryError) return true;
@@ -14,9 +17,10 @@
     return false;
   }
 
-  /** The failure's text, or that the heap of so many MB is full where this is its cause. */
+  /** The failure's text or, where a full heap is its cause, a sentence that says so. */
   public static String explain(Throwable failure) {
     if (!isCauseOf(failure)) return String.valueOf(failure);
-    return "the heap of " + Runtime.getRuntime().maxMemory() / MB + " MB is full (see -Xmx)";
+    return "the heap of " + Runtime.getRuntime().maxMemory() / BYTES_PER_MB
+        + " MB is full (see -Xmx)";
   }
 }
--- a/src/main/java/saltlatch/state/InFlightRequests.java
+++ b/src/main/java/saltlatch/state/InFlightRequests.java
@@ -5,57 +5,67 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The reqs that are not over or have a dispatch out, by the number each got at the listener. */
+/**
+ * The requests in flight: those without a final response and those with an attempt still out, by
+ * the number that each got on arrival. What they hold in memory is limited. Owned by the event
+ * loop.
+ */
 public final class InFlightRequests {
-  // that the node and the module hold for a req beside its command
-  private static final int OWN_BYTES = 1024;
+  // what the node and the policy hold for a request beside its command
+  private static final int OVERHEAD_BYTES = 1024;
 
-  private final Map<Long, RequestContext> all = new HashMap<>();
-  private final Set<String> ids = new HashSet<>();
-  private final long mostBytes;
+  private final Map<Long, RequestContext> byRequestId = new HashMap<>();
+  private final Set<String> clientIds = new HashSet<>();
+  private final long maxBytes;
   private long bytes;
-  private long next;
+  private long nextRequestId;
 
-  public InFlightRequests(long mostBytes) {
-    this.mostBytes = mostBytes;
+  /** Starts empty; {@code maxBytes}: what all requests together may hold. */
+  public InFlightRequests(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  /** Null when no more can be held. */
-  public RequestContext open(ClientRequest req, RequestContext.ResponseSink client) {
-    if (bytes + req.sizeBytes() + OWN_BYTES > mostBytes) return null;
-    RequestContext x = new RequestContext(next++, req, client);
-    bytes += req.sizeBytes() + OWN_BYTES;
-    all.put(x.requestId, x);
-    ids.add(req.id);
-    return x;
+  /** Takes in a request on its arrival; null if it would exceed the memory limit. */
+  public RequestContext register(ClientRequest request, RequestContext.ResponseSink client) {
+    long ownBytes = request.sizeBytes() + OVERHEAD_BYTES;
+    if (bytes + ownBytes > maxBytes) return null;
+    RequestContext context = new RequestContext(nextRequestId++, request, client);
+    bytes += ownBytes;
+    byRequestId.put(context.requestId(), context);
+    clientIds.add(request.id);
+    return context;
   }
 
-  /** A req of that id is held already. */
-  public boolean holds(String id) {
-    return ids.contains(id);
+  /** Whether a request with this id, as its client gave it, is in flight. */
+  public boolean containsId(String clientId) {
+    return clientIds.contains(clientId);
   }
 
-  public RequestContext find(long rid) {
-    return all.get(rid);
+  /** The request with this number, or null. */
+  public RequestContext find(long requestId) {
+    return byRequestId.get(requestId);
   }
 
-  public int beginAttempt(RequestContext x) {
-    return x.beginAttempt();
+  /** Begins an attempt, and returns its number within the request. */
+  public int startAttempt(RequestContext context) {
+    return context.startAttempt();
   }
 
-  public void attemptEnded(RequestContext x) {
-    x.attemptEnded();
-    release(x);
+  /** Ends an attempt, and releases the request if that was the last thing in flight. */
+  public void attemptEnded(RequestContext context) {
+    context.attemptEnded();
+    releaseIfComplete(context);
   }
 
-  /** Forgets it once it is over and nothing of it is out. */
-  public void release(RequestContext x) {
-    if (!x.isReleasable() || all.remove(x.requestId) == null) return;
-    bytes -= x.request.sizeBytes() + OWN_BYTES;
-    ids.remove(x.request.id);
+  /** Forgets a request that has its final response and no attempt out. */
+  public void releaseIfComplete(RequestContext context) {
+    if (!context.isComplete() || byRequestId.remove(context.requestId()) == null) return;
+    bytes -= context.request().sizeBytes() + OVERHEAD_BYTES;
+    clientIds.remove(context.request().id);
   }
 
+  /** How many requests are in flight. */
   public int size() {
-    return all.size();
+    return byRequestId.size();
   }
 }
--- a/src/main/java/saltlatch/state/NumberedNames.java
+++ b/src/main/java/saltlatch/state/NumberedNames.java
@@ -6,19 +6,24 @@
 import java.util.Map;
 import java.util.function.IntConsumer;
 
-/** Gives names small numbers, and a number free again once its name is released. */
+/**
+ * Assigns small numbers to names, always the lowest one that is free, and frees a number once its
+ * name is released. Owned by the event loop.
+ */
 public final class NumberedNames {
   private final Map<String, Integer> numbers = new HashMap<>();
-  private final List<String> names = new ArrayList<>();
-  private int lowestFree;
+  private final List<String> names = new ArrayList<>(); // by number; null: free
+  private int lowestFree; // no number below it is free
 
+  /** Starts with no names. */
   public NumberedNames() {}
 
+  /** Starts with these names, numbered in their order; a repeated one keeps its first number. */
   public NumberedNames(List<String> known) {
-    known.forEach(this::number);
+    known.forEach(this::assign);
   }
 
-  /** Below 0: not known. */
+  /** The number of a name; below 0 if it has none. */
   public int find(String name) {
     return numbers.getOrDefault(name, -1);
   }
@@ -28,7 +33,8 @@
     return number >= 0 && number < names.size() ? names.get(number) : null;
   }
 
-  public int number(String name) {
+  /** The number of a name, which gets one if it has none. */
+  public int assign(String name) {
     Integer known = numbers.get(name);
     if (known != null) return known;
     while (lowestFree < names.size() && names.get(lowestFree) != null) lowestFree++;
@@ -38,18 +44,19 @@
     return lowestFree;
   }
 
-  /** How many names are known. */
+  /** How many names have a number. */
   public int size() {
     return numbers.size();
   }
 
-  /** Walks the numbers in use. */
-  public void each(IntConsumer use) {
-    for (int i = 0; i < names.size(); i++) {
-      if (names.get(i) != null) use.accept(i);
+  /** Calls {@code action} with each number in use, in ascending order. */
+  public void forEachNumber(IntConsumer action) {
+    for (int number = 0; number < names.size(); number++) {
+      if (names.get(number) != null) action.accept(number);
     }
   }
 
+  /** Frees a number that is in use. */
   public void release(int number) {
     numbers.remove(names.get(number));
     names.set(number, null);
--- a/src/main/java/saltlatch/state/TimerQueue.java
+++ b/src/main/java/saltlatch/state/TimerQueue.java
@@ -3,50 +3,57 @@
 import java.util.PriorityQueue;
 
 /**
- * What falls due, in order of time and, within one instant, of asking. Times are tenths of a ms.
+ * Timers in order of their due time and, at the same time, of their creation. Has no clock and no
+ * thread: its owner, the event loop, asks when the next timer is due and runs what is. Times are
+ * ticks.
  */
 public final class TimerQueue {
-  /** One thing that falls due, unless it is dropped before. */
+  /** A timer that runs its action once, unless it is cancelled before. */
   public static final class Timer {
-    private final long at;
-    private final long order;
-    private Runnable then;
-
-    private Timer(long at, long order, Runnable then) {
-      this.at = at;
-      this.order = order;
-      this.then = then;
+    private final long dueTicks;
+    private final long sequence;
+    private Runnable action; // null: ran or cancelled
+
+    private Timer(long dueTicks, long sequence, Runnable action) {
+      this.dueTicks = dueTicks;
+      this.sequence = sequence;
+      this.action = action;
     }
 
+    /** The action does not run any more; no effect once it has. */
     public void cancel() {
-      then = null;
+      action = null;
     }
   }
 
-  private final PriorityQueue<Timer> queue = new PriorityQueue<>(
-      (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private long next;
+  private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> a.dueTicks != b.dueTicks
+      ? Long.compare(a.dueTicks, b.dueTicks) : Long.compare(a.sequence, b.sequence));
+  private long nextSequence;
 
-  public Timer add(long at, Runnable then) {
-    Timer t = new Timer(at, next++, then);
-    queue.add(t);
-    return t;
+  /** Adds a timer; one whose time is past is due at once. */
+  public Timer add(long dueTicks, Runnable action) {
+    Timer timer = new Timer(dueTicks, nextSequence++, action);
+    timers.add(timer);
+    return timer;
   }
 
-  /** When the next one falls due; never: the largest long. */
-  public long earliest() {
-    while (!queue.isEmpty() && queue.peek().then == null) queue.poll();
-    return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at;
+  /** When the next timer is due; {@link Long#MAX_VALUE} if there is none. */
+  public long earliestTicks() {
+    while (!timers.isEmpty() && timers.peek().action == null) timers.poll();
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueTicks;
   }
 
-  /** Runs what has fallen due; what is asked for meanwhile waits for the next time. */
-  public void run(long now) {
-    long upTo = next;
-    while (earliest() <= now && queue.peek().order < upTo) {
-      Timer t = queue.poll();
-      Runnable then = t.then;
-      t.then = null;
-      then.run();
+  /**
+   * Runs the timers that are due. One that an action adds waits for the next call, so that a timer
+   * that renews itself with no delay cannot hold the loop.
+   */
+  public void runDue(long nowTicks) {
+    long firstNewSequence = nextSequence;
+    while (earliestTicks() <= nowTicks && timers.peek().sequence < firstNewSequence) {
+      Timer timer = timers.poll();
+      Runnable action = timer.action;
+      timer.action = null;
+      action.run();
     }
   }
 }
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -44,7 +44,7 @@
     private final List<AppServerConnection> busy = new ArrayList<>();
 
     boolean isEmpty() {
-      return busy.isEmpty() && pool.oldest() == Long.MAX_VALUE;
+      return busy.isEmpty() && pool.oldestIdleSinceTicks() == Long.MAX_VALUE;
     }
   }
 
@@ -101,17 +101,17 @@
   }
 
   public void dispatch(RequestContext x, int dispatch, int srv, long cap) {
-    counters.add(Metric.DISPATCHED);
+    counters.add(Metric.ATTEMPTS_STARTED);
     AppServerConnection link = link(srv);
     if (link == null) {
       host.ended(x, dispatch, srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
       return;
     }
-    link.send(x.request::forward, x, dispatch, cap);
+    link.send(x.request()::forward, x, dispatch, cap);
   }
 
   public void probe(int srv, long cap) {
-    counters.add(Metric.PROBED);
+    counters.add(Metric.HEALTH_CHECKS);
     AppServerConnection link = link(srv);
     if (link == null) host.probed(srv, AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
     else link.send(left -> Buffer.buffer("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"), null, 0, cap);
@@ -134,7 +134,7 @@
   }
 
   private void closeOlder(Srv s, long than) {
-    s.links.pool.takeOlder(than).forEach(AppServerConnection::close);
+    s.links.pool.removeIdleBefore(than).forEach(AppServerConnection::close);
     settle(s);
   }
 
@@ -151,11 +151,11 @@
     // Guards against a second copy or noise right behind an answer that is taken for that of the
     // next dispatch.
     AppServerConnection link = s.links == null ? null
-        : s.links.pool.take(scheduler.now() - SETTLING);
+        : s.links.pool.takeIdleSince(scheduler.now() - SETTLING);
     if (link == null) {
       if (links >= mostLinks && !closeOldest()) return null;
       links++;
-      counters.add(Metric.CONNECTIONS_OPENED);
+      counters.add(Metric.SERVER_CONNECTIONS_OPENED);
       link = new AppServerConnection(this, srv);
       link.open(client, s.address);
     }
@@ -168,10 +168,12 @@
   private boolean closeOldest() {
     Srv oldest = null;
     for (Srv s : linked) {
-      if (oldest == null || s.links.pool.oldest() < oldest.links.pool.oldest()) oldest = s;
+      if (oldest == null
+          || s.links.pool.oldestIdleSinceTicks() < oldest.links.pool.oldestIdleSinceTicks())
+        oldest = s;
     }
-    if (oldest == null || oldest.links.pool.oldest() == Long.MAX_VALUE) return false;
-    closeOlder(oldest, oldest.links.pool.oldest() + 1);
+    if (oldest == null || oldest.links.pool.oldestIdleSinceTicks() == Long.MAX_VALUE) return false;
+    closeOlder(oldest, oldest.links.pool.oldestIdleSinceTicks() + 1);
     return true;
   }
 
@@ -206,8 +208,8 @@
     s.links.busy.remove(link);
     if (open) s.links.pool.put(link, scheduler.now());
     settle(s);
-    counters.add(answer.result() == CallResult.ANSWERED ? Metric.DISPATCHES_PASSED
-        : Metric.DISPATCHES_ENDED_OTHERWISE);
+    counters.add(answer.result() == CallResult.ANSWERED ? Metric.ATTEMPTS_SUCCEEDED
+        : Metric.ATTEMPTS_FAILED);
     if (x == null) host.probed(link.srv, answer, spent);
     else host.ended(x, dispatch, link.srv, answer, spent);
   }
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -51,7 +51,7 @@
         return;
       }
       socket.handler(this::read);
-      socket.exceptionHandler(e -> owner.counters().add(Metric.CONNECTIONS_BROKEN));
+      socket.exceptionHandler(e -> owner.counters().add(Metric.SERVER_CONNECTIONS_BROKEN));
       socket.closeHandler(v -> end(AppServerReply
           .withoutValue(written ? CallResult.BROKE_WRITTEN : CallResult.BROKE_UNWRITTEN)));
       owner.scheduler().afterTurn(this::begin);
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -35,19 +35,19 @@
 
     @Override
     public void succeed(byte[] value) {
-      listener.counters().add(Metric.ANSWERED_PASSED);
+      listener.counters().add(Metric.RESPONSES_SUCCEEDED);
       fill(AppServerReply.passed(value));
     }
 
     @Override
     public void reject(long pauseMs) {
-      listener.counters().add(Metric.ANSWERED_DENIED);
+      listener.counters().add(Metric.RESPONSES_REJECTED);
       fill(AppServerReply.line(pauseMs > 0 ? "-BUSY " + pauseMs : "-BUSY"));
     }
 
     @Override
     public void fail() {
-      listener.counters().add(Metric.ANSWERED_ABORTED);
+      listener.counters().add(Metric.RESPONSES_FAILED);
       fill(AppServerReply.line("-ERR aborted"));
     }
 
@@ -83,7 +83,7 @@
     this.socket = socket;
     usedAt = listener.scheduler().now();
     socket.handler(this::read);
-    socket.exceptionHandler(e -> listener.counters().add(Metric.CLIENTS_BROKEN));
+    socket.exceptionHandler(e -> listener.counters().add(Metric.CLIENT_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> ended());
     socket.drainHandler(v -> resume());
   }
@@ -140,7 +140,7 @@
   /** Ends it if it has sent no whole command, or half of one, since long before. */
   void closeIfMute(long since) {
     if (closed || usedAt > since || !owed.isEmpty() || spoke && in.isEmpty()) return;
-    listener.counters().add(Metric.CLIENTS_MUTE);
+    listener.counters().add(Metric.CLIENT_CONNECTIONS_SILENT);
     broken = true;
     if (in.isEmpty()) close();
     else say("-ERR command incomplete");
--- a/src/main/java/saltlatch/wire/client/ClientListener.java
+++ b/src/main/java/saltlatch/wire/client/ClientListener.java
@@ -65,7 +65,7 @@
     server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true)
         .setAcceptBacklog(16 * mostLinks));
     server.connectHandler(this::accept);
-    server.exceptionHandler(e -> counters.add(Metric.CLIENTS_BROKEN));
+    server.exceptionHandler(e -> counters.add(Metric.CLIENT_CONNECTIONS_BROKEN));
   }
 
   public Future<?> open(SocketAddress at) {
@@ -187,9 +187,9 @@
   }
 
   private void accept(NetSocket socket) {
-    counters.add(Metric.CLIENTS_ACCEPTED);
+    counters.add(Metric.CLIENT_CONNECTIONS_ACCEPTED);
     if (silent.size() + known.size() + ending.size() >= mostLinks) {
-      counters.add(Metric.CLIENTS_OVER_LIMIT);
+      counters.add(Metric.CLIENT_CONNECTIONS_OVER_LIMIT);
       ClientConnection least = leastNeeded();
       if (least == null) {
         SocketCloser.closeNow(socket);
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -69,7 +69,7 @@
 
   /** {@code cap}: waited for so long, or for the time in the settings if that is longer. */
   public void add(long name, double units, long keep, long cap) {
-    counters.add(Metric.COUNTED);
+    counters.add(Metric.COUNTER_CALLS);
     int at = (int) Math.floorMod(name ^ name >>> 31, (long) LINKS);
     Link link = links[at];
     if (link != null && link.isStuck()) link.end();
@@ -125,14 +125,14 @@
           end();
           return;
         }
-        counters.add(Metric.COUNTER_OPENED);
+        counters.add(Metric.COUNTER_CONNECTIONS_OPENED);
         socket = done.result();
         if (closed) {
           SocketCloser.closeNow(socket);
           return;
         }
         socket.handler(this::read);
-        socket.exceptionHandler(e -> counters.add(Metric.COUNTER_BROKEN));
+        socket.exceptionHandler(e -> counters.add(Metric.COUNTER_CONNECTIONS_BROKEN));
         socket.closeHandler(v -> end());
         start();
       });
@@ -223,8 +223,8 @@
       if (c.told) return;
       c.told = true;
       c.limit.cancel();
-      counters.add(
-          ending == CallResult.ANSWERED ? Metric.COUNTS_ANSWERED : Metric.COUNTS_ENDED_OTHERWISE);
+      counters.add(ending == CallResult.ANSWERED ? Metric.COUNTER_CALLS_ANSWERED
+          : Metric.COUNTER_CALLS_FAILED);
       host.counted(c.name, ending, total, scheduler.now() - c.sent);
       if (retired && !owes()) end();
     }
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -130,7 +130,7 @@
           .setDecompressionSupported(false).setIdleTimeout(0));
     }
     openedAt = scheduler.now();
-    counters.add(Metric.WATCHES);
+    counters.add(Metric.WATCHES_OPENED);
     expect(mine, BEGINS);
     client.request(HttpMethod.GET, address.port(), address.host(), path()).onComplete(made -> {
       if (mine != turn) {
@@ -177,7 +177,7 @@
     } catch (EndpointListParser.Unreadable e) {
       if (e.isTooLarge()) refuse(e.getMessage(), mine);
       else {
-        counters.add(Metric.LISTS_MALFORMED);
+        counters.add(Metric.ENDPOINT_LISTS_MALFORMED);
         broke(mine, e);
       }
     } catch (OutOfMemoryError e) {
@@ -202,7 +202,7 @@
   private void refuse(String why, int mine) {
     refusedPause = Math.min(REFUSED_MOST, refusedPause == 0 ? REFUSED_FIRST : 2 * refusedPause);
     notBefore = scheduler.now() + refusedPause;
-    counters.add(Metric.LISTS_REFUSED);
+    counters.add(Metric.ENDPOINT_LISTS_TOO_LARGE);
     LOG.warn("list refused, asked for again in {} s: {}", refusedPause / 10_000, why);
     broke(mine, new IllegalStateException("a list too large"));
   }
@@ -212,7 +212,7 @@
     // Guards against an agent that is behind the one asked before (SIGHUP, a return): its list
     // would turn drains back.
     if (list.series() < series || list.series() == series && list.index() < newest) {
-      counters.add(Metric.LISTS_OLD);
+      counters.add(Metric.ENDPOINT_LISTS_STALE);
       return;
     }
     if (list.series() > series && !list.snapshot()) {
@@ -225,7 +225,7 @@
     series = list.series();
     newest = list.index();
     refusedPause = 0;
-    counters.add(Metric.LISTS);
+    counters.add(Metric.ENDPOINT_LISTS);
     beingApplied++;
     host.listed(list, () -> applied(list));
   }
--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -29,23 +29,24 @@
     this.all = all;
     this.counters = counters;
     socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-    socket.exceptionHandler(e -> counters.add(Metric.PEERS_FAILED));
+    socket.exceptionHandler(e -> counters.add(Metric.DATAGRAMS_FAILED));
     socket.handler(packet -> {
-      counters.add(Metric.PEERS_HEARD);
+      counters.add(Metric.DATAGRAMS_RECEIVED);
       host.heard(peers.indexOf(packet.sender()), packet.data().getBytes());
     });
-    socket.listen(listen.port(), listen.host()).onFailure(e -> counters.add(Metric.PEERS_FAILED));
+    socket.listen(listen.port(), listen.host())
+        .onFailure(e -> counters.add(Metric.DATAGRAMS_FAILED));
   }
 
   /** {@code peer} below 0: all of them. */
   public void send(int peer, byte[] words) {
     SocketAddress to = peer < 0 ? all : peer < peers.size() ? peers.get(peer) : null;
     if (to == null || words.length > LONGEST) {
-      counters.add(Metric.PEERS_FAILED);
+      counters.add(Metric.DATAGRAMS_FAILED);
       return;
     }
-    counters.add(Metric.PEERS_TOLD);
+    counters.add(Metric.DATAGRAMS_SENT);
     socket.send(Buffer.buffer(words), to.port(), to.host())
-        .onFailure(e -> counters.add(Metric.PEERS_FAILED));
+        .onFailure(e -> counters.add(Metric.DATAGRAMS_FAILED));
   }
 }
--- a/src/test/java/saltlatch/node/HistoryLinesTest.java
+++ b/src/test/java/saltlatch/node/HistoryLinesTest.java
@@ -84,6 +84,7 @@
     assertEquals("-BUSY", line(client));
     say(client, req(2));
     assertEquals("-ERR aborted", line(client));
+    Thread.sleep(10); // at least: the connection has settled after its last answer, and is reused
     say(client, req(3));
     lines(appServer, 9);
     appServer.close();
