--- a/src/main/java/saltlatch/Main.java
+++ b/src/main/java/saltlatch/Main.java
@@ -3,22 +3,24 @@
 import java.io.IOException;
 import picocli.CommandLine;
 import saltlatch.cli.Commands;
-import saltlatch.node.EdgeNode;
+import saltlatch.node.ServeProcess;
 import saltlatch.policy.PolicyEngine;
 import saltlatch.simhost.SimulatorHost;
 
 /**
- * The jar's entry. {@code serve} and {@code simhost} alone start at once, without picocli: parsing
- * its annotations cost a node 0.19 s of its start at a third of a core (loopback, 260 ms to 450 ms
- * to serve); all else, and those two with options, go through picocli's subcommands
- * ({@link Commands}).
+ * The jar's entry. {@code serve} with its configuration in LB_CONFIG and {@code simhost} start
+ * without picocli, whose parsing of annotations would dominate a node's start on part of a core; a
+ * restart has few seconds. All else goes through picocli's subcommands ({@link Commands}).
  */
 public final class Main {
+  private static final String CONFIGURATION_PATH = System.getenv("LB_CONFIG");
+
   private Main() {}
 
+  /** Runs the command of the arguments; exits with its code unless it goes on in the background. */
   public static void main(String[] args) throws IOException {
-    if (args.length == 1 && args[0].equals("serve") && System.getenv("LB_CONFIG") != null) {
-      int code = EdgeNode.run(PolicyEngine::new, System.getenv("LB_CONFIG"), System.err);
+    if (args.length == 1 && args[0].equals("serve") && CONFIGURATION_PATH != null) {
+      int code = ServeProcess.run(PolicyEngine::new, CONFIGURATION_PATH, System.err);
       if (code != 0) System.exit(code);
       return;
     }
--- a/src/main/java/saltlatch/cli/Commands.java
+++ b/src/main/java/saltlatch/cli/Commands.java
@@ -4,7 +4,7 @@
 import java.io.UncheckedIOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import saltlatch.node.EdgeNode;
+import saltlatch.node.ServeProcess;
 import saltlatch.policy.PolicyEngine;
 import saltlatch.simhost.SimulatorHost;
 
@@ -44,7 +44,7 @@
         System.err.println("saltlatch serve: LB_CONFIG names no configuration");
         return 2;
       }
-      return EdgeNode.run(PolicyEngine::new, path, System.err);
+      return ServeProcess.run(PolicyEngine::new, path, System.err);
     }
   }
 
--- a/src/main/java/saltlatch/lab/hollow/HollowFleet.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowFleet.java
@@ -15,6 +15,7 @@
 import saltlatch.lab.rig.Processes;
 import saltlatch.node.HollowNode;
 import saltlatch.node.NodeConfiguration;
+import saltlatch.node.NodeConfigurationReader;
 
 /**
  * Hollow nodes of one process: the control part of many edge nodes on a few event loops, with no
@@ -70,13 +71,13 @@
 
     Host(NodeConfig config) {
       name = NodeConfig.name(config.number());
-      configuration = NodeConfiguration.of(config.json());
+      configuration = NodeConfigurationReader.read(config.json());
     }
 
     @Override
     public Future<?> start() {
       node = new HollowNode(vertx, context, configuration);
-      node.onListed(index -> applied.add(new Applied(name, index, System.nanoTime())));
+      node.onListApplied(index -> applied.add(new Applied(name, index, System.nanoTime())));
       return Future.succeededFuture();
     }
   }
@@ -106,7 +107,7 @@
       long index = node.listIndex();
       least = Math.min(least, index);
       newest = Math.max(newest, index);
-      entries += node.listed();
+      entries += node.listedServers();
       if (index > 0) withList++;
     }
     return new Progress(nodes.size(), withList, least, newest, entries);
@@ -116,7 +117,7 @@
   public Map<String, Long> counters() {
     Map<String, Long> sum = new TreeMap<>();
     for (HollowNode node : nodes) {
-      Processes.counters(node.figures())
+      Processes.counters(node.infoText())
           .forEach((name, value) -> sum.merge(name, value, Long::sum));
     }
     return sum;
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -34,7 +34,7 @@
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.rig.Relays;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.node.EdgeNode;
+import saltlatch.node.EmbeddedNode;
 import saltlatch.policy.PolicyEngine;
 
 /**
@@ -264,7 +264,7 @@
   }
 
   private static Node embedded(String config) throws Exception {
-    EdgeNode.Embedded e = EdgeNode.embedded(PolicyEngine::new, config).toCompletionStage()
+    EmbeddedNode e = EmbeddedNode.start(PolicyEngine::new, config).toCompletionStage()
         .toCompletableFuture().get(START_S, TimeUnit.SECONDS);
     return new Node() {
       @Override
@@ -275,7 +275,7 @@
       @Override
       public Map<String, Long> figures() throws Exception {
         Map<String, Long> m = Processes.counters(
-            e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+            e.infoText().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
         m.put("loop_cpu_ms",
             e.loopCpuNanos().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS)
                 / 1_000_000);
--- /dev/null
+++ b/src/main/java/saltlatch/node/ClientRequestHandler.java
@@ -0,0 +1,96 @@
+package saltlatch.node;
+
+import java.util.function.Supplier;
+import saltlatch.api.GatewayEvent;
+import saltlatch.api.Ticks;
+import saltlatch.state.ClientRequest;
+import saltlatch.state.InFlightRequests;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.NodeMetrics.Metric;
+import saltlatch.state.NumberedNames;
+import saltlatch.state.RequestContext;
+import saltlatch.wire.client.ClientListener;
+
+/**
+ * Makes events of what clients do: requests that arrive, connections that close. Responds itself
+ * only to what the policy must not see. Called by the client listener, on the event loop.
+ */
+final class ClientRequestHandler implements ClientListener.Handler {
+  private final NumberedNames requestClasses;
+  private final NumberedNames quotaPlans;
+  private final RequestValidator validator;
+  private final InFlightRequests requests;
+  private final FinalResponses responses;
+  private final EventBatcher events;
+  private final StallDetector stalls;
+  private final NodeMetrics metrics;
+  private final NodeHistory history;
+  private final Supplier<String> infoText;
+
+  ClientRequestHandler(NodeConfiguration configuration, InFlightRequests requests,
+      FinalResponses responses, EventBatcher events, StallDetector stalls, NodeMetrics metrics,
+      NodeHistory history, Supplier<String> infoText) {
+    requestClasses = new NumberedNames(configuration.hostSettings().requestClassNames());
+    quotaPlans = new NumberedNames(configuration.hostSettings().quotaPlanNames());
+    validator = new RequestValidator(configuration.settings(),
+        configuration.hostSettings().maxRequestUnits());
+    this.requests = requests;
+    this.responses = responses;
+    this.events = events;
+    this.stalls = stalls;
+    this.metrics = metrics;
+    this.history = history;
+    this.infoText = infoText;
+  }
+
+  @Override
+  public RequestContext arrived(ClientRequest request, RequestContext.ResponseSink client) {
+    stalls.check();
+    int requestClass = requestClasses.find(request.requestClass);
+    int plan = quotaPlans.find(request.plan);
+    metrics.add(Metric.REQUESTS);
+    // The id's check guards against a stranger who reuses the id of a request in flight: an app
+    // server would take it for an attempt of that request, and answer with what is not the
+    // stranger's.
+    if (!validator.isValid(request, requestClass, plan) || requests.containsId(request.id)) {
+      metrics.add(Metric.REQUESTS_INVALID);
+      client.fail();
+      return null;
+    }
+    RequestContext context = requests.register(request, client);
+    if (context == null) {
+      metrics.add(Metric.REQUESTS_OVER_MEMORY_LIMIT);
+      client.reject(0);
+      return null;
+    }
+    addArrival(context, requestClass, plan, stalls.unreadTicks(client));
+    return context;
+  }
+
+  private void addArrival(RequestContext context, int requestClass, int plan, long ageTicks) {
+    ClientRequest request = context.request();
+    history.requestArrived(context, ageTicks);
+    events.add(new GatewayEvent.RequestArrived(context.requestId(), requestClass, plan,
+        request.customer, request.clientTimeoutMs * Ticks.PER_MILLISECOND, request.units,
+        request.nodeCount, request.firstNode, request.retry, ageTicks));
+  }
+
+  @Override
+  public void left(RequestContext context) {
+    responses.clientDisconnected(context);
+    metrics.add(Metric.CLIENT_DISCONNECTS);
+    events.add(new GatewayEvent.ClientDisconnected(context.requestId()));
+    requests.releaseIfComplete(context);
+  }
+
+  @Override
+  public void abandon(RequestContext context) {
+    responses.fail(context);
+    left(context);
+  }
+
+  @Override
+  public String figures() {
+    return infoText.get();
+  }
+}
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -6,39 +6,38 @@
 import java.util.List;
 import java.util.Set;
 import saltlatch.api.GatewayEvent;
+import saltlatch.api.Ticks;
 import saltlatch.state.NumberedNames;
 import saltlatch.wire.appserver.AppServerClient;
-import saltlatch.wire.discovery.DiscoveryClient;
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * The app servers that discovery has named: their names mapped to the small numbers the module
- * knows them by, and those off the list whose number is still held by a connection in use. Owned by
- * one event loop.
+ * The app servers that discovery has named, by the small numbers that the policy knows them by. One
+ * that is off the list keeps its number until no connection of it is in use any more: else a late
+ * answer would count for the app server that got the number next. Owned by the event loop.
  */
 final class EndpointDirectory {
   private final AppServerClient appServers;
   private final NumberedNames zones;
-  private final NumberedNames types;
+  private final NumberedNames machineTypes;
   private final NumberedNames names = new NumberedNames();
-  private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // as told last, by number
-  // off the list, with something still out
-  private final Set<Integer> leaving = new LinkedHashSet<>();
+  private final List<GatewayEvent.Endpoint> latest = new ArrayList<>(); // by number
+  private final Set<Integer> removed = new LinkedHashSet<>(); // off the list, with a number
 
-  EndpointDirectory(AppServerClient appServers, NumberedNames zones, NumberedNames types) {
+  EndpointDirectory(AppServerClient appServers, NumberedNames zones, NumberedNames machineTypes) {
     this.appServers = appServers;
     this.zones = zones;
-    this.types = types;
+    this.machineTypes = machineTypes;
   }
 
   /** The name that has this number, or null. */
-  String name(int srv) {
-    return names.name(srv);
+  String name(int serverId) {
+    return names.name(serverId);
   }
 
-  /** One above the highest number given so far. */
+  /** One above the highest number assigned so far. */
   int numbers() {
-    return entries.size();
+    return latest.size();
   }
 
   /** Names that have a number, those off the list too. */
@@ -46,65 +45,70 @@
     return names.size();
   }
 
-  boolean isListed(int srv) {
-    return names.name(srv) != null && !leaving.contains(srv);
+  /** Whether the app server with this number is on the list. */
+  boolean isListed(int serverId) {
+    return names.name(serverId) != null && !removed.contains(serverId);
   }
 
   /** App servers now listed. */
   int listed() {
-    return names.size() - leaving.size();
+    return names.size() - removed.size();
   }
 
-  /** Takes a list or change in, and gives the module's event of it. */
-  GatewayEvent.EndpointsUpdated take(EndpointList list, GatewayEvent.EndpointUpdateKind kind) {
-    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
+  /** Takes in a list or change as a whole, and returns the policy's event for it. */
+  GatewayEvent.EndpointsUpdated update(EndpointList list, GatewayEvent.EndpointUpdateKind kind) {
+    List<GatewayEvent.Endpoint> endpoints = new ArrayList<>();
     Set<Integer> named = new LinkedHashSet<>();
-    for (EndpointList.Entry target : list.entries()) {
-      GatewayEvent.Endpoint entry = take(target);
-      entries.add(entry);
-      named.add((int) entry.serverId());
+    for (EndpointList.Entry entry : list.entries()) {
+      GatewayEvent.Endpoint endpoint = update(entry);
+      endpoints.add(endpoint);
+      named.add((int) endpoint.serverId());
     }
-    if (list.snapshot()) names.forEachNumber(srv -> {
-      if (!named.contains(srv)) leaving.add(srv);
-    });
-    return new GatewayEvent.EndpointsUpdated(kind, entries);
+    if (list.snapshot()) {
+      names.forEachNumber(serverId -> {
+        if (!named.contains(serverId)) removed.add(serverId);
+      });
+    }
+    return new GatewayEvent.EndpointsUpdated(kind, endpoints);
   }
 
-  /** Takes one target in, and gives the module's entry of it. */
-  GatewayEvent.Endpoint take(EndpointList.Entry target) {
-    int srv = names.assign(target.name());
-    if (target.address() != null) appServers.locate(srv, target.address());
-    if (target.state() == GatewayEvent.EndpointState.REMOVED) leaving.add(srv);
-    else leaving.remove(srv);
-    GatewayEvent.Endpoint entry = new GatewayEvent.Endpoint(srv, target.startedAtMs() * 10,
-        Math.max(0, zones.find(target.zone())), target.keyGroup(), target.state(), target.weight(),
-        Math.max(0, types.find(target.machineType())));
-    while (entries.size() <= srv) entries.add(null);
-    entries.set(srv, entry);
-    return entry;
+  /** Takes in one entry, and returns the policy's form of it. */
+  GatewayEvent.Endpoint update(EndpointList.Entry entry) {
+    int serverId = names.assign(entry.name());
+    if (entry.address() != null) appServers.locate(serverId, entry.address());
+    if (entry.state() == GatewayEvent.EndpointState.REMOVED) removed.add(serverId);
+    else removed.remove(serverId);
+    GatewayEvent.Endpoint endpoint = new GatewayEvent.Endpoint(serverId,
+        entry.startedAtMs() * Ticks.PER_MILLISECOND, Math.max(0, zones.find(entry.zone())),
+        entry.keyGroup(), entry.state(), entry.weight(),
+        Math.max(0, machineTypes.find(entry.machineType())));
+    while (latest.size() <= serverId) latest.add(null);
+    latest.set(serverId, endpoint);
+    return endpoint;
   }
 
-  /** Takes one off the list that a whole list no longer names: as told last, but gone. */
-  GatewayEvent.Endpoint remove(int srv) {
-    leaving.add(srv);
-    GatewayEvent.Endpoint was = entries.get(srv);
-    return new GatewayEvent.Endpoint(srv, was.startedAtTicks(), was.zone(), was.keyGroup(),
-        GatewayEvent.EndpointState.REMOVED, was.weight(), was.machineType());
+  /** Takes one off the list that a snapshot does not name, and returns the policy's form of it. */
+  GatewayEvent.Endpoint remove(int serverId) {
+    removed.add(serverId);
+    GatewayEvent.Endpoint last = latest.get(serverId);
+    return new GatewayEvent.Endpoint(serverId, last.startedAtTicks(), last.zone(), last.keyGroup(),
+        GatewayEvent.EndpointState.REMOVED, last.weight(), last.machineType());
   }
 
   /**
-   * Gives the numbers free of app servers that are gone and have nothing out any more, a slice at
-   * once.
+   * Frees the numbers of app servers that are off the list and no longer in use, as many at a time
+   * as a list's slice has entries.
    */
-  void release() {
-    Iterator<Integer> each = leaving.iterator();
-    for (int freed = 0; freed < DiscoveryClient.SLICE && each.hasNext();) {
-      int srv = each.next();
-      if (!appServers.forget(srv)) continue;
-      names.release(srv);
-      entries.set(srv, null);
-      each.remove();
-      freed++;
+  void releaseUnused() {
+    Iterator<Integer> candidates = removed.iterator();
+    int released = 0;
+    while (released < EndpointListApplier.MAX_ENTRIES_PER_SLICE && candidates.hasNext()) {
+      int serverId = candidates.next();
+      if (!appServers.forget(serverId)) continue;
+      names.release(serverId);
+      latest.set(serverId, null);
+      candidates.remove();
+      released++;
     }
   }
 }
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -8,82 +8,71 @@
 import saltlatch.state.NodeMetrics;
 
 /**
- * The control part of one edge node without its data path, for the laboratory: the classes that
- * {@code serve} runs (discovery's watch, the directory, connections to app servers, membership
- * where configured, the module), but no listener for clients. Many of them share one {@link Vertx};
- * each lives on its own context. The datagram socket, where one is configured, closes with that
- * context (a deployed verticle's) or with the {@link Vertx}.
+ * A hollow node: the control part of one edge node without its data path, for the laboratory. It
+ * runs the classes that {@code serve} runs (discovery's watch, the directory, connections to app
+ * servers, membership where enabled, the policy) but no listener for clients. Many of them share
+ * one {@link Vertx}, each on its own context. The datagram socket, where there is one, closes with
+ * that context (a deployed verticle's) or with the {@link Vertx}. Callable from any thread.
  */
 public final class HollowNode {
-  // part of the node's memory for what requests hold, as in Serve
-  private static final int BYTES_PART = 16;
-
   private final Context loop;
-  private final EventLoopAdapter pilot;
+  private final NodeRuntime runtime;
   private volatile long listIndex = -1;
-  private volatile int listed;
-  private volatile LongConsumer hook = index -> {};
+  private volatile int listedServers;
+  private volatile LongConsumer onListApplied = index -> {};
 
-  /**
-   * Neither starts nor connects anything yet; {@code loop}: the event loop that it is to live on.
-   */
+  /** Neither starts nor connects anything; {@code loop}: the event loop that it is to live on. */
   public HollowNode(Vertx vertx, Context loop, NodeConfiguration configuration) {
     this.loop = loop;
-    pilot = new EventLoopAdapter(vertx, loop, configuration, new NodeMetrics(),
-        configuration.memoryMb() * 1024L * 1024 / BYTES_PART, null);
-    pilot.onListed(this::applied);
+    runtime = new NodeRuntime(vertx, loop, configuration, new NodeMetrics(), NodeHistory.NONE);
+    runtime.onListApplied(this::listApplied);
   }
 
-  /** Starts the module on the list last known, and follows discovery; returns at once. */
-  public void start(GatewayPolicy.Factory maker) {
+  /** Starts the policy on the list last known, and follows discovery; returns at once. */
+  public void start(GatewayPolicy.Factory factory) {
     loop.runOnContext(v -> {
-      pilot.start(maker);
-      pilot.watchEndpoints();
+      runtime.start(factory);
+      runtime.openWatch();
     });
   }
 
-  /**
-   * Ends the watch and all timers; returns at once. A node that was stopped isn't started again.
-   */
+  /** Ends the watch and all timers; returns at once. A stopped node isn't started again. */
   public void stop() {
-    loop.runOnContext(v -> pilot.end());
+    loop.runOnContext(v -> runtime.end());
   }
 
   /**
-   * Its counters, a {@code name=value} line each, as INFO gives them. Waits for its loop: not for
-   * another event loop.
+   * Its metrics, a {@code name=value} line each, as INFO gives them. Waits for its loop, so it must
+   * not be called on another event loop.
    */
-  public String figures() {
-    if (Vertx.currentContext() == loop) return pilot.figures();
+  public String infoText() {
+    if (Vertx.currentContext() == loop) return runtime.infoText();
     CompletableFuture<String> text = new CompletableFuture<>();
-    loop.runOnContext(v -> text.complete(pilot.figures()));
+    loop.runOnContext(v -> text.complete(runtime.infoText()));
     return text.join();
   }
 
-  /**
-   * The index of the newest list or change that the module has been handed whole; below 0: none
-   * yet.
-   */
+  /** The index of the newest list or change that the policy has whole; below 0: none yet. */
   public long listIndex() {
     return listIndex;
   }
 
   /** App servers listed as of {@link #listIndex()}. */
-  public int listed() {
-    return listed;
+  public int listedServers() {
+    return listedServers;
   }
 
   /**
-   * Called on its loop with the index once a list or change has been applied to the module; set
-   * before the start.
+   * Sets what is called on its loop with the index of each list or change once the policy has it
+   * whole; before the start.
    */
-  public void onListed(LongConsumer then) {
-    hook = then;
+  public void onListApplied(LongConsumer action) {
+    onListApplied = action;
   }
 
-  private void applied(long index) {
-    listed = pilot.listed();
+  private void listApplied(long index) {
+    listedServers = runtime.listedServers();
     listIndex = index;
-    hook.accept(index);
+    onListApplied.accept(index);
   }
 }
--- a/src/main/java/saltlatch/node/IncrementalListUpdate.java
+++ b/src/main/java/saltlatch/node/IncrementalListUpdate.java
@@ -6,15 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.api.GatewayEvent;
-import saltlatch.wire.discovery.DiscoveryClient;
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * A large list or change in steps that look at {@link DiscoveryClient#SLICE} entries at most: first
- * what a whole list no longer names is removed, then drains and removals are told, then the rest.
- * The module is told all of it as changes.
+ * A large list or change in steps of at most {@link EndpointListApplier#MAX_ENTRIES_PER_SLICE}
+ * entries: first what a snapshot no longer names is removed, then what is draining or removed is
+ * reported, then the rest, so that no request goes to an app server that is leaving while thousands
+ * of others are taken in. The policy gets all of it as changes. Owned by the event loop.
  */
 final class IncrementalListUpdate {
+  private static final int MAX_ENTRIES_PER_STEP = EndpointListApplier.MAX_ENTRIES_PER_SLICE;
+
   /** What a step works on, in this order. */
   private enum Phase {
     INDEX,
@@ -26,11 +28,10 @@
 
   private final EndpointList list;
   private final EndpointDirectory directory;
-  // of each name, the last entry
-  private final Map<String, EndpointList.Entry> latest = new LinkedHashMap<>();
+  private final Map<String, EndpointList.Entry> lastOfName = new LinkedHashMap<>();
   private Phase phase = Phase.INDEX;
-  private int at; // of the phase's numbers or entries
-  private Iterator<EndpointList.Entry> targets;
+  private int position; // among the list's entries, or the directory's numbers
+  private Iterator<EndpointList.Entry> entries;
 
   IncrementalListUpdate(EndpointList list, EndpointDirectory directory) {
     this.list = list;
@@ -41,48 +42,56 @@
     return phase == Phase.DONE;
   }
 
-  /** Goes on by one slice; null where it has nothing to tell the module. */
+  /**
+   * Takes the next step; null where it has nothing for the policy.
+   *
+   * @throws IllegalStateException if it is done
+   */
   GatewayEvent.EndpointsUpdated step() {
-    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
+    List<GatewayEvent.Endpoint> changed = new ArrayList<>();
     switch (phase) {
       case INDEX -> index();
-      case REMOVE_UNNAMED -> removeUnnamed(entries);
-      case NOT_READY -> take(false, entries);
-      case READY -> take(true, entries);
-      default -> throw new IllegalStateException("done");
+      case REMOVE_UNNAMED -> removeUnnamed(changed);
+      case NOT_READY -> update(false, changed);
+      case READY -> update(true, changed);
+      default -> throw new IllegalStateException("the list is applied");
     }
-    return entries.isEmpty() ? null
-        : new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.DELTA, entries);
+    return changed.isEmpty() ? null
+        : new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.DELTA, changed);
   }
 
   private void index() {
     List<EndpointList.Entry> all = list.entries();
-    int end = Math.min(all.size(), at + DiscoveryClient.SLICE);
-    for (; at < end; at++) latest.put(all.get(at).name(), all.get(at));
-    if (at < all.size()) return;
-    at = 0;
-    targets = latest.values().iterator();
+    int end = Math.min(all.size(), position + MAX_ENTRIES_PER_STEP);
+    for (; position < end; position++) {
+      lastOfName.put(all.get(position).name(), all.get(position));
+    }
+    if (position < all.size()) return;
+    position = 0;
+    entries = lastOfName.values().iterator();
     phase = list.snapshot() ? Phase.REMOVE_UNNAMED : Phase.NOT_READY;
   }
 
-  private void removeUnnamed(List<GatewayEvent.Endpoint> entries) {
-    int end = Math.min(directory.numbers(), at + DiscoveryClient.SLICE);
-    for (; at < end; at++) {
-      String name = directory.name(at);
-      if (name != null && !latest.containsKey(name) && directory.isListed(at))
-        entries.add(directory.remove(at));
+  private void removeUnnamed(List<GatewayEvent.Endpoint> changed) {
+    int end = Math.min(directory.numbers(), position + MAX_ENTRIES_PER_STEP);
+    for (; position < end; position++) {
+      String name = directory.name(position);
+      if (name != null && !lastOfName.containsKey(name) && directory.isListed(position)) {
+        changed.add(directory.remove(position));
+      }
     }
-    if (at >= directory.numbers()) phase = Phase.NOT_READY;
+    if (position >= directory.numbers()) phase = Phase.NOT_READY;
   }
 
-  private void take(boolean ready, List<GatewayEvent.Endpoint> entries) {
-    for (int looked = 0; looked < DiscoveryClient.SLICE && targets.hasNext(); looked++) {
-      EndpointList.Entry target = targets.next();
-      if (ready == (target.state() == GatewayEvent.EndpointState.READY))
-        entries.add(directory.take(target));
+  private void update(boolean ready, List<GatewayEvent.Endpoint> changed) {
+    for (int seen = 0; seen < MAX_ENTRIES_PER_STEP && entries.hasNext(); seen++) {
+      EndpointList.Entry entry = entries.next();
+      if (ready == (entry.state() == GatewayEvent.EndpointState.READY)) {
+        changed.add(directory.update(entry));
+      }
     }
-    if (targets.hasNext()) return;
-    targets = latest.values().iterator();
+    if (entries.hasNext()) return;
+    entries = lastOfName.values().iterator();
     phase = ready ? Phase.DONE : Phase.READY;
   }
 }
--- a/src/main/java/saltlatch/node/NodeClock.java
+++ b/src/main/java/saltlatch/node/NodeClock.java
@@ -1,14 +1,19 @@
 package saltlatch.node;
 
 import java.time.Instant;
+import saltlatch.api.Ticks;
 
-/** The node's one clock: Unix time in tenths of a ms, never backwards. */
+/** The node's one clock: ticks since the Unix epoch, never backwards. Owned by the event loop. */
 final class NodeClock {
-  private long last;
+  private static final long NANOS_PER_TICK = 1_000_000 / Ticks.PER_MILLISECOND;
 
-  long now() {
-    Instant i = Instant.now();
-    last = Math.max(last, i.getEpochSecond() * 10_000 + i.getNano() / 100_000);
-    return last;
+  private long latestTicks;
+
+  /** The time now, or the latest one given if the system's clock was set back. */
+  long nowTicks() {
+    Instant now = Instant.now();
+    long ticks = now.getEpochSecond() * Ticks.PER_SECOND + now.getNano() / NANOS_PER_TICK;
+    latestTicks = Math.max(latestTicks, ticks);
+    return latestTicks;
   }
 }
--- /dev/null
+++ b/src/main/java/saltlatch/node/NodeConfigurationReader.java
@@ -0,0 +1,83 @@
+package saltlatch.node;
+
+import com.google.gson.JsonElement;
+import io.vertx.core.net.SocketAddress;
+import java.nio.file.Path;
+import java.util.List;
+import saltlatch.api.GatewaySettings;
+import saltlatch.settings.InvalidSettingException;
+import saltlatch.settings.JsonSection;
+import saltlatch.settings.SettingsReader;
+import saltlatch.wire.discovery.EndpointList;
+import saltlatch.wire.transport.TcpConnector;
+
+/**
+ * Maps the keys of a node's configuration file to the field's terms; the only class that knows
+ * them. The settings that the file holds are {@link SettingsReader}'s.
+ */
+public final class NodeConfigurationReader {
+  private static final List<String> REQUIRED_KEYS = List.of("name", "seed", "listen", "discovery",
+      "settings", "limits", "known");
+  private static final int HEXADECIMAL = 16;
+
+  private NodeConfigurationReader() {}
+
+  /**
+   * Decodes a configuration's JSON text; at the start on the main thread, at a reload on a worker.
+   *
+   * @throws RuntimeException for a text that is no JSON object, {@link InvalidSettingException} for
+   *     a key that is missing or whose value can't be used
+   */
+  public static NodeConfiguration read(String text) {
+    JsonSection file = JsonSection.parse(text);
+    for (String key : REQUIRED_KEYS) {
+      if (!file.has(key)) throw InvalidSettingException.missing(key);
+    }
+    ResourceLimits resourceLimits = resourceLimits(file.section("limits"));
+    NodeConfiguration.Addresses addresses = addresses(file);
+    boolean membershipEnabled = file.flag("membership");
+    long seed = file.required("seed", "hexadecimal number",
+        value -> Long.parseUnsignedLong(value.getAsString(), HEXADECIMAL));
+    JsonSection settingsSection = file.section("settings");
+    GatewaySettings settings = SettingsReader.read(settingsSection, seed);
+    if (membershipEnabled) requirePeers(settings, addresses);
+    Path historyDirectory = file.has("history")
+        ? Path.of(file.required("history", "word", JsonElement::getAsString)) : null;
+    EndpointList cachedEndpoints = file.required("known", "list of app servers",
+        value -> EndpointList.of(value.getAsJsonObject()));
+    return new NodeConfiguration(file.text("name"), addresses, resourceLimits, historyDirectory,
+        membershipEnabled, cachedEndpoints, SettingsReader.readHostSettings(settingsSection),
+        settings);
+  }
+
+  private static ResourceLimits resourceLimits(JsonSection limits) {
+    int descriptors = limits.requiredInt("sockets");
+    if (descriptors < ResourceLimits.MIN_DESCRIPTORS) {
+      throw new InvalidSettingException(
+          "limits.sockets " + descriptors + " below " + ResourceLimits.MIN_DESCRIPTORS);
+    }
+    return new ResourceLimits(limits.requiredInt("memory_mb"), descriptors);
+  }
+
+  private static NodeConfiguration.Addresses addresses(JsonSection file) {
+    List<SocketAddress> peers = file.texts("peers").stream().map(TcpConnector::parseAddress)
+        .toList();
+    return new NodeConfiguration.Addresses(address(file, "listen"), address(file, "discovery"),
+        address(file, "counter"), address(file, "peer_listen"), peers, address(file, "peers_all"));
+  }
+
+  private static SocketAddress address(JsonSection file, String key) {
+    if (!file.hasValue(key)) return null;
+    return file.required(key, "address", value -> TcpConnector.parseAddress(value.getAsString()));
+  }
+
+  private static void requirePeers(GatewaySettings settings, NodeConfiguration.Addresses own) {
+    boolean mayReceive = settings.peers().datagramsPerSecond() > 0;
+    if (mayReceive && own.peers().size() == settings.nodeCount() && own.peerListen() != null) {
+      return;
+    }
+    throw new InvalidSettingException(
+        "membership wants peer_listen, an address in peers for each of the " + settings.nodeCount()
+            + " nodes, and mayTell with peerInPerS above 0");
+  }
+}
--- /dev/null
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -0,0 +1,146 @@
+package saltlatch.node;
+
+import saltlatch.api.Ticks;
+import saltlatch.history.History;
+import saltlatch.membership.FleetView;
+import saltlatch.membership.MembershipMessage;
+import saltlatch.state.ClientRequest;
+import saltlatch.state.RequestContext;
+import saltlatch.wire.transport.CallResult;
+
+/**
+ * Writes a node's history to its file: the one class that knows the kinds, keys and words of a
+ * node's lines. The laboratory's checks read them, those of files written long ago too, so they
+ * stay as they are whatever the code's own names become.
+ */
+final class NodeHistoryFile implements NodeHistory {
+  private static final String ID = "id";
+  private static final String SERVER = "srv";
+  private static final String ATTEMPT = "dispatch";
+  private static final String RESULT = "how";
+  private static final String VIEW_VERSION = "view";
+
+  private final History history;
+
+  NodeHistoryFile(History history) {
+    this.history = history;
+  }
+
+  @Override
+  public void started(int nodeCount) {
+    history.add("started", "nodes", nodeCount);
+  }
+
+  @Override
+  public void ready() {
+    history.add("ready");
+  }
+
+  @Override
+  public void reloaded() {
+    history.add("reloaded");
+  }
+
+  @Override
+  public void stopping() {
+    history.add("stops");
+  }
+
+  @Override
+  public void stopped(String metrics) {
+    history.add("ends", "figures", metrics);
+  }
+
+  @Override
+  public void stalled(long stallMs) {
+    history.add("away", "for_ms", stallMs);
+  }
+
+  @Override
+  public void requestArrived(RequestContext context, long ageTicks) {
+    ClientRequest request = context.request();
+    history.add("arrived", ID, request.id, "customer", Long.toHexString(request.customer), "units",
+        request.units, "wait_ms", request.clientTimeoutMs, "age_ms",
+        ageTicks / Ticks.PER_MILLISECOND, "query", request.query);
+  }
+
+  @Override
+  public void requestFinished(RequestContext context, FinalOutcome outcome) {
+    history.add("answered", ID, context.request().id, RESULT, word(outcome));
+  }
+
+  @Override
+  public void attemptStarted(RequestContext context, String server, int attempt,
+      long timeoutTicks) {
+    history.add("dispatched", ID, context.request().id, SERVER, server, ATTEMPT, attempt, "cap_ms",
+        timeoutTicks / Ticks.PER_MILLISECOND);
+  }
+
+  @Override
+  public void attemptEnded(RequestContext context, String server, int attempt, CallResult result) {
+    history.add("ended", ID, context.request().id, SERVER, server, ATTEMPT, attempt, RESULT,
+        word(result));
+  }
+
+  @Override
+  public void policyLogged(String text) {
+    history.add("note", "text", text);
+  }
+
+  @Override
+  public void memberChanged(int member, MembershipMessage.State state, long incarnation,
+      long viewVersion) {
+    history.add("member", "member", "n" + member, "state", word(state), "incarnation", incarnation,
+        VIEW_VERSION, viewVersion);
+  }
+
+  @Override
+  public void fleetViewChanged(FleetView view, int liveMembers, long viewVersion) {
+    history.add("standing", "is", MembershipInfo.word(view), "live", liveMembers, VIEW_VERSION,
+        viewVersion);
+  }
+
+  @Override
+  public void quotaShareChanged(QuotaShareLevel level, QuotaShareFigures figures) {
+    history.add("share", "is", MembershipInfo.word(level), "part", figures.own(), "whole",
+        figures.evenShare(), "floor", figures.floor(), "holds_ms", figures.leaseMs(), "takes_ms",
+        figures.takeoverMs());
+  }
+
+  private static String word(FinalOutcome outcome) {
+    return switch (outcome) {
+      case SUCCEEDED -> "passed";
+      case REJECTED -> "denied";
+      case FAILED -> "aborted";
+      case CLIENT_DISCONNECTED -> "left";
+    };
+  }
+
+  private static String word(CallResult result) {
+    return switch (result) {
+      case ANSWERED -> "ANSWERED";
+      case ERROR_ANSWER -> "ERROR_ANSWER";
+      case SPOILT_ANSWER -> "SPOILT_ANSWER";
+      case BUSY_ANSWER -> "BUSY_ANSWER";
+      case REFUSED_CALL -> "REFUSED_CALL";
+      case CONNECT_FAILED -> "CONNECT_FAILED";
+      case BROKE_UNWRITTEN -> "BROKE_UNWRITTEN";
+      case BROKE_WRITTEN -> "BROKE_WRITTEN";
+      case TIMED_OUT_UNWRITTEN -> "TIMED_OUT_UNWRITTEN";
+      case TIMED_OUT -> "TIMED_OUT";
+      case OWN_CANCEL -> "OWN_CANCEL";
+      case WITHDRAWN -> "WITHDRAWN";
+      case NO_DESCRIPTOR -> "NO_DESCRIPTOR";
+    };
+  }
+
+  private static String word(MembershipMessage.State state) {
+    return switch (state) {
+      case UNKNOWN -> "unknown";
+      case ALIVE -> "alive";
+      case SUSPECT -> "suspect";
+      case FAILED -> "failed";
+      case LEFT -> "left";
+    };
+  }
+}
--- a/src/main/java/saltlatch/node/ReloadSignal.java
+++ b/src/main/java/saltlatch/node/ReloadSignal.java
@@ -3,31 +3,36 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUPs. Guards against one that comes while the process starts: unhandled it would end it, and
- * handled before there is a node to take it, it would be lost, with the node on the old
- * configuration for good.
+ * SIGHUP, which asks for the configuration to be read again. Guards against a signal that comes
+ * while the process starts: unhandled it would end the process; handled before there is a node to
+ * take it, it would be lost, and the node would stay on the old configuration. So the signal is
+ * handled first of all, and kept until the node takes it. Thread-safe: signals come on a thread of
+ * the JVM's own.
  */
 final class ReloadSignal {
-  private Runnable then;
-  private boolean waits; // one has come that nobody has taken yet
+  private Runnable reload; // null: no node takes it yet
+  private boolean pending;
 
+  /** Handles SIGHUP from now on. */
   ReloadSignal() {
-    // the JDK has no other way to handle a signal
-    Signal.handle(new Signal("HUP"), signal -> come());
+    // The JDK has no public API for signals.
+    Signal.handle(new Signal("HUP"), signal -> received());
   }
 
-  private synchronized void come() {
-    if (then == null) waits = true;
-    else then.run();
+  private synchronized void received() {
+    if (reload == null) pending = true;
+    else reload.run();
   }
 
-  synchronized boolean waits() {
-    return waits;
+  /** Whether a signal has come that nobody has taken yet. */
+  synchronized boolean isPending() {
+    return pending;
   }
 
-  synchronized void then(Runnable take) {
-    then = take;
-    if (waits) take.run();
-    waits = false;
+  /** Runs {@code action} at each signal, and now if one has come before. */
+  synchronized void onReload(Runnable action) {
+    reload = action;
+    if (pending) action.run();
+    pending = false;
   }
 }
--- a/src/main/java/saltlatch/node/SingleLoopTransport.java
+++ b/src/main/java/saltlatch/node/SingleLoopTransport.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Connections are accepted on the node's one event loop. Guards against a crowd that an accepting
- * thread of its own takes in while the loop is busy, up to every descriptor: nobody has decided yet
- * who may stay, and no partner can be connected to.
+ * Has connections accepted on the node's one event loop. Guards against an accepting thread of its
+ * own that takes in connections while the event loop is busy, up to the last descriptor: it shows
+ * as a node that can't connect to any partner, while nobody has decided yet which clients stay.
  */
 final class SingleLoopTransport implements Transport {
-  private static final class Epoll extends EpollTransport {
+  private static final class SharedLoopEpoll extends EpollTransport {
     private EventLoopGroup loop;
 
     @Override
@@ -23,14 +23,14 @@
     }
   }
 
-  private final Epoll epoll = new Epoll();
+  private final SharedLoopEpoll epoll = new SharedLoopEpoll();
 
   private SingleLoopTransport() {}
 
-  /** Where the system has no epoll the library's own choice stays. */
-  static VertxBuilder of(VertxBuilder builder) {
-    SingleLoopTransport one = new SingleLoopTransport();
-    return one.available() ? builder.withTransport(one) : builder;
+  /** Sets it where the system has epoll; elsewhere the library's own choice stays. */
+  static VertxBuilder applyTo(VertxBuilder builder) {
+    SingleLoopTransport transport = new SingleLoopTransport();
+    return transport.available() ? builder.withTransport(transport) : builder;
   }
 
   @Override
--- a/src/main/java/saltlatch/settings/SettingsReader.java
+++ b/src/main/java/saltlatch/settings/SettingsReader.java
@@ -1,111 +1,115 @@
 package saltlatch.settings;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Function;
 import saltlatch.api.GatewaySettings;
+import saltlatch.api.GatewaySettings.KeyScope;
+import saltlatch.api.GatewaySettings.RetrySafety;
 import saltlatch.api.Ticks;
 
 /**
- * Decodes the settings, which the simulator's first message and a node's configuration hold;
- * unknown keys are skipped.
+ * Maps the settings' keys to the field's terms; the only class that knows them. The settings stand
+ * in the simulator's first message and in a node's configuration. Unknown keys are skipped.
  */
 public final class SettingsReader {
   private SettingsReader() {}
 
-  public static GatewaySettings site(String text, long seed) {
-    return site(JsonParser.parseString(text).getAsJsonObject(), seed);
+  /**
+   * Reads what the policy needs from a text.
+   *
+   * @throws RuntimeException for a text that is no JSON object, {@link InvalidSettingException} for
+   *     a key whose value can't be used
+   */
+  public static GatewaySettings read(String text, long seed) {
+    return read(JsonSection.parse(text), seed);
   }
 
-  public static GatewaySettings site(JsonObject all, long seed) {
-    JsonObject limits = part(all, "limits");
-    JsonObject guard = part(all, "contract");
-    JsonObject family = part(all, "familyInfo");
-    List<GatewaySettings.RequestClass> frontends = new ArrayList<>();
-    for (JsonObject c : objects(all, "categories")) {
-      frontends.add(
-          new GatewaySettings.RequestClass(effect(word(c, "effect")), group(word(c, "keyScope")),
-              time(c, "window"), time(c, "aim"), time(c, "deadline"), number(c, "importance")));
+  /**
+   * Reads what the policy needs.
+   *
+   * @throws InvalidSettingException for a key whose value can't be used
+   */
+  public static GatewaySettings read(JsonSection settings, long seed) {
+    List<GatewaySettings.RequestClass> requestClasses = new ArrayList<>();
+    for (JsonSection each : settings.requiredSections("categories")) {
+      requestClasses.add(requestClass(each));
     }
-    List<GatewaySettings.QuotaPlan> plans = new ArrayList<>();
-    if (all.has("contracts")) {
-      for (JsonObject c : objects(all, "contracts")) {
-        plans.add(new GatewaySettings.QuotaPlan(number(c, "refill"), number(c, "peakUnits"),
-            (int) number(c, "parallel"), number(c, "capRate"), number(c, "hardBurst"),
-            number(c, "pays")));
+    List<GatewaySettings.QuotaPlan> quotaPlans = new ArrayList<>();
+    if (settings.has("contracts")) {
+      for (JsonSection each : settings.requiredSections("contracts")) {
+        quotaPlans.add(quotaPlan(each));
       }
     }
-    GatewaySettings.Limits rules = new GatewaySettings.Limits(
-        word(all, "discovery").equals("subscribe"), flag(limits, "cancelling"),
-        (int) number(limits, "sendCap"), flag(limits, "retryAfter"), time(limits, "maxRetryAfter"),
-        flag(part(all, "clients"), "marksRetry"), time(guard, "cold"), number(guard, "coldFrom"),
-        number(guard, "fallMultiple"), time(guard, "tipAfter"));
-    GatewaySettings.CounterSettings counting = new GatewaySettings.CounterSettings(
-        flag(family, "counter"), flag(family, "costAfter"));
-    return new GatewaySettings(seed, (int) number(all, "peersTotal"), time(all, "quantum"), rules,
-        counting,
-        new GatewaySettings.PeerSettings((int) number(all, "me"),
-            flag(limits, "mayTell") ? number(family, "peerInPerS") : 0,
-            number(part(all, "fees"), "peer")),
-        frontends, plans);
+    return new GatewaySettings(seed, (int) settings.number("peersTotal"), settings.ticks("quantum"),
+        limits(settings), counter(settings), peers(settings), requestClasses, quotaPlans);
   }
 
-  private static GatewaySettings.RetrySafety effect(String word) {
-    return switch (word) {
-      case "idempotent" -> GatewaySettings.RetrySafety.IDEMPOTENT;
-      case "deduplicated" -> GatewaySettings.RetrySafety.IDEMPOTENT_BY_KEY;
-      default -> GatewaySettings.RetrySafety.NOT_IDEMPOTENT;
-    };
+  /**
+   * Reads what a host with sockets needs.
+   *
+   * @throws InvalidSettingException for a key whose value can't be used
+   */
+  public static HostSettings readHostSettings(JsonSection settings) {
+    JsonSection limits = settings.section("limits");
+    JsonSection family = settings.section("familyInfo");
+    return new HostSettings(nearestTicks(limits, "connectTimeout"),
+        nearestTicks(limits, "connIdle"), nearestTicks(family, "countLimit"),
+        limits.flag("mayTell"), family.numberOr("unitsTop", Double.MAX_VALUE),
+        settings.section("report").texts("fields"), settings.namesOf("categories"),
+        settings.namesOf("contracts"), settings.texts("azs"), settings.texts("machineTypes"));
   }
 
-  private static GatewaySettings.KeyScope group(String word) {
-    return switch (word) {
-      case "all" -> GatewaySettings.KeyScope.ALL;
-      case "zone" -> GatewaySettings.KeyScope.ZONE;
-      default -> GatewaySettings.KeyScope.GROUP;
-    };
+  private static GatewaySettings.RequestClass requestClass(JsonSection from) {
+    return new GatewaySettings.RequestClass(retrySafety(from.text("effect")),
+        keyScope(from.text("keyScope")), from.ticks("window"), from.ticks("aim"),
+        from.ticks("deadline"), from.number("importance"));
   }
 
-  public static JsonObject part(JsonObject from, String key) {
-    return from.has(key) ? typed(from, key, "object", JsonElement::getAsJsonObject)
-        : new JsonObject();
+  private static RetrySafety retrySafety(String text) {
+    return switch (text) {
+      case "idempotent" -> RetrySafety.IDEMPOTENT;
+      case "deduplicated" -> RetrySafety.IDEMPOTENT_BY_KEY;
+      default -> RetrySafety.NOT_IDEMPOTENT;
+    };
   }
 
-  private static double number(JsonObject from, String key) {
-    return from.has(key) && !from.get(key).isJsonNull()
-        ? typed(from, key, "number", JsonElement::getAsDouble) : 0;
+  private static KeyScope keyScope(String text) {
+    return switch (text) {
+      case "all" -> KeyScope.ALL;
+      case "zone" -> KeyScope.ZONE;
+      default -> KeyScope.GROUP;
+    };
   }
 
-  private static long time(JsonObject from, String key) {
-    return Ticks.ofMillis(number(from, key));
+  private static GatewaySettings.QuotaPlan quotaPlan(JsonSection from) {
+    return new GatewaySettings.QuotaPlan(from.number("refill"), from.number("peakUnits"),
+        (int) from.number("parallel"), from.number("capRate"), from.number("hardBurst"),
+        from.number("pays"));
   }
 
-  public static boolean flag(JsonObject from, String key) {
-    return from.has(key) && typed(from, key, "boolean", JsonElement::getAsBoolean);
+  private static GatewaySettings.Limits limits(JsonSection settings) {
+    JsonSection limits = settings.section("limits");
+    JsonSection warmUp = settings.section("contract");
+    return new GatewaySettings.Limits(settings.text("discovery").equals("subscribe"),
+        limits.flag("cancelling"), (int) limits.number("sendCap"), limits.flag("retryAfter"),
+        limits.ticks("maxRetryAfter"), settings.section("clients").flag("marksRetry"),
+        warmUp.ticks("cold"), warmUp.number("coldFrom"), warmUp.number("fallMultiple"),
+        warmUp.ticks("tipAfter"));
   }
 
-  public static String word(JsonObject from, String key) {
-    return from.has(key) ? typed(from, key, "word", JsonElement::getAsString) : "";
+  private static GatewaySettings.CounterSettings counter(JsonSection settings) {
+    JsonSection family = settings.section("familyInfo");
+    return new GatewaySettings.CounterSettings(family.flag("counter"), family.flag("costAfter"));
   }
 
-  private static List<JsonObject> objects(JsonObject from, String key) {
-    List<JsonObject> all = new ArrayList<>();
-    return typed(from, key, "list of objects", e -> {
-      e.getAsJsonArray().forEach(one -> all.add(one.getAsJsonObject()));
-      return all;
-    });
+  private static GatewaySettings.PeerSettings peers(JsonSection settings) {
+    boolean gossipAllowed = settings.section("limits").flag("mayTell");
+    return new GatewaySettings.PeerSettings((int) settings.number("me"),
+        gossipAllowed ? settings.section("familyInfo").number("peerInPerS") : 0,
+        settings.section("fees").number("peer"));
   }
 
-  /** What must be there, of one type; a failure names the key. */
-  public static <T> T typed(JsonObject from, String key, String type, Function<JsonElement, T> as) {
-    if (!from.has(key)) throw new IllegalArgumentException(key + " is missing");
-    try {
-      return as.apply(from.get(key));
-    } catch (RuntimeException e) {
-      throw new IllegalArgumentException(key + " is no " + type);
-    }
+  private static long nearestTicks(JsonSection from, String key) {
+    return Math.round(from.numberOr(key, 0) * Ticks.PER_MILLISECOND);
   }
 }
--- a/src/main/java/saltlatch/simhost/SimulatorHost.java
+++ b/src/main/java/saltlatch/simhost/SimulatorHost.java
@@ -114,7 +114,7 @@
   private void attach(long now, int inst, long seed, String text) throws Malformed {
     GatewaySettings site;
     try {
-      site = SettingsReader.site(text, seed);
+      site = SettingsReader.read(text, seed);
     } catch (RuntimeException e) {
       throw new Malformed("settings: " + e);
     }
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -49,13 +49,6 @@
   // bytes decoded in a row: some 260 entries, about 1 ms
   private static final int READ_AT_ONCE = 32 << 10;
   private static final long READ_PAUSE = 10; // 1 ms for the loop's other work, between such rows
-  /**
-   * Entries that go to the module in one event, and at most are looked at in one turn: well under 5
-   * ms, all told.
-   */
-  public static final int SLICE = 512;
-  /** Between the slices of a large list: 1 ms for the loop's other work. */
-  public static final long SLICE_PAUSE = 10;
 
   private final Vertx vertx;
   private HttpClient client; // made when first used, which is after the node serves
--- a/src/test/java/saltlatch/node/HistoryLinesTest.java
+++ b/src/test/java/saltlatch/node/HistoryLinesTest.java
@@ -102,7 +102,7 @@
   @Test
   void configurationReadAnew() throws Exception {
     Path path = Files.writeString(dir.resolve("config.json"), config());
-    node.rereadOn(new ReloadSignal(), path);
+    node.reloadOn(new ReloadSignal(), path);
     Signal.raise(new Signal("HUP"));
     accept(discovery);
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -117,7 +117,7 @@
         .replace("\"familyInfo\":{", "\"familyInfo\":{\"peerInPerS\":40,")
         .replace("\"peers\":[", "\"membership\":true,\"peers\":[\"127.0.0.1:9\",")
         .replace("\"name\":\"n0\"", "\"name\":\"n7\"");
-    EdgeNode member = new EdgeNode(NodeConfiguration.of(two));
+    EdgeNode member = new EdgeNode(NodeConfigurationReader.read(two));
     member.start((now, site, out) -> (at, events) -> {}).toCompletionStage().toCompletableFuture()
         .get();
     member.stop().toCompletionStage().toCompletableFuture().get();
--- a/src/test/java/saltlatch/node/HollowNodeTest.java
+++ b/src/test/java/saltlatch/node/HollowNodeTest.java
@@ -46,9 +46,9 @@
           return Future.succeededFuture();
         });
         HollowNode node = new HollowNode(vertx, loop.get(20, TimeUnit.SECONDS),
-            NodeConfiguration.of(config));
+            NodeConfigurationReader.read(config));
         BlockingQueue<Long> indices = new LinkedBlockingQueue<>();
-        node.onListed(indices::add);
+        node.onListApplied(indices::add);
         node.start(PolicyEngine::new);
         assertEquals(1, indices.poll(20, TimeUnit.SECONDS));
         nodes.add(node);
@@ -60,8 +60,8 @@
         assertEquals(2 + i, applied.get(i).poll(20, TimeUnit.SECONDS));
         assertEquals(4, applied.get(i).poll(20, TimeUnit.SECONDS));
         assertEquals(4, node.listIndex());
-        assertEquals(3, node.listed());
-        assertTrue(node.figures().contains("lists=2\n"), node.figures());
+        assertEquals(3, node.listedServers());
+        assertTrue(node.infoText().contains("lists=2\n"), node.infoText());
         node.stop();
         while (!NodeHarness.line(watch).equals("closed")) continue; // the watch ends
         watch.close();
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -14,7 +14,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
-import saltlatch.wire.discovery.DiscoveryClient;
 
 /** Lists of the size that is coming, from discovery's socket to the module. */
 @Timeout(60)
@@ -63,7 +62,7 @@
       GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
       assertEquals(GatewayEvent.EndpointUpdateKind.DELTA, event.kind());
-      assertTrue(event.endpoints().size() <= DiscoveryClient.SLICE,
+      assertTrue(event.endpoints().size() <= EndpointListApplier.MAX_ENTRIES_PER_SLICE,
           event.endpoints().size() + " in one event");
       entries.addAll(event.endpoints());
     }
@@ -131,10 +130,10 @@
   @Test
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(1, 1 + DiscoveryClient.SLICE)));
+    stream(s, list(2, true, ready(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
-    assertEquals(DiscoveryClient.SLICE, event.endpoints().size());
+    assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, event.endpoints().size());
   }
 
   /**
@@ -145,9 +144,10 @@
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(0, MANY)));
-    assertEquals(DiscoveryClient.SLICE, events.take().endpoints().size());
+    assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, events.take().endpoints().size());
     s.close();
-    while (distinct(GatewayEvent.EndpointState.READY) < MANY - DiscoveryClient.SLICE) {
+    while (distinct(GatewayEvent.EndpointState.READY) < MANY
+        - EndpointListApplier.MAX_ENTRIES_PER_SLICE) {
       entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
     watch("2");
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -57,7 +57,7 @@
     counter = listen();
     discovery = listen();
     peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-    node = new EdgeNode(NodeConfiguration.of(config()));
+    node = new EdgeNode(NodeConfigurationReader.read(config()));
     node.start(this::module).toCompletionStage().toCompletableFuture().get();
     assertEquals("listed CACHED_SNAPSHOT [0 READY]", next());
   }
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -327,7 +327,7 @@
       if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
     };
     Path path = dir.resolve("config.json");
-    node.rereadOn(new ReloadSignal(), path);
+    node.reloadOn(new ReloadSignal(), path);
     Socket oldWatch = accept(discovery);
     Socket c = client();
     say(c, req(0));
@@ -361,17 +361,17 @@
   @Test
   void hangupBeforeTheStart(@TempDir Path dir) throws Exception {
     Path path = Files.writeString(dir.resolve("config.json"), config());
-    EdgeNode early = new EdgeNode(NodeConfiguration.of(config()));
+    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(config()));
     ServerSocket was = discovery;
     discovery = listen();
     Files.writeString(path, config());
     ReloadSignal hangups = new ReloadSignal();
     Signal.raise(new Signal("HUP"));
-    while (!hangups.waits()) Thread.onSpinWait();
-    early.rereadOn(hangups, path);
+    while (!hangups.isPending()) Thread.onSpinWait();
+    early.reloadOn(hangups, path);
     CountDownLatch read = new CountDownLatch(1); // the file, and what it says was handed over
-    early.loop
-        .runOnContext(v -> early.vertx.executeBlocking(() -> 0).onSuccess(x -> read.countDown()));
+    early.loop()
+        .runOnContext(v -> early.vertx().executeBlocking(() -> 0).onSuccess(x -> read.countDown()));
     assertTrue(read.await(20, TimeUnit.SECONDS));
     early.start((now, site, out) -> (at, events) -> {}).toCompletionStage().toCompletableFuture()
         .get();
@@ -467,8 +467,8 @@
       String wrong = config().replaceFirst("\"" + key + "\":", "\"" + key + "\":[[]],\"was\":");
       Path path = Files.writeString(dir.resolve("config.json"), wrong);
       ByteArrayOutputStream one = new ByteArrayOutputStream();
-      assertEquals(2, EdgeNode.run((now, site, out) -> null, path.toString(), new PrintStream(one)),
-          key);
+      assertEquals(2,
+          ServeProcess.run((now, site, out) -> null, path.toString(), new PrintStream(one)), key);
       assertTrue(one.toString().lines().count() == 1 && one.toString().contains(key),
           one.toString());
     }
@@ -478,9 +478,9 @@
     for (String text : texts) {
       Path path = Files.writeString(dir.resolve("config.json"), text);
       assertEquals(2,
-          EdgeNode.run((now, site, out) -> null, path.toString(), new PrintStream(err)));
+          ServeProcess.run((now, site, out) -> null, path.toString(), new PrintStream(err)));
     }
-    assertEquals(2, EdgeNode.run((now, site, out) -> null, dir.resolve("none").toString(),
+    assertEquals(2, ServeProcess.run((now, site, out) -> null, dir.resolve("none").toString(),
         new PrintStream(err)));
     assertTrue(
         err.toString().lines().allMatch(l -> l.startsWith("saltlatch serve: configuration ")),
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -136,7 +136,7 @@
   /** The end is told before the node is ready: it never gets ready, and is over at once. */
   @Test
   void beforeItIsReady() throws Exception {
-    EdgeNode early = new EdgeNode(NodeConfiguration.of(config()));
+    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(config()));
     CompletableFuture<Void> done = early.stop().toCompletionStage().toCompletableFuture();
     CompletableFuture<Void> open = early.start((now, site, out) -> (at, events) -> {})
         .toCompletionStage().toCompletableFuture();
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -165,7 +165,7 @@
   @Test
   void olderListsArePassedOver(@TempDir Path dir) throws Exception {
     Path path = dir.resolve("config.json");
-    node.rereadOn(new ReloadSignal(), path);
+    node.reloadOn(new ReloadSignal(), path);
     Socket old = first();
     stream(old, list(7, false, "s-1", "Terminating"));
     assertEquals("listed DELTA [1 DRAINING]", next());
