--- a/src/main/java/saltlatch/node/ActionExecutor.java
+++ b/src/main/java/saltlatch/node/ActionExecutor.java
@@ -57,14 +57,14 @@
     int attempt = requests.startAttempt(request);
     history.attemptStarted(request, partners.directory().name(server), attempt, timeoutTicks);
     try {
-      partners.appServers().dispatch(request, attempt, server, timeoutTicks);
+      partners.appServers().startAttempt(request, attempt, server, timeoutTicks);
     } catch (RuntimeException e) {
       // Guards against a fault of this side that stops the policy half-way through what it wants of
       // other requests. It shows as an attempt that was never sent.
       LOG.error("attempt_start_failed server={}", partners.directory().name(server), e);
       metrics.add(Metric.EXCEPTIONS);
-      attempts.ended(request, attempt, server,
-          AppServerReply.withoutValue(CallResult.NO_DESCRIPTOR), 0);
+      attempts.attemptEnded(request, attempt, server,
+          AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
     }
   }
 
@@ -87,7 +87,7 @@
   @Override
   public void cancelAttempt(long requestId, int attempt) {
     RequestContext request = requests.find(requestId);
-    if (request != null) partners.appServers().cancel(request, attempt);
+    if (request != null) partners.appServers().cancelAttempt(request, attempt);
   }
 
   @Override
@@ -97,12 +97,12 @@
 
   @Override
   public void checkHealth(long serverId) {
-    partners.appServers().probe((int) serverId, healthCheckTimeoutTicks);
+    partners.appServers().checkHealth((int) serverId, healthCheckTimeoutTicks);
   }
 
   @Override
   public void closeIdleConnections(long serverId) {
-    partners.appServers().closeIdle((int) serverId);
+    partners.appServers().closeIdleConnections((int) serverId);
   }
 
   @Override
--- a/src/main/java/saltlatch/node/AttemptListener.java
+++ b/src/main/java/saltlatch/node/AttemptListener.java
@@ -7,6 +7,7 @@
 import saltlatch.state.RequestContext;
 import saltlatch.wire.appserver.AppServerClient;
 import saltlatch.wire.appserver.AppServerReply;
+import saltlatch.wire.resp.NamedFigures;
 import saltlatch.wire.transport.CallResult;
 
 /**
@@ -36,7 +37,7 @@
   }
 
   @Override
-  public void ended(RequestContext context, int attempt, int serverId, AppServerReply reply,
+  public void attemptEnded(RequestContext context, int attempt, int serverId, AppServerReply reply,
       long elapsedTicks) {
     history.attemptEnded(context, directory.name(serverId), attempt, reply.result());
     if (reply.result() == CallResult.ANSWERED) responses.succeed(context, reply.value());
@@ -48,13 +49,13 @@
   }
 
   @Override
-  public boolean mayBegin(RequestContext context, int attempt) {
+  public boolean mayStartAttempt(RequestContext context, int attempt) {
     events.flush();
     return !context.isFinished() && events.mayStartAttempt(context.requestId(), attempt);
   }
 
   @Override
-  public void probed(int serverId, AppServerReply reply, long elapsedTicks) {
+  public void healthChecked(int serverId, AppServerReply reply, long elapsedTicks) {
     events.add(new GatewayEvent.HealthChecked(serverId, reply.result().outcome(), elapsedTicks,
         loadReport(reply)));
     directory.releaseUnused();
@@ -64,7 +65,7 @@
     if (reply.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
     for (String field : loadReportFields) {
-      values.add(AppServerReply.field(reply.loadReport(), field));
+      values.add(NamedFigures.find(reply.loadReport(), field));
     }
     return values;
   }
--- a/src/main/java/saltlatch/node/ClientRequestHandler.java
+++ b/src/main/java/saltlatch/node/ClientRequestHandler.java
@@ -44,15 +44,15 @@
   }
 
   @Override
-  public RequestContext arrived(ClientRequest request, RequestContext.ResponseSink client) {
+  public RequestContext requestArrived(ClientRequest request, RequestContext.ResponseSink client) {
     stalls.check();
-    int requestClass = requestClasses.find(request.requestClass);
-    int plan = quotaPlans.find(request.plan);
+    int requestClass = requestClasses.find(request.requestClass());
+    int plan = quotaPlans.find(request.plan());
     metrics.add(Metric.REQUESTS);
     // The id's check guards against a stranger who reuses the id of a request in flight: an app
     // server would take it for an attempt of that request, and answer with what is not the
     // stranger's.
-    if (!validator.isValid(request, requestClass, plan) || requests.containsId(request.id)) {
+    if (!validator.isValid(request, requestClass, plan) || requests.containsId(request.id())) {
       metrics.add(Metric.REQUESTS_INVALID);
       client.fail();
       return null;
@@ -71,12 +71,12 @@
     ClientRequest request = context.request();
     history.requestArrived(context, ageTicks);
     events.add(new GatewayEvent.RequestArrived(context.requestId(), requestClass, plan,
-        request.customer, request.clientTimeoutMs * Ticks.PER_MILLISECOND, request.units,
-        request.nodeCount, request.firstNode, request.retry, ageTicks));
+        request.customer(), request.clientTimeoutMs() * Ticks.PER_MILLISECOND, request.units(),
+        request.nodeCount(), request.firstNode(), request.retry(), ageTicks));
   }
 
   @Override
-  public void left(RequestContext context) {
+  public void clientDisconnected(RequestContext context) {
     responses.clientDisconnected(context);
     metrics.add(Metric.CLIENT_DISCONNECTS);
     events.add(new GatewayEvent.ClientDisconnected(context.requestId()));
@@ -86,11 +86,11 @@
   @Override
   public void abandon(RequestContext context) {
     responses.fail(context);
-    left(context);
+    clientDisconnected(context);
   }
 
   @Override
-  public String figures() {
+  public String infoText() {
     return infoText.get();
   }
 }
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -75,7 +75,7 @@
   /** Takes in one entry, and returns the policy's form of it. */
   GatewayEvent.Endpoint update(EndpointList.Entry entry) {
     int serverId = names.assign(entry.name());
-    if (entry.address() != null) appServers.locate(serverId, entry.address());
+    if (entry.address() != null) appServers.setAddress(serverId, entry.address());
     if (entry.state() == GatewayEvent.EndpointState.REMOVED) removed.add(serverId);
     else removed.remove(serverId);
     GatewayEvent.Endpoint endpoint = new GatewayEvent.Endpoint(serverId,
@@ -104,7 +104,7 @@
     int released = 0;
     while (released < EndpointListApplier.MAX_ENTRIES_PER_SLICE && candidates.hasNext()) {
       int serverId = candidates.next();
-      if (!appServers.forget(serverId)) continue;
+      if (!appServers.remove(serverId)) continue;
       names.release(serverId);
       latest.set(serverId, null);
       candidates.remove();
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -68,19 +68,19 @@
 
   /** Begins; completes the promise once no client is connected any more. */
   void start() {
-    vertx.setTimer(schedule.closeIdleAfterMs(), t -> listener.closeWhenAnswered());
+    vertx.setTimer(schedule.closeIdleAfterMs(), t -> listener.closeConnectionsWhenAnswered());
     vertx.setTimer(schedule.rejectAfterMs(), t -> rejectAll());
     vertx.setPeriodic(MIN_SERVING_MS, CHECK_INTERVAL_MS, this::check);
   }
 
   private void rejectAll() {
-    listener.refuse();
+    listener.failPendingAndRejectNew();
     runtime.leave();
   }
 
   private void check(long periodicTimer) {
-    if (listener.isRefusing()) listener.closeIdle(); // also those that came since the last check
-    if (listener.links() > 0) return;
+    if (listener.isRejecting()) listener.closeIdleConnections(); // also those that came since the last check
+    if (listener.openConnections() > 0) return;
     vertx.cancelTimer(periodicTimer);
     rejectAll(); // what comes while all is being closed is not forwarded
     done.complete();
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -23,7 +23,7 @@
  * and the history what changes. Exists only where the configuration enables membership; decides
  * nothing. Owned by the event loop.
  */
-final class MembershipAdapter implements Membership.Out {
+final class MembershipAdapter implements Membership.Output {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipAdapter.class);
 
   private final Scheduler scheduler;
@@ -58,7 +58,7 @@
   private void tick() {
     membership.tick(scheduler.now());
     reportChanges();
-    scheduler.at(scheduler.now() + MembershipTimings.tick(), this::tick);
+    scheduler.at(scheduler.now() + MembershipTimings.tickIntervalTicks(), this::tick);
   }
 
   /**
@@ -69,7 +69,7 @@
     MembershipMessage message = MembershipCodec.decode(datagram);
     if (message == null) return;
     membership.tick(scheduler.now());
-    membership.heard(scheduler.now(), sender, message);
+    membership.receive(scheduler.now(), sender, message);
     reportChanges();
   }
 
@@ -80,7 +80,7 @@
   }
 
   private void reportChanges() {
-    MembershipChanged current = membership.members();
+    MembershipChanged current = membership.membershipEvent();
     boolean changed = !current.equals(reported);
     if (changed) {
       events.accept(current);
@@ -88,7 +88,7 @@
       reported = current;
     }
     reportShare(level(current), changed);
-    reportFleetView(membership.standing());
+    reportFleetView(membership.fleetView());
   }
 
   private QuotaShareLevel level(MembershipChanged current) {
@@ -117,13 +117,13 @@
   private void reportFleetView(FleetView view) {
     if (view == fleetView) return;
     fleetView = view;
-    LOG.info("fleet_view view={} live={} members={}", MembershipInfo.word(view), membership.live(),
+    LOG.info("fleet_view view={} live={} members={}", view.infoName(), membership.liveCount(),
         timings.members());
-    history.fleetViewChanged(view, membership.live(), membership.version());
+    history.fleetViewChanged(view, membership.liveCount(), membership.version());
   }
 
   private long leftMs(long untilTicks) {
-    long leftTicks = Math.min(timings.lease(), untilTicks - scheduler.now());
+    long leftTicks = Math.min(timings.leaseTicks(), untilTicks - scheduler.now());
     return Math.max(0, leftTicks) / Ticks.PER_MILLISECOND;
   }
 
@@ -140,7 +140,8 @@
   }
 
   @Override
-  public void changed(int member, MembershipMessage.State state, long incarnation, long version) {
+  public void stateChanged(int member, MembershipMessage.State state, long incarnation,
+      long version) {
     history.memberChanged(member, state, incarnation, version);
   }
 }
--- a/src/main/java/saltlatch/node/NodeHistoryFile.java
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -59,27 +59,27 @@
   @Override
   public void requestArrived(RequestContext context, long ageTicks) {
     ClientRequest request = context.request();
-    history.add("arrived", ID, request.id, "customer", Long.toHexString(request.customer), "units",
-        request.units, "wait_ms", request.clientTimeoutMs, "age_ms",
-        ageTicks / Ticks.PER_MILLISECOND, "query", request.query);
+    history.add("arrived", ID, request.id(), "customer", Long.toHexString(request.customer()),
+        "units", request.units(), "wait_ms", request.clientTimeoutMs(), "age_ms",
+        ageTicks / Ticks.PER_MILLISECOND, "query", request.query());
   }
 
   @Override
   public void requestFinished(RequestContext context, FinalOutcome outcome) {
-    history.add("answered", ID, context.request().id, RESULT, word(outcome));
+    history.add("answered", ID, context.request().id(), RESULT, word(outcome));
   }
 
   @Override
   public void attemptStarted(RequestContext context, String server, int attempt,
       long timeoutTicks) {
-    history.add("dispatched", ID, context.request().id, SERVER, server, ATTEMPT, attempt, "cap_ms",
-        timeoutTicks / Ticks.PER_MILLISECOND);
+    history.add("dispatched", ID, context.request().id(), SERVER, server, ATTEMPT, attempt,
+        "cap_ms", timeoutTicks / Ticks.PER_MILLISECOND);
   }
 
   @Override
   public void attemptEnded(RequestContext context, String server, int attempt, CallResult result) {
-    history.add("ended", ID, context.request().id, SERVER, server, ATTEMPT, attempt, RESULT,
-        word(result));
+    history.add("ended", ID, context.request().id(), SERVER, server, ATTEMPT, attempt, RESULT,
+        result.historyName());
   }
 
   @Override
@@ -96,8 +96,7 @@
 
   @Override
   public void fleetViewChanged(FleetView view, int liveMembers, long viewVersion) {
-    history.add("standing", "is", MembershipInfo.word(view), "live", liveMembers, VIEW_VERSION,
-        viewVersion);
+    history.add("standing", "is", view.infoName(), "live", liveMembers, VIEW_VERSION, viewVersion);
   }
 
   @Override
@@ -116,24 +115,6 @@
     };
   }
 
-  private static String word(CallResult result) {
-    return switch (result) {
-      case ANSWERED -> "ANSWERED";
-      case ERROR_ANSWER -> "ERROR_ANSWER";
-      case SPOILT_ANSWER -> "SPOILT_ANSWER";
-      case BUSY_ANSWER -> "BUSY_ANSWER";
-      case REFUSED_CALL -> "REFUSED_CALL";
-      case CONNECT_FAILED -> "CONNECT_FAILED";
-      case BROKE_UNWRITTEN -> "BROKE_UNWRITTEN";
-      case BROKE_WRITTEN -> "BROKE_WRITTEN";
-      case TIMED_OUT_UNWRITTEN -> "TIMED_OUT_UNWRITTEN";
-      case TIMED_OUT -> "TIMED_OUT";
-      case OWN_CANCEL -> "OWN_CANCEL";
-      case WITHDRAWN -> "WITHDRAWN";
-      case NO_DESCRIPTOR -> "NO_DESCRIPTOR";
-    };
-  }
-
   private static String word(MembershipMessage.State state) {
     return switch (state) {
       case UNKNOWN -> "unknown";
--- a/src/main/java/saltlatch/node/RequestValidator.java
+++ b/src/main/java/saltlatch/node/RequestValidator.java
@@ -21,17 +21,17 @@
   /** {@code requestClass} and {@code plan}: the numbers of its names, below 0 if not known. */
   boolean isValid(ClientRequest request, int requestClass, int plan) {
     if (requestClass < 0 || plan < 0) return false;
-    return request.units <= maxUnits && isKnownNodeSet(request)
+    return request.units() <= maxUnits && isKnownNodeSet(request)
         && isOfClass(request, settings.requestClasses().get(requestClass).retrySafety());
   }
 
   private boolean isKnownNodeSet(ClientRequest request) {
-    return request.nodeCount <= settings.nodeCount()
-        && request.firstNode < Math.max(1, settings.nodeCount());
+    return request.nodeCount() <= settings.nodeCount()
+        && request.firstNode() < Math.max(1, settings.nodeCount());
   }
 
   private static boolean isOfClass(ClientRequest request, RetrySafety retrySafety) {
-    return request.query == (retrySafety == RetrySafety.IDEMPOTENT)
-        && (request.hasIdempotencyKey || retrySafety != RetrySafety.IDEMPOTENT_BY_KEY);
+    return request.query() == (retrySafety == RetrySafety.IDEMPOTENT)
+        && (request.hasIdempotencyKey() || retrySafety != RetrySafety.IDEMPOTENT_BY_KEY);
   }
 }
--- a/src/main/java/saltlatch/state/InFlightRequests.java
+++ b/src/main/java/saltlatch/state/InFlightRequests.java
@@ -32,7 +32,7 @@
     RequestContext context = new RequestContext(nextRequestId++, request, client);
     bytes += ownBytes;
     byRequestId.put(context.requestId(), context);
-    clientIds.add(request.id);
+    clientIds.add(request.id());
     return context;
   }
 
@@ -61,7 +61,7 @@
   public void releaseIfComplete(RequestContext context) {
     if (!context.isComplete() || byRequestId.remove(context.requestId()) == null) return;
     bytes -= context.request().sizeBytes() + OVERHEAD_BYTES;
-    clientIds.remove(context.request().id);
+    clientIds.remove(context.request().id());
   }
 
   /** How many requests are in flight. */
