--- a/src/main/java/saltlatch/history/History.java
+++ b/src/main/java/saltlatch/history/History.java
@@ -11,12 +11,11 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What one process did, an event of JSON a line, for people and the laboratory to compare processes
- * afterwards: SLF4J key-value events on logback's JSON encoder, each line handed to the system
- * before the next thing is done, so that what was written before SIGKILL counts. Beside the log and
- * apart from its backend; opened only where the configuration names a directory, else none of these
- * classes is loaded. {@code mono_ns} is the machine's monotonic clock, which all processes on it
- * share.
+ * What one process did, an event of JSON a line. Each line is handed to the operating system before
+ * the next thing is done, so that what was written before SIGKILL is there. Beside the log and apart
+ * from its backend: SLF4J key-value events on logback's JSON encoder, whose classes are loaded only
+ * where a history is kept. {@code mono_ns} is the machine's monotonic clock, which all processes on
+ * it share. Thread-safe.
  */
 public final class History implements AutoCloseable {
   private final LoggerContext context = new LoggerContext();
@@ -25,14 +24,40 @@
   private final String incarnation;
 
   /**
-   * Appends to {@code DIR/NAME.jsonl}; a process started again under its name goes on in the same
-   * file.
+   * Appends to {@code DIRECTORY/NAME.jsonl}; a process started again under its name goes on in the
+   * same file.
+   *
+   * @param incarnation tells this process from others of the name
+   * @throws IllegalArgumentException if the file can't be written
    */
-  public History(Path dir, String name, String incarnation) {
+  public History(Path directory, String name, String incarnation) {
     this.name = name;
     this.incarnation = incarnation;
-    // a context of one's own has none, and appends nothing without
+    // A context of one's own has no adapter, and appends nothing without.
     context.setMDCAdapter(new LogbackMDCAdapter());
+    FileAppender<ILoggingEvent> file = fileAppender(directory.resolve(name + ".jsonl"));
+    if (!file.isStarted()) {
+      throw new IllegalArgumentException("history: can't write in " + directory);
+    }
+    log.setLevel(Level.INFO);
+    log.setAdditive(false);
+    log.addAppender(file);
+  }
+
+  private FileAppender<ILoggingEvent> fileAppender(Path path) {
+    FileAppender<ILoggingEvent> file = new FileAppender<>();
+    file.setContext(context);
+    file.setName("history");
+    file.setFile(path.toString());
+    file.setAppend(true);
+    file.setImmediateFlush(true);
+    file.setEncoder(encoder());
+    file.start();
+    return file;
+  }
+
+  /** Timestamp, message and the event's own fields; nothing else. */
+  private JsonEncoder encoder() {
     JsonEncoder json = new JsonEncoder();
     json.setContext(context);
     json.setWithSequenceNumber(false);
@@ -45,29 +70,20 @@
     json.setWithThrowable(false);
     json.setWithArguments(false);
     json.start();
-    FileAppender<ILoggingEvent> file = new FileAppender<>();
-    file.setContext(context);
-    file.setName("history");
-    file.setFile(dir.resolve(name + ".jsonl").toString());
-    file.setAppend(true);
-    file.setImmediateFlush(true);
-    file.setEncoder(json);
-    file.start();
-    if (!file.isStarted()) throw new IllegalArgumentException("history: can't write in " + dir);
-    log.setLevel(Level.INFO);
-    log.setAdditive(false);
-    log.addAppender(file);
+    return json;
   }
 
-  /** One event; {@code fields} are names and values in turn. */
+  /** Writes one event; {@code fields} are names and values in turn. */
   public void add(String kind, Object... fields) {
     LoggingEventBuilder event = log.atInfo().addKeyValue("name", name)
         .addKeyValue("inc", incarnation).addKeyValue("mono_ns", System.nanoTime());
-    for (int i = 0; i + 1 < fields.length; i += 2)
+    for (int i = 0; i + 1 < fields.length; i += 2) {
       event = event.addKeyValue((String) fields[i], fields[i + 1]);
+    }
     event.log(kind);
   }
 
+  /** Closes the file; what is added afterwards is lost. */
   @Override
   public void close() {
     context.stop();
--- a/src/main/java/saltlatch/simhost/SimulatorHost.java
+++ b/src/main/java/saltlatch/simhost/SimulatorHost.java
@@ -6,9 +6,6 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
-import java.nio.ByteBuffer;
-import java.nio.ByteOrder;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -17,203 +14,117 @@
 import saltlatch.api.GatewayEvent;
 import saltlatch.api.GatewayPolicy;
 import saltlatch.api.GatewaySettings;
-import saltlatch.api.GossipMessage;
-import saltlatch.api.Ticks;
 import saltlatch.settings.SettingsReader;
-import saltlatch.wire.peer.GossipCodec;
 
-/** Hosts module instances on the simulator's wire: frames in, frames out. It decides nothing. */
+/**
+ * Hosts instances of the policy for the simulator: a frame of events in, a frame of actions out. It
+ * decides nothing. Runs on the one thread that calls {@link #run}, which owns everything here.
+ */
 public final class SimulatorHost {
-  private static final int HEADER = 12;
-  private static final int RECORD = 48;
-  private static final int ENTRY = 23;
-  private static final GatewayEvent.EndpointState[] CONDITIONS = GatewayEvent.EndpointState
-      .values();
-  private static final GatewayEvent.EndpointUpdateKind[] LISTS = GatewayEvent.EndpointUpdateKind
-      .values();
-  private static final GatewayEvent.AttemptOutcome[] OUTCOMES = GatewayEvent.AttemptOutcome
-      .values();
+  private static final int BUFFER_BYTES = 1 << 16;
+  private static final int LENGTH_REST_BYTES = 3; // behind the first byte of a frame's length
+  /** The longest array that the JVM gives. */
+  private static final int MAX_FRAME_BYTES = Integer.MAX_VALUE - 8;
+  private static final int OK = 0;
+  private static final int MALFORMED_FRAME = 2;
 
-  private static final class Malformed extends Exception {
-    private static final long serialVersionUID = 1;
-
-    Malformed(String why) {
-      super(why);
-    }
-  }
-
-  private final GatewayPolicy.Factory maker;
-  private final Map<Integer, GatewayPolicy> gateways = new HashMap<>();
+  private final GatewayPolicy.Factory factory;
+  private final Map<Integer, GatewayPolicy> policies = new HashMap<>(); // by instance
   private final ReplyFrame reply = new ReplyFrame();
 
-  public SimulatorHost(GatewayPolicy.Factory maker) {
-    this.maker = maker;
+  /** {@code factory} makes each instance's policy when the simulator attaches it. */
+  public SimulatorHost(GatewayPolicy.Factory factory) {
+    this.factory = factory;
   }
 
-  /** Runs until input ends; the exit code is 0 then, and 2 for a malformed frame. */
+  /**
+   * Answers frames until the input ends.
+   *
+   * @return the exit code: 0 at the input's end, 2 for a malformed frame, which {@code err} names
+   * @throws IOException if input or output fail
+   */
   public int run(InputStream rawIn, OutputStream rawOut, PrintStream err) throws IOException {
-    InputStream in = new BufferedInputStream(rawIn, 1 << 16);
-    OutputStream out = new BufferedOutputStream(rawOut, 1 << 16);
-    while (true) {
-      int first = in.read();
-      if (first < 0) {
-        return 0;
-      }
-      try {
-        byte[] rest = in.readNBytes(3);
-        if (rest.length < 3) {
-          throw new Malformed("input ends inside a length");
-        }
-        long size = first | (rest[0] & 255L) << 8 | (rest[1] & 255L) << 16 | (rest[2] & 255L) << 24;
-        if (size < HEADER || size > Integer.MAX_VALUE - 8) {
-          throw new Malformed("a frame cannot have " + size + " bytes");
-        }
-        byte[] body = in.readNBytes((int) size);
-        if (body.length < size) {
-          throw new Malformed("input ends inside a frame of " + size + " bytes");
-        }
-        answer(ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN), out);
-      } catch (Malformed e) {
-        err.println("saltlatch simhost: malformed frame: " + e.getMessage());
-        return 2;
+    InputStream in = new BufferedInputStream(rawIn, BUFFER_BYTES);
+    OutputStream out = new BufferedOutputStream(rawOut, BUFFER_BYTES);
+    try {
+      for (byte[] body = readFrame(in); body != null; body = readFrame(in)) {
+        answer(new RequestFrame(body), out);
       }
+      return OK;
+    } catch (MalformedFrameException e) {
+      err.println("saltlatch simhost: malformed frame: " + e.getMessage());
+      return MALFORMED_FRAME;
     }
   }
 
-  private void answer(ByteBuffer in, OutputStream out) throws Malformed, IOException {
-    long now = Ticks.ofMillis(in.getDouble(0));
-    long count = in.getInt(8) & 0xffffffffL;
-    long tail = HEADER + count * RECORD;
-    if (tail > in.capacity()) {
-      throw new Malformed(count + " records do not fit into " + in.capacity() + " bytes");
+  /** A frame without its length; null at the input's end. */
+  private static byte[] readFrame(InputStream in) throws IOException, MalformedFrameException {
+    int first = in.read();
+    if (first < 0) return null;
+    byte[] rest = in.readNBytes(LENGTH_REST_BYTES);
+    if (rest.length < LENGTH_REST_BYTES) {
+      throw new MalformedFrameException("input ends inside a length");
     }
-    reply.clear();
-    Map<Integer, List<GatewayEvent>> parts = new LinkedHashMap<>();
-    for (int at = HEADER; at < tail; at += RECORD) {
-      int code = in.getShort(at) & 0xffff;
-      int inst = in.getShort(at + 2) & 0xffff;
-      if (code == 256 || code == 265) {
-        deliver(now, inst, parts.remove(inst));
-        gateways.remove(inst);
-      }
-      if (code == 256) {
-        String text = new String(bytes(in, at + 12, (int) tail, 1), StandardCharsets.UTF_8);
-        attach(now, inst, in.getLong(at + 4), text);
-      } else if (code != 265) {
-        GatewayEvent e = event(in, code, at, (int) tail); // null: a datagram of another form
-        if (e != null) parts.computeIfAbsent(inst, k -> new ArrayList<>()).add(e);
-      }
+    long size = first | (rest[0] & 255L) << 8 | (rest[1] & 255L) << 16 | (rest[2] & 255L) << 24;
+    if (size < RequestFrame.HEADER_BYTES || size > MAX_FRAME_BYTES) {
+      throw new MalformedFrameException("a frame cannot have " + size + " bytes");
     }
-    for (Map.Entry<Integer, List<GatewayEvent>> part : parts.entrySet()) {
-      deliver(now, part.getKey(), part.getValue());
+    byte[] body = in.readNBytes((int) size);
+    if (body.length < size) {
+      throw new MalformedFrameException("input ends inside a frame of " + size + " bytes");
     }
-    reply.write(out);
-    out.flush();
+    return body;
   }
 
-  private void attach(long now, int inst, long seed, String text) throws Malformed {
-    GatewaySettings site;
-    try {
-      site = SettingsReader.read(text, seed);
-    } catch (RuntimeException e) {
-      throw new Malformed("settings: " + e);
+  private void answer(RequestFrame frame, OutputStream out)
+      throws MalformedFrameException, IOException {
+    reply.clear();
+    long nowTicks = frame.nowTicks();
+    Map<Integer, List<GatewayEvent>> batches = new LinkedHashMap<>(); // by instance
+    for (int record = 0; record < frame.recordCount(); record++) {
+      take(frame, record, batches);
     }
-    gateways.put(inst, maker.create(now, site, reply.of(inst)));
+    batches.forEach((instance, events) -> deliver(nowTicks, instance, events));
+    reply.write(out);
+    out.flush();
   }
 
-  private void deliver(long now, int inst, List<GatewayEvent> events) {
-    GatewayPolicy gateway = gateways.get(inst);
-    if (gateway == null || events == null) {
+  private void take(RequestFrame frame, int record, Map<Integer, List<GatewayEvent>> batches)
+      throws MalformedFrameException {
+    int instance = frame.instance(record);
+    int code = frame.code(record);
+    if (code == RequestFrame.ATTACH || code == RequestFrame.DETACH) {
+      // What came before still goes to the instance that ends here.
+      deliver(frame.nowTicks(), instance, batches.remove(instance));
+      policies.remove(instance);
+      if (code == RequestFrame.ATTACH) attach(frame, record);
       return;
     }
-    try {
-      gateway.handle(now, events);
-    } catch (RuntimeException e) {
-      StackTraceElement[] trace = e.getStackTrace();
-      reply.of(inst).crash(e + (trace.length > 0 ? " at " + trace[0] : ""));
-      gateways.remove(inst);
-    }
-  }
-
-  private static GatewayEvent event(ByteBuffer in, int code, int at, int tail) throws Malformed {
-    long rid = in.getInt(at + 4) & 0xffffffffL;
-    switch (code) {
-      case 257 :
-        return listed(in, at, tail);
-      case 258 :
-        return new GatewayEvent.RequestArrived(rid, in.get(at + 22) & 255,
-            in.getShort(at + 8) & 0xffff, in.getLong(at + 23),
-            Ticks.ofMillis(in.getDouble(at + 10)), in.getFloat(at + 33),
-            Math.round(in.getFloat(at + 18)), Math.round(in.getFloat(at + 37)),
-            (in.getShort(at + 31) & 2) != 0, 0);
-      case 259 :
-        return new GatewayEvent.ResponseStarted(rid, in.getInt(at + 16) & 0xffffffffL,
-            in.get(at + 20) & 255, Ticks.ofMillis(in.getDouble(at + 8)));
-      case 260 :
-        return new GatewayEvent.AttemptEnded(rid, in.getInt(at + 11) & 0xffffffffL,
-            in.get(at + 26) & 255, pick(OUTCOMES, in.get(at + 15)), in.get(at + 8) != 0,
-            Ticks.ofMillis(in.getDouble(at + 18)), in.getShort(at + 16) & 0xffff,
-            in.getShort(at + 9) & 0xffff, load(in, at + 27));
-      case 261 :
-        return new GatewayEvent.ClientDisconnected(rid);
-      case 262 :
-        return new GatewayEvent.TimerFired(in.getLong(at + 4));
-      case 263 :
-        return new GatewayEvent.HealthChecked(in.getInt(at + 12) & 0xffffffffL,
-            pick(OUTCOMES, in.get(at + 16)), Ticks.ofMillis(in.getDouble(at + 4)),
-            load(in, at + 17));
-      case 264 :
-        GossipMessage told = GossipCodec.decode(bytes(in, at + 6, tail, 1));
-        return told == null ? null
-            : new GatewayEvent.GossipReceived(in.getShort(at + 4) & 0xffff, told);
-      case 266 :
-        return new GatewayEvent.CounterReplied(in.getLong(at + 4), pick(OUTCOMES, in.get(at + 12)),
-            in.getFloat(at + 13), Ticks.ofMillis(in.getDouble(at + 17)));
-      default :
-        throw new Malformed("unknown event code " + code);
-    }
+    GatewayEvent event = frame.event(record);
+    if (event != null) batches.computeIfAbsent(instance, key -> new ArrayList<>()).add(event);
   }
 
-  private static GatewayEvent listed(ByteBuffer in, int at, int tail) throws Malformed {
-    ByteBuffer data = ByteBuffer.wrap(bytes(in, at + 9, tail, ENTRY))
-        .order(ByteOrder.LITTLE_ENDIAN);
-    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
-    for (int e = 0; e < data.capacity(); e += ENTRY) {
-      entries.add(new GatewayEvent.Endpoint(data.getInt(e) & 0xffffffffL,
-          Ticks.ofMillis(data.getDouble(e + 4)), data.getShort(e + 12) & 0xffff,
-          data.getShort(e + 14) & 0xffff, pick(CONDITIONS, data.get(e + 16)), data.getFloat(e + 17),
-          data.getShort(e + 21) & 0xffff));
-    }
-    return new GatewayEvent.EndpointsUpdated(pick(LISTS, in.get(at + 4)), entries);
-  }
-
-  private static byte[] bytes(ByteBuffer in, int at, int tail, int width) throws Malformed {
-    long from = tail + (in.getInt(at) & 0xffffffffL);
-    long size = (in.getInt(at + 4) & 0xffffffffL) * width;
-    if (from + size > in.capacity()) {
-      throw new Malformed("a field points behind the tail's end");
-    }
-    byte[] data = new byte[(int) size];
-    in.get((int) from, data);
-    return data;
-  }
-
-  private static List<Double> load(ByteBuffer in, int at) throws Malformed {
-    int n = in.get(at) & 255;
-    if (n > 4) {
-      throw new Malformed("a load report cannot have " + n + " values");
-    }
-    List<Double> values = new ArrayList<>(n);
-    for (int i = 0; i < n; i++) {
-      values.add((double) in.getFloat(at + 1 + 4 * i));
+  private void attach(RequestFrame frame, int record) throws MalformedFrameException {
+    int instance = frame.instance(record);
+    String text = frame.attachSettings(record);
+    GatewaySettings settings;
+    try {
+      settings = SettingsReader.read(text, frame.attachSeed(record));
+    } catch (RuntimeException e) {
+      throw new MalformedFrameException("settings: " + e);
     }
-    return values;
+    policies.put(instance, factory.create(frame.nowTicks(), settings, reply.actionsOf(instance)));
   }
 
-  private static <E> E pick(E[] from, byte code) throws Malformed {
-    if (code < 0 || code >= from.length) {
-      throw new Malformed("code " + code + " is not one of " + from.length);
+  private void deliver(long nowTicks, int instance, List<GatewayEvent> events) {
+    GatewayPolicy policy = policies.get(instance);
+    if (policy == null || events == null) return;
+    try {
+      policy.handle(nowTicks, events);
+    } catch (RuntimeException e) {
+      StackTraceElement[] trace = e.getStackTrace();
+      reply.addCrash(instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      policies.remove(instance);
     }
-    return from[code];
   }
 }
