--- a/src/main/java/saltlatch/history/History.java
+++ b/src/main/java/saltlatch/history/History.java
@@ -27,7 +27,7 @@
    * Appends to {@code DIRECTORY/NAME.jsonl}; a process started again under its name goes on in the
    * same file.
    *
-   * @param incarnation tells this process from others of the name
+   * @param incarnation distinguishes this process from others of the name
    * @throws IllegalArgumentException if the file can't be written
    */
   public History(Path directory, String name, String incarnation) {
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -48,7 +48,7 @@
     timings = MembershipTimings.of(configuration.settings().nodeCount(),
         configuration.settings().peers().datagramsPerSecond());
     long nowTicks = scheduler.now();
-    shares = new QuotaShares(ownIndex, timings.members());
+    shares = new QuotaShares(ownIndex, timings.memberCount());
     membership = new Membership(timings, ownIndex, nowTicks / Ticks.PER_SECOND,
         configuration.settings().seed(), nowTicks, this);
     reportChanges();
@@ -108,7 +108,7 @@
   }
 
   private QuotaShareFigures shareFigures() {
-    int members = timings.members();
+    int members = timings.memberCount();
     return new QuotaShareFigures(shares.ownShare(scheduler.now(), 0, members), 1.0 / members,
         shares.ownShare(Long.MAX_VALUE, 0, members), leftMs(reported.leaseUntilTicks()),
         leftMs(reported.takeoverUntilTicks()));
@@ -118,7 +118,7 @@
     if (view == fleetView) return;
     fleetView = view;
     LOG.info("fleet_view view={} live={} members={}", view.infoName(), membership.liveCount(),
-        timings.members());
+        timings.memberCount());
     history.fleetViewChanged(view, membership.liveCount(), membership.version());
   }
 
--- a/src/main/java/saltlatch/node/MembershipInfo.java
+++ b/src/main/java/saltlatch/node/MembershipInfo.java
@@ -44,7 +44,7 @@
         + ms(timings.falseFailureTicks()) + "\nmembers_t3_ms=" + ms(timings.convergenceTicks())
         + "\nmembers_lease_ms=" + ms(timings.leaseTicks()) + "\nmembers_takeover_ms="
         + ms(timings.failureDetectionTicks() + timings.takeoverTicks()) + "\nmembers_b="
-        + (timings.members() - 1) + "\nmembers_d_ms=" + ms(gossipValidityTicks) + "\n";
+        + (timings.memberCount() - 1) + "\nmembers_d_ms=" + ms(gossipValidityTicks) + "\n";
   }
 
   private static long ms(long ticks) {
