--- /dev/null
+++ b/src/test/java/saltlatch/node/StallDetectorTest.java
@@ -0,0 +1,88 @@
+package saltlatch.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import saltlatch.state.NodeMetrics;
+import saltlatch.state.RequestContext;
+
+/**
+ * A process is stopped, or loses its core, for longer than the policy puts up with. Its timer is
+ * then overdue, and requests read right afterwards have lain unread for up to that long. On a fake
+ * clock.
+ */
+class StallDetectorTest {
+  private static final long THRESHOLD_TICKS = 500;
+
+  private long nowTicks = 10_000;
+  private long timerDueTicks = Long.MAX_VALUE;
+  private long clientUnreadTicks;
+  private final NodeMetrics metrics = new NodeMetrics();
+  private final List<Long> stallsMs = new ArrayList<>();
+  private final StallDetector detector = new StallDetector(() -> nowTicks, () -> timerDueTicks,
+      () -> THRESHOLD_TICKS, metrics, new NodeHistory() {
+        @Override
+        public void stalled(long stallMs) {
+          stallsMs.add(stallMs);
+        }
+      });
+  private final RequestContext.ResponseSink client = new RequestContext.ResponseSink() {
+    @Override
+    public void succeed(byte[] value) {}
+
+    @Override
+    public void reject(long retryAfterMs) {}
+
+    @Override
+    public void fail() {}
+
+    @Override
+    public long unreadTicks() {
+      return clientUnreadTicks;
+    }
+  };
+
+  private void stallFor(long ticks) {
+    detector.start();
+    timerDueTicks = nowTicks;
+    nowTicks += ticks;
+    detector.check();
+  }
+
+  @Test
+  void noticesATimerOverdueByMoreThanTheThreshold() {
+    stallFor(THRESHOLD_TICKS + 1);
+    assertEquals(List.of(50L), stallsMs);
+    assertTrue(metrics.infoText().contains("\naway=1\naway_ms=50\n"), metrics.infoText());
+  }
+
+  @Test
+  void aTimerOverdueByTheThresholdIsNoStall() {
+    stallFor(THRESHOLD_TICKS);
+    assertEquals(List.of(), stallsMs);
+  }
+
+  @Test
+  void withoutATimerNothingIsOverdue() {
+    detector.start();
+    nowTicks += 100 * THRESHOLD_TICKS;
+    detector.check();
+    assertEquals(List.of(), stallsMs);
+  }
+
+  @Test
+  void ageIsAskedOnlyInTheWakeOfAStall() {
+    clientUnreadTicks = 700;
+    assertEquals(0, detector.unreadTicks(client));
+    stallFor(2_000);
+    assertEquals(700, detector.unreadTicks(client));
+    clientUnreadTicks = 9_000; // more than the stall took: the client itself waited
+    assertEquals(2_000, detector.unreadTicks(client));
+    assertTrue(metrics.infoText().contains("\nread_late=2\n"), metrics.infoText());
+    nowTicks += 2_001;
+    assertEquals(0, detector.unreadTicks(client));
+  }
+}
--- /dev/null
+++ b/src/test/java/saltlatch/state/TimerQueueTest.java
@@ -0,0 +1,43 @@
+package saltlatch.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Order, cancelling and renewal of timers, on times that the test gives. */
+class TimerQueueTest {
+  private final TimerQueue timers = new TimerQueue();
+  private final List<String> ran = new ArrayList<>();
+
+  @Test
+  void runsInOrderOfTimeThenOfCreation() {
+    timers.add(20, () -> ran.add("late"));
+    timers.add(10, () -> ran.add("first"));
+    timers.add(10, () -> ran.add("second"));
+    assertEquals(10, timers.earliestTicks());
+    timers.runDue(15);
+    assertEquals(List.of("first", "second"), ran);
+    assertEquals(20, timers.earliestTicks());
+  }
+
+  @Test
+  void cancelledTimersNeitherRunNorCount() {
+    TimerQueue.Timer timer = timers.add(10, () -> ran.add("cancelled"));
+    timer.cancel();
+    assertEquals(Long.MAX_VALUE, timers.earliestTicks());
+    timers.runDue(10);
+    assertEquals(List.of(), ran);
+  }
+
+  /** A timer that renews itself for now must not hold the loop. */
+  @Test
+  void whatAnActionAddsWaitsForTheNextCall() {
+    timers.add(10, () -> timers.add(10, () -> ran.add("renewed")));
+    timers.runDue(10);
+    assertEquals(List.of(), ran);
+    timers.runDue(10);
+    assertEquals(List.of("renewed"), ran);
+  }
+}
