--- a/src/test/java/saltlatch/node/AcceptTest.java
+++ b/src/test/java/saltlatch/node/AcceptTest.java
@@ -43,7 +43,7 @@
       }
     };
     Socket first = client();
-    say(first, req(0));
+    send(first, request(0));
     assertTrue(held.await(20, TimeUnit.SECONDS));
     long before = open();
     for (int i = 0; i < 400; i++) client();
--- a/src/test/java/saltlatch/node/ClosingTest.java
+++ b/src/test/java/saltlatch/node/ClosingTest.java
@@ -34,7 +34,7 @@
   private static final String LONG = "x".repeat(60_000);
 
   private static String submit(int id) {
-    return req(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
+    return request(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
   }
 
   /**
@@ -43,14 +43,15 @@
   @Test
   void givenUpHalfWritten() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 5_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 5_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
+        actions.fail(d.requestId());
     };
-    int port = appSrv.getLocalPort();
-    appSrv.close();
+    int port = appServer.getLocalPort();
+    appServer.close();
     try (Narrow srv = new Narrow(port)) {
       Socket c = client();
-      say(c, submit(0));
+      send(c, submit(0));
       assertEquals("arrived 0 waits 900", next());
       assertEquals("ended 0/0 CONNECT_FAILED", next());
       assertEquals("-ERR aborted", line(c));
@@ -65,16 +66,16 @@
    */
   @Test
   void commandsBehindOneAnsweredAtOnce() throws Exception {
-    script = e -> to.reject(rid(e), 0);
+    script = e -> actions.reject(requestIdOf(e), 0);
     Socket c = client();
     Socket idle = client();
-    say(idle, req(9));
+    send(idle, request(9));
     assertEquals("-BUSY", line(idle));
     var done = node.stop().toCompletionStage().toCompletableFuture();
     String ping = "*1\r\n$4\r\nPING\r\n";
     int asked = 0;
     for (String got = "+PONG"; !got.equals("closed"); asked++) {
-      say(c, ping + req(2 * asked) + ping + req(2 * asked + 1));
+      send(c, ping + request(2 * asked) + ping + request(2 * asked + 1));
       got = line(c);
       if (!got.equals("closed")) assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + lines(c, 3));
     }
--- a/src/test/java/saltlatch/node/CrossingTest.java
+++ b/src/test/java/saltlatch/node/CrossingTest.java
@@ -50,17 +50,18 @@
 
   /** The module is asked again before a dispatch whose connection came up later is written. */
   @Test
-  void lateConnectionIsNotWrittenAgainstTheModule() throws Exception {
+  void lateConnectionIsNotWrittenAgainstThePolicy() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
+        actions.fail(d.requestId());
     };
-    permit = false;
+    mayStart = false;
     Socket c = client();
-    say(c, req(0));
-    Socket s = accept(appSrv);
+    send(c, request(0));
+    Socket s = accept(appServer);
     assertEquals("closed", line(s));
-    assertEquals("asked 0/0", asked.poll(20, TimeUnit.SECONDS));
+    assertEquals("asked 0/0", permissionsAsked.poll(20, TimeUnit.SECONDS));
     assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN", next() + " " + next());
     assertEquals("-ERR aborted", line(c));
   }
@@ -70,20 +71,20 @@
    * before its connection came up.
    */
   @Test
-  void lateConnectionIsToldWhatIsLeft() throws Exception {
+  void lateConnectionForwardsTheTimeThatIsLeft() throws Exception {
     Hold hold = new Hold();
     long capMs = 800;
     long lateMs = 150;
     script = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived)) return;
-      to.startAttempt(rid(e), 0, capMs * 10);
+      actions.startAttempt(requestIdOf(e), 0, capMs * 10);
       hold.hold();
     };
-    say(client(), req(0));
+    send(client(), request(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
     Thread.sleep(lateMs); // what is measured, not an order
     hold.over.countDown();
-    Matcher told = Pattern.compile("\\bd=(\\d+)").matcher(request(accept(appSrv)));
+    Matcher told = Pattern.compile("\\bd=(\\d+)").matcher(request(accept(appServer)));
     assertTrue(told.find());
     long toldMs = Long.parseLong(told.group(1));
     assertTrue(toldMs <= capMs - lateMs && toldMs > 0, "told " + toldMs);
@@ -105,15 +106,15 @@
     Hold hold = new Hold();
     script = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived)) return;
-      to.startAttempt(rid(e), 0, 80_000);
+      actions.startAttempt(requestIdOf(e), 0, 80_000);
       hold.hold();
     };
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
     closeAndAwaitEnd(c);
     hold.over.countDown();
-    assertEquals("closed", line(accept(appSrv)));
+    assertEquals("closed", line(accept(appServer)));
     assertEquals("arrived 0 waits 900 left 0 ended 0/0 WITHDRAWN over",
         next() + " " + next() + " " + next());
   }
@@ -123,17 +124,17 @@
    * close.
    */
   @Test
-  void closeSeenWithTheReqInFront() throws Exception {
+  void closeReadWithTheRequestInFront() throws Exception {
     Hold hold = new Hold();
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived && rid(e) == 0) hold.hold();
-      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived && requestIdOf(e) == 0) hold.hold();
+      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     Socket first = client();
     Socket second = usualConnection();
-    say(first, req(0));
+    send(first, request(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    say(second, req(1));
+    send(second, request(1));
     closeAndAwaitEnd(second);
     hold.over.countDown();
     assertEquals("-BUSY", line(first));
@@ -146,7 +147,7 @@
   /** A connection that the node has accepted: it has answered there. */
   private Socket usualConnection() throws IOException {
     Socket s = client();
-    say(s, "*1\r\n$4\r\nPING\r\n");
+    send(s, "*1\r\n$4\r\nPING\r\n");
     assertEquals("+PONG", line(s));
     return s;
   }
@@ -158,10 +159,10 @@
   void closeBehindUnreadBytes() throws Exception {
     Socket c = usualConnection();
     StringBuilder many = new StringBuilder();
-    for (int i = 0; i < 64; i++) many.append(req(i));
-    say(c, many.toString());
+    for (int i = 0; i < 64; i++) many.append(request(i));
+    send(c, many.toString());
     for (int i = 0; i < 64; i++) assertEquals("arrived " + i + " waits 900", next());
-    say(c, req(64));
+    send(c, request(64));
     c.close();
     assertEquals("left 0", next());
   }
@@ -172,15 +173,15 @@
     for (boolean reset : new boolean[] {true, false}) {
       Socket c = usualConnection();
       StringBuilder many = new StringBuilder();
-      for (int i = 0; i < 64; i++) many.append(req(i));
-      say(c, many.toString());
+      for (int i = 0; i < 64; i++) many.append(request(i));
+      send(c, many.toString());
       long first = -1;
       for (int i = 0; i < 64; i++) {
         String text = next();
         assertTrue(text.startsWith("arrived"), text);
         if (first < 0) first = Long.parseLong(text.split(" ")[1]);
       }
-      say(c, req(64));
+      send(c, request(64));
       if (reset) c.setSoLinger(true, 0);
       if (reset) c.close();
       else c.shutdownOutput();
@@ -194,28 +195,29 @@
    * dispatch's answer.
    */
   @Test
-  void bytesOnARestingConnection() throws Exception {
+  void bytesOnAnIdleConnection() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
+        actions.fail(d.requestId());
     };
     Socket c = client();
     String[] strays = {"*3\r\n$2\r\nxx", PASSED};
     for (int i = 0; i < strays.length; i++) {
-      say(c, req(2 * i));
-      Socket s = accept(appSrv);
+      send(c, request(2 * i));
+      Socket s = accept(appServer);
       lines(s, 9);
-      say(s, PASSED);
+      send(s, PASSED);
       assertEquals("$2 hi", lines(c, 2));
-      say(s, strays[i]);
+      send(s, strays[i]);
       assertEquals("closed", line(s));
-      say(c, req(2 * i + 1));
-      s = accept(appSrv);
+      send(c, request(2 * i + 1));
+      s = accept(appServer);
       lines(s, 9);
-      say(s, PASSED);
+      send(s, PASSED);
       assertEquals("$2 hi", lines(c, 2));
       s.close();
-      while (!info(c).contains("connections_opened=" + (2 * i + 2))) Thread.onSpinWait();
+      while (!infoLines(c).contains("connections_opened=" + (2 * i + 2))) Thread.onSpinWait();
     }
   }
 
@@ -225,21 +227,21 @@
    */
   @Test
   void errorArrivesThoughMoreWasSent() throws Exception {
-    script = e -> to.reject(rid(e), 0);
+    script = e -> actions.reject(requestIdOf(e), 0);
     Hold hold = new Hold();
     Socket c = usualConnection();
     Socket other = usualConnection();
     script = e -> {
-      if (rid(e) == 0) hold.hold();
-      to.reject(rid(e), 0);
+      if (requestIdOf(e) == 0) hold.hold();
+      actions.reject(requestIdOf(e), 0);
     };
-    say(other, req(0));
+    send(other, request(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    say(c, req(1) + "nonsense\r\n" + "x".repeat(60_000));
+    send(c, request(1) + "nonsense\r\n" + "x".repeat(60_000));
     hold.over.countDown();
     assertEquals("-ERR Protocol error: no RESP2 value -BUSY".split(" -BUSY")[0], errorAfter(c));
     // to a connection that was reset this fails, and what had come is gone
-    say(c, "y".repeat(20_000));
+    send(c, "y".repeat(20_000));
     assertEquals("closed", line(c));
   }
 
--- a/src/test/java/saltlatch/node/HeapFullTest.java
+++ b/src/test/java/saltlatch/node/HeapFullTest.java
@@ -19,7 +19,7 @@
   private static final int PLANS = 40_000;
 
   @Test
-  void isToldFromOtherFailures() {
+  void isDistinguishedFromOtherFailures() {
     Throwable wrapped = new JsonParseException("Failed parsing JSON source",
         new OutOfMemoryError("Java heap space"));
     assertTrue(HeapExhaustion.explain(wrapped).matches("the heap of \\d+ MB is full.*"),
--- a/src/test/java/saltlatch/node/HistoryLinesTest.java
+++ b/src/test/java/saltlatch/node/HistoryLinesTest.java
@@ -68,26 +68,27 @@
   void requestsAndTheirEnds() throws Exception {
     script = e -> {
       if (e instanceof GatewayEvent.RequestArrived a) {
-        if (a.requestId() == 0 || a.requestId() == 3) to.startAttempt(a.requestId(), 0, 80_000);
-        if (a.requestId() == 1) to.reject(1, 0);
-        if (a.requestId() == 2) to.fail(2);
+        if (a.requestId() == 0 || a.requestId() == 3)
+          actions.startAttempt(a.requestId(), 0, 80_000);
+        if (a.requestId() == 1) actions.reject(1, 0);
+        if (a.requestId() == 2) actions.fail(2);
       }
-      if (e instanceof GatewayEvent.ClientDisconnected) to.log("a client left");
+      if (e instanceof GatewayEvent.ClientDisconnected) actions.log("a client left");
     };
     Socket client = client();
-    say(client, req(0));
-    Socket appServer = accept(appSrv);
-    lines(appServer, 9);
-    say(appServer, REPLY);
+    send(client, request(0));
+    Socket attempt = accept(appServer);
+    lines(attempt, 9);
+    send(attempt, REPLY);
     assertEquals("$2 hi", lines(client, 2));
-    say(client, req(1));
+    send(client, request(1));
     assertEquals("-BUSY", line(client));
-    say(client, req(2));
+    send(client, request(2));
     assertEquals("-ERR aborted", line(client));
     Thread.sleep(10); // at least: the connection has settled after its last answer, and is reused
-    say(client, req(3));
-    lines(appServer, 9);
-    appServer.close();
+    send(client, request(3));
+    lines(attempt, 9);
+    attempt.close();
     for (int i = 0; i < 6; i++) next(); // four arrived, two attempts ended
     client.close();
     assertEquals("left 3", next());
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -50,7 +50,7 @@
   }
 
   private static void more(Socket s, String body) throws IOException {
-    say(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
+    send(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
   /**
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -36,39 +36,39 @@
   private static final Pattern WAIT = Pattern.compile("\\$(\\d+) c=\\S*\\bd=(\\d+)");
   private static final String CLOSE_WAIT = "08"; // Linux' number of the state in /proc/net/tcp
 
-  final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+  final BlockingQueue<String> eventTexts = new LinkedBlockingQueue<>();
   final List<Socket> sockets = new ArrayList<>();
-  ServerSocket appSrv;
+  ServerSocket appServer;
   ServerSocket counter;
   ServerSocket discovery;
   DatagramSocket peer;
   EdgeNode node;
-  volatile GatewayActions to;
+  volatile GatewayActions actions;
   boolean stopped;
   volatile Consumer<GatewayEvent> script = e -> {};
   // what the module says of a dispatch whose connection comes up late
-  volatile boolean permit = true;
-  final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+  volatile boolean mayStart = true;
+  final BlockingQueue<String> permissionsAsked = new LinkedBlockingQueue<>();
   final BlockingQueue<List<String>> batches = new LinkedBlockingQueue<>();
 
   @BeforeEach
   void start() throws Exception {
-    appSrv = listen();
+    appServer = listen();
     counter = listen();
     discovery = listen();
     peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
     node = new EdgeNode(NodeConfigurationReader.read(config()));
-    node.start(this::module).toCompletionStage().toCompletableFuture().get();
+    node.start(this::createPolicy).toCompletionStage().toCompletableFuture().get();
     assertEquals("listed CACHED_SNAPSHOT [0 READY]", next());
   }
 
-  private GatewayPolicy module(long now, GatewaySettings site, GatewayActions out) {
-    to = out;
+  private GatewayPolicy createPolicy(long now, GatewaySettings site, GatewayActions out) {
+    actions = out;
     return new GatewayPolicy() {
       @Override
       public void handle(long at, List<GatewayEvent> events) {
         events.forEach(e -> {
-          seen.add(text(e));
+          eventTexts.add(text(e));
           script.accept(e);
         });
         batches.add(events.stream().map(NodeHarness::text).toList());
@@ -76,8 +76,8 @@
 
       @Override
       public boolean mayStartAttempt(long at, long rid, int dispatch) {
-        asked.add("asked " + rid + "/" + dispatch);
-        return permit;
+        permissionsAsked.add("asked " + rid + "/" + dispatch);
+        return mayStart;
       }
     };
   }
@@ -85,7 +85,7 @@
   @AfterEach
   void end() throws Exception {
     for (Socket s : sockets) s.close();
-    appSrv.close();
+    appServer.close();
     counter.close();
     discovery.close();
     peer.close();
@@ -105,7 +105,7 @@
         .replace("\"counter\":\"127.0.0.1:16379\"",
             "\"counter\":\"127.0.0.1:" + counter.getLocalPort() + "\"")
         .replace("\"address\":\"127.0.0.1:16379\"",
-            "\"address\":\"127.0.0.1:" + appSrv.getLocalPort() + "\"");
+            "\"address\":\"127.0.0.1:" + appServer.getLocalPort() + "\"");
   }
 
   static String text(GatewayEvent e) {
@@ -128,7 +128,7 @@
   }
 
   String next() throws InterruptedException {
-    String text = seen.poll(20, TimeUnit.SECONDS);
+    String text = eventTexts.poll(20, TimeUnit.SECONDS);
     return text == null ? "nothing" : text;
   }
 
@@ -181,22 +181,22 @@
   }
 
   /** A client that has been answered, as all are from now on: come again. */
-  Socket usual() throws IOException {
-    script = e -> to.reject(rid(e), 0);
+  Socket answeredClient() throws IOException {
+    script = e -> actions.reject(requestIdOf(e), 0);
     Socket s = client();
-    say(s, req(0));
+    send(s, request(0));
     assertEquals("-BUSY", line(s));
     return s;
   }
 
-  static void say(Socket s, String text) throws IOException {
+  static void send(Socket s, String text) throws IOException {
     s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** The beginning of a chunked answer. */
   static void stream(Socket s, String body) throws IOException {
     String chunk = Integer.toHexString(body.length()) + "\r\n" + body + "\r\n";
-    say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
+    send(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
   }
 
   /** A line without its end; the end of the stream is "closed". */
@@ -216,8 +216,8 @@
     return String.join(" ", all);
   }
 
-  static List<String> info(Socket c) throws IOException {
-    say(c, "*1\r\n$4\r\nINFO\r\n");
+  static List<String> infoLines(Socket c) throws IOException {
+    send(c, "*1\r\n$4\r\nINFO\r\n");
     List<String> figures = new ArrayList<>();
     for (String line = line(c); !line.startsWith("held="); line = line(c)) figures.add(line);
     line(c);
@@ -241,13 +241,13 @@
         "d=" + capMs + ",");
   }
 
-  static String req(int id) {
+  static String request(int id) {
     String name = Integer.toString(10 + id);
     return "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$" + name.length() + "\r\n" + name
         + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
   }
 
-  static long rid(GatewayEvent e) {
+  static long requestIdOf(GatewayEvent e) {
     return ((GatewayEvent.RequestArrived) e).requestId();
   }
 }
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -29,28 +29,28 @@
   @Test
   void answersInOrder() throws Exception {
     script = e -> {
-      if (!(e instanceof GatewayEvent.RequestArrived) || rid(e) != 2) return;
-      to.reject(2, 2_500);
-      to.fail(1);
-      to.reject(0, 0);
+      if (!(e instanceof GatewayEvent.RequestArrived) || requestIdOf(e) != 2) return;
+      actions.reject(2, 2_500);
+      actions.fail(1);
+      actions.reject(0, 0);
     };
     Socket c = client();
-    say(c, req(0) + req(1) + req(2) + "*1\r\n$4\r\nPING\r\n");
+    send(c, request(0) + request(1) + request(2) + "*1\r\n$4\r\nPING\r\n");
     assertEquals("-BUSY -ERR aborted -BUSY 250 +PONG", lines(c, 4));
   }
 
   /** What can't be read ends its own connection at most. */
   @Test
   void badInput() throws Exception {
-    script = e -> to.reject(rid(e), 0);
+    script = e -> actions.reject(requestIdOf(e), 0);
     Socket good = client();
     Socket bad = client();
-    say(bad, "*1\r\n$4\r\nPING\r\n" + req(1).replace("d=900", "d=9x0") + "*1\r\n$7\r\nCOMMAND\r\n"
-        + "GET / HTTP/1.1\r\n\r\n");
+    send(bad, "*1\r\n$4\r\nPING\r\n" + request(1).replace("d=900", "d=9x0")
+        + "*1\r\n$7\r\nCOMMAND\r\n" + "GET / HTTP/1.1\r\n\r\n");
     assertEquals(
         "+PONG -ERR malformed command -ERR unknown command -ERR Protocol error: no RESP2 value closed",
         lines(bad, 5));
-    say(good, req(1).replace("c=read", "c=rexd") + req(1));
+    send(good, request(1).replace("c=read", "c=rexd") + request(1));
     assertEquals("-ERR aborted -BUSY", lines(good, 2));
   }
 
@@ -62,17 +62,17 @@
   void waitsForTheCounter() throws Exception {
     script = e -> {
       if (e instanceof GatewayEvent.RequestArrived a)
-        to.addToCounter(255, 1, 40_000, a.requestId() == 0 ? 100_000 : 0);
+        actions.addToCounter(255, 1, 40_000, a.requestId() == 0 ? 100_000 : 0);
     };
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     Socket s = accept(counter);
     assertEquals("bump ff 1 4000", line(s));
     assertEquals("arrived 0 waits 900", next());
     Thread.sleep(1_300);
-    say(s, "ok 7\r\n");
+    send(s, "ok 7\r\n");
     assertEquals("counted 255 SUCCEEDED 7.0", next());
-    say(c, req(1));
+    send(c, request(1));
     assertEquals("bump ff 1 4000", line(s));
     assertEquals("arrived 1 waits 900", next());
     assertEquals("counted 255 TIMED_OUT 0.0", next());
@@ -83,39 +83,39 @@
    * nothing else.
    */
   @Test
-  void strangers() throws Exception {
+  void invalidRequests() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     accept(counter);
     assertEquals("arrived 0 waits 900", next());
     Socket bad = client();
-    String[] wrong = {req(0), req(1).replace("units=1", "units=9"),
-        req(1).replace("spread=1", "spread=2"),
-        req(1).replace("$9\r\nSVC.QUERY", "$10\r\nSVC.SUBMIT"),
-        req(1).replace("$39", "$44").replace(",n=", ",first=1")};
+    String[] wrong = {request(0), request(1).replace("units=1", "units=9"),
+        request(1).replace("spread=1", "spread=2"),
+        request(1).replace("$9\r\nSVC.QUERY", "$10\r\nSVC.SUBMIT"),
+        request(1).replace("$39", "$44").replace(",n=", ",first=1")};
     for (String one : wrong) {
-      say(bad, one);
+      send(bad, one);
       assertEquals("-ERR aborted", line(bad), one);
     }
-    assertEquals(null, seen.peek());
+    assertEquals(null, eventTexts.peek());
   }
 
   /**
    * A connection that says nothing, or half a command, ends within 3 s; one that has spoken stays.
    */
   @Test
-  void muteClients() throws Exception {
-    Socket usual = usual();
+  void silentClients() throws Exception {
+    Socket usual = answeredClient();
     long before = System.nanoTime();
     Socket silent = client();
     Socket half = client();
-    say(half, req(1).substring(0, 30));
+    send(half, request(1).substring(0, 30));
     assertEquals("closed -ERR command incomplete closed", line(silent) + " " + lines(half, 2));
     assertTrue(System.nanoTime() - before < 3_000_000_000L);
-    say(usual, req(2));
+    send(usual, request(2));
     assertEquals("-BUSY", line(usual));
   }
 
@@ -124,14 +124,14 @@
    * those make room.
    */
   @Test
-  void silentCrowd() throws Exception {
-    Socket usual = usual();
+  void manySilentConnections() throws Exception {
+    Socket usual = answeredClient();
     Socket oldest = client();
     for (int i = 0; i < 520; i++) client();
     Socket newest = client();
-    say(newest, req(1));
+    send(newest, request(1));
     assertEquals("-BUSY closed", line(newest) + " " + line(oldest));
-    say(usual, req(2));
+    send(usual, request(2));
     assertEquals("-BUSY", line(usual));
   }
 
@@ -139,10 +139,11 @@
    * An app srv's connection is used again, and each way it can end tells the module what it must.
    */
   @Test
-  void dispatchesAndTheirEnds() throws Exception {
+  void attemptsAndTheirEnds() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished()) to.fail(d.requestId());
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
+        actions.fail(d.requestId());
     };
     Socket c = client();
     String[] answers = {"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n", "-ERR failed\r\n", "-BUSY\r\n", null};
@@ -152,20 +153,20 @@
     for (int i = 0; i < answers.length; i++) {
       Thread.sleep(10); // at least: the connection has settled after its last answer
       long saidAt = System.nanoTime();
-      say(c, req(i));
+      send(c, request(i));
       assertEquals("arrived " + i + " waits 900", next());
-      if (s == null) s = accept(appSrv);
+      if (s == null) s = accept(appServer);
       assertEquals(
           "*4 $9 SVC.QUERY $16 0000000000000007 $2 " + (10 + i)
               + " $40 c=read,t=plan,d=8000,units=1,spread=1,n=",
           withWaitOf(8_000, lines(s, 9), saidAt));
       if (answers[i] == null) s.close();
-      else say(s, answers[i]);
+      else send(s, answers[i]);
       assertEquals("ended " + i + "/0 " + told[i], next());
       assertEquals(got[i], lines(c, got[i].startsWith("$") ? 2 : 1));
     }
-    appSrv.close();
-    say(c, req(4));
+    appServer.close();
+    send(c, request(4));
     assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", next() + " " + next());
   }
 
@@ -174,19 +175,19 @@
    * on its connection.
    */
   @Test
-  void spoiltAnswers() throws Exception {
+  void malformedReplies() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d) to.fail(d.requestId());
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d) actions.fail(d.requestId());
     };
     Socket c = client();
     String[] answers = {"+OK\r\n", ":7\r\n", "*2\r\n$-1\r\n$-1\r\n", "-BUSYX\r\n",
         "*1\r\n$3000000000\r\nxx", "\0\1\r\n", "*1\r\n$9\r\nhalf of it"};
     for (int i = 0; i < answers.length; i++) {
-      say(c, req(i));
-      Socket s = accept(appSrv);
+      send(c, request(i));
+      Socket s = accept(appServer);
       lines(s, 9);
-      say(s, answers[i]);
+      send(s, answers[i]);
       assertEquals("arrived " + i + " waits 900 ended " + i + "/0 CONNECTION_LOST closed",
           next() + " " + next() + " " + line(s));
       assertEquals("-ERR aborted", line(c));
@@ -198,9 +199,9 @@
    * half a line's.
    */
   @Test
-  void spoiltCounterAnswers() throws Exception {
+  void malformedCounterReplies() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
     Socket c = client();
     String[] answers = {"ok NaN\r\n", "noise\r\n", "ok 0x1p3\r\n", "ok", "busy\r\n", "error\r\n"};
@@ -208,10 +209,10 @@
         "SERVER_BUSY", "NOT_SENT"};
     Socket s = null;
     for (int i = 0; i < answers.length; i++) {
-      say(c, req(i));
+      send(c, request(i));
       if (i < 5) s = accept(counter);
       line(s);
-      say(s, answers[i]);
+      send(s, answers[i]);
       assertEquals("arrived " + i + " waits 900 counted 255 " + told[i] + " 0.0",
           next() + " " + next());
       if (i < 4) assertEquals("closed", line(s));
@@ -223,29 +224,29 @@
    * next one.
    */
   @Test
-  void givenUpAndLeftOver() throws Exception {
+  void timedOutAttemptsAndStrayBytes() throws Exception {
     script = e -> {
       if (e instanceof GatewayEvent.RequestArrived)
-        to.startAttempt(rid(e), 0, rid(e) == 0 ? 5_000 : 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && d.requestId() == 0) to.fail(0);
-      if (e instanceof GatewayEvent.ClientDisconnected l) to.cancelAttempt(l.requestId(), 0);
+        actions.startAttempt(requestIdOf(e), 0, requestIdOf(e) == 0 ? 5_000 : 80_000);
+      if (e instanceof GatewayEvent.AttemptEnded d && d.requestId() == 0) actions.fail(0);
+      if (e instanceof GatewayEvent.ClientDisconnected l) actions.cancelAttempt(l.requestId(), 0);
     };
     Socket c = client();
     long saidAt = System.nanoTime();
-    say(c, req(0));
-    Socket s = accept(appSrv);
+    send(c, request(0));
+    Socket s = accept(appServer);
     assertEquals(
         "*4 $9 SVC.QUERY $16 0000000000000007 $2 10 $39 c=read,t=plan,d=500,units=1,spread=1,n= closed",
         withWaitOf(500, lines(s, 10), saidAt));
     assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT", next() + " " + next());
     assertEquals("-ERR aborted", line(c));
-    say(c, req(1));
-    s = accept(appSrv);
+    send(c, request(1));
+    s = accept(appServer);
     lines(s, 9);
-    say(s, "*1\r\n$2\r\nhi\r\n-ERR stray\r\n");
+    send(s, "*1\r\n$2\r\nhi\r\n-ERR stray\r\n");
     assertEquals("$2 hi closed", lines(c, 2) + " " + line(s));
-    say(c, req(2));
-    s = accept(appSrv);
+    send(c, request(2));
+    s = accept(appServer);
     lines(s, 9);
     assertEquals("arrived 1 waits 900 ended 1/0 SUCCEEDED over arrived 2 waits 900",
         next() + " " + next() + " " + next());
@@ -258,35 +259,35 @@
    * behind it.
    */
   @Test
-  void lateCounterAnswers() throws Exception {
+  void lateCounterReplies() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1.5, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1.5, 40_000, 0);
       if (!(e instanceof GatewayEvent.CounterReplied n)
           || n.outcome() != GatewayEvent.AttemptOutcome.CONNECT_FAILED)
         return;
-      for (int i = 0; i < 5; i++) to.fail(i);
+      for (int i = 0; i < 5; i++) actions.fail(i);
     };
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     Socket s = accept(counter);
     assertEquals("bump ff 1.5000 4000", line(s));
     assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0", next() + " " + next());
-    say(c, req(1));
+    send(c, request(1));
     assertEquals("bump ff 1.5000 4000", line(s));
-    say(s, "ok 1.5\r\nok 3\r\n");
+    send(s, "ok 1.5\r\nok 3\r\n");
     assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0", next() + " " + next());
-    say(c, req(2));
+    send(c, request(2));
     line(s);
-    say(s, "busy\r\n");
+    send(s, "busy\r\n");
     assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0", next() + " " + next());
-    say(c, req(3));
+    send(c, request(3));
     line(s);
     s.close();
     assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0", next() + " " + next());
     counter.close();
-    say(c, req(4));
+    send(c, request(4));
     assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", next() + " " + next());
-    List<String> figures = info(c);
+    List<String> figures = infoLines(c);
     assertTrue(
         figures
             .containsAll(List.of("reqs=5", "counted=5", "counts_answered=1", "counter_opened=1")),
@@ -322,15 +323,15 @@
    * changes nothing.
    */
   @Test
-  void hangup(@TempDir Path dir) throws Exception {
+  void reloadMovesDiscoveryAndCounter(@TempDir Path dir) throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.addToCounter(255, 1, 40_000, 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
     Path path = dir.resolve("config.json");
     node.reloadOn(new ReloadSignal(), path);
     Socket oldWatch = accept(discovery);
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     Socket old = accept(counter);
     assertEquals("bump ff 1 4000", line(old));
     ServerSocket wasCounter = counter;
@@ -338,7 +339,7 @@
     Files.writeString(path, "{");
     Signal.raise(new Signal("HUP"));
     Socket asking = client();
-    while (!info(asking).contains("reloads_failed=1")) Thread.onSpinWait();
+    while (!infoLines(asking).contains("reloads_failed=1")) Thread.onSpinWait();
     counter = listen();
     discovery = listen();
     Files.writeString(path, config());
@@ -346,12 +347,12 @@
     Socket watch = accept(discovery);
     assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(watch));
     while (!line(oldWatch).equals("closed")) continue;
-    say(c, req(1));
+    send(c, request(1));
     Socket fresh = accept(counter);
     assertEquals("arrived 0 waits 900 arrived 1 waits 900", next() + " " + next());
-    say(old, "ok 1\r\n");
+    send(old, "ok 1\r\n");
     assertEquals("bump ff 1 4000 closed", line(fresh) + " " + line(old));
-    say(fresh, "ok 2\r\n");
+    send(fresh, "ok 2\r\n");
     assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0", next() + " " + next());
     wasCounter.close();
     wasDiscovery.close();
@@ -359,7 +360,7 @@
 
   /** One that comes before there is a node is not lost, and ends nothing. */
   @Test
-  void hangupBeforeTheStart(@TempDir Path dir) throws Exception {
+  void reloadSignalBeforeTheStart(@TempDir Path dir) throws Exception {
     Path path = Files.writeString(dir.resolve("config.json"), config());
     EdgeNode early = new EdgeNode(NodeConfigurationReader.read(config()));
     ServerSocket was = discovery;
@@ -382,14 +383,14 @@
 
   /** A probe asks for the load, and tells it under the settings' names. */
   @Test
-  void probes() throws Exception {
+  void healthChecks() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.checkHealth(0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.checkHealth(0);
     };
-    say(client(), req(0));
-    Socket s = accept(appSrv);
+    send(client(), request(0));
+    Socket s = accept(appServer);
     assertEquals("*2 $4 INFO $4 load", lines(s, 5));
-    say(s, "$23\r\nqueue=2,utilization=0.6\r\n");
+    send(s, "$23\r\nqueue=2,utilization=0.6\r\n");
     assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", next() + " " + next());
   }
 
@@ -400,10 +401,10 @@
   @Test
   void datagrams() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.sendGossip(0,
+      if (e instanceof GatewayEvent.RequestArrived) actions.sendGossip(0,
           new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 1.5)), null));
     };
-    say(client(), req(0));
+    send(client(), request(0));
     DatagramPacket packet = new DatagramPacket(new byte[300], 300);
     peer.receive(packet);
     peer.send(new DatagramPacket("hello".getBytes(StandardCharsets.ISO_8859_1), 5,
@@ -417,16 +418,16 @@
    * Guards against a fault in the module that ends the process: it costs the req that it came with.
    */
   @Test
-  void moduleFails() throws Exception {
+  void policyFails() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived && rid(e) == 0)
+      if (e instanceof GatewayEvent.RequestArrived && requestIdOf(e) == 0)
         throw new IllegalStateException("made up for this test");
-      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     Socket c = client();
-    say(c, req(0));
+    send(c, request(0));
     assertEquals("-ERR aborted", line(c));
-    say(c, req(1));
+    send(c, request(1));
     assertEquals("-BUSY", line(c));
     assertEquals("arrived 0 waits 900 left 0 arrived 1 waits 900",
         next() + " " + next() + " " + next());
@@ -437,18 +438,18 @@
   void stops() throws Exception {
     Socket idle = client();
     Socket busy = client();
-    say(busy, req(0));
+    send(busy, request(0));
     assertEquals("arrived 0 waits 900", next());
     var done = node.stop().toCompletionStage().toCompletableFuture();
     Socket late = client();
-    say(late, "*1\r\n$4\r\nPING\r\n");
+    send(late, "*1\r\n$4\r\nPING\r\n");
     assertEquals("+PONG", line(late));
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     long before = System.nanoTime();
     while (System.nanoTime() - before < 700_000_000L) {
-      say(idle, req(1));
+      send(idle, request(1));
       assertEquals("-BUSY", line(idle));
     }
     assertEquals("-ERR aborted closed", lines(busy, 2));
--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -30,7 +30,7 @@
 
   private final List<Socket> sockets = new ArrayList<>();
   @TempDir private Path dir;
-  private ServerSocket appSrv;
+  private ServerSocket appServer;
   private ServerSocket counter;
   private ServerSocket discovery;
   private Process process;
@@ -38,7 +38,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    appSrv = NodeHarness.listen();
+    appServer = NodeHarness.listen();
     counter = NodeHarness.listen();
     discovery = NodeHarness.listen();
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -70,7 +70,7 @@
   void end() throws Exception {
     process.destroyForcibly().waitFor();
     for (Socket s : sockets) s.close();
-    appSrv.close();
+    appServer.close();
     counter.close();
     discovery.close();
   }
@@ -94,7 +94,7 @@
       assertTrue(process.isAlive());
       try {
         Socket c = client();
-        NodeHarness.say(c, PING);
+        NodeHarness.send(c, PING);
         if (NodeHarness.line(c).equals("+PONG")) return;
       } catch (IOException e) {
         Thread.sleep(20); // not listening yet
@@ -117,7 +117,7 @@
     ready();
     for (int i = 0; i < 400; i++) {
       Socket c = client();
-      NodeHarness.say(c, i % 2 == 0 ? PING : "*1\r\n");
+      NodeHarness.send(c, i % 2 == 0 ? PING : "*1\r\n");
     }
     long back = System.nanoTime();
     Socket watch = accept(discovery);
@@ -131,18 +131,18 @@
     NodeHarness.line(watch);
     NodeHarness.stream(watch,
         "{\"index\":2,\"snapshot\":true,\"endpoints\":[{\"name\":\"s-2\",\"address\":\"127.0.0.1:"
-            + appSrv.getLocalPort()
+            + appServer.getLocalPort()
             + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,"
             + "\"since_ms\":0}]}\n");
     Socket c = client();
-    NodeHarness.say(c, PING);
+    NodeHarness.send(c, PING);
     assertEquals("+PONG", NodeHarness.line(c));
     Socket count = counted(c);
     NodeHarness.line(count);
-    NodeHarness.say(count, "ok 0\r\n");
-    Socket s = accept(appSrv);
+    NodeHarness.send(count, "ok 0\r\n");
+    Socket s = accept(appServer);
     NodeHarness.lines(s, 9);
-    NodeHarness.say(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
+    NodeHarness.send(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
     assertEquals("$2 hi", NodeHarness.lines(c, 2));
     assertTrue(descriptors() < DESCRIPTORS - 16, descriptors() + " descriptors");
     assertTrue(System.nanoTime() - back < 30_000_000_000L);
@@ -155,7 +155,7 @@
   private Socket counted(Socket c) throws IOException {
     counter.setSoTimeout(2_000);
     for (int id = 1; id <= 10; id++) {
-      NodeHarness.say(c, NodeHarness.req(id).replace("d=900", "d=9000").replace("$39", "$40"));
+      NodeHarness.send(c, NodeHarness.request(id).replace("d=900", "d=9000").replace("$39", "$40"));
       try {
         return accept(counter);
       } catch (java.net.SocketTimeoutException e) {
@@ -178,7 +178,7 @@
     long since = System.nanoTime();
     int answered = 0;
     for (int i = 0;; i++) {
-      NodeHarness.say(c, PING);
+      NodeHarness.send(c, PING);
       if (!NodeHarness.line(c).equals("+PONG")) break;
       answered++;
     }
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -28,7 +28,7 @@
 class ShutdownTest extends NodeHarness {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
 
-  private CompletableFuture<Void> ending() {
+  private CompletableFuture<Void> stopNode() {
     stopped = true;
     return node.stop().toCompletionStage().toCompletableFuture();
   }
@@ -38,7 +38,7 @@
    * served.
    */
   @Test
-  void crowdInTheBacklog() throws Exception {
+  void connectionsInTheBacklog() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
     script = e -> {
@@ -49,18 +49,18 @@
       } catch (InterruptedException i) {
         throw new IllegalStateException(i);
       }
-      to.reject(rid(e), 0);
+      actions.reject(requestIdOf(e), 0);
     };
     Socket first = client();
-    say(first, req(0));
+    send(first, request(0));
     assertTrue(held.await(20, TimeUnit.SECONDS));
     List<Socket> crowd = new ArrayList<>();
     for (int i = 1; i <= 300; i++) {
       Socket c = client();
-      say(c, req(i));
+      send(c, request(i));
       crowd.add(c);
     }
-    CompletableFuture<Void> done = ending();
+    CompletableFuture<Void> done = stopNode();
     go.countDown();
     for (Socket c : crowd) assertEquals("-BUSY", line(c));
     for (Socket c : crowd) assertEquals("closed", line(c));
@@ -72,24 +72,24 @@
    * was read.
    */
   @Test
-  void askedUpToTheLastTurn() throws Exception {
+  void requestsUpToTheLastTurn() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     List<Socket> clients = new ArrayList<>();
-    for (int i = 0; i < 20; i++) clients.add(usual());
-    while (seen.poll() != null) continue;
-    CompletableFuture<Void> done = ending();
+    for (int i = 0; i < 20; i++) clients.add(answeredClient());
+    while (eventTexts.poll() != null) continue;
+    CompletableFuture<Void> done = stopNode();
     int answered = 0;
     for (int round = 0; !clients.isEmpty(); round++) {
-      for (int i = 0; i < clients.size(); i++) say(clients.get(i), req(100 * round + i));
+      for (int i = 0; i < clients.size(); i++) send(clients.get(i), request(100 * round + i));
       for (Socket c : List.copyOf(clients)) {
         if (line(c).equals("-BUSY")) answered++;
         else clients.remove(c);
       }
     }
     done.get(5, TimeUnit.SECONDS);
-    long arrived = seen.stream().filter(text -> text.startsWith("arrived")).count();
+    long arrived = eventTexts.stream().filter(text -> text.startsWith("arrived")).count();
     // the last ones the listener denies itself
     assertTrue(arrived <= answered, arrived + " read and " + answered + " answered");
   }
@@ -102,8 +102,8 @@
   void answersInTheWriteQueue() throws Exception {
     Socket c = client();
     String info = "*1\r\n$4\r\nINFO\r\n";
-    for (int i = 0; i < 2_000; i++) say(c, info);
-    CompletableFuture<Void> done = ending();
+    for (int i = 0; i < 2_000; i++) send(c, info);
+    CompletableFuture<Void> done = stopNode();
     int got = 0;
     for (String line = line(c); !line.equals("closed"); line = line(c))
       if (line.startsWith("held=")) got++;
@@ -115,21 +115,21 @@
    * An app srv that hangs just then: the req is aborted in time, and its late answer is nobody's.
    */
   @Test
-  void appSrvHangs() throws Exception {
+  void appServerHangs() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.startAttempt(rid(e), 0, 80_000);
+      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
     };
     Socket c = client();
-    say(c, req(0));
-    Socket s = accept(appSrv);
+    send(c, request(0));
+    Socket s = accept(appServer);
     lines(s, 9);
     long since = System.nanoTime();
-    CompletableFuture<Void> done = ending();
+    CompletableFuture<Void> done = stopNode();
     assertEquals("-ERR aborted closed", lines(c, 2));
     long took = (System.nanoTime() - since) / 1_000_000;
     // SIGKILL comes 1.7 s after SIGTERM at the soonest, 3.7 s where deadlines are long
     assertTrue(took < 3_400, took + " ms");
-    say(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
+    send(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
     done.get(5, TimeUnit.SECONDS);
   }
 
@@ -148,19 +148,19 @@
   @Test
   void halfACommand() throws Exception {
     script = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) to.reject(rid(e), 0);
+      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     Socket c = client();
-    String two = PING + req(1);
+    String two = PING + request(1);
     int half = two.length() - 20;
-    CompletableFuture<Void> done = ending();
+    CompletableFuture<Void> done = stopNode();
     long answers = 0;
     while (true) {
-      say(c, two.substring(0, half));
+      send(c, two.substring(0, half));
       String pong = line(c);
       if (pong.equals("closed")) break;
       assertEquals("+PONG", pong);
-      say(c, two.substring(half));
+      send(c, two.substring(half));
       String busy = line(c);
       if (busy.equals("closed")) break; // refusing: half a command is not waited for any more
       assertEquals("-BUSY", busy);
@@ -175,14 +175,14 @@
    * that it was not taken.
    */
   @Test
-  void askedBehindTheEnd() throws Exception {
+  void requestBehindTheEnd() throws Exception {
     try (SocketChannel c = SocketChannel.open(new InetSocketAddress("127.0.0.1", node.port()))) {
       ByteBuffer got = ByteBuffer.allocate(64);
       c.write(ByteBuffer.wrap(PING.getBytes(StandardCharsets.ISO_8859_1)));
       assertEquals(7, c.read(got));
-      CompletableFuture<Void> done = ending();
+      CompletableFuture<Void> done = stopNode();
       assertEquals(-1, c.read(got));
-      c.write(ByteBuffer.wrap(req(0).getBytes(StandardCharsets.ISO_8859_1)));
+      c.write(ByteBuffer.wrap(request(0).getBytes(StandardCharsets.ISO_8859_1)));
       done.get(5, TimeUnit.SECONDS);
       // else the system takes it: no reset has come
       assertThrows(IOException.class, () -> c.write(ByteBuffer.allocate(1)));
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -30,7 +30,7 @@
   }
 
   private static void chunk(Socket s, String body) throws IOException {
-    say(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
+    send(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
   /** Waits for the next watch, and tells how long that took. */
@@ -79,7 +79,7 @@
   void firstLineNeverEnds() throws Exception {
     Socket s = first();
     long since = System.nanoTime();
-    say(s, HEAD);
+    send(s, HEAD);
     CountDownLatch over = new CountDownLatch(1);
     Thread trickle = new Thread(() -> {
       try {
@@ -125,7 +125,7 @@
 
   private boolean has(String figure) throws IOException {
     try (Socket asking = new Socket("127.0.0.1", node.port())) {
-      return info(asking).contains(figure);
+      return infoLines(asking).contains(figure);
     }
   }
 
@@ -133,9 +133,9 @@
   @Test
   void otherStatusAndCutChunk() throws Exception {
     String body = list(9, true, "s-9", "Ready");
-    say(first(), "HTTP/1.1 503 Down\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    send(first(), "HTTP/1.1 503 Down\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     nextWatch(System.nanoTime(), "1");
-    say(last, HEAD + "400\r\n{\"index\":9,\"sna");
+    send(last, HEAD + "400\r\n{\"index\":9,\"sna");
     last.close();
     nextWatch(System.nanoTime(), "1");
     stream(last, list(2, true, "s-2", "Ready"));
@@ -151,7 +151,7 @@
     Socket s = first();
     String text = list(2, true, "s-\\\"}{", "Ready").trim().replace(",", ",\n    ")
         .replace("{\"index", "{\n  \"index") + "\n";
-    say(s, HEAD);
+    send(s, HEAD);
     for (int i = 0; i < text.length(); i += 7)
       chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
     chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
