--- a/src/main/java/saltlatch/node/EndpointListListener.java
+++ b/src/main/java/saltlatch/node/EndpointListListener.java
@@ -46,7 +46,7 @@
   }
 
   @Override
-  public void listed(EndpointList list, Runnable applied) {
+  public void endpointsReceived(EndpointList list, Runnable applied) {
     applier.apply(list, () -> {
       applied.run();
       indicesInBatch.add(list.index());
--- a/src/main/java/saltlatch/node/NodeConfigurationReader.java
+++ b/src/main/java/saltlatch/node/NodeConfigurationReader.java
@@ -44,7 +44,7 @@
     Path historyDirectory = file.has("history")
         ? Path.of(file.required("history", "word", JsonElement::getAsString)) : null;
     EndpointList cachedEndpoints = file.required("known", "list of app servers",
-        value -> EndpointList.of(value.getAsJsonObject()));
+        value -> EndpointList.decode(value.getAsJsonObject()));
     return new NodeConfiguration(file.text("name"), addresses, resourceLimits, historyDirectory,
         membershipEnabled, cachedEndpoints, SettingsReader.readHostSettings(settingsSection),
         settings);
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -160,9 +160,9 @@
     LOG.info("configuration_reloaded discovery={} counter={}", addresses.discovery(),
         addresses.counter());
     history.reloaded();
-    partners.discovery().move(addresses.discovery());
+    partners.discovery().moveTo(addresses.discovery());
     if (partners.counter() != null && addresses.counter() != null) {
-      partners.counter().move(addresses.counter());
+      partners.counter().moveTo(addresses.counter());
     }
   }
 
--- a/src/main/java/saltlatch/node/PeerMessageListener.java
+++ b/src/main/java/saltlatch/node/PeerMessageListener.java
@@ -24,8 +24,8 @@
   }
 
   @Override
-  public void heard(int sender, byte[] datagram) {
-    if (datagram.length > 0 && datagram[0] == MembershipCodec.FIRST) {
+  public void datagramReceived(int sender, byte[] datagram) {
+    if (datagram.length > 0 && datagram[0] == MembershipCodec.FIRST_BYTE) {
       if (membership != null) membership.received(sender, datagram);
       return;
     }
--- a/src/main/java/saltlatch/policy/package-info.java
+++ b/src/main/java/saltlatch/policy/package-info.java
@@ -10,9 +10,10 @@
  * <li>Rejected requests: {@link saltlatch.policy.AdmissionControl},
  * {@link saltlatch.policy.LoadShedding}, {@link saltlatch.policy.ClientRetryDetection},
  * {@link saltlatch.policy.RetryAfterAdvice}.
- * <li>Quotas and the counter: {@link saltlatch.policy.QuotaTracker},
- * {@link saltlatch.policy.QuotaCharges}, {@link saltlatch.policy.QuantileReservation},
- * {@link saltlatch.policy.CounterHealth}, {@link saltlatch.policy.QuotaGossip}.
+ * <li>Quotas: {@link saltlatch.policy.QuotaTracker}, whose comment names the rules of who may use
+ * which part, and {@link saltlatch.policy.QuotaGossip}.
+ * <li>The counter: {@link saltlatch.policy.QuotaCharges},
+ * {@link saltlatch.policy.QuantileReservation}, {@link saltlatch.policy.CounterHealth}.
  * <li>App servers: {@link saltlatch.policy.ServerList},
  * {@link saltlatch.policy.WeightedRoundRobinLoadBalancer},
  * {@link saltlatch.policy.OutlierDetection}, {@link saltlatch.policy.SlowStart}.
@@ -25,10 +26,10 @@
  * <p>May import {@code saltlatch.api} and {@code saltlatch.membership}. Hosts make a
  * {@link saltlatch.policy.PolicyEngine} and know no other class.
  *
- * <p>Nothing here does I/O, reads a clock or starts a thread: the engine and all its state belong to
- * the host's thread, and the time is handed in. Times are in {@linkplain saltlatch.api.Ticks ticks}.
- * Each field has one class that writes it, which the comment of the state class names. Replayed
- * events give the same actions to the bit, so the order of sums, of random draws and of iteration is
- * part of a rule.
+ * <p>Nothing here does I/O, reads a clock or starts a thread: the engine and all its state belong
+ * to the host's thread, and the time is handed in. Times are in
+ * {@linkplain saltlatch.api.Ticks ticks}. Each field has one class that writes it, which the
+ * comment of the state class names. Replayed events give the same actions to the bit, so the order
+ * of sums, of random draws and of iteration is part of a rule.
  */
 package saltlatch.policy;
--- a/src/test/java/saltlatch/policy/LoadSheddingTest.java
+++ b/src/test/java/saltlatch/policy/LoadSheddingTest.java
@@ -43,7 +43,9 @@
     assertEquals(3 * 2 + 4, limit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
   }
 
-  /** 200 nodes share what two servers may hold: a node with one attempt in flight starts no other. */
+  /**
+   * 200 nodes share what two servers may hold: a node with one attempt in flight starts no other.
+   */
   @Test
   void nodesShareWhatIsFree() {
     assertEquals(1, limit(shedding(200), PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
@@ -60,7 +62,7 @@
   void aClientWithLittleTimeIsRejectedSooner() {
     complete(100);
     RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
-    request.deadline = 5_000;
+    request.deadlineTicks = 5_000;
     assertEquals(15 + 4, limit(shedding, request));
   }
 
