--- a/src/main/java/saltlatch/node/EventBatcher.java
+++ b/src/main/java/saltlatch/node/EventBatcher.java
@@ -10,8 +10,8 @@
 import saltlatch.state.NodeMetrics.Metric;
 
 /**
- * Hands events to the policy: what one turn of the event loop brings goes in one batch, in the order
- * of arrival. A request of a client that closed in the same turn thus comes together with the
+ * Hands events to the policy: what one turn of the event loop brings goes in one batch, in the
+ * order of arrival. A request of a client that closed in the same turn thus comes together with the
  * close, and is not forwarded for nobody.
  *
  * <p>The policy's one caller; owned by the event loop.
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -19,7 +19,7 @@
   /** New connections keep coming for up to 0.4 s after SIGTERM. */
   private static final long MIN_SERVING_MS = 500;
   private static final long CHECK_INTERVAL_MS = 20;
-  /** SIGKILL comes no sooner than the longest client timeout, but counts no more than this of it. */
+  /** SIGKILL comes no sooner than the longest client timeout, of which this counts at most. */
   private static final long MAX_CLIENT_TIMEOUT_MS = 3_000;
   /** What SIGKILL leaves on top of the client timeout. */
   private static final long KILL_MARGIN_MS = 700;
@@ -79,7 +79,8 @@
   }
 
   private void check(long periodicTimer) {
-    if (listener.isRejecting()) listener.closeIdleConnections(); // also those that came since the last check
+    // also those that came since the last check
+    if (listener.isRejecting()) listener.closeIdleConnections();
     if (listener.openConnections() > 0) return;
     vertx.cancelTimer(periodicTimer);
     rejectAll(); // what comes while all is being closed is not forwarded
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -78,7 +78,7 @@
     return policy.stallThresholdTicks();
   }
 
-  /** Called with the index of each endpoint list or change that the policy has been handed whole. */
+  /** Sets what gets the index of each endpoint list or change that the policy has whole. */
   void onListApplied(LongConsumer action) {
     onListApplied = action;
   }
@@ -195,7 +195,7 @@
     endpointLists.reportApplied();
   }
 
-  /** Gives a request that the policy failed on its final response, and reports it to the policy as gone. */
+  /** Fails the request that the policy failed on, and reports it to the policy as gone. */
   private void failRequestOf(GatewayEvent event) {
     RequestContext request = requests.find(requestIdOf(event));
     if (request != null && !request.isFinished()) clientRequests.abandon(request);
--- a/src/main/java/saltlatch/simhost/RequestFrame.java
+++ b/src/main/java/saltlatch/simhost/RequestFrame.java
@@ -15,8 +15,8 @@
 
 /**
  * A frame from the simulator: a header with the time and the number of records, records of a fixed
- * size, and a tail that records point into. Little-endian, times in milliseconds as doubles. Offsets
- * are those of the socket protocol's page. Read-only view of the frame's bytes.
+ * size, and a tail that records point into. Little-endian, times in milliseconds as doubles.
+ * Offsets are those of the socket protocol's page. Read-only view of the frame's bytes.
  */
 final class RequestFrame {
   /** Codes of records, in the order of the protocol's page. */
