--- a/src/main/java/saltlatch/history/History.java
+++ b/src/main/java/saltlatch/history/History.java
@@ -14,8 +14,8 @@
  * What one process did, an event of JSON a line. Each line is handed to the operating system before
  * the next thing is done, so that what was written before SIGKILL is there. Beside the log and
  * apart from its backend: SLF4J key-value events on logback's JSON encoder, whose classes are
- * loaded only where a history is kept. {@code mono_ns} is the machine's monotonic clock, which all processes on
- * it share. Thread-safe.
+ * loaded only where a history is kept. {@code mono_ns} is the machine's monotonic clock,
+ * which all processes on it share. Thread-safe.
  */
 public final class History implements AutoCloseable {
   private final LoggerContext context = new LoggerContext();
