--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -109,20 +109,20 @@
 
   /** Forwards a request to a server, and waits for its reply for so long. */
   public void startAttempt(RequestContext request, int attempt, int server, long timeoutTicks) {
-    metrics.add(Metric.DISPATCHED);
+    metrics.add(Metric.ATTEMPTS_STARTED);
     AppServerConnection connection = takeConnection(server);
     if (connection == null) {
       listener.attemptEnded(request, attempt, server, noConnectionFree(), 0);
       return;
     }
     connection.send(new AppServerConnection.Call(request, attempt,
-        timeLeftMs -> AppServerCommandEncoder.forward(request.request.command(), timeLeftMs),
+        timeLeftMs -> AppServerCommandEncoder.forward(request.request().command(), timeLeftMs),
         timeoutTicks));
   }
 
   /** Asks a server for its load report, and waits for the reply for so long. */
   public void checkHealth(int server, long timeoutTicks) {
-    metrics.add(Metric.PROBED);
+    metrics.add(Metric.HEALTH_CHECKS);
     AppServerConnection connection = takeConnection(server);
     if (connection == null) {
       listener.healthChecked(server, noConnectionFree(), 0);
@@ -181,7 +181,7 @@
     if (connection == null) {
       if (connectionCount >= maxConnections && !closeOldestIdle()) return null;
       connectionCount++;
-      metrics.add(Metric.CONNECTIONS_OPENED);
+      metrics.add(Metric.SERVER_CONNECTIONS_OPENED);
       connection = new AppServerConnection(this, server);
       connection.open(client, entry.address);
     }
@@ -240,8 +240,8 @@
     server.connections.removeBusy(connection);
     if (reusable) server.connections.addIdle(connection, scheduler.now());
     dropIfUnconnected(server);
-    metrics.add(reply.result() == CallResult.ANSWERED ? Metric.DISPATCHES_PASSED
-        : Metric.DISPATCHES_ENDED_OTHERWISE);
+    metrics.add(
+        reply.result() == CallResult.ANSWERED ? Metric.ATTEMPTS_SUCCEEDED : Metric.ATTEMPTS_FAILED);
     if (call.isHealthCheck()) {
       listener.healthChecked(connection.server(), reply, elapsedTicks);
     } else {
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -80,7 +80,7 @@
       return;
     }
     socket.handler(this::read);
-    socket.exceptionHandler(e -> owner.metrics().add(Metric.CONNECTIONS_BROKEN));
+    socket.exceptionHandler(e -> owner.metrics().add(Metric.SERVER_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> end(AppServerReply.withoutValue(
         commandWritten ? CallResult.CONNECTION_LOST : CallResult.CONNECTION_LOST_UNWRITTEN)));
     owner.scheduler().afterTurn(this::sendFirstCall);
--- a/src/main/java/saltlatch/wire/appserver/ServerConnections.java
+++ b/src/main/java/saltlatch/wire/appserver/ServerConnections.java
@@ -14,22 +14,22 @@
   private final List<AppServerConnection> busy = new ArrayList<>();
 
   boolean isEmpty() {
-    return busy.isEmpty() && idle.oldest() == Long.MAX_VALUE;
+    return busy.isEmpty() && idle.oldestIdleSinceTicks() == Long.MAX_VALUE;
   }
 
   /** The connection used last among those idle since then or longer; null if there is none. */
   AppServerConnection takeIdleSince(long ticks) {
-    return idle.take(ticks);
+    return idle.takeIdleSince(ticks);
   }
 
   /** Takes out the connections idle since before then. */
   List<AppServerConnection> takeIdleBefore(long ticks) {
-    return idle.takeOlder(ticks);
+    return idle.removeIdleBefore(ticks);
   }
 
   /** Since when the oldest one is idle, in ticks; {@link Long#MAX_VALUE} if none is. */
   long oldestIdleSince() {
-    return idle.oldest();
+    return idle.oldestIdleSinceTicks();
   }
 
   void addIdle(AppServerConnection connection, long nowTicks) {
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -49,7 +49,7 @@
     this.socket = socket;
     usedAtTicks = listener.scheduler().now();
     socket.handler(this::read);
-    socket.exceptionHandler(e -> metrics().add(Metric.CLIENTS_BROKEN));
+    socket.exceptionHandler(e -> metrics().add(Metric.CLIENT_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> connectionEnded());
     socket.drainHandler(v -> resumeReading());
   }
@@ -94,7 +94,7 @@
   void closeIfIncompleteSince(long ticks) {
     boolean isBetweenCommands = hasSentCommand && decoder.isEmpty();
     if (closed || usedAtTicks > ticks || !isIdle() || isBetweenCommands) return;
-    metrics().add(Metric.CLIENTS_MUTE);
+    metrics().add(Metric.CLIENT_CONNECTIONS_SILENT);
     framingLost = true;
     if (decoder.isEmpty()) close();
     else replyLine(INCOMPLETE_COMMAND);
--- a/src/main/java/saltlatch/wire/client/ClientListener.java
+++ b/src/main/java/saltlatch/wire/client/ClientListener.java
@@ -67,7 +67,7 @@
     server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true)
         .setAcceptBacklog(BACKLOG_PER_CONNECTION * maxConnections));
     server.connectHandler(this::accept);
-    server.exceptionHandler(e -> metrics.add(Metric.CLIENTS_BROKEN));
+    server.exceptionHandler(e -> metrics.add(Metric.CLIENT_CONNECTIONS_BROKEN));
   }
 
   /** Listens at this address; done once connections are accepted, failed if it is taken. */
@@ -120,7 +120,7 @@
   }
 
   private void accept(NetSocket socket) {
-    metrics.add(Metric.CLIENTS_ACCEPTED);
+    metrics.add(Metric.CLIENT_CONNECTIONS_ACCEPTED);
     if (connections.size() >= maxConnections && !closeLeastNeeded()) {
       SocketCloser.closeNow(socket);
       return;
@@ -134,7 +134,7 @@
    * use up the limit, and other clients could not connect.
    */
   private boolean closeLeastNeeded() {
-    metrics.add(Metric.CLIENTS_OVER_LIMIT);
+    metrics.add(Metric.CLIENT_CONNECTIONS_OVER_LIMIT);
     ClientConnection least = connections.leastNeeded(scheduler.now() - STALE_AFTER_TICKS);
     if (least == null) return false;
     least.close();
--- a/src/main/java/saltlatch/wire/client/PendingReply.java
+++ b/src/main/java/saltlatch/wire/client/PendingReply.java
@@ -28,19 +28,19 @@
 
   @Override
   public void succeed(byte[] value) {
-    connection.metrics().add(Metric.ANSWERED_PASSED);
+    connection.metrics().add(Metric.RESPONSES_SUCCEEDED);
     fill(RespEncoder.bulk(value));
   }
 
   @Override
   public void reject(long retryAfterMs) {
-    connection.metrics().add(Metric.ANSWERED_DENIED);
+    connection.metrics().add(Metric.RESPONSES_REJECTED);
     fill(RespEncoder.line(retryAfterMs > 0 ? REJECTED + " " + retryAfterMs : REJECTED));
   }
 
   @Override
   public void fail() {
-    connection.metrics().add(Metric.ANSWERED_ABORTED);
+    connection.metrics().add(Metric.RESPONSES_FAILED);
     fill(RespEncoder.line(FAILED));
   }
 
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -71,7 +71,7 @@
    * @param callTimeoutTicks the call's time limit, where it is longer than the client's own
    */
   public void add(long name, double units, long timeToLiveTicks, long callTimeoutTicks) {
-    count(Metric.COUNTED);
+    count(Metric.COUNTER_CALLS);
     int slot = slotOf(name);
     CounterConnection connection = connections[slot];
     if (connection != null && connection.isStuck()) connection.close();
@@ -130,7 +130,8 @@
   }
 
   void ended(CounterCall call, CallResult result, double total) {
-    count(result == CallResult.ANSWERED ? Metric.COUNTS_ANSWERED : Metric.COUNTS_ENDED_OTHERWISE);
+    count(result == CallResult.ANSWERED ? Metric.COUNTER_CALLS_ANSWERED
+        : Metric.COUNTER_CALLS_FAILED);
     listener.counterCallEnded(call.name, result, total, nowTicks() - call.sentAtTicks);
   }
 
--- a/src/main/java/saltlatch/wire/counter/CounterConnection.java
+++ b/src/main/java/saltlatch/wire/counter/CounterConnection.java
@@ -47,14 +47,14 @@
   }
 
   private void connected(NetSocket connected) {
-    owner.count(Metric.COUNTER_OPENED);
+    owner.count(Metric.COUNTER_CONNECTIONS_OPENED);
     socket = connected;
     if (closed) {
       SocketCloser.closeNow(socket);
       return;
     }
     socket.handler(this::read);
-    socket.exceptionHandler(e -> owner.count(Metric.COUNTER_BROKEN));
+    socket.exceptionHandler(e -> owner.count(Metric.COUNTER_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> close());
     writeWaiting();
   }
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -45,11 +45,6 @@
     void watchEnded();
   }
 
-  /** Entries of a list that are applied, or looked at, in one turn of the event loop. */
-  public static final int MAX_ENTRIES_PER_TURN = 512;
-  /** Between two such turns, for the event loop's other work. */
-  public static final long TURN_PAUSE_TICKS = Ticks.PER_MILLISECOND;
-
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
   // two of the empty lines that come every 2 s, and some time for the second
@@ -125,7 +120,7 @@
     }
     HttpClient http = client();
     pacing.opened(scheduler.now());
-    metrics.add(Metric.WATCHES);
+    metrics.add(Metric.WATCHES_OPENED);
     expectWithin(watch, BEGIN_TIMEOUT_TICKS);
     http.request(HttpMethod.GET, address.port(), address.host(), position.requestPath())
         .onComplete(made -> {
@@ -179,7 +174,7 @@
     } catch (LimitExceededException e) {
       refuse(e.getMessage(), watch);
     } catch (ProtocolException e) {
-      metrics.add(Metric.LISTS_MALFORMED);
+      metrics.add(Metric.ENDPOINT_LISTS_MALFORMED);
       end(watch, e);
     } catch (OutOfMemoryError e) {
       refuse(HeapExhaustion.explain(e), watch);
@@ -202,7 +197,7 @@
 
   private void refuse(String reason, int watch) {
     long backoffTicks = pacing.listRefused(scheduler.now());
-    metrics.add(Metric.LISTS_REFUSED);
+    metrics.add(Metric.ENDPOINT_LISTS_TOO_LARGE);
     LOG.warn("list_refused retry_s={} reason={}", backoffTicks / Ticks.PER_SECOND, reason);
     end(watch, new IllegalStateException("a list too large"));
   }
@@ -210,12 +205,12 @@
   private void take(EndpointList list, int watch) {
     if (watch != currentWatch) return;
     switch (position.advanceTo(list)) {
-      case OLD -> metrics.add(Metric.LISTS_OLD);
+      case OLD -> metrics.add(Metric.ENDPOINT_LISTS_STALE);
       case UNKNOWN_SERIES -> end(watch,
           new IllegalStateException("a change of series " + list.series() + ", not known yet"));
       case TAKE -> {
         pacing.listTaken();
-        metrics.add(Metric.LISTS);
+        metrics.add(Metric.ENDPOINT_LISTS);
         listsBeingApplied++;
         listener.endpointsReceived(list, () -> applied(list));
       }
--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -44,12 +44,13 @@
     this.broadcast = broadcast;
     this.metrics = metrics;
     socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-    socket.exceptionHandler(e -> metrics.add(Metric.PEERS_FAILED));
+    socket.exceptionHandler(e -> metrics.add(Metric.DATAGRAMS_FAILED));
     socket.handler(packet -> {
-      metrics.add(Metric.PEERS_HEARD);
+      metrics.add(Metric.DATAGRAMS_RECEIVED);
       listener.datagramReceived(peers.indexOf(packet.sender()), packet.data().getBytes());
     });
-    socket.listen(listen.port(), listen.host()).onFailure(e -> metrics.add(Metric.PEERS_FAILED));
+    socket.listen(listen.port(), listen.host())
+        .onFailure(e -> metrics.add(Metric.DATAGRAMS_FAILED));
   }
 
   /**
@@ -60,12 +61,12 @@
   public void send(int peer, byte[] bytes) {
     SocketAddress address = addressOf(peer);
     if (address == null || bytes.length > MAX_DATAGRAM_BYTES) {
-      metrics.add(Metric.PEERS_FAILED);
+      metrics.add(Metric.DATAGRAMS_FAILED);
       return;
     }
-    metrics.add(Metric.PEERS_TOLD);
+    metrics.add(Metric.DATAGRAMS_SENT);
     socket.send(Buffer.buffer(bytes), address.port(), address.host())
-        .onFailure(e -> metrics.add(Metric.PEERS_FAILED));
+        .onFailure(e -> metrics.add(Metric.DATAGRAMS_FAILED));
   }
 
   private SocketAddress addressOf(int peer) {
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -14,7 +14,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
-import saltlatch.wire.discovery.DiscoveryClient;
 
 /** Lists of the size that is coming, from discovery's socket to the module. */
 @Timeout(60)
@@ -51,7 +50,7 @@
   }
 
   private static void more(Socket s, String body) throws IOException {
-    say(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
+    send(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
   /**
@@ -63,7 +62,7 @@
       GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
       assertEquals(GatewayEvent.EndpointUpdateKind.DELTA, event.kind());
-      assertTrue(event.endpoints().size() <= DiscoveryClient.MAX_ENTRIES_PER_TURN,
+      assertTrue(event.endpoints().size() <= EndpointListApplier.MAX_ENTRIES_PER_SLICE,
           event.endpoints().size() + " in one event");
       entries.addAll(event.endpoints());
     }
@@ -131,10 +130,10 @@
   @Test
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(1, 1 + DiscoveryClient.MAX_ENTRIES_PER_TURN)));
+    stream(s, list(2, true, ready(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
-    assertEquals(DiscoveryClient.MAX_ENTRIES_PER_TURN, event.endpoints().size());
+    assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, event.endpoints().size());
   }
 
   /**
@@ -145,10 +144,10 @@
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
     stream(s, list(2, true, ready(0, MANY)));
-    assertEquals(DiscoveryClient.MAX_ENTRIES_PER_TURN, events.take().endpoints().size());
+    assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, events.take().endpoints().size());
     s.close();
     while (distinct(GatewayEvent.EndpointState.READY) < MANY
-        - DiscoveryClient.MAX_ENTRIES_PER_TURN) {
+        - EndpointListApplier.MAX_ENTRIES_PER_SLICE) {
       entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
     watch("2");
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -94,7 +94,7 @@
     RespDecoder decoder = new RespDecoder();
     decoder.feed(Buffer.buffer(command));
     List<RespValue> words = ((RespValue.Array) decoder.next()).elements();
-    return requests.open(ClientCommandDecoder.decode(words), null);
+    return requests.register(ClientCommandDecoder.decode(words), null);
   }
 
   private String received(int length) throws IOException {
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -39,7 +39,7 @@
 
   private final InFlightRequests requests = new InFlightRequests(1 << 20);
   private final List<Socket> sockets = new ArrayList<>();
-  private BiFunction<ClientRequest, ResponseSink, RequestContext> whenArrived = requests::open;
+  private BiFunction<ClientRequest, ResponseSink, RequestContext> whenArrived = requests::register;
   private Vertx vertx;
   private ManualScheduler scheduler;
   private ClientListener listener;
@@ -209,7 +209,7 @@
   void repliesInTheOrderOfCommands() throws Exception {
     List<RequestContext> arrived = new ArrayList<>();
     whenArrived = (request, client) -> {
-      arrived.add(requests.open(request, client));
+      arrived.add(requests.register(request, client));
       return arrived.get(arrived.size() - 1);
     };
     Socket socket = connect();
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -78,7 +78,7 @@
             public void watchEnded() {}
           }, new NodeMetrics(), known);
       client.follow();
-      clock.timers.run(0);
+      clock.timers.runDue(0);
       done.complete(null);
     });
     done.get(10, TimeUnit.SECONDS);
--- a/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
+++ b/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
@@ -73,6 +73,6 @@
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
     for (String line : List.of("peers_told=4\n", "peers_heard=2\n", "peers_failed=2\n"))
-      assertEquals(true, metrics.text().contains(line), line);
+      assertEquals(true, metrics.infoText().contains(line), line);
   }
 }
--- a/src/test/java/saltlatch/wire/transport/ManualScheduler.java
+++ b/src/test/java/saltlatch/wire/transport/ManualScheduler.java
@@ -42,7 +42,7 @@
   /** Moves the clock and runs what has fallen due; on the loop. */
   public void advanceOnLoop(long ticks) {
     nowTicks += ticks;
-    timers.run(nowTicks);
+    timers.runDue(nowTicks);
   }
 
   /** Runs a step on the loop and returns once it is done. */
