--- a/src/test/java/saltlatch/ArchitectureTest.java
+++ b/src/test/java/saltlatch/ArchitectureTest.java
@@ -2,10 +2,16 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -40,4 +46,17 @@
         .callMethod(System.class, "nanoTime").orShould().dependOnClassesThat()
         .resideInAPackage("java.time..").check(classes);
   }
+
+  /** The operators read from the deploy file which files hold the decisions. */
+  @Test
+  void deployFileListsTheDecisions() throws IOException {
+    Path sources = Path.of("src/main/java/saltlatch/policy");
+    String deploy = Files.readString(Path.of("deploy/balancer.toml"));
+    try (Stream<Path> files = Files.list(sources)) {
+      List<String> unlisted = files.map(Path::toString)
+          .filter(path -> !path.endsWith("package-info.java"))
+          .filter(path -> !deploy.contains('"' + path + '"')).toList();
+      assertEquals(List.of(), unlisted);
+    }
+  }
 }
