--- a/src/main/java/saltlatch/api/GatewayActions.java
+++ b/src/main/java/saltlatch/api/GatewayActions.java
@@ -34,10 +34,13 @@
    */
   void setTimer(long atTicks, long timerId);
 
-  /** Probes an app server; a {@link GatewayEvent.HealthChecked} follows. */
+  /**
+   * Probes an app server; a {@link GatewayEvent.HealthChecked} follows. Part of the hosts' protocol;
+   * saltlatch.policy learns from attempts and doesn't use it.
+   */
   void checkHealth(long serverId);
 
-  /** Closes connections to an app server that carry no attempt. */
+  /** Closes connections to an app server that carry no attempt; not used by saltlatch.policy. */
   void closeIdleConnections(long serverId);
 
   /**
--- a/src/main/java/saltlatch/membership/LocalHealth.java
+++ b/src/main/java/saltlatch/membership/LocalHealth.java
@@ -11,7 +11,8 @@
   /** The bound of Lifeguard's evaluation. */
   private static final int MAX_MULTIPLIER = 8;
 
-  /** After an absence a node probes at a third of its pace until two probes are answered. */
+  /** After an absence a node probes at a third of its pace, at half after one answered probe,
+   * at full pace after two. */
   private static final int MULTIPLIER_AFTER_ABSENCE = 2;
 
   private int multiplier;
--- a/src/main/java/saltlatch/membership/MessageSender.java
+++ b/src/main/java/saltlatch/membership/MessageSender.java
@@ -4,7 +4,7 @@
 
 /**
  * Fills in what every datagram of this node carries besides its question or answer: incarnation,
- * digest, the word that vouches for the receiver, and piggybacked updates.
+ * digest, whether it vouches for the receiver, and piggybacked updates.
  */
 final class MessageSender {
   private final MemberTable table;
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -16,7 +16,7 @@
  * <p>Runs on the event loop.
  */
 final class GracefulShutdown {
-  /** New connections keep coming for up to 0.4 s after SIGTERM. */
+  /** New connections keep coming for up to 0.4 s after SIGTERM; 0.1 s of margin. */
   private static final long MIN_SERVING_MS = 500;
   private static final long CHECK_INTERVAL_MS = 20;
   /** SIGKILL comes no sooner than the longest client timeout, of which this counts at most. */
@@ -46,8 +46,9 @@
   /**
    * When what happens, in ms after SIGTERM.
    *
-   * @param closeIdleAfterMs connections are closed from then on as soon as all is answered; what is
-   *     left then is the longest latency objective, for what is in flight
+   * @param closeIdleAfterMs from then on a connection ends behind its last reply, and one that has
+   *     nothing to be answered stays until {@code rejectAfterMs}; the longest latency objective is
+   *     left then, for what is in flight
    * @param rejectAfterMs    what comes is rejected from then on, and what is in flight fails
    */
   record Schedule(long closeIdleAfterMs, long rejectAfterMs) {
--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -8,6 +8,8 @@
  * window's count without this request must be below the burst; a customer whose window is spent is
  * admitted by the room that {@link QuotaTracker} follows. While it isn't, by what peers say or this
  * node's share, but for one call each backoff ({@link CounterHealth}).
+ * A client's late retry ({@link ClientRetryDetection}) is rejected while the window is exhausted or
+ * the counter unhealthy.
  * <li>The plan's cap on concurrent requests, by this node's share of it.
  * <li>The plan's hard ceiling, by this node's part.
  * <li>{@link LoadShedding}.
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -25,10 +25,14 @@
   // QuotaCharges: the learned reservation of each request class.
   QuantileReservation[] estimates;
 
-  // AvailableUnits: units left of the part of the quota that this node may use.
+  // AvailableUnits: units left of the part of the quota that this node may use. QuotaTracker and
+  // OverduePeers take off what is admitted or presumed used.
   double availableUnits;
   long availableUnitsAtTicks;
-  /** A window's count has reached the limit, and the quota has not filled again since. */
+  /**
+   * A window's count has reached the limit, and the quota has not filled again since. Set by
+   * AdmissionControl, cleared by AvailableUnits.
+   */
   boolean exhausted;
 
   // ShareWithoutCounter
--- a/src/main/java/saltlatch/policy/RequestCompletion.java
+++ b/src/main/java/saltlatch/policy/RequestCompletion.java
@@ -24,7 +24,10 @@
     reject(request, retryAfter.withoutQuota(request, now));
   }
 
-  /** Rejects a request that nothing is free for now. */
+  /**
+   * Rejects a request that can't be served now: concurrency cap, ceiling, overload, no app server,
+   * or no further attempt is allowed.
+   */
   void rejectWithoutCapacity(RequestState request) {
     reject(request, retryAfter.withoutCapacity());
   }
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -40,6 +40,7 @@
   ServerState nextServer;
   RequestEnd wantedEnd = RequestEnd.NONE;
   long retryAfterTicks;
+  /** Its final answer is out, or its client is gone. */
   boolean finished;
   boolean deadlineTimerSet;
   /** Among the changed requests of {@link RequestTable}. */
--- a/src/main/java/saltlatch/policy/RetryAfterAdvice.java
+++ b/src/main/java/saltlatch/policy/RetryAfterAdvice.java
@@ -42,7 +42,10 @@
     return knownSpent ? request.window.endsAtTicks - now + (long) spreadTicks : nextCallTicks;
   }
 
-  /** For a request that nothing is free for: app servers, concurrency, ceiling. */
+  /**
+   * For a request that can't be served now: concurrency cap, ceiling, overload, no app server, or
+   * no further attempt is allowed.
+   */
   long withoutCapacity() {
     return limits.maxRetryAfterTicks();
   }
--- a/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
+++ b/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
@@ -15,7 +15,7 @@
  * that is saved up and spent in a rush. Harms where the list's weights are far from the truth.
  */
 final class WeightedRoundRobinLoadBalancer {
-  /** Smallest weight: no listed server is left out altogether. */
+  /** Smallest weight taken from the list: a server listed with 0 still gets turns. */
   private static final double MIN_WEIGHT = 0.1;
   /** Turns that a server's credit may be ahead or behind. */
   private static final double MAX_CREDIT_TURNS = 2;
