--- a/src/main/java/saltlatch/api/GatewayActions.java
+++ b/src/main/java/saltlatch/api/GatewayActions.java
@@ -35,8 +35,8 @@
   void setTimer(long atTicks, long timerId);
 
   /**
-   * Probes an app server; a {@link GatewayEvent.HealthChecked} follows. Part of the hosts' protocol;
-   * saltlatch.policy learns from attempts and doesn't use it.
+   * Probes an app server; a {@link GatewayEvent.HealthChecked} follows. Part of the hosts'
+   * protocol; saltlatch.policy learns from attempts and doesn't use it.
    */
   void checkHealth(long serverId);
 
--- a/src/main/java/saltlatch/membership/LeaseVouching.java
+++ b/src/main/java/saltlatch/membership/LeaseVouching.java
@@ -8,10 +8,10 @@
  * Members keep their surplus of quotas while enough others vouch for them ({@link QuotaLeases}).
  *
  * <p>Guards against a node that was restarted and has forgotten that it held a member failed: its
- * vouching would let that member keep a surplus which others have taken over, and the quota would be
- * used twice. A node that has not run for a lease therefore vouches only if all members are known
- * and began lately, since then nobody can have taken anything over. Harms a fleet in which a member
- * is missing: a restarted node's vouches count only after a lease.
+ * vouching would let that member keep a surplus which others have taken over, and the quota would
+ * be used twice. A node that has not run for a lease therefore vouches only if all members are
+ * known and began lately, since then nobody can have taken anything over. Harms a fleet in which a
+ * member is missing: a restarted node's vouches count only after a lease.
  */
 final class LeaseVouching {
   private final MembershipTimings timings;
--- a/src/main/java/saltlatch/policy/ShareWithoutCounter.java
+++ b/src/main/java/saltlatch/policy/ShareWithoutCounter.java
@@ -7,10 +7,10 @@
  * The part of a customer's quota that this node goes by while neither the counter nor peers report.
  *
  * <p>Where nodes know each other by membership it is the node's share by lease
- * ({@link QuotaShares#ownShare}), which sums to at most one over all nodes as long as no share falls
- * below {@link #MIN_SHARE}: certain for customers of up to 25 nodes. Else it is the share that
- * {@link UsageByOthers} has learned. While the share is in use, {@link AvailableUnits} refills and
- * bounds that part only. Amounts are units.
+ * ({@link QuotaShares#ownShare}), which sums to at most one over all nodes as long as no share
+ * falls below {@link #MIN_SHARE}: certain for customers of up to 25 nodes. Else it is the share
+ * that {@link UsageByOthers} has learned. While the share is in use, {@link AvailableUnits} refills
+ * and bounds that part only. Amounts are units.
  *
  * <p>The share ends with the next total of the counter or the next message of a peer. Then the
  * customer is charged what this node admitted; what others admitted on their shares shows in
--- a/src/main/java/saltlatch/policy/StallDetection.java
+++ b/src/main/java/saltlatch/policy/StallDetection.java
@@ -6,11 +6,11 @@
  * for. Times are in ticks.
  *
  * <p>Guards against beliefs that the node's own absence made: app servers silent and slow, a
- * counter without answers. They show as a node that sends all app servers next to nothing, or
- * calls a healthy counter unhealthy, right after a stall. {@link AttemptTracker} takes the stall out of what it
- * measures, and the outcome of a counter call from before the stall judges the counter neither way.
- * Harms where the host's clock leaps. The node's own StallDetector asks the same of the event loop,
- * before anything is read, to give requests their age.
+ * counter without answers. They show as a node that sends all app servers next to nothing, or calls
+ * a healthy counter unhealthy, right after a stall. {@link AttemptTracker} takes the stall out of
+ * what it measures, and the outcome of a counter call from before the stall judges the counter
+ * neither way. Harms where the host's clock leaps. The node's own StallDetector asks the same of
+ * the event loop, before anything is read, to give requests their age.
  */
 final class StallDetection {
   /** Part of the shortest latency objective by which an overdue timer shows a stall. */
--- a/src/main/java/saltlatch/policy/package-info.java
+++ b/src/main/java/saltlatch/policy/package-info.java
@@ -28,8 +28,8 @@
  *
  * <p>Nothing here does I/O, reads a clock or starts a thread: the engine and all its state belong
  * to the host's thread, and the time is handed in. Times are in
- * {@linkplain saltlatch.api.Ticks ticks}. Each group of fields has a rule that it
- * belongs to, which the comment of the state class names with other writers. Replayed events give the same actions to the bit, so the order
- * of sums, of random draws and of iteration is part of a rule.
+ * {@linkplain saltlatch.api.Ticks ticks}. Each group of fields has a rule that it belongs to, which
+ * the comment of the state class names with other writers. Replayed events give the same actions to
+ * the bit, so the order of sums, of random draws and of iteration is part of a rule.
  */
 package saltlatch.policy;
