--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -19,34 +19,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.state.NodeMetrics;
-import saltlatch.state.TimerQueue;
-import saltlatch.wire.transport.Scheduler;
+import saltlatch.wire.transport.StoppedClock;
 
 /** The bytes of calls to the counter, on a real connection with a clock that stands still. */
 @Timeout(60)
 class CounterClientTest {
   private static final long TIMEOUT_TICKS = 100_000;
 
-  /** A clock that stands still: nothing times out. */
-  private static final class StoppedClock implements Scheduler {
-    private final TimerQueue timers = new TimerQueue();
-
-    @Override
-    public long now() {
-      return 0;
-    }
-
-    @Override
-    public TimerQueue.Timer at(long when, Runnable then) {
-      return timers.add(when, then);
-    }
-
-    @Override
-    public void afterTurn(Runnable then) {
-      then.run();
-    }
-  }
-
   private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
   private Vertx vertx;
   private Context loop;
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -19,32 +19,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.state.NodeMetrics;
-import saltlatch.state.TimerQueue;
-import saltlatch.wire.transport.Scheduler;
+import saltlatch.wire.transport.StoppedClock;
 
 /** Every byte of the watch's HTTP request, on a real connection. */
 @Timeout(60)
 class WatchRequestBytesTest {
-  /** A clock that stands still and runs at once what is due. */
-  private static final class StoppedClock implements Scheduler {
-    private final TimerQueue timers = new TimerQueue();
-
-    @Override
-    public long now() {
-      return 0;
-    }
-
-    @Override
-    public TimerQueue.Timer at(long when, Runnable then) {
-      return timers.add(when, then);
-    }
-
-    @Override
-    public void afterTurn(Runnable then) {
-      then.run();
-    }
-  }
-
   private final StoppedClock clock = new StoppedClock();
   private Vertx vertx;
   private Context loop;
@@ -78,7 +57,7 @@
             public void watchEnded() {}
           }, new NodeMetrics(), known);
       client.follow();
-      clock.timers.runDue(0);
+      clock.runDue();
       done.complete(null);
     });
     done.get(10, TimeUnit.SECONDS);
--- /dev/null
+++ b/src/test/java/saltlatch/wire/transport/StoppedClock.java
@@ -0,0 +1,28 @@
+package saltlatch.wire.transport;
+
+import saltlatch.state.TimerQueue;
+
+/** A scheduler whose clock stands at 0: nothing times out, and a turn is over at once. */
+public final class StoppedClock implements Scheduler {
+  private final TimerQueue timers = new TimerQueue();
+
+  @Override
+  public long now() {
+    return 0;
+  }
+
+  @Override
+  public TimerQueue.Timer at(long when, Runnable then) {
+    return timers.add(when, then);
+  }
+
+  @Override
+  public void afterTurn(Runnable then) {
+    then.run();
+  }
+
+  /** Runs what has been asked for at 0. */
+  public void runDue() {
+    timers.runDue(0);
+  }
+}
