--- a/src/main/java/saltlatch/node/StallDetector.java
+++ b/src/main/java/saltlatch/node/StallDetector.java
@@ -11,7 +11,7 @@
  * Shows as a timer that is overdue by more than the policy's threshold. Requests read right after a
  * stall may have waited unread through all of it, with clients that have given up since; their age
  * lets the policy drop them first. The policy judges its own absence by its own timer
- * (StallDetection), since on the simulator it has no event loop.
+ * (TimerStallDetection), since on the simulator it has no event loop.
  *
  * <p>{@link #check()} has to run before anything read meanwhile is handed on: then a stall is known
  * before the first request that it delayed. Owned by the event loop.
--- a/src/main/java/saltlatch/policy/ActionEmitter.java
+++ b/src/main/java/saltlatch/policy/ActionEmitter.java
@@ -64,10 +64,10 @@
   }
 
   private void emitFinalAnswer(RequestState request) {
-    if (request.finished || request.wantedEnd == RequestEnd.NONE) {
+    if (request.finished || request.pendingOutcome == RequestOutcome.NONE) {
       return;
     }
-    if (request.wantedEnd == RequestEnd.REJECTED) {
+    if (request.pendingOutcome == RequestOutcome.REJECTED) {
       actions.reject(request.arrival.requestId(), request.retryAfterTicks);
     } else {
       actions.fail(request.arrival.requestId());
--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -6,7 +6,7 @@
  * <li>Its client's timeout is over: rejected.
  * <li>The quota. While the counter is healthy, by the total of the request's own counter call: the
  * window's count without this request must be below the burst; a customer whose window is spent is
- * admitted by the room that {@link QuotaTracker} follows. While it isn't, by what peers say or this
+ * admitted by the room that {@link QuotaManager} follows. While it isn't, by what peers say or this
  * node's share, but for one call each backoff ({@link CounterHealth}).
  * A client's late retry ({@link ClientRetryDetection}) is rejected while the window is exhausted or
  * the counter unhealthy.
@@ -19,7 +19,7 @@
  * requests that are held up and then rejected all the same.
  */
 final class AdmissionControl {
-  private final QuotaTracker quotas;
+  private final QuotaManager quotas;
   private final QuotaGossip gossip;
   private final CounterHealth health;
   private final QuotaCharges charges;
@@ -27,7 +27,7 @@
   private final WeightedRoundRobinLoadBalancer balancer;
   private final RequestCompletion completion;
 
-  AdmissionControl(QuotaTracker quotas, QuotaGossip gossip, CounterHealth health,
+  AdmissionControl(QuotaManager quotas, QuotaGossip gossip, CounterHealth health,
       QuotaCharges charges, LoadShedding shedding, WeightedRoundRobinLoadBalancer balancer,
       RequestCompletion completion) {
     this.quotas = quotas;
@@ -71,7 +71,7 @@
         && (byGossip || quotas.hasLocalCapacity(customer, request.reservedUnits));
     decide(request, hasRoom, now);
     if (request.admitted) {
-      charges.chargeLater(request);
+      charges.deferCharge(request);
     }
   }
 
@@ -82,13 +82,13 @@
    */
   private boolean isKnownFull(RequestState request) {
     CustomerQuota customer = request.customer;
-    boolean withoutRoom = customer.exhausted && !customer.isOnShareWithoutCounter()
+    boolean withoutRoom = customer.exhausted && !customer.isOnFallbackShare()
         && customer.availableUnits < request.reservedUnits;
     return withoutRoom || (request.lateRetry && (customer.exhausted || !health.isHealthy()));
   }
 
   /** The counter has answered the request's call, and the total is taken into its window. */
-  void decideByTotal(RequestState request, long now) {
+  void decideWithCounterTotal(RequestState request, long now) {
     QuotaWindow window = request.window;
     CustomerQuota customer = request.customer;
     boolean belowBurst = window.totalChargedUnits - request.chargedUnits < customer.plan
@@ -103,13 +103,13 @@
   }
 
   /** The request's call has ended without an answer. */
-  void decideWithoutTotal(RequestState request, long now) {
+  void decideWithoutCounterTotal(RequestState request, long now) {
     boolean hasRoom = quotas.hasLocalCapacity(request.customer, request.reservedUnits);
     decide(request, hasRoom, now);
   }
 
   private void decide(RequestState request, boolean hasQuota, long now) {
-    if (request.finished || request.wantedEnd != RequestEnd.NONE) {
+    if (request.finished || request.pendingOutcome != RequestOutcome.NONE) {
       return;
     }
     if (request.deadlineTicks <= now) {
@@ -147,7 +147,7 @@
     if (request.window != null) {
       quotas.recordAdmitted(request.window, request.reservedUnits);
     }
-    customer.recordAdmittedOnShare(request.reservedUnits);
+    customer.recordAdmittedOnFallbackShare(request.reservedUnits);
     quotas.chargeCeiling(customer, request.arrival.estimatedUnits());
   }
 }
--- a/src/main/java/saltlatch/policy/AttemptTracker.java
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -54,7 +54,7 @@
     }
     request.stats.recordAttempt(request.arrival.estimatedUnits(),
         (double) (now - attempt.measuredFromTicks), succeeded);
-    servers.releaseIfGone(attempt.server);
+    servers.releaseIfUnused(attempt.server);
     recordExecution(request, attempt, outcome);
   }
 
--- a/src/main/java/saltlatch/policy/AvailableUnits.java
+++ b/src/main/java/saltlatch/policy/AvailableUnits.java
@@ -47,14 +47,14 @@
    * @param usageFresh peers report all that they admit, so that no debt has to be held for what is
    *                   not known
    */
-  static void chargeOthers(CustomerQuota customer, double units, boolean usageFresh) {
+  static void chargePeerUsage(CustomerQuota customer, double units, boolean usageFresh) {
     double floorUnits = usageFresh ? 0 : -MAX_DEBT_BURSTS * customer.plan.burstUnits();
     customer.availableUnits = Math.max(Math.min(customer.availableUnits, floorUnits),
         customer.availableUnits - units);
   }
 
   /** Sets the units of the whole quota, within its burst and the largest debt. */
-  static void setWhole(CustomerQuota customer, double units) {
+  static void setFullQuotaUnits(CustomerQuota customer, double units) {
     double burstUnits = customer.plan.burstUnits();
     customer.availableUnits = Math.min(burstUnits, Math.max(-MAX_DEBT_BURSTS * burstUnits, units));
   }
--- a/src/main/java/saltlatch/policy/CapacityFromGossip.java
+++ b/src/main/java/saltlatch/policy/CapacityFromGossip.java
@@ -16,19 +16,19 @@
  */
 final class CapacityFromGossip {
   private final QuotaGossip gossip;
-  private final OverduePeers overduePeers;
+  private final UnreportedPeerUsage unreportedPeerUsage;
 
-  CapacityFromGossip(QuotaGossip gossip, OverduePeers overduePeers) {
+  CapacityFromGossip(QuotaGossip gossip, UnreportedPeerUsage unreportedPeerUsage) {
     this.gossip = gossip;
-    this.overduePeers = overduePeers;
+    this.unreportedPeerUsage = unreportedPeerUsage;
   }
 
   /** Called with the customer's units refilled up to now and no share without counter in use. */
   boolean allows(CustomerQuota customer, double requestUnits, long now) {
     refillAllowance(customer, now);
-    double othersUnitsPerTick = UsageByOthers.recentUnitsPerTick(customer, now);
+    double othersUnitsPerTick = PeerUsage.recentUnitsPerTick(customer, now);
     double unknownUnits = Math.max(othersUnitsPerTick * gossip.periodTicks(),
-        overduePeers.unreportedUnits(customer, othersUnitsPerTick, now));
+        unreportedPeerUsage.unreportedUnits(customer, othersUnitsPerTick, now));
     return customer.availableUnits >= requestUnits + unknownUnits
         || (customer.availableUnits > 0 && customer.refillAllowance > 0);
   }
--- a/src/main/java/saltlatch/policy/CounterTotals.java
+++ b/src/main/java/saltlatch/policy/CounterTotals.java
@@ -25,7 +25,7 @@
   }
 
   /**
-   * Takes in a total. {@link UsageByOthers} charges the customer for the result.
+   * Takes in a total. {@link PeerUsage} charges the customer for the result.
    *
    * @param ownUnits   units that the answered call added
    * @param totalUnits the count behind that call
@@ -41,7 +41,7 @@
     // customer looks emptier than it is. The others are taken to count as small a part as this
     // node. Harms where they count more of theirs.
     double fraction = usageFresh ? 1 : countedFraction;
-    window.othersUnitsByCounter += Math.max(0, othersUnits - ownLateUnits) / fraction
+    window.peerUnitsByCounter += Math.max(0, othersUnits - ownLateUnits) / fraction
         + Math.min(0, othersUnits);
     window.totalChargedUnits += ownUnits + ownLateUnits;
   }
@@ -72,7 +72,7 @@
   /** Learns from a window that has turned while the counter answered; null: there was none. */
   void learnCountedFraction(QuotaWindow turned) {
     double chargedUnits = turned == null ? 0
-        : turned.ownConfirmedUnits + Math.max(0, turned.uncarriedUnits);
+        : turned.ownConfirmedUnits + Math.max(0, turned.unsentUnits);
     if (chargedUnits > NEGLIGIBLE_UNITS) {
       countedFraction += COUNTED_FRACTION_STEP
           * (Math.max(0, turned.ownConfirmedUnits) / chargedUnits - countedFraction);
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -5,10 +5,10 @@
 /**
  * What this node knows of one customer's quota.
  *
- * <p>{@link QuotaTracker} creates it at the customer's first request and releases it once the
+ * <p>{@link QuotaManager} creates it at the customer's first request and releases it once the
  * customer was idle for long; each group of fields names the rule that writes it. {@code
  * availableUnits} is shared: {@link AvailableUnits} refills and charges it, {@link
- * ShareWithoutCounter} and {@link PooledShare} rescale it to the part of the quota in use.
+ * FallbackShare} and {@link PooledShare} rescale it to the part of the quota in use.
  */
 final class CustomerQuota {
   final long id;
@@ -23,10 +23,10 @@
   int inFlight;
 
   // QuotaCharges: the learned reservation of each request class.
-  QuantileReservation[] estimates;
+  QuantileReservation[] reservationsByClass;
 
-  // AvailableUnits: units left of the part of the quota that this node may use. QuotaTracker and
-  // OverduePeers take off what is admitted or presumed used.
+  // AvailableUnits: units left of the part of the quota that this node may use. QuotaManager and
+  // UnreportedPeerUsage take off what is admitted or presumed used.
   double availableUnits;
   long availableUnitsAtTicks;
   /**
@@ -35,11 +35,11 @@
    */
   boolean exhausted;
 
-  // ShareWithoutCounter
+  // FallbackShare
   /** Units admitted since the share began; below 0 while no such share is in use. */
-  double admittedWithoutCounter = -1;
+  double admittedOnFallbackShare = -1;
   /** Part of the quota that {@code availableUnits} stands for while the share is in use. */
-  double shareWithoutCounter;
+  double fallbackShare;
   /** Units taken off the share at its start and used by nobody. */
   double startOffset;
 
@@ -47,19 +47,19 @@
   /** Part of the quota that {@code availableUnits} stands for while no such share is in use. */
   double gossipShare = 1;
   /** Units used by all nodes known while that part was below 1. */
-  double usageWhileSplit;
+  double usageDuringPartition;
   long lastCounterTotalAtTicks = GossipSchedule.NEVER_TICKS;
 
-  // OverduePeers
+  // UnreportedPeerUsage
   /** Units this node admitted while gossip of some peer was overdue. */
-  double admittedWhilePeersSilent;
+  double admittedWhilePeersOverdue;
   /** Units that unreachable peers are presumed to have used, until they report. */
   double presumedPeerUsage;
 
-  // UsageByOthers
+  // PeerUsage
   /** Units used through other nodes lately; decays. */
-  double othersUsage;
-  long othersUsageAtTicks;
+  double peerUsage;
+  long peerUsageAtTicks;
   /** Part of the customer's use that comes through this node. */
   double learnedShare;
 
@@ -78,17 +78,17 @@
   }
 
   /** Whether the counter does not answer for this customer, so that the node decides by a share. */
-  boolean isOnShareWithoutCounter() {
-    return admittedWithoutCounter >= 0;
+  boolean isOnFallbackShare() {
+    return admittedOnFallbackShare >= 0;
   }
 
   /** Notes units of an admitted request, if the node decides by a share. */
-  void recordAdmittedOnShare(double units) {
-    admittedWithoutCounter += isOnShareWithoutCounter() ? units : 0;
+  void recordAdmittedOnFallbackShare(double units) {
+    admittedOnFallbackShare += isOnFallbackShare() ? units : 0;
   }
 
   /** Part of the whole quota that {@code availableUnits} stands for. */
   double shareInUse() {
-    return isOnShareWithoutCounter() ? shareWithoutCounter : gossipShare;
+    return isOnFallbackShare() ? fallbackShare : gossipShare;
   }
 }
--- a/src/main/java/saltlatch/policy/ShareWithoutCounter.java
+++ b/src/main/java/saltlatch/policy/FallbackShare.java
@@ -9,7 +9,7 @@
  * <p>Where nodes know each other by membership it is the node's share by lease
  * ({@link QuotaShares#ownShare}), which sums to at most one over all nodes as long as no share
  * falls below {@link #MIN_SHARE}: certain for customers of up to 25 nodes. Else it is the share
- * that {@link UsageByOthers} has learned. While the share is in use, {@link AvailableUnits} refills
+ * that {@link PeerUsage} has learned. While the share is in use, {@link AvailableUnits} refills
  * and bounds that part only. Amounts are units.
  *
  * <p>The share ends with the next total of the counter or the next message of a peer. Then the
@@ -17,7 +17,7 @@
  * totals, as far as it was counted in time, and the rest is extrapolated from this node's own.
  * Charging all of it by extrapolation too would reject requests with capacity left after an outage.
  */
-final class ShareWithoutCounter {
+final class FallbackShare {
   /** A share of nothing would divide by nothing when it ends. */
   static final double MIN_SHARE = 0.01;
 
@@ -35,25 +35,24 @@
    * @param hasCounter whether the deployment has a counter at all
    * @param random     the engine's generator
    */
-  ShareWithoutCounter(boolean hasCounter, SplittableRandom random) {
+  FallbackShare(boolean hasCounter, SplittableRandom random) {
     this.hasCounter = hasCounter;
     this.random = random;
   }
 
-  void useShares(QuotaShares fleetShares) {
+  void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
   }
 
   /** Picks the share; {@link #scale} puts it to use. */
   void begin(CustomerQuota customer, long now) {
-    customer.admittedWithoutCounter = 0;
-    customer.shareWithoutCounter = shares == null ? customer.learnedShare
-        : leaseShare(customer, now);
+    customer.admittedOnFallbackShare = 0;
+    customer.fallbackShare = shares == null ? customer.learnedShare : leaseShare(customer, now);
   }
 
   /** Cuts the available units to the share that has begun. */
   void scale(CustomerQuota customer, double requestUnits) {
-    customer.availableUnits *= customer.shareWithoutCounter;
+    customer.availableUnits *= customer.fallbackShare;
     if (isBelowOneRequest(customer)) {
       offsetStart(customer, requestUnits);
     }
@@ -63,12 +62,12 @@
    * Follows the leases of a share in use. A smaller one keeps its part of what is left. Of a larger
    * one only the refill grows: what other nodes have left is not known.
    */
-  void followLease(CustomerQuota customer, long now) {
+  void updateShare(CustomerQuota customer, long now) {
     double share = leaseShare(customer, now);
-    if (share < customer.shareWithoutCounter && customer.availableUnits > 0) {
-      customer.availableUnits *= share / customer.shareWithoutCounter;
+    if (share < customer.fallbackShare && customer.availableUnits > 0) {
+      customer.availableUnits *= share / customer.fallbackShare;
     }
-    customer.shareWithoutCounter = share;
+    customer.fallbackShare = share;
   }
 
   /**
@@ -77,17 +76,17 @@
    * @param countedFraction part of what is admitted that totals show in time
    */
   void end(CustomerQuota customer, double countedFraction) {
-    if (customer.isOnShareWithoutCounter()) {
+    if (customer.isOnFallbackShare()) {
       // The offset is no usage: divided by a small share it would become many bursts of debt.
-      customer.availableUnits = Math.min(customer.plan.burstUnits() * customer.shareWithoutCounter,
+      customer.availableUnits = Math.min(customer.plan.burstUnits() * customer.fallbackShare,
           customer.availableUnits + customer.startOffset);
       customer.startOffset = 0;
       customer.availableUnits = (customer.availableUnits
-          + customer.admittedWithoutCounter * countedFraction) / customer.shareWithoutCounter
-          - customer.admittedWithoutCounter * countedFraction + customer.presumedPeerUsage;
+          + customer.admittedOnFallbackShare * countedFraction) / customer.fallbackShare
+          - customer.admittedOnFallbackShare * countedFraction + customer.presumedPeerUsage;
       customer.presumedPeerUsage = 0;
     }
-    customer.admittedWithoutCounter = -1;
+    customer.admittedOnFallbackShare = -1;
   }
 
   private double leaseShare(CustomerQuota customer, long now) {
@@ -101,7 +100,7 @@
   private boolean isBelowOneRequest(CustomerQuota customer) {
     double burstUnits = customer.plan.burstUnits();
     double maxUnits = burstUnits + CHANCE_BURST_ROOTS * Math.sqrt(burstUnits) + CHANCE_UNITS;
-    return !hasCounter && customer.shareWithoutCounter * maxUnits < 1;
+    return !hasCounter && customer.fallbackShare * maxUnits < 1;
   }
 
   /**
--- a/src/main/java/saltlatch/policy/FleetSize.java
+++ b/src/main/java/saltlatch/policy/FleetSize.java
@@ -15,7 +15,7 @@
     this.configuredNodes = configuredNodes;
   }
 
-  void useShares(QuotaShares shares) {
+  void setQuotaShares(QuotaShares shares) {
     this.shares = shares;
   }
 
--- a/src/main/java/saltlatch/policy/GossipSchedule.java
+++ b/src/main/java/saltlatch/policy/GossipSchedule.java
@@ -33,7 +33,7 @@
 
   private final int nodeCount;
   private final double intakePerSecond;
-  private int widestSet = 1;
+  private int largestCustomerNodeCount = 1;
   private long unhealthyAtTicks = NEVER_TICKS;
   private long receivedAtTicks = NEVER_TICKS;
   private long sentAtTicks = NEVER_TICKS;
@@ -45,7 +45,7 @@
     this.intakePerSecond = nodeCount > 1 ? intakePerSecond : 0;
   }
 
-  void useShares(QuotaShares fleetShares) {
+  void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
   }
 
@@ -54,13 +54,13 @@
   }
 
   /** Notes over how many nodes a customer is spread. */
-  void recordSetWidth(int nodes) {
-    widestSet = Math.max(widestSet, nodes);
+  void recordCustomerNodeCount(int nodes) {
+    largestCustomerNodeCount = Math.max(largestCustomerNodeCount, nodes);
   }
 
   /** Nodes of the widest customer's set. */
-  int widestSet() {
-    return widestSet;
+  int largestCustomerNodeCount() {
+    return largestCustomerNodeCount;
   }
 
   /**
@@ -69,7 +69,7 @@
    */
   double periodTicks() {
     int nodes = shares == null ? nodeCount : shares.divisorNodes();
-    int senders = Math.min(nodes - 1, 2 * (widestSet - 1));
+    int senders = Math.min(nodes - 1, 2 * (largestCustomerNodeCount - 1));
     return Math.max(MIN_PERIOD_TICKS,
         senders * (double) Ticks.PER_SECOND / Math.max(1, MAX_INTAKE_FRACTION * intakePerSecond));
   }
@@ -79,7 +79,7 @@
     return (long) (VALIDITY_PERIODS * periodTicks());
   }
 
-  void counterUnhealthy(long now) {
+  void recordCounterUnhealthy(long now) {
     unhealthyAtTicks = now;
   }
 
--- a/src/main/java/saltlatch/policy/GossipSelection.java
+++ b/src/main/java/saltlatch/policy/GossipSelection.java
@@ -26,9 +26,9 @@
   }
 
   /** Notes a sum that has changed since the last round of messages. */
-  void put(long counterName, WindowUsage usage, int firstNode, int setWidth) {
+  void put(long counterName, WindowUsage usage, int firstNode, int customerNodeCount) {
     changedByWindow.remove(counterName);
-    changedByWindow.put(counterName, new OwnUsage(usage, firstNode, setWidth));
+    changedByWindow.put(counterName, new OwnUsage(usage, firstNode, customerNodeCount));
   }
 
   void clear() {
@@ -52,10 +52,10 @@
    * Whether a peer may share customers with this node, so that it gets a message without sums too:
    * silence would look like a node that is cut off.
    *
-   * @param widestSet nodes of the widest customer's set
+   * @param largestCustomerNodeCount nodes of the widest customer's set
    */
-  boolean mayShareCustomers(int peer, int widestSet) {
+  boolean mayShareCustomers(int peer, int largestCustomerNodeCount) {
     int steps = Math.floorMod(peer - ownIndex, nodeCount);
-    return Math.min(steps, nodeCount - steps) < widestSet;
+    return Math.min(steps, nodeCount - steps) < largestCustomerNodeCount;
   }
 }
--- a/src/main/java/saltlatch/policy/HardCeiling.java
+++ b/src/main/java/saltlatch/policy/HardCeiling.java
@@ -41,7 +41,7 @@
   }
 
   /** Whether nothing of the ceiling is forgiven if the customer is forgotten now. */
-  static boolean mayForget(CustomerQuota customer, long now) {
+  static boolean mayRelease(CustomerQuota customer, long now) {
     boolean full = allows(customer, 0, now)
         && customer.ceilingUnits >= customer.plan.ceilingBurstUnits() / customer.nodeCount;
     return full || customer.plan.ceilingPerSecond() <= 0;
--- a/src/main/java/saltlatch/policy/HousekeepingSchedule.java
+++ b/src/main/java/saltlatch/policy/HousekeepingSchedule.java
@@ -4,7 +4,7 @@
 
 /**
  * When the engine's housekeeping is due, and which timer for it has been asked of the host. The
- * timer shows the host's stalls too: {@link StallDetection} compares it with the clock.
+ * timer shows the host's stalls too: {@link TimerStallDetection} compares it with the clock.
  */
 final class HousekeepingSchedule {
   static final long PERIOD_TICKS = 100 * Ticks.PER_MILLISECOND;
--- a/src/main/java/saltlatch/policy/UsageByOthers.java
+++ b/src/main/java/saltlatch/policy/PeerUsage.java
@@ -7,7 +7,7 @@
  * two, whichever knows more counts. Amounts are units. What is new is charged to
  * {@link AvailableUnits}; the learned share serves where neither source answers.
  */
-final class UsageByOthers {
+final class PeerUsage {
   /** A peer that reports more in one window is wrong. */
   private static final double MAX_REPORTED_BURSTS = 8;
 
@@ -23,7 +23,7 @@
   /** Part of the burst that must be charged before a window teaches the share. */
   private static final double MIN_CHARGED_BURST_FRACTION = 0.25;
 
-  private UsageByOthers() {}
+  private PeerUsage() {}
 
   /** Whether a reported sum can be true at all. */
   static boolean isPlausible(CustomerQuota customer, double reportedUnits) {
@@ -45,7 +45,7 @@
 
   /** Notes a peer's sum for a window; the customer is charged by {@link #charge}. */
   static void recordReported(QuotaWindow window, int node, double reportedUnits) {
-    window.othersUnitsByGossip += reportedUnits - window.gossipUnitsByNode[node];
+    window.peerUnitsByGossip += reportedUnits - window.gossipUnitsByNode[node];
     window.gossipUnitsByNode[node] = reportedUnits;
   }
 
@@ -56,16 +56,15 @@
    */
   static void charge(QuotaWindow window, boolean usageFresh, long now) {
     CustomerQuota customer = window.customer;
-    double knownUnits = window.othersUnitsByGossip > 0
-        ? Math.max(window.othersUnitsByCounter, window.othersUnitsByGossip)
-        : window.othersUnitsByCounter;
-    double newUnits = knownUnits - window.othersChargedUnits;
-    window.othersChargedUnits = knownUnits;
+    double knownUnits = window.peerUnitsByGossip > 0
+        ? Math.max(window.peerUnitsByCounter, window.peerUnitsByGossip) : window.peerUnitsByCounter;
+    double newUnits = knownUnits - window.peerChargedUnits;
+    window.peerChargedUnits = knownUnits;
     window.totalChargedUnits += newUnits;
-    AvailableUnits.chargeOthers(customer, newUnits, usageFresh);
-    customer.usageWhileSplit += newUnits;
-    customer.othersUsage = recentUnits(customer, now) + Math.max(0, newUnits);
-    customer.othersUsageAtTicks = now;
+    AvailableUnits.chargePeerUsage(customer, newUnits, usageFresh);
+    customer.usageDuringPartition += newUnits;
+    customer.peerUsage = recentUnits(customer, now) + Math.max(0, newUnits);
+    customer.peerUsageAtTicks = now;
     learnShare(window, usageFresh);
   }
 
@@ -83,7 +82,7 @@
     double share = usageFresh
         ? minShare + (1 - MIN_EVEN_SHARE_FRACTION) * window.admittedUnits
             / Math.max(CounterTotals.NEGLIGIBLE_UNITS,
-                window.admittedUnits + window.othersChargedUnits)
+                window.admittedUnits + window.peerChargedUnits)
         : Math.min(1, Math.max(minShare, window.ownConfirmedUnits / window.totalChargedUnits));
     customer.learnedShare += LEARNING_STEP * (share - customer.learnedShare);
   }
@@ -94,6 +93,6 @@
   }
 
   private static double recentUnits(CustomerQuota customer, long now) {
-    return customer.othersUsage * Math.exp((customer.othersUsageAtTicks - now) / DECAY_TICKS);
+    return customer.peerUsage * Math.exp((customer.peerUsageAtTicks - now) / DECAY_TICKS);
   }
 }
--- a/src/main/java/saltlatch/policy/CounterCall.java
+++ b/src/main/java/saltlatch/policy/PendingCounterCall.java
@@ -8,4 +8,5 @@
  * @param units   what is added, below 0 where units are given back
  * @param sentAtTicks  when it was wanted, in ticks
  */
-record CounterCall(QuotaWindow window, RequestState request, double units, long sentAtTicks) {}
+record PendingCounterCall(QuotaWindow window, RequestState request, double units,
+    long sentAtTicks) {}
--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -28,7 +28,7 @@
   private final OutlierDetection outliers = new OutlierDetection();
   private final FleetSize fleet;
   private final QuotaGossip gossip;
-  private final QuotaTracker quotas;
+  private final QuotaManager quotas;
   private final CounterHealth counterHealth;
   private final QuotaCharges charges;
   private final SlowStart slowStart;
@@ -38,7 +38,7 @@
   private final RequestLifecycle lifecycle;
   private final EndpointWatch watch;
   private final HousekeepingSchedule housekeeping;
-  private final StallDetection stalls;
+  private final TimerStallDetection stalls;
   private final ActionEmitter emitter;
   /** Null: nodes don't know each other. */
   private QuotaShares shares;
@@ -59,7 +59,7 @@
     fleet = new FleetSize(settings.nodeCount());
     gossip = new QuotaGossip(settings.peers().ownIndex(), settings.nodeCount(),
         settings.peers().datagramsPerSecond(), settings.peers().datagramPrice());
-    quotas = new QuotaTracker(now, settings, gossip, random);
+    quotas = new QuotaManager(now, settings, gossip, random);
     counterHealth = new CounterHealth(settings, fleet);
     charges = new QuotaCharges(settings, bounds, quotas, counterHealth);
     slowStart = new SlowStart(limits, random);
@@ -77,7 +77,7 @@
         new ClientRetryDetection(settings, bounds));
     watch = new EndpointWatch(limits, random);
     housekeeping = new HousekeepingSchedule(now);
-    stalls = new StallDetection(bounds, housekeeping);
+    stalls = new TimerStallDetection(bounds, housekeeping);
     emitter = new ActionEmitter(actions, limits, requests, attempts, charges, watch, housekeeping);
   }
 
@@ -133,7 +133,7 @@
     }
   }
 
-  /** This node was stalled, see {@link StallDetection}. */
+  /** This node was stalled, see {@link TimerStallDetection}. */
   private void resumed(long stallTicks) {
     servers.forEach(server -> outliers.recordStall(server, now));
     requests.forEach(request -> attempts.excludeStall(request, stallTicks));
@@ -141,14 +141,14 @@
   }
 
   private void counterReplied(GatewayEvent.CounterReplied reply) {
-    CounterCall call = charges.takeCall(reply.counterName());
+    PendingCounterCall call = charges.takeCall(reply.counterName());
     if (call == null) {
       return;
     }
     RequestState request = call.request();
     boolean answered = reply.outcome() == AttemptOutcome.SUCCEEDED;
     if (!stalls.spansStall(call.sentAtTicks()) && counterHealth.recordReply(answered, now)) {
-      gossip.counterUnhealthy(now);
+      gossip.recordCounterUnhealthy(now);
     }
     if (answered) {
       quotas.applyCounterTotal(call.window(), call.units(), reply.total());
@@ -162,9 +162,9 @@
 
   private void decide(RequestState request, boolean answered) {
     if (answered) {
-      admission.decideByTotal(request, now);
+      admission.decideWithCounterTotal(request, now);
     } else {
-      admission.decideWithoutTotal(request, now);
+      admission.decideWithoutCounterTotal(request, now);
     }
   }
 
@@ -188,9 +188,9 @@
   private void membershipChanged(GatewayEvent.MembershipChanged change) {
     if (shares == null) {
       shares = new QuotaShares(settings.peers().ownIndex(), settings.nodeCount());
-      quotas.useShares(shares);
-      gossip.useShares(shares);
-      fleet.useShares(shares);
+      quotas.setQuotaShares(shares);
+      gossip.setQuotaShares(shares);
+      fleet.setQuotaShares(shares);
     }
     shares.update(change);
   }
@@ -203,10 +203,10 @@
     outliers.adjustMemory(servers.effectiveServers(), completions);
     requests.forEach(request -> attempts.abandonIfStuck(request, now));
     if (counterHealth.isBackingOff()) {
-      gossip.counterUnhealthy(now);
+      gossip.recordCounterUnhealthy(now);
     }
     gossip.dueMessages(now).forEach(actions::sendGossip);
-    quotas.releaseWindowsIf(window -> charges.carryOrExpire(window, now));
+    quotas.releaseWindowsIf(window -> charges.flushOrExpire(window, now));
     quotas.releaseIdleCustomers();
   }
 }
--- a/src/main/java/saltlatch/policy/PooledShare.java
+++ b/src/main/java/saltlatch/policy/PooledShare.java
@@ -18,20 +18,20 @@
  */
 final class PooledShare {
   private final QuotaGossip gossip;
-  private final OverduePeers overduePeers;
+  private final UnreportedPeerUsage unreportedPeerUsage;
   private QuotaShares shares; // null: nodes do not know each other
 
-  PooledShare(QuotaGossip gossip, OverduePeers overduePeers) {
+  PooledShare(QuotaGossip gossip, UnreportedPeerUsage unreportedPeerUsage) {
     this.gossip = gossip;
-    this.overduePeers = overduePeers;
+    this.unreportedPeerUsage = unreportedPeerUsage;
   }
 
-  void useShares(QuotaShares fleetShares) {
+  void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
   }
 
   /** Follows the pool; called with the customer's units refilled up to now. */
-  void followPool(CustomerQuota customer, long now) {
+  void updateShare(CustomerQuota customer, long now) {
     double share = share(customer, now);
     if (share == customer.gossipShare) {
       return;
@@ -39,9 +39,9 @@
     if (customer.gossipShare < 1) {
       restoreWhole(customer);
     }
-    customer.usageWhileSplit = 0;
+    customer.usageDuringPartition = 0;
     if (share < 1) {
-      overduePeers.chargePresumedUsage(customer, now);
+      unreportedPeerUsage.chargePresumedUsage(customer, now);
     }
     customer.availableUnits *= share;
     customer.gossipShare = share;
@@ -51,7 +51,7 @@
     boolean counterSilent = now - customer.lastCounterTotalAtTicks > gossip.validityTicks();
     boolean pooled = gossip.isUsageFresh(now, customer.nodeCount) && counterSilent;
     return pooled
-        ? Math.max(ShareWithoutCounter.MIN_SHARE,
+        ? Math.max(FallbackShare.MIN_SHARE,
             shares.pooledShare(now, gossip.validityTicks(), customer.firstNode, customer.nodeCount))
         : 1;
   }
@@ -61,9 +61,9 @@
    * charged when they report it.
    */
   private static void restoreWhole(CustomerQuota customer) {
-    double wholeUnits = (customer.availableUnits + customer.usageWhileSplit) / customer.gossipShare
-        - customer.usageWhileSplit + customer.presumedPeerUsage;
-    AvailableUnits.setWhole(customer, wholeUnits);
+    double wholeUnits = (customer.availableUnits + customer.usageDuringPartition)
+        / customer.gossipShare - customer.usageDuringPartition + customer.presumedPeerUsage;
+    AvailableUnits.setFullQuotaUnits(customer, wholeUnits);
     customer.presumedPeerUsage = 0;
   }
 }
--- a/src/main/java/saltlatch/policy/QuotaCharges.java
+++ b/src/main/java/saltlatch/policy/QuotaCharges.java
@@ -10,7 +10,7 @@
 /**
  * What a customer's window is charged at the counter: a request's reservation, its settlement by
  * actual units, and refunds. Units that no call has carried yet ride on the window's next call.
- * Owns the {@link CounterCall}s; times are in ticks.
+ * Owns the {@link PendingCounterCall}s; times are in ticks.
  *
  * <p>A call that timed out or broke off may have counted: it is taken as counted, so that its units
  * aren't charged twice, and aren't taken for another node's when a total shows them. One that the
@@ -23,13 +23,13 @@
   private static final double REPLY_TIMEOUT_OBJECTIVE_FRACTION = 0.05;
 
   private final boolean actualUnitsReported;
-  private final QuotaTracker quotas;
+  private final QuotaManager quotas;
   private final CounterHealth health;
   private final long replyTimeoutTicks;
   private final long longestClientTimeoutTicks;
-  private final List<CounterCall> wanted = new ArrayList<>();
+  private final List<PendingCounterCall> wanted = new ArrayList<>();
 
-  QuotaCharges(GatewaySettings settings, ObjectiveBounds bounds, QuotaTracker quotas,
+  QuotaCharges(GatewaySettings settings, ObjectiveBounds bounds, QuotaManager quotas,
       CounterHealth health) {
     actualUnitsReported = settings.counter().reportsActualUnits();
     this.quotas = quotas;
@@ -45,7 +45,7 @@
   }
 
   private static QuantileReservation learnedReservation(RequestState request) {
-    QuantileReservation[] byClass = request.customer.estimates;
+    QuantileReservation[] byClass = request.customer.reservationsByClass;
     int requestClass = request.arrival.requestClass();
     if (byClass[requestClass] == null) {
       byClass[requestClass] = new QuantileReservation(request.arrival.estimatedUnits(),
@@ -62,7 +62,7 @@
   }
 
   /** A request was admitted without a call of its own. */
-  void chargeLater(RequestState request) {
+  void deferCharge(RequestState request) {
     request.window.charge(request.reservedUnits);
   }
 
@@ -89,13 +89,13 @@
   }
 
   /** Takes the call that a reply belongs to, the oldest of its window; null if there is none. */
-  CounterCall takeCall(long counterName) {
+  PendingCounterCall takeCall(long counterName) {
     QuotaWindow window = quotas.findWindow(counterName);
     return window == null ? null : window.calls.poll();
   }
 
   /** A call has ended, and its request, if it had one, is decided. */
-  void recordReply(CounterCall call, AttemptOutcome outcome, long now) {
+  void recordReply(PendingCounterCall call, AttemptOutcome outcome, long now) {
     QuotaWindow window = call.window();
     boolean answered = outcome == AttemptOutcome.SUCCEEDED;
     if (outcome.neverExecuted()) {
@@ -109,7 +109,7 @@
     }
     request.awaitingCounter = false;
     window.charge((request.admitted ? request.reservedUnits : 0) - request.chargedUnits);
-    if (answered && window.uncarriedUnits != 0 && health.isHealthy()) {
+    if (answered && window.unsentUnits != 0 && health.isHealthy()) {
       wantCall(window, null, 0, now);
     }
   }
@@ -118,17 +118,18 @@
    * Carries what no call has carried yet, as long as the counter keeps the window's count. Called
    * at each housekeeping; true once the window has no use any more.
    */
-  boolean carryOrExpire(QuotaWindow window, long now) {
+  boolean flushOrExpire(QuotaWindow window, long now) {
     long keptUntil = window.endsAtTicks + longestClientTimeoutTicks;
-    if (window.uncarriedUnits != 0 && now < keptUntil && health.isHealthy()) {
+    if (window.unsentUnits != 0 && now < keptUntil && health.isHealthy()) {
       wantCall(window, null, 0, now);
     }
     return now > keptUntil && window.calls.isEmpty();
   }
 
   private void wantCall(QuotaWindow window, RequestState request, double units, long now) {
-    CounterCall call = new CounterCall(window, request, units + window.uncarriedUnits, now);
-    window.uncarriedUnits = 0;
+    PendingCounterCall call = new PendingCounterCall(window, request, units + window.unsentUnits,
+        now);
+    window.unsentUnits = 0;
     window.calls.add(call);
     wanted.add(call);
   }
@@ -139,7 +140,7 @@
    * while the counter is silent: the backoff's calls hold up their requests.
    */
   void emit(GatewayActions actions, long now) {
-    for (CounterCall call : wanted) {
+    for (PendingCounterCall call : wanted) {
       QuotaWindow window = call.window();
       long ttlTicks = Math.min(MAX_COUNTER_TTL_TICKS,
           Math.max(1, window.endsAtTicks - now + longestClientTimeoutTicks));
--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -12,7 +12,7 @@
  *
  * <p>{@link GossipSchedule} says when, {@link GossipSelection} what each peer gets; this class
  * joins them and takes in what arrives. It does no I/O and reads no clock: {@link PolicyEngine}
- * sends what is due and {@link QuotaTracker} charges what peers report. Times are ticks, amounts
+ * sends what is due and {@link QuotaManager} charges what peers report. Times are ticks, amounts
  * units.
  */
 final class QuotaGossip {
@@ -31,7 +31,7 @@
   private final int ownIndex;
   private final int nodeCount;
   /** Nodes of a customer's set; a wider one costs more to report than it brings. */
-  private final double maxSetWidth;
+  private final double maxCustomerNodeCount;
   private final GossipSchedule schedule;
   private final GossipSelection selection;
   private QuotaShares shares; // null: nodes do not know each other
@@ -43,16 +43,16 @@
   QuotaGossip(int ownIndex, int nodeCount, double intakePerSecond, double datagramPrice) {
     this.ownIndex = ownIndex;
     this.nodeCount = nodeCount;
-    maxSetWidth = datagramPrice <= 0 ? nodeCount
+    maxCustomerNodeCount = datagramPrice <= 0 ? nodeCount
         : 1 + MAX_PRICE / datagramPrice * MAX_DATAGRAM_BYTES / ENTRY_BYTES;
     schedule = new GossipSchedule(nodeCount, intakePerSecond);
     selection = new GossipSelection(ownIndex, nodeCount);
   }
 
   /** Nodes know each other from now on: messages go to live members and say who is reachable. */
-  void useShares(QuotaShares fleetShares) {
+  void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
-    schedule.useShares(fleetShares);
+    schedule.setQuotaShares(fleetShares);
   }
 
   /** Time between two rounds of messages. */
@@ -66,25 +66,25 @@
   }
 
   /** Reported by the engine whenever the counter is not healthy. */
-  void counterUnhealthy(long now) {
-    schedule.counterUnhealthy(now);
+  void recordCounterUnhealthy(long now) {
+    schedule.recordCounterUnhealthy(now);
   }
 
   /** Whether peers' reports on a customer of so many nodes are fresh enough to go by. */
-  boolean isUsageFresh(long now, int setWidth) {
-    return setWidth <= maxSetWidth && schedule.isFresh(now);
+  boolean isUsageFresh(long now, int customerNodeCount) {
+    return customerNodeCount <= maxCustomerNodeCount && schedule.isFresh(now);
   }
 
   /** Notes the units that this node admitted in a window so far. */
   void recordAdmitted(long counterName, long customerId, long windowNumber, int firstNode,
-      int setWidth, double units) {
-    if (!schedule.isEnabled() || setWidth > maxSetWidth) {
+      int customerNodeCount, double units) {
+    if (!schedule.isEnabled() || customerNodeCount > maxCustomerNodeCount) {
       return;
     }
-    schedule.recordSetWidth(setWidth);
+    schedule.recordCustomerNodeCount(customerNodeCount);
     int shortNumber = (int) Math.floorMod(windowNumber, WINDOW_NUMBER_MODULUS);
     selection.put(counterName, new GossipMessage.WindowUsage(customerId, shortNumber, units),
-        firstNode, setWidth);
+        firstNode, customerNodeCount);
   }
 
   /** The full number of the window a peer means: the latest one with those last digits. */
@@ -118,7 +118,8 @@
         continue;
       }
       List<GossipMessage.WindowUsage> usage = selection.forPeer(peer, maxEntries);
-      if (!usage.isEmpty() || selection.mayShareCustomers(peer, schedule.widestSet())) {
+      if (!usage.isEmpty()
+          || selection.mayShareCustomers(peer, schedule.largestCustomerNodeCount())) {
         messages.put(peer, new GossipMessage(usage, reachability));
       }
     }
--- a/src/main/java/saltlatch/policy/QuotaTracker.java
+++ b/src/main/java/saltlatch/policy/QuotaManager.java
@@ -17,14 +17,14 @@
  * <ul>
  * <li>the counter answers: all of it, less what {@link CounterTotals} shows of the others;
  * <li>it does not, and peers report: {@link CapacityFromGossip}, within {@link PooledShare};
- * <li>neither is to be had: {@link ShareWithoutCounter}.
+ * <li>neither is to be had: {@link FallbackShare}.
  * </ul>
  * In each case {@link AvailableUnits} refills what is left, and {@link HardCeiling} bounds all.
  *
  * <p>Does no I/O and reads no clock: {@link PolicyEngine} calls it on its one thread and decides.
  * Times are ticks, amounts units.
  */
-final class QuotaTracker {
+final class QuotaManager {
   /** A customer without requests for so long is forgotten: a minute. */
   private static final long IDLE_TICKS = 60 * Ticks.PER_SECOND;
 
@@ -34,25 +34,25 @@
   private final GatewaySettings settings;
   private final QuotaGossip gossip;
   private final CounterTotals counterTotals = new CounterTotals();
-  private final ShareWithoutCounter shareWithoutCounter;
-  private final OverduePeers overduePeers;
+  private final FallbackShare fallbackShare;
+  private final UnreportedPeerUsage unreportedPeerUsage;
   private final PooledShare pooledShare;
   private final CapacityFromGossip capacityFromGossip;
   private final long startedAtTicks;
   private final SlotMap<CustomerQuota> customers = new SlotMap<>();
   private final SlotMap<QuotaWindow> windows = new SlotMap<>();
   private long now;
-  private boolean nodesKnowEachOther;
+  private boolean membershipEnabled;
 
-  QuotaTracker(long now, GatewaySettings settings, QuotaGossip gossip, SplittableRandom random) {
+  QuotaManager(long now, GatewaySettings settings, QuotaGossip gossip, SplittableRandom random) {
     this.now = now;
     this.settings = settings;
     this.gossip = gossip;
     startedAtTicks = now;
-    shareWithoutCounter = new ShareWithoutCounter(settings.counter().available(), random);
-    overduePeers = new OverduePeers(gossip);
-    pooledShare = new PooledShare(gossip, overduePeers);
-    capacityFromGossip = new CapacityFromGossip(gossip, overduePeers);
+    fallbackShare = new FallbackShare(settings.counter().available(), random);
+    unreportedPeerUsage = new UnreportedPeerUsage(gossip);
+    pooledShare = new PooledShare(gossip, unreportedPeerUsage);
+    capacityFromGossip = new CapacityFromGossip(gossip, unreportedPeerUsage);
   }
 
   /** Sets the time of what follows. */
@@ -61,11 +61,11 @@
   }
 
   /** Nodes know each other from now on: shares follow the leases. */
-  void useShares(QuotaShares shares) {
-    nodesKnowEachOther = true;
-    shareWithoutCounter.useShares(shares);
-    overduePeers.useShares(shares);
-    pooledShare.useShares(shares);
+  void setQuotaShares(QuotaShares shares) {
+    membershipEnabled = true;
+    fallbackShare.setQuotaShares(shares);
+    unreportedPeerUsage.setQuotaShares(shares);
+    pooledShare.setQuotaShares(shares);
   }
 
   /** The window of that name at the counter; null if it is released. */
@@ -85,7 +85,7 @@
   /** Releases customers idle for long, unless that would forgive a part of a ceiling. */
   void releaseIdleCustomers() {
     customers.forEach(customer -> {
-      boolean ceilingMayBeForgotten = HardCeiling.mayForget(customer, now);
+      boolean ceilingMayBeForgotten = HardCeiling.mayRelease(customer, now);
       boolean idle = now - customer.lastRequestAtTicks > IDLE_TICKS && customer.inFlight == 0;
       if (idle && ceilingMayBeForgotten) {
         customers.release(customer.id);
@@ -101,11 +101,11 @@
    */
   void applyCounterTotal(QuotaWindow window, double ownUnits, double totalUnits) {
     CustomerQuota customer = window.customer;
-    endShareWithoutCounter(customer);
+    endFallbackShare(customer);
     customer.lastCounterTotalAtTicks = now;
     boolean usageFresh = isUsageFresh(customer);
     counterTotals.apply(window, ownUnits, totalUnits, usageFresh);
-    UsageByOthers.charge(window, usageFresh, now);
+    PeerUsage.charge(window, usageFresh, now);
   }
 
   /** Takes in a peer's message. */
@@ -113,7 +113,7 @@
     for (GossipMessage.WindowUsage usage : gossip.receive(now, event.sender(), event.message())) {
       CustomerQuota customer = customers.find(usage.customer());
       if (customer != null && customer.plan.ratePerSecond() > 0
-          && UsageByOthers.isPlausible(customer, usage.units())) {
+          && PeerUsage.isPlausible(customer, usage.units())) {
         applyReportedUsage(customer, event.sender(), usage);
       }
     }
@@ -127,12 +127,12 @@
         : windows.find(counterName(customer, number));
     int node = Math.floorMod(sender - customer.firstNode, Math.max(1, settings.nodeCount()));
     if (window == null || node >= customer.nodeCount
-        || !UsageByOthers.isNew(window, node, usage.units())) {
+        || !PeerUsage.isNew(window, node, usage.units())) {
       return;
     }
-    endShareWithoutCounter(customer);
-    UsageByOthers.recordReported(window, node, usage.units());
-    UsageByOthers.charge(window, isUsageFresh(customer), now);
+    endFallbackShare(customer);
+    PeerUsage.recordReported(window, node, usage.units());
+    PeerUsage.charge(window, isUsageFresh(customer), now);
   }
 
   /** Notes units that this node admitted; below 0, that it did not use after all. */
@@ -140,8 +140,8 @@
     CustomerQuota customer = window.customer;
     window.admittedUnits += units;
     customer.availableUnits -= units;
-    customer.usageWhileSplit += units;
-    customer.admittedWhilePeersSilent += units;
+    customer.usageDuringPartition += units;
+    customer.admittedWhilePeersOverdue += units;
     customer.refillAllowance -= units;
     gossip.recordAdmitted(window.counterName, customer.id,
         window.endsAtTicks / windowLengthTicks(customer.plan) - 1, customer.firstNode,
@@ -165,11 +165,11 @@
     CustomerQuota customer = new CustomerQuota(arrival.customer(),
         settings.quotaPlans().get(arrival.plan()), arrival.firstNode());
     HardCeiling.start(customer, startedAtTicks);
-    customer.estimates = new QuantileReservation[settings.requestClasses().size()];
+    customer.reservationsByClass = new QuantileReservation[settings.requestClasses().size()];
     customer.learnedShare = 1.0 / nodeCount;
     customer.availableUnits = customer.plan.burstUnits();
     customer.availableUnitsAtTicks = now;
-    customer.othersUsageAtTicks = now;
+    customer.peerUsageAtTicks = now;
     customer.refillAllowanceAtTicks = now;
     return customer;
   }
@@ -206,13 +206,13 @@
   /** Brings the customer's available units up to now. */
   void refill(CustomerQuota customer) {
     AvailableUnits.refill(customer, now);
-    if (!nodesKnowEachOther) {
+    if (!membershipEnabled) {
       return;
     }
-    if (customer.isOnShareWithoutCounter()) {
-      shareWithoutCounter.followLease(customer, now);
+    if (customer.isOnFallbackShare()) {
+      fallbackShare.updateShare(customer, now);
     } else {
-      pooledShare.followPool(customer, now);
+      pooledShare.updateShare(customer, now);
     }
   }
 
@@ -222,21 +222,21 @@
    */
   boolean hasLocalCapacity(CustomerQuota customer, double requestUnits) {
     if (isUsageFresh(customer)) {
-      endShareWithoutCounter(customer);
+      endFallbackShare(customer);
       return capacityFromGossip.allows(customer, requestUnits, now);
     }
     refill(customer);
-    if (!customer.isOnShareWithoutCounter()) {
-      shareWithoutCounter.begin(customer, now);
-      overduePeers.chargePresumedUsage(customer, now);
-      shareWithoutCounter.scale(customer, requestUnits);
+    if (!customer.isOnFallbackShare()) {
+      fallbackShare.begin(customer, now);
+      unreportedPeerUsage.chargePresumedUsage(customer, now);
+      fallbackShare.scale(customer, requestUnits);
     }
     return customer.availableUnits > 0;
   }
 
-  private void endShareWithoutCounter(CustomerQuota customer) {
+  private void endFallbackShare(CustomerQuota customer) {
     refill(customer);
-    shareWithoutCounter.end(customer, counterTotals.countedFraction());
+    fallbackShare.end(customer, counterTotals.countedFraction());
   }
 
   private boolean isUsageFresh(CustomerQuota customer) {
--- a/src/main/java/saltlatch/policy/QuotaWindow.java
+++ b/src/main/java/saltlatch/policy/QuotaWindow.java
@@ -5,10 +5,10 @@
 /**
  * One customer's count for one window of the quota.
  *
- * <p>{@link QuotaTracker} creates it with the first request of the window. The engine releases it
+ * <p>{@link QuotaManager} creates it with the first request of the window. The engine releases it
  * once the window and the longest client timeout are over and no call is in flight; it also keeps
- * the calls and {@code uncarriedUnits}. {@link CounterTotals} writes the counter's fields, {@link
- * UsageByOthers} those of other nodes. All amounts are units.
+ * the calls and {@code unsentUnits}. {@link CounterTotals} writes the counter's fields, {@link
+ * PeerUsage} those of other nodes. All amounts are units.
  */
 final class QuotaWindow {
   final CustomerQuota customer;
@@ -17,9 +17,9 @@
   final long endsAtTicks;
 
   // QuotaCharges
-  final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
+  final ArrayDeque<PendingCounterCall> calls = new ArrayDeque<>();
   /** Charged or refunded by this node, carried by no call yet. */
-  double uncarriedUnits;
+  double unsentUnits;
 
   // CounterTotals
   /** The counter's last total, with the lost units added. */
@@ -36,11 +36,11 @@
   /** Admitted by this node, counted or not. */
   double admittedUnits;
 
-  // UsageByOthers
-  double othersUnitsByCounter;
-  double othersUnitsByGossip;
+  // PeerUsage
+  double peerUnitsByCounter;
+  double peerUnitsByGossip;
   /** The part of the others' units that the customer has been charged for. */
-  double othersChargedUnits;
+  double peerChargedUnits;
   /** The last sum of each node of the customer's set; null until one arrives. */
   double[] gossipUnitsByNode;
 
@@ -56,7 +56,7 @@
    * @param units of an admitted request that no call carried; below 0 gives units back
    */
   void charge(double units) {
-    uncarriedUnits += units;
+    unsentUnits += units;
   }
 
   /**
@@ -65,7 +65,7 @@
    * @param units of a request that was charged and not executed
    */
   void refund(double units) {
-    uncarriedUnits -= units;
+    unsentUnits -= units;
   }
 
   /** Notes an add that timed out or whose connection broke: it may have been counted. */
--- a/src/main/java/saltlatch/policy/RequestCompletion.java
+++ b/src/main/java/saltlatch/policy/RequestCompletion.java
@@ -33,20 +33,21 @@
   }
 
   private void reject(RequestState request, long retryAfterTicks) {
-    RequestEnd end = RetryPolicy.isRejectSafe(request) ? RequestEnd.REJECTED : RequestEnd.FAILED;
+    RequestOutcome end = RetryPolicy.isRejectSafe(request) ? RequestOutcome.REJECTED
+        : RequestOutcome.FAILED;
     finish(request, end, retryAfterTicks);
   }
 
   /** Fails a request: it may have been executed. */
   void fail(RequestState request) {
-    finish(request, RequestEnd.FAILED, 0);
+    finish(request, RequestOutcome.FAILED, 0);
   }
 
-  private void finish(RequestState request, RequestEnd end, long retryAfterTicks) {
+  private void finish(RequestState request, RequestOutcome end, long retryAfterTicks) {
     if (request.admitted && request.attemptCount == 0 && request.window != null) {
       charges.refund(request);
     }
-    request.wantedEnd = end;
+    request.pendingOutcome = end;
     request.retryAfterTicks = retryAfter.limited(retryAfterTicks);
   }
 }
--- a/src/main/java/saltlatch/policy/RequestLifecycle.java
+++ b/src/main/java/saltlatch/policy/RequestLifecycle.java
@@ -17,7 +17,7 @@
   private static final long DEADLINE_MARGIN_STEPS = 2;
 
   private final RequestTable requests;
-  private final QuotaTracker quotas;
+  private final QuotaManager quotas;
   private final AdmissionControl admission;
   private final AttemptTracker attempts;
   private final RetryPolicy retryPolicy;
@@ -28,7 +28,7 @@
   private final long deadlineMarginTicks;
   private final List<RequestClassStats> statsByClass = new ArrayList<>();
 
-  RequestLifecycle(GatewaySettings settings, RequestTable requests, QuotaTracker quotas,
+  RequestLifecycle(GatewaySettings settings, RequestTable requests, QuotaManager quotas,
       AdmissionControl admission, AttemptTracker attempts, RetryPolicy retryPolicy,
       WeightedRoundRobinLoadBalancer balancer, RequestCompletion completion, QuotaCharges charges,
       ClientRetryDetection clientRetries) {
@@ -70,7 +70,7 @@
     if (event.outcome() == AttemptOutcome.SUCCEEDED) {
       charges.settle(request, event.actualUnits(), now);
     }
-    if (!request.finished && request.wantedEnd == RequestEnd.NONE) {
+    if (!request.finished && request.pendingOutcome == RequestOutcome.NONE) {
       retryOrReject(request, event.outcome(), now);
     }
   }
--- a/src/main/java/saltlatch/policy/RequestEnd.java
+++ b/src/main/java/saltlatch/policy/RequestOutcome.java
@@ -1,7 +1,7 @@
 package saltlatch.policy;
 
 /** The final answer that is wanted for a request. */
-enum RequestEnd {
+enum RequestOutcome {
   /** None yet. */
   NONE,
   /** The client may send the request again without harm. */
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -5,7 +5,7 @@
 /**
  * One request, from its arrival until its final answer is out and nothing of it is in flight. Kept
  * by {@link RequestTable}. The rules write what they want of it ({@code nextServer},
- * {@code wantedEnd}); {@link ActionEmitter} alone turns that into actions. Times are in ticks.
+ * {@code pendingOutcome}); {@link ActionEmitter} alone turns that into actions. Times are in ticks.
  */
 final class RequestState {
   final GatewayEvent.RequestArrived arrival;
@@ -38,7 +38,7 @@
   // What is wanted, and what has been emitted.
   /** Wanted: an attempt there. */
   ServerState nextServer;
-  RequestEnd wantedEnd = RequestEnd.NONE;
+  RequestOutcome pendingOutcome = RequestOutcome.NONE;
   long retryAfterTicks;
   /** Its final answer is out, or its client is gone. */
   boolean finished;
--- a/src/main/java/saltlatch/policy/RetryAfterAdvice.java
+++ b/src/main/java/saltlatch/policy/RetryAfterAdvice.java
@@ -34,7 +34,7 @@
   long withoutQuota(RequestState request, long now) {
     // Both are drawn in any case: which of them is used must not shift later draws.
     double spreadTicks = SPREAD_WINDOW_FRACTION
-        * QuotaTracker.windowLengthTicks(request.customer.plan) * random.nextDouble();
+        * QuotaManager.windowLengthTicks(request.customer.plan) * random.nextDouble();
     long nextCallTicks = counterHealth.ticksUntilNextCall(now)
         + (long) (counterHealth.backoffTicks() * random.nextDouble());
     boolean knownSpent = request.lateRetry || request.awaitingCounter
--- a/src/main/java/saltlatch/policy/ServerList.java
+++ b/src/main/java/saltlatch/policy/ServerList.java
@@ -47,7 +47,7 @@
     for (GatewayEvent.Endpoint endpoint : update.endpoints()) {
       update(endpoint, now);
     }
-    servers.forEach(this::releaseIfGone);
+    servers.forEach(this::releaseIfUnused);
     recount(now);
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** Releases a server that takes no requests and has nothing in flight. */
-  void releaseIfGone(ServerState server) {
+  void releaseIfUnused(ServerState server) {
     if (!server.ready && server.inFlight == 0) {
       servers.release(server.id);
     }
--- a/src/main/java/saltlatch/policy/SlowStart.java
+++ b/src/main/java/saltlatch/policy/SlowStart.java
@@ -72,7 +72,7 @@
   }
 
   /** A request wants its first attempt. */
-  void recordWanted(double units) {
+  void recordRequested(double units) {
     wantedUnits += units;
   }
 
--- a/src/main/java/saltlatch/policy/StallDetection.java
+++ b/src/main/java/saltlatch/policy/TimerStallDetection.java
@@ -12,7 +12,7 @@
  * neither way. Harms where the host's clock leaps. The node's own StallDetector asks the same of
  * the event loop, before anything is read, to give requests their age.
  */
-final class StallDetection {
+final class TimerStallDetection {
   /** Part of the shortest latency objective by which an overdue timer shows a stall. */
   private static final double OVERDUE_OBJECTIVE_FRACTION = 0.5;
   /** Housekeeping periods by which the timer is overdue at least. */
@@ -22,7 +22,7 @@
   private final long thresholdTicks;
   private long resumedAtTicks;
 
-  StallDetection(ObjectiveBounds bounds, HousekeepingSchedule schedule) {
+  TimerStallDetection(ObjectiveBounds bounds, HousekeepingSchedule schedule) {
     this.schedule = schedule;
     thresholdTicks = Math.max(MIN_OVERDUE_PERIODS * HousekeepingSchedule.PERIOD_TICKS,
         (long) (OVERDUE_OBJECTIVE_FRACTION * bounds.shortestObjectiveTicks()));
--- a/src/main/java/saltlatch/policy/OverduePeers.java
+++ b/src/main/java/saltlatch/policy/UnreportedPeerUsage.java
@@ -15,18 +15,18 @@
  * the units are charged, and they are given back only when the counter or the peer reports. Harms a
  * customer of which the silent peers admitted less: it is rejected with capacity left.
  */
-final class OverduePeers {
+final class UnreportedPeerUsage {
   /** Gossip periods after which a peer's next message is overdue: it may be cut off. */
   private static final double OVERDUE_PERIODS = 1.2;
 
   private final QuotaGossip gossip;
   private QuotaShares shares; // null: nodes do not know each other
 
-  OverduePeers(QuotaGossip gossip) {
+  UnreportedPeerUsage(QuotaGossip gossip) {
     this.gossip = gossip;
   }
 
-  void useShares(QuotaShares fleetShares) {
+  void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
   }
 
@@ -35,8 +35,8 @@
     if (shares == null) {
       return;
     }
-    double units = overdueNodes(customer, now) * customer.admittedWhilePeersSilent;
-    customer.admittedWhilePeersSilent = 0;
+    double units = overdueNodes(customer, now) * customer.admittedWhilePeersOverdue;
+    customer.admittedWhilePeersOverdue = 0;
     customer.presumedPeerUsage += units;
     customer.availableUnits -= units;
   }
@@ -51,11 +51,11 @@
     }
     int overdue = overdueNodes(customer, now);
     if (overdue == 0) {
-      customer.admittedWhilePeersSilent = 0;
+      customer.admittedWhilePeersOverdue = 0;
       return 0;
     }
     return Math.max(othersUnitsPerTick * OVERDUE_PERIODS * gossip.periodTicks(),
-        overdue * customer.admittedWhilePeersSilent);
+        overdue * customer.admittedWhilePeersOverdue);
   }
 
   /** Peers of the customer's set that reported lately, but whose next message is overdue. */
--- a/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
+++ b/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
@@ -38,7 +38,7 @@
   /** The server for the request's next attempt; null if none may take it. */
   ServerState choose(RequestState request, long now) {
     if (request.attemptCount == 0) {
-      slowStart.recordWanted(request.arrival.estimatedUnits());
+      slowStart.recordRequested(request.arrival.estimatedUnits());
     }
     List<ServerState> candidates = candidates(request);
     double[] weights = candidates.stream().mapToDouble(server -> weight(server, now)).toArray();
--- a/src/main/java/saltlatch/policy/package-info.java
+++ b/src/main/java/saltlatch/policy/package-info.java
@@ -10,7 +10,7 @@
  * <li>Rejected requests: {@link saltlatch.policy.AdmissionControl},
  * {@link saltlatch.policy.LoadShedding}, {@link saltlatch.policy.ClientRetryDetection},
  * {@link saltlatch.policy.RetryAfterAdvice}.
- * <li>Quotas: {@link saltlatch.policy.QuotaTracker}, whose comment names the rules of who may use
+ * <li>Quotas: {@link saltlatch.policy.QuotaManager}, whose comment names the rules of who may use
  * which part, and {@link saltlatch.policy.QuotaGossip}.
  * <li>The counter: {@link saltlatch.policy.QuotaCharges},
  * {@link saltlatch.policy.QuantileReservation}, {@link saltlatch.policy.CounterHealth}.
@@ -19,7 +19,7 @@
  * {@link saltlatch.policy.OutlierDetection}, {@link saltlatch.policy.SlowStart}.
  * <li>Further attempts and final answers: {@link saltlatch.policy.RetryPolicy},
  * {@link saltlatch.policy.RequestCompletion}.
- * <li>The node itself: {@link saltlatch.policy.StallDetection},
+ * <li>The node itself: {@link saltlatch.policy.TimerStallDetection},
  * {@link saltlatch.policy.HousekeepingSchedule}, {@link saltlatch.policy.EndpointWatch}.
  * </ul>
  *
--- a/src/test/java/saltlatch/policy/QuotaGossipTest.java
+++ b/src/test/java/saltlatch/policy/QuotaGossipTest.java
@@ -36,7 +36,7 @@
     QuotaGossip gossip = new QuotaGossip(1, 6, 40, 0);
     gossip.recordAdmitted(70, 7, 130, 0, 3, 2.5);
     assertEquals(Map.of(), gossip.dueMessages(SECOND));
-    gossip.counterUnhealthy(SECOND);
+    gossip.recordCounterUnhealthy(SECOND);
     gossip.recordAdmitted(70, 7, 130, 0, 3, 2.5);
     gossip.recordAdmitted(70, 7, 130, 0, 3, 4.5);
     Map<Integer, GossipMessage> messages = gossip.dueMessages(SECOND);
@@ -59,12 +59,12 @@
   @Test
   void fillsDatagramsAndIgnoresMalformedOnes() {
     QuotaGossip gossip = new QuotaGossip(0, 2, 40, 0);
-    gossip.counterUnhealthy(0);
+    gossip.recordCounterUnhealthy(0);
     for (int i = 0; i < 100; i++) gossip.recordAdmitted(i, i, 0, 0, 2, 1);
     byte[] datagram = GossipCodec.encode(gossip.dueMessages(SECOND).get(1));
     assertTrue(datagram.length <= QuotaGossip.MAX_DATAGRAM_BYTES && datagram.length > 250);
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
-    peer.counterUnhealthy(0);
+    peer.recordCounterUnhealthy(0);
     GossipMessage message = GossipCodec.decode(datagram);
     List<GossipMessage.WindowUsage> sums = peer.receive(SECOND, 0, message);
     assertEquals(new GossipMessage.WindowUsage(99, 0, 1), sums.get(0));
@@ -75,7 +75,7 @@
       assertEquals(null, GossipCodec.decode(bad));
     }
     QuotaGossip isolated = new QuotaGossip(1, 2, 40, 0);
-    isolated.counterUnhealthy(0);
+    isolated.recordCounterUnhealthy(0);
     assertEquals(List.of(), isolated.receive(SECOND, -1, message));
     assertEquals(List.of(), isolated.receive(SECOND, 1, message));
     assertFalse(isolated.isUsageFresh(SECOND, 2));
@@ -100,7 +100,7 @@
   @Test
   void doesNotReportOnWideSets() {
     QuotaGossip gossip = new QuotaGossip(0, 100, 40, 0.041);
-    gossip.counterUnhealthy(0);
+    gossip.recordCounterUnhealthy(0);
     gossip.recordAdmitted(1, 1, 0, 0, 60, 1);
     assertEquals(Map.of(), gossip.dueMessages(SECOND));
     gossip.receive(SECOND, 1, new GossipMessage(List.of(), null));
@@ -119,11 +119,11 @@
     SplittableRandom random = new SplittableRandom(5);
     int nodeCount = 10;
     List<QuotaGossip> gossips = new ArrayList<>();
-    List<QuotaTracker> trackers = new ArrayList<>();
+    List<QuotaManager> trackers = new ArrayList<>();
     for (int i = 0; i < nodeCount; i++) {
       GatewaySettings site = DecisionTrace.settings(i, nodeCount, PLAN, false, false, i, intake);
       gossips.add(new QuotaGossip(i, nodeCount, intake, 0));
-      trackers.add(new QuotaTracker(0, site, gossips.get(i), new SplittableRandom(i)));
+      trackers.add(new QuotaManager(0, site, gossips.get(i), new SplittableRandom(i)));
     }
     double availableUnits = PLAN.burstUnits();
     double admittedUnits = 0;
@@ -133,17 +133,17 @@
       availableUnits = Math.min(PLAN.burstUnits(), availableUnits + 0.02 * PLAN.ratePerSecond());
       for (int i = 0; i < nodeCount; i++) {
         trackers.get(i).advanceTo(now);
-        gossips.get(i).counterUnhealthy(now);
+        gossips.get(i).recordCounterUnhealthy(now);
         sendDueGossip(i, gossips.get(i), trackers, now, () -> random.nextDouble() < lossRate);
       }
       if (random.nextDouble() >= 0.02 * requestsPerSecond) continue;
-      QuotaTracker tracker = trackers.get(random.nextInt(nodeCount));
+      QuotaManager tracker = trackers.get(random.nextInt(nodeCount));
       CustomerQuota customer = tracker.customerFor(
           new GatewayEvent.RequestArrived(1, 0, 0, 9, 30_000, 2, nodeCount, 0, false, 0));
       QuotaWindow window = tracker.currentWindow(customer, false);
       if (tracker.hasLocalCapacity(customer, 2)) {
         tracker.recordAdmitted(window, 2);
-        customer.admittedWithoutCounter += customer.admittedWithoutCounter >= 0 ? 2 : 0;
+        customer.admittedOnFallbackShare += customer.admittedOnFallbackShare >= 0 ? 2 : 0;
         admittedUnits += 2;
         unitsBeyondQuota += availableUnits < 2 ? 2 : 0;
         availableUnits -= availableUnits < 2 ? 0 : 2;
@@ -154,10 +154,10 @@
     return new double[] {admittedUnits, unitsBeyondQuota, rejectedWithCapacity};
   }
 
-  private static void sendDueGossip(int sender, QuotaGossip gossip, List<QuotaTracker> trackers,
+  private static void sendDueGossip(int sender, QuotaGossip gossip, List<QuotaManager> trackers,
       long now, BooleanSupplier isLost) {
     for (Map.Entry<Integer, GossipMessage> message : gossip.dueMessages(now).entrySet()) {
-      QuotaTracker receiver = trackers.get(message.getKey());
+      QuotaManager receiver = trackers.get(message.getKey());
       receiver.advanceTo(now);
       if (!isLost.getAsBoolean()) {
         receiver.applyGossip(new GatewayEvent.GossipReceived(sender, message.getValue()));
@@ -198,7 +198,7 @@
       t.counterFails(AttemptOutcome.TIMED_OUT);
     }
     QuotaGossip peer = new QuotaGossip(1, 2, 40, 0);
-    peer.counterUnhealthy(t.now);
+    peer.recordCounterUnhealthy(t.now);
     peer.recordAdmitted(0, 9, t.now / 30_000, 0, 2, 1);
     t.say("peer 1 admitted 1 units of customer 9");
     t.deliver(new GatewayEvent.GossipReceived(1, peer.dueMessages(t.now).get(0)));
--- a/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
+++ b/src/test/java/saltlatch/policy/QuotaWithoutCounterTest.java
@@ -32,7 +32,7 @@
         List.of(PLAN));
   }
 
-  private static CustomerQuota customer(QuotaTracker quotas, int nodes) {
+  private static CustomerQuota customer(QuotaManager quotas, int nodes) {
     return quotas
         .customerFor(new GatewayEvent.RequestArrived(0, 0, 0, 9, 30_000, 1, nodes, 0, false, 0));
   }
@@ -41,12 +41,12 @@
   private static double play(int nodes, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     GatewaySettings site = site(seed, nodes);
-    List<QuotaTracker> trackers = new ArrayList<>();
+    List<QuotaManager> trackers = new ArrayList<>();
     for (int i = 0; i < nodes; i++)
-      trackers.add(new QuotaTracker(0, site, new QuotaGossip(i, nodes, 0, 0), random.split()));
+      trackers.add(new QuotaManager(0, site, new QuotaGossip(i, nodes, 0, 0), random.split()));
     double admittedUnits = 0;
     for (long now = 1_000; now <= SECONDS * 10_000L; now += 1_000) {
-      for (QuotaTracker tracker : trackers) {
+      for (QuotaManager tracker : trackers) {
         if (random.nextInt(20) > 0) continue;
         tracker.advanceTo(now);
         CustomerQuota customer = customer(tracker, nodes);
@@ -84,13 +84,13 @@
   void startOffsetIsNotChargedOncePeersReport() {
     int nodes = 100;
     QuotaGossip gossip = new QuotaGossip(0, nodes, 40, 0);
-    QuotaTracker quotas = new QuotaTracker(0, site(0, nodes), gossip, new SplittableRandom(1));
+    QuotaManager quotas = new QuotaManager(0, site(0, nodes), gossip, new SplittableRandom(1));
     quotas.advanceTo(1_000);
     CustomerQuota c = customer(quotas, nodes);
     quotas.hasLocalCapacity(c, 4);
     assertTrue(c.availableUnits < PLAN.burstUnits() / nodes - 0.1,
         c.availableUnits + " units, none drawn");
-    gossip.counterUnhealthy(1_000);
+    gossip.recordCounterUnhealthy(1_000);
     gossip.receive(1_000, 1, new GossipMessage(List.of(), null));
     quotas.hasLocalCapacity(c, 4);
     assertEquals(PLAN.burstUnits(), c.availableUnits, 0.001);
--- a/src/test/java/saltlatch/policy/ServerListTest.java
+++ b/src/test/java/saltlatch/policy/ServerListTest.java
@@ -49,7 +49,7 @@
     assertEquals(0, servers.readyServers());
     servers.forEach(server -> {
       server.inFlight = 0;
-      servers.releaseIfGone(server);
+      servers.releaseIfUnused(server);
     });
     assertEquals(List.of(), ids());
   }
--- a/src/test/java/saltlatch/policy/SlowStartTest.java
+++ b/src/test/java/saltlatch/policy/SlowStartTest.java
@@ -40,7 +40,7 @@
   /** 10 units a server and window: a budget of 0.85 * 4 * 0.2 * 10 units a window at first. */
   @Test
   void theBudgetRefillsAndIsUsedUp() {
-    slowStart.recordWanted(100);
+    slowStart.recordRequested(100);
     assertFalse(slowStart.allows(server, READY_SERVERS, STARTED_AT), "begins below one request");
     assertTrue(slowStart.allows(server, READY_SERVERS, STARTED_AT + 2_000));
     assertTrue(server.warmUpBudgetUnits < 1 + 0.85 * 4 * 0.22 * 10 * 0.2);
@@ -52,7 +52,7 @@
   /** Nothing was sent for long: no budget builds up beyond one request. */
   @Test
   void anIdleNodeSavesNoBudget() {
-    slowStart.recordWanted(100);
+    slowStart.recordRequested(100);
     for (int i = 0; i < 200; i++) {
       slowStart.decay();
     }
--- a/src/test/java/saltlatch/policy/StallDetectionTest.java
+++ b/src/test/java/saltlatch/policy/TimerStallDetectionTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class StallDetectionTest {
+class TimerStallDetectionTest {
   private static final ObjectiveBounds BOUNDS = new ObjectiveBounds(10_000, 30_000);
 
   private final HousekeepingSchedule schedule = new HousekeepingSchedule(0);
-  private final StallDetection stalls = new StallDetection(BOUNDS, schedule);
+  private final TimerStallDetection stalls = new TimerStallDetection(BOUNDS, schedule);
 
   /** The timer for 100 ms is overdue by more than half of the objective: the node was stopped. */
   @Test
@@ -45,6 +45,6 @@
   @Test
   void shortObjectivesDontMakeStalls() {
     assertEquals(2_000,
-        new StallDetection(new ObjectiveBounds(100, 30_000), schedule).thresholdTicks());
+        new TimerStallDetection(new ObjectiveBounds(100, 30_000), schedule).thresholdTicks());
   }
 }
