--- a/src/main/java/saltlatch/configuration/ActivationCoordinator.java
+++ b/src/main/java/saltlatch/configuration/ActivationCoordinator.java
@@ -28,11 +28,11 @@
    * @param active         the version it acts on
    * @param prepared       the proposed version it could act on
    * @param reason         why it rejects the proposed version, or null
-   * @param silentForTicks since its last renewal
+   * @param renewalAgeTicks since its last renewal
    * @param live           whether it may still hold a lease
    */
   public record NodeStatus(String node, ConfigurationVersion active, ConfigurationVersion prepared,
-      String reason, long silentForTicks, boolean live) {}
+      String reason, long renewalAgeTicks, boolean live) {}
 
   private final LeaseTimings timings;
   private final Map<String, ReceivedRenewal> renewals = new TreeMap<>(); // the last, by node
@@ -56,7 +56,7 @@
   }
 
   private boolean mayHoldLease(ReceivedRenewal received, long nowTicks) {
-    return nowTicks - received.receivedAtTicks <= timings.leaseExpiredTicks();
+    return nowTicks - received.receivedAtTicks <= timings.leaseExpiryTicks();
   }
 
   /**
@@ -83,7 +83,7 @@
   private static boolean waitsForAllMembers(SharedConfiguration active,
       SharedConfiguration proposed) {
     // A new epoch lifts the locks by which nodes without a lease go on deciding.
-    return active.withoutLease() == SharedConfiguration.WithoutLease.DELAY_ACTIVATION
+    return active.leaseExpiryPolicy() == SharedConfiguration.LeaseExpiryPolicy.DELAY_ACTIVATION
         || proposed.version().epoch() > active.version().epoch();
   }
 
@@ -105,7 +105,7 @@
     }
     // Guards against a new leader that takes nodes that have not renewed yet for dead: one of them
     // may hold a lease of the term before and would act on the older version beside the newer one.
-    if (nowTicks - leaderSinceTicks <= timings.leaseExpiredTicks()) return null;
+    if (nowTicks - leaderSinceTicks <= timings.leaseExpiryTicks()) return null;
     return blockingNodes(nowTicks, active, proposed).isEmpty()
         ? new ConfigurationRegister.Operation.Activate(proposed.version()) : null;
   }
--- a/src/main/java/saltlatch/configuration/ConfigurationFollower.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationFollower.java
@@ -120,7 +120,8 @@
   }
 
   private boolean successorWaitsForThisNode(SharedConfiguration configuration) {
-    return configuration.withoutLease() == SharedConfiguration.WithoutLease.DELAY_ACTIVATION
+    return configuration
+        .leaseExpiryPolicy() == SharedConfiguration.LeaseExpiryPolicy.DELAY_ACTIVATION
         && configuration.members().contains(node);
   }
 
--- a/src/main/java/saltlatch/configuration/LeaseTimings.java
+++ b/src/main/java/saltlatch/configuration/LeaseTimings.java
@@ -27,7 +27,7 @@
   }
 
   /** After this time by any clock, a lease granted before has run out by its holder's clock. */
-  public long leaseExpiredTicks() {
+  public long leaseExpiryTicks() {
     return (long) Math.ceil(leaseTicks() * (1 + 4 * MAX_CLOCK_DRIFT));
   }
 
--- a/src/main/java/saltlatch/configuration/SharedConfiguration.java
+++ b/src/main/java/saltlatch/configuration/SharedConfiguration.java
@@ -21,14 +21,14 @@
  * @param members          names of the nodes that activation waits for, where it waits
  * @param lockedKeys       keys that no later version of the same epoch may tighten; {@link
  *     ConfigurationKeys} has them
- * @param withoutLease     what a node does whose lease on this version has run out
+ * @param leaseExpiryPolicy     what a node does whose lease on this version has run out
  */
 public record SharedConfiguration(ConfigurationVersion version,
     Map<String, GatewaySettings.QuotaPlan> quotaPlans,
     Map<String, GatewaySettings.RequestClass> requestClasses, Limits limits,
     SortedSet<String> excludedServers, SortedSet<Long> blockedCustomers,
     SortedSet<Long> exemptCustomers, SortedSet<String> members, SortedSet<String> lockedKeys,
-    WithoutLease withoutLease) {
+    LeaseExpiryPolicy leaseExpiryPolicy) {
 
   /**
    * Limits of the whole deployment.
@@ -39,7 +39,7 @@
   public record Limits(int maxAttempts, long maxRetryAfterTicks) {}
 
   /** What happens while a later version may have become active unknown to a node. */
-  public enum WithoutLease {
+  public enum LeaseExpiryPolicy {
     /** The node rejects the requests that the later version may forbid. */
     REJECT_REQUESTS,
     /** No later version is activated before every member has prepared it. */
@@ -73,7 +73,7 @@
   /** The same configuration under another version. */
   public SharedConfiguration withVersion(ConfigurationVersion other) {
     return new SharedConfiguration(other, quotaPlans, requestClasses, limits, excludedServers,
-        blockedCustomers, exemptCustomers, members, lockedKeys, withoutLease);
+        blockedCustomers, exemptCustomers, members, lockedKeys, leaseExpiryPolicy);
   }
 
   /** What is wrong with this configuration by itself, each with its key; empty if nothing is. */
--- a/src/main/java/saltlatch/history/History.java
+++ b/src/main/java/saltlatch/history/HistoryWriter.java
@@ -17,7 +17,7 @@
  * loaded only where a history is kept. {@code mono_ns} is the machine's monotonic clock,
  * which all processes on it share. Thread-safe.
  */
-public final class History implements AutoCloseable {
+public final class HistoryWriter implements AutoCloseable {
   private final LoggerContext context = new LoggerContext();
   private final Logger log = context.getLogger("history");
   private final String name;
@@ -30,7 +30,7 @@
    * @param incarnation distinguishes this process from others of the name
    * @throws IllegalArgumentException if the file can't be written
    */
-  public History(Path directory, String name, String incarnation) {
+  public HistoryWriter(Path directory, String name, String incarnation) {
     this.name = name;
     this.incarnation = incarnation;
     // A context of one's own has no adapter, and appends nothing without.
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -12,7 +12,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Box;
 import saltlatch.lab.plan.Truth;
@@ -83,9 +83,9 @@
     }
   }
 
-  private final History history; // null: none is kept
+  private final HistoryWriter history; // null: none is kept
 
-  AppServers(Vertx vertx, LabClock clock, Truth truth, Scenario s, History history) {
+  AppServers(Vertx vertx, LabClock clock, Truth truth, Scenario s, HistoryWriter history) {
     this.history = history;
     this.vertx = vertx;
     this.clock = clock;
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -14,7 +14,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.rig.Relays;
@@ -48,7 +48,8 @@
    * With relays for the links that faults touch, a history of the stand-ins, and a directory for
    * the nodes'.
    */
-  public Emulator(Scenario s, LabClock clock, Relays relays, History history, String historyDir) {
+  public Emulator(Scenario s, LabClock clock, Relays relays, HistoryWriter history,
+      String historyDir) {
     this.relays = relays;
     this.historyDir = historyDir;
     this.s = s;
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
@@ -123,14 +123,14 @@
 
   private final Front front; // null: reqs go round all nodes, dead ones too
   private final Pinger[] pingers;
-  private final History history; // null: none is kept
+  private final HistoryWriter history; // null: none is kept
 
   public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock) {
     this(s, schedule, nodePorts, clock, null);
   }
 
   public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock,
-      History history) {
+      HistoryWriter history) {
     this.history = history;
     this.front = s.front().noticeS() > 0 ? new Front(nodePorts.size(), s.front().noticeS() * 1000)
         : null;
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -21,7 +21,7 @@
 import java.util.function.BiFunction;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Timeline;
 import saltlatch.lab.plan.Timeline.Act;
@@ -143,7 +143,7 @@
   }
 
   /** Plays the schedule on a thread of its own; {@code faults} tells each step as it is done. */
-  public void play(List<Timeline.Step> steps, LabClock clock, History faults) {
+  public void play(List<Timeline.Step> steps, LabClock clock, HistoryWriter faults) {
     director = new Thread(() -> {
       try {
         for (Timeline.Step s : steps) {
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.check.Line;
 import saltlatch.lab.check.MemberTimes;
 import saltlatch.lab.check.Properties;
@@ -84,9 +84,9 @@
     LabClock clock = LabClock.waiting();
     Path dir = program == null ? null : program.dir().resolve("history");
     if (dir != null) emptied(dir);
-    History standIns = dir == null ? null : new History(dir, "stand-ins", "1");
-    History clients = dir == null ? null : new History(dir, "clients", "1");
-    History director = dir == null ? null : new History(dir, "director", "1");
+    HistoryWriter standIns = dir == null ? null : new HistoryWriter(dir, "stand-ins", "1");
+    HistoryWriter clients = dir == null ? null : new HistoryWriter(dir, "clients", "1");
+    HistoryWriter director = dir == null ? null : new HistoryWriter(dir, "director", "1");
     Relays relays = s.links().faults().isEmpty() ? null
         : new Relays(new Links(s.links().faults(), s.seed()), clock);
     Emulator emulator = new Emulator(s, clock, relays, standIns,
@@ -172,7 +172,8 @@
       if (load != null) load.close();
       if (relays != null) relays.close();
       emulator.stop();
-      for (History h : new History[] {standIns, clients, director}) if (h != null) h.close();
+      for (HistoryWriter h : new HistoryWriter[] {standIns, clients, director})
+        if (h != null) h.close();
     }
   }
 
--- a/src/main/java/saltlatch/membership/FailureDetector.java
+++ b/src/main/java/saltlatch/membership/FailureDetector.java
@@ -158,7 +158,7 @@
       return;
     }
     if (probe.target == from) {
-      leases.recordAnswer(now, from, probe.sentAtTicks, ack.vouchesForReceiver(),
+      leases.recordAnswer(now, from, probe.sentAtTicks, ack.grantsLeaseToReceiver(),
           ack.digest() == table.digest());
     }
     probe = null;
--- a/src/main/java/saltlatch/membership/LeaseVouching.java
+++ b/src/main/java/saltlatch/membership/LeaseGrantor.java
@@ -13,14 +13,14 @@
  * known and began lately, since then nobody can have taken anything over. Harms a fleet in which a
  * member is missing: a restarted node's vouches count only after a lease.
  */
-final class LeaseVouching {
+final class LeaseGrantor {
   private final MembershipTimings timings;
   private final MemberTable table;
   private final long startedAtTicks;
   private final long firstIncarnationSeconds;
 
   /** @param firstIncarnation of this process: the second in which it started */
-  LeaseVouching(MembershipTimings timings, MemberTable table, long startedAtTicks,
+  LeaseGrantor(MembershipTimings timings, MemberTable table, long startedAtTicks,
       long firstIncarnation) {
     this.timings = timings;
     this.table = table;
@@ -28,7 +28,7 @@
     firstIncarnationSeconds = firstIncarnation;
   }
 
-  boolean vouchesFor(int member, long now) {
+  boolean grantsLeaseTo(int member, long now) {
     if (!table.isLive(member)
         || now - table.unavailableAtTicks(member) <= timings.leaseExpiryTicks()) {
       return false;
--- a/src/main/java/saltlatch/membership/Membership.java
+++ b/src/main/java/saltlatch/membership/Membership.java
@@ -68,7 +68,7 @@
     }
     dissemination = new Dissemination(timings, table, suspicions, random);
     sender = new MessageSender(table, dissemination,
-        new LeaseVouching(timings, table, now, incarnation), output);
+        new LeaseGrantor(timings, table, now, incarnation), output);
     stateMachine = new MemberStateMachine(table, suspicions, dissemination, leases, health, output);
     proxyProbes = new ProxyProbes(timings, table, sender);
     failureDetector = new FailureDetector(timings, table, stateMachine, sender, leases, health,
--- a/src/main/java/saltlatch/membership/MembershipMessage.java
+++ b/src/main/java/saltlatch/membership/MembershipMessage.java
@@ -10,11 +10,11 @@
  * @param incarnation        the sender's
  * @param digest             of the sender's whole view ({@link Membership#digest}): two that differ
  *                           notice it
- * @param vouchesForReceiver the sender has not held the receiver failed or left for a lease
+ * @param grantsLeaseToReceiver the sender has not held the receiver failed or left for a lease
  * @param updates            at most {@link #MAX_UPDATES}
  */
 public record MembershipMessage(Kind kind, int sequenceNumber, int target, long incarnation,
-    long digest, boolean vouchesForReceiver, List<MemberUpdate> updates) {
+    long digest, boolean grantsLeaseToReceiver, List<MemberUpdate> updates) {
   /** Updates that a datagram of 256 bytes holds. */
   public static final int MAX_UPDATES = 24;
 
--- a/src/main/java/saltlatch/membership/MessageSender.java
+++ b/src/main/java/saltlatch/membership/MessageSender.java
@@ -9,11 +9,11 @@
 final class MessageSender {
   private final MemberTable table;
   private final Dissemination dissemination;
-  private final LeaseVouching vouching;
+  private final LeaseGrantor vouching;
   private final Membership.Output output;
   private int sequenceNumber;
 
-  MessageSender(MemberTable table, Dissemination dissemination, LeaseVouching vouching,
+  MessageSender(MemberTable table, Dissemination dissemination, LeaseGrantor vouching,
       Membership.Output output) {
     this.table = table;
     this.dissemination = dissemination;
@@ -28,6 +28,6 @@
 
   void send(int receiver, Kind kind, int number, int target, long now) {
     output.send(receiver, new MembershipMessage(kind, number, target, table.ownIncarnation(),
-        table.digest(), vouching.vouchesFor(receiver, now), dissemination.updatesFor(receiver)));
+        table.digest(), vouching.grantsLeaseTo(receiver, now), dissemination.updatesFor(receiver)));
   }
 }
--- a/src/main/java/saltlatch/membership/QuotaLeases.java
+++ b/src/main/java/saltlatch/membership/QuotaLeases.java
@@ -21,13 +21,13 @@
 
   private final MembershipTimings timings;
   // all by member
-  private final long[] vouchedUntilTicks;
+  private final long[] grantedUntilTicks;
   private final long[] equalViewSinceTicks;
   private final long[] equalViewProbeSentAtTicks;
 
   QuotaLeases(MembershipTimings timings) {
     this.timings = timings;
-    vouchedUntilTicks = new long[timings.memberCount()];
+    grantedUntilTicks = new long[timings.memberCount()];
     equalViewSinceTicks = new long[timings.memberCount()];
     equalViewProbeSentAtTicks = new long[timings.memberCount()];
     viewChanged();
@@ -42,12 +42,12 @@
    * Takes in a direct answer.
    *
    * @param sentAt    when the probe was sent
-   * @param vouches   the member has not held this node failed or left for a lease
+   * @param grantsLease   the member has not held this node failed or left for a lease
    * @param equalView its view is this node's
    */
-  void recordAnswer(long now, int member, long sentAt, boolean vouches, boolean equalView) {
-    if (vouches) {
-      vouchedUntilTicks[member] = Math.max(vouchedUntilTicks[member],
+  void recordAnswer(long now, int member, long sentAt, boolean grantsLease, boolean equalView) {
+    if (grantsLease) {
+      grantedUntilTicks[member] = Math.max(grantedUntilTicks[member],
           sentAt + timings.leaseTicks());
     }
     if (!equalView) {
@@ -63,7 +63,7 @@
 
   /** Until when this node keeps its surplus if nothing more is received. */
   long leaseUntilTicks() {
-    return untilSoMany(vouchedUntilTicks.clone(), (timings.memberCount() + 1) / 2 - 1);
+    return untilSoMany(grantedUntilTicks.clone(), (timings.memberCount() + 1) / 2 - 1);
   }
 
   /**
--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -43,7 +43,7 @@
   }
 
   /** Nodes by which what all may do together is divided. */
-  public int divisorNodes() {
+  public int divisorNodeCount() {
     return view.nodeCount();
   }
 
@@ -167,7 +167,7 @@
    * @param overdueTicks  age above which gossip is overdue
    * @param validityTicks age above which the member does not count as reachable any more
    */
-  public int overdueNodes(long now, long overdueTicks, long validityTicks, int firstNode,
+  public int overdueNodeCount(long now, long overdueTicks, long validityTicks, int firstNode,
       int setWidth) {
     int overdue = 0;
     for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
--- a/src/main/java/saltlatch/node/ClientRequestHandler.java
+++ b/src/main/java/saltlatch/node/ClientRequestHandler.java
@@ -7,7 +7,7 @@
 import saltlatch.state.InFlightRequests;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
-import saltlatch.state.NumberedNames;
+import saltlatch.state.NameIdTable;
 import saltlatch.state.RequestContext;
 import saltlatch.wire.client.ClientListener;
 
@@ -16,8 +16,8 @@
  * only to what the policy must not see. Called by the client listener, on the event loop.
  */
 final class ClientRequestHandler implements ClientListener.Handler {
-  private final NumberedNames requestClasses;
-  private final NumberedNames quotaPlans;
+  private final NameIdTable requestClasses;
+  private final NameIdTable quotaPlans;
   private final RequestValidator validator;
   private final InFlightRequests requests;
   private final FinalResponses responses;
@@ -30,8 +30,8 @@
   ClientRequestHandler(NodeConfiguration configuration, InFlightRequests requests,
       FinalResponses responses, EventBatcher events, StallDetector stalls, NodeMetrics metrics,
       NodeHistory history, Supplier<String> infoText) {
-    requestClasses = new NumberedNames(configuration.hostSettings().requestClassNames());
-    quotaPlans = new NumberedNames(configuration.hostSettings().quotaPlanNames());
+    requestClasses = new NameIdTable(configuration.hostSettings().requestClassNames());
+    quotaPlans = new NameIdTable(configuration.hostSettings().quotaPlanNames());
     validator = new RequestValidator(configuration.settings(),
         configuration.hostSettings().maxRequestUnits());
     this.requests = requests;
@@ -63,7 +63,7 @@
       client.reject(0);
       return null;
     }
-    addArrival(context, requestClass, plan, stalls.unreadTicks(client));
+    addArrival(context, requestClass, plan, stalls.readDelayTicks(client));
     return context;
   }
 
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import saltlatch.api.GatewayPolicy;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.wire.client.ClientListener;
@@ -61,7 +61,7 @@
     if (configuration.historyDirectory() == null) return NodeHistory.NONE;
     String incarnation = ProcessHandle.current().pid() + "-" + System.nanoTime();
     return new NodeHistoryFile(
-        new History(configuration.historyDirectory(), configuration.name(), incarnation));
+        new HistoryWriter(configuration.historyDirectory(), configuration.name(), incarnation));
   }
 
   /**
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import saltlatch.api.GatewayEvent;
 import saltlatch.api.Ticks;
-import saltlatch.state.NumberedNames;
+import saltlatch.state.NameIdTable;
 import saltlatch.wire.appserver.AppServerClient;
 import saltlatch.wire.discovery.EndpointList;
 
@@ -18,13 +18,13 @@
  */
 final class EndpointDirectory {
   private final AppServerClient appServers;
-  private final NumberedNames zones;
-  private final NumberedNames machineTypes;
-  private final NumberedNames names = new NumberedNames();
+  private final NameIdTable zones;
+  private final NameIdTable machineTypes;
+  private final NameIdTable names = new NameIdTable();
   private final List<GatewayEvent.Endpoint> latest = new ArrayList<>(); // by number
   private final Set<Integer> removed = new LinkedHashSet<>(); // off the list, with a number
 
-  EndpointDirectory(AppServerClient appServers, NumberedNames zones, NumberedNames machineTypes) {
+  EndpointDirectory(AppServerClient appServers, NameIdTable zones, NameIdTable machineTypes) {
     this.appServers = appServers;
     this.zones = zones;
     this.machineTypes = machineTypes;
--- a/src/main/java/saltlatch/node/EventLoopScheduler.java
+++ b/src/main/java/saltlatch/node/EventLoopScheduler.java
@@ -59,12 +59,12 @@
   /** Sets the loop's timer for the earliest timer, which may have been cancelled meanwhile. */
   void arm() {
     if (stopped) return;
-    long earliestTicks = timers.earliestTicks();
-    if (earliestTicks == armedForTicks) return;
+    long nextDueTicks = timers.nextDueTicks();
+    if (nextDueTicks == armedForTicks) return;
     if (armedForTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
-    armedForTicks = earliestTicks;
-    if (earliestTicks == NOT_ARMED) return;
-    loopTimerId = vertx.setTimer(delayMs(earliestTicks), id -> fire());
+    armedForTicks = nextDueTicks;
+    if (nextDueTicks == NOT_ARMED) return;
+    loopTimerId = vertx.setTimer(delayMs(nextDueTicks), id -> fire());
   }
 
   /** Rounded up: a loop that wakes too early would have to sleep again. */
--- a/src/main/java/saltlatch/node/NodeHistoryFile.java
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -1,7 +1,7 @@
 package saltlatch.node;
 
 import saltlatch.api.Ticks;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.membership.FleetView;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.state.ClientRequest;
@@ -20,9 +20,9 @@
   private static final String RESULT = "how";
   private static final String VIEW_VERSION = "view";
 
-  private final History history;
+  private final HistoryWriter history;
 
-  NodeHistoryFile(History history) {
+  NodeHistoryFile(HistoryWriter history) {
     this.history = history;
   }
 
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -12,7 +12,7 @@
 import saltlatch.state.InFlightRequests;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
-import saltlatch.state.NumberedNames;
+import saltlatch.state.NameIdTable;
 import saltlatch.state.RequestContext;
 import saltlatch.wire.appserver.AppServerClient;
 import saltlatch.wire.counter.CounterClient;
@@ -101,7 +101,7 @@
         settings.connectTimeoutTicks(), settings.connectionIdleTicks(),
         configuration.resourceLimits().maxServerConnections());
     EndpointDirectory directory = new EndpointDirectory(appServers,
-        new NumberedNames(settings.zoneNames()), new NumberedNames(settings.machineTypeNames()));
+        new NameIdTable(settings.zoneNames()), new NameIdTable(settings.machineTypeNames()));
     attempts.start(directory);
     endpointLists = new EndpointListListener(configuration, directory, scheduler, events,
         index -> onListApplied.accept(index));
--- a/src/main/java/saltlatch/node/StallDetector.java
+++ b/src/main/java/saltlatch/node/StallDetector.java
@@ -64,10 +64,10 @@
    * For how long a command that is read now has lain unread, in ticks. The system is asked only
    * for as long after a stall as the stall took; 0 at other times.
    */
-  long unreadTicks(RequestContext.ResponseSink client) {
+  long readDelayTicks(RequestContext.ResponseSink client) {
     long sinceResumedTicks = clockTicks.getAsLong() - resumedTicks;
     if (resumedTicks == 0 || sinceResumedTicks > stallTicks) return 0;
-    long ageTicks = Math.min(client.unreadTicks(), stallTicks + sinceResumedTicks);
+    long ageTicks = Math.min(client.readDelayTicks(), stallTicks + sinceResumedTicks);
     if (ageTicks > thresholdTicks.getAsLong()) metrics.add(Metric.REQUESTS_READ_LATE);
     return ageTicks;
   }
--- a/src/main/java/saltlatch/policy/FleetSize.java
+++ b/src/main/java/saltlatch/policy/FleetSize.java
@@ -21,6 +21,6 @@
 
   /** At least 1. */
   int nodes() {
-    return shares == null ? Math.max(1, configuredNodes) : shares.divisorNodes();
+    return shares == null ? Math.max(1, configuredNodes) : shares.divisorNodeCount();
   }
 }
--- a/src/main/java/saltlatch/policy/GossipSchedule.java
+++ b/src/main/java/saltlatch/policy/GossipSchedule.java
@@ -68,7 +68,7 @@
    * twice the widest set, and all may send at once.
    */
   double periodTicks() {
-    int nodes = shares == null ? nodeCount : shares.divisorNodes();
+    int nodes = shares == null ? nodeCount : shares.divisorNodeCount();
     int senders = Math.min(nodes - 1, 2 * (largestCustomerNodeCount - 1));
     return Math.max(MIN_PERIOD_TICKS,
         senders * (double) Ticks.PER_SECOND / Math.max(1, MAX_INTAKE_FRACTION * intakePerSecond));
--- a/src/main/java/saltlatch/policy/UnreportedPeerUsage.java
+++ b/src/main/java/saltlatch/policy/UnreportedPeerUsage.java
@@ -35,7 +35,7 @@
     if (shares == null) {
       return;
     }
-    double units = overdueNodes(customer, now) * customer.admittedWhilePeersOverdue;
+    double units = overdueNodeCount(customer, now) * customer.admittedWhilePeersOverdue;
     customer.admittedWhilePeersOverdue = 0;
     customer.presumedPeerUsage += units;
     customer.availableUnits -= units;
@@ -49,7 +49,7 @@
     if (shares == null) {
       return 0;
     }
-    int overdue = overdueNodes(customer, now);
+    int overdue = overdueNodeCount(customer, now);
     if (overdue == 0) {
       customer.admittedWhilePeersOverdue = 0;
       return 0;
@@ -59,8 +59,8 @@
   }
 
   /** Peers of the customer's set that reported lately, but whose next message is overdue. */
-  private int overdueNodes(CustomerQuota customer, long now) {
-    return shares.overdueNodes(now, (long) (OVERDUE_PERIODS * gossip.periodTicks()),
+  private int overdueNodeCount(CustomerQuota customer, long now) {
+    return shares.overdueNodeCount(now, (long) (OVERDUE_PERIODS * gossip.periodTicks()),
         2 * gossip.validityTicks(), customer.firstNode, customer.nodeCount);
   }
 }
--- a/src/main/java/saltlatch/state/ClientRequest.java
+++ b/src/main/java/saltlatch/state/ClientRequest.java
@@ -23,15 +23,15 @@
 
   /**
    * The parts of a command as they came; compared by identity. An app server gets them unchanged
-   * but for the client's timeout, whose value stood between {@code termsBeforeTimeout} and
-   * {@code termsAfterTimeout}.
+   * but for the client's timeout, whose value stood between {@code parametersBeforeTimeout} and
+   * {@code parametersAfterTimeout}.
    */
   public static final class Command {
     private final byte[] verb;
     private final byte[] customer;
     private final byte[] id;
-    private final byte[] termsBeforeTimeout;
-    private final byte[] termsAfterTimeout;
+    private final byte[] parametersBeforeTimeout;
+    private final byte[] parametersAfterTimeout;
     private final byte[] body;
 
     /**
@@ -40,17 +40,17 @@
      * @param verb               what is asked for
      * @param customer           the customer's digits
      * @param id                 the request's id
-     * @param termsBeforeTimeout the list of names and values up to the timeout's value
-     * @param termsAfterTimeout  the same list behind that value
+     * @param parametersBeforeTimeout the list of names and values up to the timeout's value
+     * @param parametersAfterTimeout  the same list behind that value
      * @param body               the request's content; null: it has none
      */
-    public Command(byte[] verb, byte[] customer, byte[] id, byte[] termsBeforeTimeout,
-        byte[] termsAfterTimeout, byte[] body) {
+    public Command(byte[] verb, byte[] customer, byte[] id, byte[] parametersBeforeTimeout,
+        byte[] parametersAfterTimeout, byte[] body) {
       this.verb = verb;
       this.customer = customer;
       this.id = id;
-      this.termsBeforeTimeout = termsBeforeTimeout;
-      this.termsAfterTimeout = termsAfterTimeout;
+      this.parametersBeforeTimeout = parametersBeforeTimeout;
+      this.parametersAfterTimeout = parametersAfterTimeout;
       this.body = body;
     }
 
@@ -70,13 +70,13 @@
     }
 
     /** The list of names and values up to the timeout's value. */
-    public byte[] termsBeforeTimeout() {
-      return termsBeforeTimeout;
+    public byte[] parametersBeforeTimeout() {
+      return parametersBeforeTimeout;
     }
 
     /** The list of names and values behind the timeout's value. */
-    public byte[] termsAfterTimeout() {
-      return termsAfterTimeout;
+    public byte[] parametersAfterTimeout() {
+      return parametersAfterTimeout;
     }
 
     /** The request's content; null: it has none. */
@@ -86,8 +86,8 @@
 
     /** Bytes that its parts hold in memory, without what the JVM adds. */
     public int sizeBytes() {
-      return verb.length + customer.length + id.length + termsBeforeTimeout.length
-          + termsAfterTimeout.length + (body == null ? 0 : body.length);
+      return verb.length + customer.length + id.length + parametersBeforeTimeout.length
+          + parametersAfterTimeout.length + (body == null ? 0 : body.length);
     }
   }
 
--- a/src/main/java/saltlatch/state/NumberedNames.java
+++ b/src/main/java/saltlatch/state/NameIdTable.java
@@ -10,16 +10,16 @@
  * Assigns small numbers to names, always the lowest one that is free, and frees a number once its
  * name is released. Owned by the event loop.
  */
-public final class NumberedNames {
+public final class NameIdTable {
   private final Map<String, Integer> numbers = new HashMap<>();
   private final List<String> names = new ArrayList<>(); // by number; null: free
   private int lowestFree; // no number below it is free
 
   /** Starts with no names. */
-  public NumberedNames() {}
+  public NameIdTable() {}
 
   /** Starts with these names, numbered in their order; a repeated one keeps its first number. */
-  public NumberedNames(List<String> known) {
+  public NameIdTable(List<String> known) {
     known.forEach(this::assign);
   }
 
--- a/src/main/java/saltlatch/state/RequestContext.java
+++ b/src/main/java/saltlatch/state/RequestContext.java
@@ -21,7 +21,7 @@
      * How long ago the operating system received the last bytes of this connection; 0 if that is
      * not known.
      */
-    long unreadTicks();
+    long readDelayTicks();
   }
 
   private final long requestId;
--- a/src/main/java/saltlatch/state/TimerQueue.java
+++ b/src/main/java/saltlatch/state/TimerQueue.java
@@ -38,7 +38,7 @@
   }
 
   /** When the next timer is due; {@link Long#MAX_VALUE} if there is none. */
-  public long earliestTicks() {
+  public long nextDueTicks() {
     while (!timers.isEmpty() && timers.peek().action == null) timers.poll();
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueTicks;
   }
@@ -49,7 +49,7 @@
    */
   public void runDue(long nowTicks) {
     long firstNewSequence = nextSequence;
-    while (earliestTicks() <= nowTicks && timers.peek().sequence < firstNewSequence) {
+    while (nextDueTicks() <= nowTicks && timers.peek().sequence < firstNewSequence) {
       Timer timer = timers.poll();
       Runnable action = timer.action;
       timer.action = null;
--- a/src/main/java/saltlatch/wire/appserver/AppServerCommandEncoder.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerCommandEncoder.java
@@ -22,8 +22,8 @@
   static Buffer forward(ClientRequest.Command command, long timeLeftMs) {
     byte[] timeLeft = Long.toString(Math.max(MIN_TIME_LEFT_MS, timeLeftMs))
         .getBytes(StandardCharsets.ISO_8859_1);
-    byte[] before = command.termsBeforeTimeout();
-    byte[] after = command.termsAfterTimeout();
+    byte[] before = command.parametersBeforeTimeout();
+    byte[] after = command.parametersAfterTimeout();
     Buffer out = Buffer.buffer(FRAMING_BYTES + command.sizeBytes());
     RespEncoder.appendArrayHeader(out,
         command.body() == null ? WORDS_WITHOUT_BODY : WORDS_WITH_BODY);
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -68,7 +68,7 @@
   }
 
   /** How long the last bytes lay unread in the operating system; 0 if that is not known. */
-  long unreadTicks() {
+  long readDelayTicks() {
     return UnreadAge.ofSocketTicks(socket);
   }
 
--- a/src/main/java/saltlatch/wire/client/PendingReply.java
+++ b/src/main/java/saltlatch/wire/client/PendingReply.java
@@ -45,8 +45,8 @@
   }
 
   @Override
-  public long unreadTicks() {
-    return connection.unreadTicks();
+  public long readDelayTicks() {
+    return connection.readDelayTicks();
   }
 
   /** Sets the reply, which goes out once those in front of it have. */
--- a/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
@@ -21,7 +21,7 @@
 import saltlatch.configuration.ConfigurationVersion;
 import saltlatch.configuration.SharedConfiguration;
 import saltlatch.configuration.SharedConfiguration.Limits;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 import saltlatch.wire.LimitExceededException;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.ProtocolException;
@@ -100,7 +100,7 @@
         new ConfigurationVersion(object.whole(EPOCH), object.whole(NUMBER)), quotaPlans,
         requestClasses, limits(object.child(LIMITS)), object.words(EXCLUDED_SERVERS),
         customers(object, BLOCKED_CUSTOMERS), customers(object, EXEMPT_CUSTOMERS),
-        object.words(MEMBERS), object.words(LOCKED_KEYS), withoutLease(object));
+        object.words(MEMBERS), object.words(LOCKED_KEYS), leaseExpiryPolicy(object));
   }
 
   private static QuotaPlan quotaPlan(JsonObjectReader object) throws MalformedMessageException {
@@ -137,10 +137,11 @@
     return customers;
   }
 
-  private static WithoutLease withoutLease(JsonObjectReader object)
+  private static LeaseExpiryPolicy leaseExpiryPolicy(JsonObjectReader object)
       throws MalformedMessageException {
-    return object.has(WITHOUT_LEASE) ? EnumWords.read(object, WITHOUT_LEASE, WithoutLease.values())
-        : WithoutLease.REJECT_REQUESTS;
+    return object.has(WITHOUT_LEASE)
+        ? EnumWords.read(object, WITHOUT_LEASE, LeaseExpiryPolicy.values())
+        : LeaseExpiryPolicy.REJECT_REQUESTS;
   }
 
   /** The one text of a configuration. */
@@ -165,7 +166,7 @@
     JsonObject object = new JsonObject();
     object.addProperty(EPOCH, configuration.version().epoch());
     object.addProperty(NUMBER, configuration.version().number());
-    object.addProperty(WITHOUT_LEASE, EnumWords.word(configuration.withoutLease()));
+    object.addProperty(WITHOUT_LEASE, EnumWords.word(configuration.leaseExpiryPolicy()));
     object.add(LOCKED_KEYS, array(configuration.lockedKeys(), Function.identity()));
     object.add(QUOTA_PLANS, objects(configuration.quotaPlans(), ConfigurationCodec::toJson));
     object.add(REQUEST_CLASSES,
--- a/src/main/java/saltlatch/wire/configuration/EnumWords.java
+++ b/src/main/java/saltlatch/wire/configuration/EnumWords.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import saltlatch.api.GatewaySettings.KeyScope;
 import saltlatch.api.GatewaySettings.RetrySafety;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 import saltlatch.wire.MalformedMessageException;
 
 /** The form's words for values that have other names in the code. */
@@ -13,7 +13,7 @@
   private static final Map<Enum<?>, String> WORDS = Map.of(RetrySafety.IDEMPOTENT, "replayable",
       RetrySafety.IDEMPOTENT_BY_KEY, "uniqued", RetrySafety.NOT_IDEMPOTENT, "non_replayable",
       KeyScope.ALL, "all", KeyScope.ZONE, "zone", KeyScope.GROUP, "cell",
-      WithoutLease.REJECT_REQUESTS, "deny", WithoutLease.DELAY_ACTIVATION, "wait");
+      LeaseExpiryPolicy.REJECT_REQUESTS, "deny", LeaseExpiryPolicy.DELAY_ACTIVATION, "wait");
 
   private EnumWords() {}
 
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -36,7 +36,8 @@
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries * ENTRY_BYTES);
     buffer.put(FIRST_BYTE);
     buffer.put(VERSION);
-    buffer.put((byte) (message.kind().code() | (message.vouchesForReceiver() ? VOUCHES_FLAG : 0)));
+    buffer
+        .put((byte) (message.kind().code() | (message.grantsLeaseToReceiver() ? VOUCHES_FLAG : 0)));
     buffer.putInt(0); // the check sum is of the bytes with nought in its place
     buffer.putInt(message.sequenceNumber());
     buffer.putShort((short) message.target());
--- a/src/test/java/saltlatch/configuration/ActivationCoordinatorTest.java
+++ b/src/test/java/saltlatch/configuration/ActivationCoordinatorTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import org.junit.jupiter.api.Test;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 class ActivationCoordinatorTest {
   private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
@@ -18,9 +18,9 @@
     ConfigurationRegister register = new ConfigurationRegister();
     ActivationCoordinator coordinator = new ActivationCoordinator(TIMINGS, 0);
     register.apply(new ConfigurationRegister.Operation.Propose(ConfigurationVersion.NONE,
-        Configurations.withRate(5, WithoutLease.REJECT_REQUESTS)));
+        Configurations.withRate(5, LeaseExpiryPolicy.REJECT_REQUESTS)));
     ConfigurationVersion version = register.proposed().version();
-    long nowTicks = TIMINGS.leaseExpiredTicks() + 1;
+    long nowTicks = TIMINGS.leaseExpiryTicks() + 1;
     coordinator.renewalReceived(nowTicks,
         new LeaseRenewal("n0", ConfigurationVersion.NONE, version, null, null));
     coordinator.renewalReceived(nowTicks, new LeaseRenewal("n1", ConfigurationVersion.NONE,
--- a/src/test/java/saltlatch/configuration/ConfigurationConflictsTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationConflictsTest.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 class ConfigurationConflictsTest {
   /** All parts that a newer version may tighten, by their keys. */
   @Test
   void keysOfConflicts() {
-    SharedConfiguration older = Configurations.withRate(5, WithoutLease.REJECT_REQUESTS);
+    SharedConfiguration older = Configurations.withRate(5, LeaseExpiryPolicy.REJECT_REQUESTS);
     older.exemptCustomers().add(3L);
     SharedConfiguration newer = new SharedConfiguration(older.version(),
-        Configurations.withRate(4, WithoutLease.REJECT_REQUESTS).quotaPlans(), Map.of(),
+        Configurations.withRate(4, LeaseExpiryPolicy.REJECT_REQUESTS).quotaPlans(), Map.of(),
         new SharedConfiguration.Limits(3, 1_000), older.excludedServers(), older.blockedCustomers(),
-        new TreeSet<>(), older.members(), older.lockedKeys(), older.withoutLease());
+        new TreeSet<>(), older.members(), older.lockedKeys(), older.leaseExpiryPolicy());
     newer.excludedServers().add("s-1");
     assertEquals("[customers, frontends.read, heldOut, plans.plan, sendCap]",
         ConfigurationConflicts.between(older, newer).keys().toString());
--- a/src/test/java/saltlatch/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationFollowerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saltlatch.api.Ticks;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 class ConfigurationFollowerTest {
   private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
@@ -27,7 +27,7 @@
       });
 
   private static SharedConfiguration version(long number, double ratePerSecond) {
-    return Configurations.withRate(ratePerSecond, WithoutLease.REJECT_REQUESTS)
+    return Configurations.withRate(ratePerSecond, LeaseExpiryPolicy.REJECT_REQUESTS)
         .withVersion(new ConfigurationVersion(1, number));
   }
 
--- a/src/test/java/saltlatch/configuration/ConfigurationModelTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationModelTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import saltlatch.api.Ticks;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 /**
  * The shared configuration as a model in virtual time: nodes with drifting clocks, pauses and
@@ -176,10 +176,10 @@
     int nodes = 2 + random.nextInt(4);
     Model model = new Model(nodes, seed, leaseFromReceipt);
     if (random.nextInt(3) == 0) model.maxDelayTicks = 4 * Ticks.PER_SECOND;
-    WithoutLease withoutLease = random.nextInt(4) == 0 ? WithoutLease.DELAY_ACTIVATION
-        : WithoutLease.REJECT_REQUESTS;
+    LeaseExpiryPolicy leaseExpiryPolicy = random.nextInt(4) == 0
+        ? LeaseExpiryPolicy.DELAY_ACTIVATION : LeaseExpiryPolicy.REJECT_REQUESTS;
     for (int i = 0; i < 20; i++) {
-      model.propose(Configurations.withRate(1 + random.nextInt(9), withoutLease));
+      model.propose(Configurations.withRate(1 + random.nextInt(9), leaseExpiryPolicy));
       int node = random.nextInt(nodes);
       switch (random.nextInt(4)) {
         case 0 -> model.paused[node] = !model.paused[node];
@@ -219,10 +219,10 @@
   void versionBecomesActiveEverywhere() {
     Model model = new Model(5, 3, false);
     model.maxDelayTicks = 500;
-    model.propose(Configurations.withRate(5, WithoutLease.REJECT_REQUESTS));
+    model.propose(Configurations.withRate(5, LeaseExpiryPolicy.REJECT_REQUESTS));
     model.run(20 * Ticks.PER_SECOND);
     OperationResult result = model
-        .propose(Configurations.withRate(3, WithoutLease.REJECT_REQUESTS));
+        .propose(Configurations.withRate(3, LeaseExpiryPolicy.REJECT_REQUESTS));
     assertEquals(OperationResult.Status.PROPOSED, result.status());
     assertEquals("offered 1.2", result.description());
     long rejectedBefore = model.rejectedWithoutLease;
@@ -239,15 +239,15 @@
    */
   @Test
   void partitionedNode() {
-    for (WithoutLease withoutLease : WithoutLease.values()) {
+    for (LeaseExpiryPolicy leaseExpiryPolicy : LeaseExpiryPolicy.values()) {
       Model model = new Model(3, 4, false);
       model.maxDelayTicks = 500;
-      model.propose(Configurations.withRate(5, withoutLease));
+      model.propose(Configurations.withRate(5, leaseExpiryPolicy));
       model.run(10 * Ticks.PER_SECOND);
       model.partitioned[1] = true;
-      model.propose(Configurations.withRate(3, withoutLease));
+      model.propose(Configurations.withRate(3, leaseExpiryPolicy));
       model.run(30 * Ticks.PER_SECOND);
-      boolean waits = withoutLease == WithoutLease.DELAY_ACTIVATION;
+      boolean waits = leaseExpiryPolicy == LeaseExpiryPolicy.DELAY_ACTIVATION;
       ConfigurationRegister register = model.register;
       assertEquals(new ConfigurationVersion(1, waits ? 1 : 2), register.active().version());
       assertEquals(waits ? List.of("n1") : List.of(), waits
--- a/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
@@ -10,13 +10,13 @@
 import saltlatch.api.GatewaySettings.RetrySafety;
 import saltlatch.configuration.ConfigurationRegister.Operation;
 import saltlatch.configuration.OperationResult.Status;
-import saltlatch.configuration.SharedConfiguration.WithoutLease;
+import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 class ConfigurationRegisterTest {
   private final ConfigurationRegister register = new ConfigurationRegister();
 
   private static SharedConfiguration withRate(double ratePerSecond, String... lockedKeys) {
-    return Configurations.withRate(ratePerSecond, WithoutLease.REJECT_REQUESTS, lockedKeys);
+    return Configurations.withRate(ratePerSecond, LeaseExpiryPolicy.REJECT_REQUESTS, lockedKeys);
   }
 
   private void assertResult(Status status, String description, Operation operation) {
@@ -71,7 +71,7 @@
         new Operation.Propose(ConfigurationVersion.NONE,
             new SharedConfiguration(good.version(), Map.of(), Map.of(), good.limits(),
                 good.excludedServers(), good.blockedCustomers(), good.exemptCustomers(),
-                good.members(), good.lockedKeys(), good.withoutLease())));
+                good.members(), good.lockedKeys(), good.leaseExpiryPolicy())));
   }
 
   /** A class whose requests are idempotent by a key that no app server remembers. */
@@ -91,7 +91,7 @@
     SharedConfiguration faulty = new SharedConfiguration(good.version(), good.quotaPlans(),
         good.requestClasses(), new SharedConfiguration.Limits(0, 0), good.excludedServers(),
         good.blockedCustomers(), good.exemptCustomers(), good.members(), good.lockedKeys(),
-        good.withoutLease());
+        good.leaseExpiryPolicy());
     faulty.blockedCustomers().add(7L);
     faulty.exemptCustomers().add(7L);
     return faulty;
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.lab.check.Line;
 import saltlatch.lab.check.MemberTimes;
 import saltlatch.lab.check.Properties;
@@ -151,13 +151,13 @@
 
   @Test
   void historiesAreReadBackWithTornLines(@TempDir Path dir) throws IOException {
-    try (History h = new History(dir, "n0", "1")) {
+    try (HistoryWriter h = new HistoryWriter(dir, "n0", "1")) {
       h.add("started", "nodes", 3);
       h.add("arrived", "id", "a \"quoted\"\n");
     }
     Path file = dir.resolve("n0.jsonl");
     Files.writeString(file, Files.readString(file) + "{\"timestamp\":17,\"kvpL\n");
-    try (History h = new History(dir, "n0", "2")) {
+    try (HistoryWriter h = new HistoryWriter(dir, "n0", "2")) {
       h.add("started");
     }
     Files.writeString(file, Files.readString(file) + "{\"timesta"); // killed again
--- a/src/test/java/saltlatch/node/NodeHistoryFileTest.java
+++ b/src/test/java/saltlatch/node/NodeHistoryFileTest.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import saltlatch.history.History;
+import saltlatch.history.HistoryWriter;
 import saltlatch.membership.FleetView;
 import saltlatch.membership.MembershipMessage;
 import saltlatch.node.NodeHistory.QuotaShareFigures;
@@ -23,7 +23,7 @@
   @TempDir private Path directory;
 
   private List<String> lines(Consumer<NodeHistory> events) throws IOException {
-    try (History history = new History(directory, "n0", "1")) {
+    try (HistoryWriter history = new HistoryWriter(directory, "n0", "1")) {
       events.accept(new NodeHistoryFile(history));
     }
     return Files.readAllLines(directory.resolve("n0.jsonl")).stream()
--- a/src/test/java/saltlatch/node/StallDetectorTest.java
+++ b/src/test/java/saltlatch/node/StallDetectorTest.java
@@ -40,7 +40,7 @@
     public void fail() {}
 
     @Override
-    public long unreadTicks() {
+    public long readDelayTicks() {
       return clientUnreadTicks;
     }
   };
@@ -76,13 +76,13 @@
   @Test
   void ageIsAskedOnlyInTheWakeOfAStall() {
     clientUnreadTicks = 700;
-    assertEquals(0, detector.unreadTicks(client));
+    assertEquals(0, detector.readDelayTicks(client));
     stallFor(2_000);
-    assertEquals(700, detector.unreadTicks(client));
+    assertEquals(700, detector.readDelayTicks(client));
     clientUnreadTicks = 9_000; // more than the stall took: the client itself waited
-    assertEquals(2_000, detector.unreadTicks(client));
+    assertEquals(2_000, detector.readDelayTicks(client));
     assertTrue(metrics.infoText().contains("\nread_late=2\n"), metrics.infoText());
     nowTicks += 2_001;
-    assertEquals(0, detector.unreadTicks(client));
+    assertEquals(0, detector.readDelayTicks(client));
   }
 }
--- a/src/test/java/saltlatch/state/TimerQueueTest.java
+++ b/src/test/java/saltlatch/state/TimerQueueTest.java
@@ -16,17 +16,17 @@
     timers.add(20, () -> ran.add("late"));
     timers.add(10, () -> ran.add("first"));
     timers.add(10, () -> ran.add("second"));
-    assertEquals(10, timers.earliestTicks());
+    assertEquals(10, timers.nextDueTicks());
     timers.runDue(15);
     assertEquals(List.of("first", "second"), ran);
-    assertEquals(20, timers.earliestTicks());
+    assertEquals(20, timers.nextDueTicks());
   }
 
   @Test
   void cancelledTimersNeitherRunNorCount() {
     TimerQueue.Timer timer = timers.add(10, () -> ran.add("cancelled"));
     timer.cancel();
-    assertEquals(Long.MAX_VALUE, timers.earliestTicks());
+    assertEquals(Long.MAX_VALUE, timers.nextDueTicks());
     timers.runDue(10);
     assertEquals(List.of(), ran);
   }
--- a/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
@@ -48,7 +48,7 @@
         new SharedConfiguration.Limits(4, 123), new TreeSet<>(List.of("s-2", "s-1")),
         new TreeSet<>(List.of(0x9b1f03aaL, 7L)), new TreeSet<>(List.of(0x1ffffffffL)),
         new TreeSet<>(List.of("n1", "n0")), new TreeSet<>(List.of("plans.team", "customers")),
-        SharedConfiguration.WithoutLease.DELAY_ACTIVATION);
+        SharedConfiguration.LeaseExpiryPolicy.DELAY_ACTIVATION);
   }
 
   @Test
