--- a/src/main/java/saltlatch/lab/hollow/HollowFleet.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowFleet.java
@@ -107,7 +107,7 @@
       long index = node.listIndex();
       least = Math.min(least, index);
       newest = Math.max(newest, index);
-      entries += node.listedServers();
+      entries += node.listedServerCount();
       if (index > 0) withList++;
     }
     return new Progress(nodes.size(), withList, least, newest, entries);
--- a/src/main/java/saltlatch/node/ActionExecutor.java
+++ b/src/main/java/saltlatch/node/ActionExecutor.java
@@ -29,7 +29,7 @@
   private final AttemptListener attempts;
   private final NodeMetrics metrics;
   private final NodeHistory history;
-  private Partners partners;
+  private OutboundClients partners;
 
   ActionExecutor(long healthCheckTimeoutTicks, Scheduler scheduler, InFlightRequests requests,
       FinalResponses responses, EventBatcher events, AttemptListener attempts, NodeMetrics metrics,
@@ -45,7 +45,7 @@
   }
 
   /** Sets the partners, before the policy is created. */
-  void start(Partners with) {
+  void start(OutboundClients with) {
     partners = with;
   }
 
@@ -55,13 +55,13 @@
     if (request == null) return;
     int server = (int) serverId;
     int attempt = requests.startAttempt(request);
-    history.attemptStarted(request, partners.directory().name(server), attempt, timeoutTicks);
+    history.attemptStarted(request, partners.directory().serverName(server), attempt, timeoutTicks);
     try {
       partners.appServers().startAttempt(request, attempt, server, timeoutTicks);
     } catch (RuntimeException e) {
       // Guards against a fault of this side that stops the policy half-way through what it wants of
       // other requests. It shows as an attempt that was never sent.
-      LOG.error("attempt_start_failed server={}", partners.directory().name(server), e);
+      LOG.error("attempt_start_failed server={}", partners.directory().serverName(server), e);
       metrics.add(Metric.EXCEPTIONS);
       attempts.attemptEnded(request, attempt, server,
           AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
--- a/src/main/java/saltlatch/node/AttemptListener.java
+++ b/src/main/java/saltlatch/node/AttemptListener.java
@@ -39,7 +39,7 @@
   @Override
   public void attemptEnded(RequestContext context, int attempt, int serverId, AppServerReply reply,
       long elapsedTicks) {
-    history.attemptEnded(context, directory.name(serverId), attempt, reply.result());
+    history.attemptEnded(context, directory.serverName(serverId), attempt, reply.result());
     if (reply.result() == CallResult.ANSWERED) responses.succeed(context, reply.value());
     events.add(new GatewayEvent.AttemptEnded(context.requestId(), serverId, attempt,
         reply.result().outcome(), context.isFinished(), elapsedTicks, reply.actualUnits(),
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -45,7 +45,7 @@
     history = openHistory(configuration);
     history.started(configuration.settings().nodeCount());
     runtime = new NodeRuntime(vertx, loop, configuration, metrics, history);
-    listener = new ClientListener(vertx, runtime.scheduler(), runtime.clientRequests(), metrics,
+    listener = new ClientListener(vertx, runtime.scheduler(), runtime.clientRequestHandler(), metrics,
         configuration.resourceLimits().maxClientConnections());
   }
 
@@ -58,7 +58,7 @@
   }
 
   private static NodeHistory openHistory(NodeConfiguration configuration) {
-    if (configuration.historyDirectory() == null) return NodeHistory.NONE;
+    if (configuration.historyDirectory() == null) return NodeHistory.NO_OP;
     String incarnation = ProcessHandle.current().pid() + "-" + System.nanoTime();
     return new NodeHistoryFile(
         new HistoryWriter(configuration.historyDirectory(), configuration.name(), incarnation));
--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -31,17 +31,17 @@
   }
 
   /** The name that has this number, or null. */
-  String name(int serverId) {
+  String serverName(int serverId) {
     return names.name(serverId);
   }
 
   /** One above the highest number assigned so far. */
-  int numbers() {
+  int serverIdLimit() {
     return latest.size();
   }
 
   /** Names that have a number, those off the list too. */
-  int size() {
+  int assignedCount() {
     return names.size();
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** App servers now listed. */
-  int listed() {
+  int listedCount() {
     return names.size() - removed.size();
   }
 
--- a/src/main/java/saltlatch/node/EndpointListApplier.java
+++ b/src/main/java/saltlatch/node/EndpointListApplier.java
@@ -54,7 +54,7 @@
   /** A snapshot is as large as what it may remove. */
   private boolean isLarge(EndpointList list) {
     return list.entries().size() > MAX_ENTRIES_PER_SLICE
-        || (list.snapshot() && directory.size() > MAX_ENTRIES_PER_SLICE);
+        || (list.snapshot() && directory.assignedCount() > MAX_ENTRIES_PER_SLICE);
   }
 
   private void applyWhole(EndpointList list, Runnable applied) {
--- a/src/main/java/saltlatch/node/EndpointListListener.java
+++ b/src/main/java/saltlatch/node/EndpointListListener.java
@@ -70,7 +70,7 @@
   }
 
   /** The policy failed on the batch: its lists do not count as applied. */
-  void forgetBatch() {
+  void discardBatch() {
     indicesInBatch.clear();
   }
 }
--- a/src/main/java/saltlatch/node/EventBatcher.java
+++ b/src/main/java/saltlatch/node/EventBatcher.java
@@ -86,6 +86,6 @@
       listener.batchFailed(events);
     }
     listener.batchFinished();
-    scheduler.arm();
+    scheduler.updateWakeUp();
   }
 }
--- a/src/main/java/saltlatch/node/EventLoopScheduler.java
+++ b/src/main/java/saltlatch/node/EventLoopScheduler.java
@@ -19,7 +19,7 @@
   private final Runnable beforeTimers;
   private final NodeClock clock = new NodeClock();
   private final TimerQueue timers = new TimerQueue();
-  private long armedForTicks = NOT_ARMED;
+  private long wakeUpTicks = NOT_ARMED;
   private long loopTimerId;
   private boolean stopped;
 
@@ -38,7 +38,7 @@
   @Override
   public TimerQueue.Timer at(long dueTicks, Runnable action) {
     TimerQueue.Timer timer = timers.add(dueTicks, action);
-    if (dueTicks < armedForTicks) arm();
+    if (dueTicks < wakeUpTicks) updateWakeUp();
     return timer;
   }
 
@@ -52,17 +52,17 @@
   }
 
   /** For when the loop's timer is set, in ticks; {@link Long#MAX_VALUE} if it is not. */
-  long armedForTicks() {
-    return armedForTicks;
+  long wakeUpTicks() {
+    return wakeUpTicks;
   }
 
   /** Sets the loop's timer for the earliest timer, which may have been cancelled meanwhile. */
-  void arm() {
+  void updateWakeUp() {
     if (stopped) return;
     long nextDueTicks = timers.nextDueTicks();
-    if (nextDueTicks == armedForTicks) return;
-    if (armedForTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
-    armedForTicks = nextDueTicks;
+    if (nextDueTicks == wakeUpTicks) return;
+    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
+    wakeUpTicks = nextDueTicks;
     if (nextDueTicks == NOT_ARMED) return;
     loopTimerId = vertx.setTimer(delayMs(nextDueTicks), id -> fire());
   }
@@ -75,14 +75,14 @@
 
   private void fire() {
     beforeTimers.run();
-    armedForTicks = NOT_ARMED;
+    wakeUpTicks = NOT_ARMED;
     timers.runDue(clock.nowTicks());
-    arm();
+    updateWakeUp();
   }
 
   /** Ends all timers, where the loop itself lives on. */
   void stop() {
     stopped = true;
-    if (armedForTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
+    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
   }
 }
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -26,7 +26,7 @@
   /** Kept of that margin for the JVM's own end on part of a core. */
   private static final long JVM_EXIT_MS = 400;
   /** SIGKILL comes no later: there is no use in waiting longer. */
-  static final long MAX_MS = MAX_CLIENT_TIMEOUT_MS + KILL_MARGIN_MS;
+  static final long MAX_DURATION_MS = MAX_CLIENT_TIMEOUT_MS + KILL_MARGIN_MS;
 
   private final Vertx vertx;
   private final ClientListener listener;
@@ -46,12 +46,12 @@
   /**
    * When what happens, in ms after SIGTERM.
    *
-   * @param closeIdleAfterMs from then on a connection ends behind its last reply, and one that has
-   *     nothing to be answered stays until {@code rejectAfterMs}; the longest latency objective is
+   * @param drainStartMs from then on a connection ends behind its last reply, and one that has
+   *     nothing to be answered stays until {@code rejectStartMs}; the longest latency objective is
    *     left then, for what is in flight
-   * @param rejectAfterMs    what comes is rejected from then on, and what is in flight fails
+   * @param rejectStartMs    what comes is rejected from then on, and what is in flight fails
    */
-  record Schedule(long closeIdleAfterMs, long rejectAfterMs) {
+  record Schedule(long drainStartMs, long rejectStartMs) {
     static Schedule of(GatewaySettings settings) {
       long clientTimeoutTicks = 0;
       long latencyObjectiveTicks = 0;
@@ -61,22 +61,22 @@
       }
       long lastMs = Math.min(MAX_CLIENT_TIMEOUT_MS, clientTimeoutTicks / Ticks.PER_MILLISECOND)
           + KILL_MARGIN_MS - JVM_EXIT_MS;
-      long closeIdleAfterMs = Math.max(MIN_SERVING_MS,
+      long drainStartMs = Math.max(MIN_SERVING_MS,
           lastMs - latencyObjectiveTicks / Ticks.PER_MILLISECOND);
-      return new Schedule(closeIdleAfterMs, Math.max(closeIdleAfterMs + CHECK_INTERVAL_MS, lastMs));
+      return new Schedule(drainStartMs, Math.max(drainStartMs + CHECK_INTERVAL_MS, lastMs));
     }
   }
 
   /** Begins; completes the promise once no client is connected any more. */
   void start() {
-    vertx.setTimer(schedule.closeIdleAfterMs(), t -> listener.closeConnectionsWhenAnswered());
-    vertx.setTimer(schedule.rejectAfterMs(), t -> rejectAll());
+    vertx.setTimer(schedule.drainStartMs(), t -> listener.closeConnectionsWhenAnswered());
+    vertx.setTimer(schedule.rejectStartMs(), t -> rejectAll());
     vertx.setPeriodic(MIN_SERVING_MS, CHECK_INTERVAL_MS, this::check);
   }
 
   private void rejectAll() {
     listener.failPendingAndRejectNew();
-    runtime.leave();
+    runtime.leaveFleet();
   }
 
   private void check(long periodicTimer) {
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -18,13 +18,13 @@
   private final Context loop;
   private final NodeRuntime runtime;
   private volatile long listIndex = -1;
-  private volatile int listedServers;
+  private volatile int listedServerCount;
   private volatile LongConsumer onListApplied = index -> {};
 
   /** Neither starts nor connects anything; {@code loop}: the event loop that it is to live on. */
   public HollowNode(Vertx vertx, Context loop, NodeConfiguration configuration) {
     this.loop = loop;
-    runtime = new NodeRuntime(vertx, loop, configuration, new NodeMetrics(), NodeHistory.NONE);
+    runtime = new NodeRuntime(vertx, loop, configuration, new NodeMetrics(), NodeHistory.NO_OP);
     runtime.onListApplied(this::listApplied);
   }
 
@@ -38,7 +38,7 @@
 
   /** Ends the watch and all timers; returns at once. A stopped node isn't started again. */
   public void stop() {
-    loop.runOnContext(v -> runtime.end());
+    loop.runOnContext(v -> runtime.stop());
   }
 
   /**
@@ -58,8 +58,8 @@
   }
 
   /** App servers listed as of {@link #listIndex()}. */
-  public int listedServers() {
-    return listedServers;
+  public int listedServerCount() {
+    return listedServerCount;
   }
 
   /**
@@ -71,7 +71,7 @@
   }
 
   private void listApplied(long index) {
-    listedServers = runtime.listedServers();
+    listedServerCount = runtime.listedServerCount();
     listIndex = index;
     onListApplied.accept(index);
   }
--- a/src/main/java/saltlatch/node/IncrementalListUpdate.java
+++ b/src/main/java/saltlatch/node/IncrementalListUpdate.java
@@ -73,14 +73,14 @@
   }
 
   private void removeUnnamed(List<GatewayEvent.Endpoint> changed) {
-    int end = Math.min(directory.numbers(), position + MAX_ENTRIES_PER_STEP);
+    int end = Math.min(directory.serverIdLimit(), position + MAX_ENTRIES_PER_STEP);
     for (; position < end; position++) {
-      String name = directory.name(position);
+      String name = directory.serverName(position);
       if (name != null && !lastOfName.containsKey(name) && directory.isListed(position)) {
         changed.add(directory.remove(position));
       }
     }
-    if (position >= directory.numbers()) phase = Phase.NOT_READY;
+    if (position >= directory.serverIdLimit()) phase = Phase.NOT_READY;
   }
 
   private void update(boolean ready, List<GatewayEvent.Endpoint> changed) {
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -12,7 +12,7 @@
 import saltlatch.membership.MembershipMessage;
 import saltlatch.membership.MembershipTimings;
 import saltlatch.membership.QuotaShares;
-import saltlatch.node.NodeHistory.QuotaShareFigures;
+import saltlatch.node.NodeHistory.QuotaShareValues;
 import saltlatch.node.NodeHistory.QuotaShareLevel;
 import saltlatch.wire.peer.MembershipCodec;
 import saltlatch.wire.peer.PeerSocket;
@@ -96,20 +96,20 @@
         && current.states().contains(MemberState.TAKEN_OVER)) {
       return QuotaShareLevel.TAKEN_OVER;
     }
-    return scheduler.now() < current.leaseUntilTicks() ? QuotaShareLevel.WHOLE
+    return scheduler.now() < current.leaseUntilTicks() ? QuotaShareLevel.FULL
         : QuotaShareLevel.FLOOR;
   }
 
   private void reportShare(QuotaShareLevel level, boolean membersChanged) {
     boolean levelChanged = level != shareLevel;
     shareLevel = level;
-    if (levelChanged) LOG.info("quota_share level={}", MembershipInfo.word(level));
+    if (levelChanged) LOG.info("quota_share level={}", MembershipInfo.levelName(level));
     if (levelChanged || membersChanged) history.quotaShareChanged(level, shareFigures());
   }
 
-  private QuotaShareFigures shareFigures() {
+  private QuotaShareValues shareFigures() {
     int members = timings.memberCount();
-    return new QuotaShareFigures(shares.ownShare(scheduler.now(), 0, members), 1.0 / members,
+    return new QuotaShareValues(shares.ownShare(scheduler.now(), 0, members), 1.0 / members,
         shares.ownShare(Long.MAX_VALUE, 0, members), leftMs(reported.leaseUntilTicks()),
         leftMs(reported.takeoverUntilTicks()));
   }
--- a/src/main/java/saltlatch/node/MembershipInfo.java
+++ b/src/main/java/saltlatch/node/MembershipInfo.java
@@ -15,28 +15,28 @@
   private MembershipInfo() {}
 
   /** The word for a quota share's level. */
-  static String word(QuotaShareLevel level) {
+  static String levelName(QuotaShareLevel level) {
     return switch (level) {
       case FLOOR -> "floor";
-      case WHOLE -> "whole";
+      case FULL -> "whole";
       case TAKEN_OVER -> "more";
     };
   }
 
   /**
-   * All lines; {@code leaseMs}, {@code takeoverMs}: what is left of each.
+   * All lines; {@code leaseRemainingMs}, {@code takeoverRemainingMs}: what is left of each.
    *
    * @param gossipValidityTicks for how long the policy goes by a peer's gossip
    */
-  static String text(FleetView view, QuotaShareLevel level, Membership membership, long leaseMs,
-      long takeoverMs, MembershipTimings timings, long gossipValidityTicks) {
-    return "members_standing=" + view.infoName() + "\nmembers_share=" + word(level)
+  static String text(FleetView view, QuotaShareLevel level, Membership membership, long leaseRemainingMs,
+      long takeoverRemainingMs, MembershipTimings timings, long gossipValidityTicks) {
+    return "members_standing=" + view.infoName() + "\nmembers_share=" + levelName(level)
         + "\nmembers_live=" + membership.liveCount() + "\nmembers_failed="
         + membership.countInState(MembershipMessage.State.FAILED) + "\nmembers_left="
         + membership.countInState(MembershipMessage.State.LEFT) + "\nmembers_view="
         + membership.version() + "\nmembers_digest=" + Long.toHexString(membership.digest())
-        + "\nmembers_health=" + membership.localHealthMultiplier() + "\nmembers_holds_ms=" + leaseMs
-        + "\nmembers_takes_ms=" + takeoverMs + timingLines(timings, gossipValidityTicks);
+        + "\nmembers_health=" + membership.localHealthMultiplier() + "\nmembers_holds_ms=" + leaseRemainingMs
+        + "\nmembers_takes_ms=" + takeoverRemainingMs + timingLines(timings, gossipValidityTicks);
   }
 
   private static String timingLines(MembershipTimings timings, long gossipValidityTicks) {
--- a/src/main/java/saltlatch/node/NodeHistory.java
+++ b/src/main/java/saltlatch/node/NodeHistory.java
@@ -7,13 +7,13 @@
 
 /**
  * Records what this node does, so that the laboratory can compare processes afterwards. Without a
- * history directory {@link #NONE} stands here, and none of the classes that write are loaded: they
+ * history directory {@link #NO_OP} stands here, and none of the classes that write are loaded: they
  * would cost each start CPU time. Called on the event loop, but for the shutdown's events, which
  * come from the JVM's shutdown hook.
  */
 interface NodeHistory {
   /** Records nothing. */
-  NodeHistory NONE = new NodeHistory() {};
+  NodeHistory NO_OP = new NodeHistory() {};
 
   /** The process has started; {@code nodeCount}: the nodes of its fleet. */
   default void started(int nodeCount) {}
@@ -58,7 +58,7 @@
   default void fleetViewChanged(FleetView view, int liveMembers, long viewVersion) {}
 
   /** What this node may use of quotas without the counter changed. */
-  default void quotaShareChanged(QuotaShareLevel level, QuotaShareFigures figures) {}
+  default void quotaShareChanged(QuotaShareLevel level, QuotaShareValues figures) {}
 
   /** How a request was over. */
   enum FinalOutcome {
@@ -73,7 +73,7 @@
     /** Only the part that is never another's. */
     FLOOR,
     /** All of its own share. */
-    WHOLE,
+    FULL,
     /** Its own share, and what members that are gone have left. */
     TAKEN_OVER
   }
@@ -81,12 +81,12 @@
   /**
    * That part in figures, as parts of a quota that all nodes may use.
    *
-   * @param own         what this node may use now
+   * @param currentShare         what this node may use now
    * @param evenShare   its share while all members live
    * @param floor       what it may use at least
-   * @param leaseMs     for how much longer it may use its whole share
-   * @param takeoverMs  for how much longer it may use what others have left
+   * @param leaseRemainingMs     for how much longer it may use its whole share
+   * @param takeoverRemainingMs  for how much longer it may use what others have left
    */
-  record QuotaShareFigures(double own, double evenShare, double floor, long leaseMs,
-      long takeoverMs) {}
+  record QuotaShareValues(double currentShare, double evenShare, double floor, long leaseRemainingMs,
+      long takeoverRemainingMs) {}
 }
--- a/src/main/java/saltlatch/node/NodeHistoryFile.java
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -100,10 +100,10 @@
   }
 
   @Override
-  public void quotaShareChanged(QuotaShareLevel level, QuotaShareFigures figures) {
-    history.add("share", "is", MembershipInfo.word(level), "part", figures.own(), "whole",
-        figures.evenShare(), "floor", figures.floor(), "holds_ms", figures.leaseMs(), "takes_ms",
-        figures.takeoverMs());
+  public void quotaShareChanged(QuotaShareLevel level, QuotaShareValues figures) {
+    history.add("share", "is", MembershipInfo.levelName(level), "part", figures.currentShare(), "whole",
+        figures.evenShare(), "floor", figures.floor(), "holds_ms", figures.leaseRemainingMs(), "takes_ms",
+        figures.takeoverRemainingMs());
   }
 
   private static String word(FinalOutcome outcome) {
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -42,7 +42,7 @@
   private final PeerMessageListener peerMessages;
   private LongConsumer onListApplied = index -> {};
   private EndpointListListener endpointLists;
-  private Partners partners; // null: not started
+  private OutboundClients partners; // null: not started
   private GatewayPolicy policy;
   // null: not enabled, and none of membership's classes are loaded
   private MembershipAdapter membership;
@@ -55,7 +55,7 @@
     this.metrics = metrics;
     this.history = history;
     scheduler = new EventLoopScheduler(vertx, loop, this::checkStall);
-    stalls = new StallDetector(scheduler::now, scheduler::armedForTicks, this::stallThresholdTicks,
+    stalls = new StallDetector(scheduler::now, scheduler::wakeUpTicks, this::stallThresholdTicks,
         metrics, history);
     events = new EventBatcher(scheduler, stalls, metrics, this);
     requests = new InFlightRequests(configuration.resourceLimits().maxRequestBytes());
@@ -84,7 +84,7 @@
   }
 
   /** What takes the clients' requests. */
-  ClientRequestHandler clientRequests() {
+  ClientRequestHandler clientRequestHandler() {
     return clientRequests;
   }
 
@@ -105,7 +105,7 @@
     attempts.start(directory);
     endpointLists = new EndpointListListener(configuration, directory, scheduler, events,
         index -> onListApplied.accept(index));
-    partners = new Partners(appServers, directory, counterClient(), discoveryClient(),
+    partners = new OutboundClients(appServers, directory, counterClient(), discoveryClient(),
         peerSocket());
     actions.start(partners);
     policy = factory.create(scheduler.now(), configuration.settings(), actions);
@@ -146,8 +146,8 @@
   }
 
   /** App servers now listed. */
-  int listedServers() {
-    return partners.directory().listed();
+  int listedServerCount() {
+    return partners.directory().listedCount();
   }
 
   /**
@@ -167,14 +167,14 @@
   }
 
   /** A planned end is near: no more lists are followed, and the peers learn of it. */
-  void leave() {
+  void leaveFleet() {
     if (partners != null) partners.discovery().stop();
     if (membership != null) membership.leave();
   }
 
   /** Ends the watch and all timers, where the event loop lives on with other nodes. */
-  void end() {
-    leave();
+  void stop() {
+    leaveFleet();
     scheduler.stop();
   }
 
@@ -187,7 +187,7 @@
   @Override
   public void batchFailed(List<GatewayEvent> failed) {
     failed.forEach(this::failRequestOf);
-    endpointLists.forgetBatch();
+    endpointLists.discardBatch();
   }
 
   @Override
--- a/src/main/java/saltlatch/node/ServeProcess.java
+++ b/src/main/java/saltlatch/node/ServeProcess.java
@@ -64,7 +64,7 @@
     LOG.info("shutdown_started");
     node.history().stopping();
     try {
-      node.stop().toCompletionStage().toCompletableFuture().get(GracefulShutdown.MAX_MS,
+      node.stop().toCompletionStage().toCompletableFuture().get(GracefulShutdown.MAX_DURATION_MS,
           TimeUnit.MILLISECONDS);
     } catch (ExecutionException | InterruptedException | TimeoutException e) {
       LOG.warn("shutdown_incomplete error={}", e.toString());
--- a/src/test/java/saltlatch/node/BadConfigurationTest.java
+++ b/src/test/java/saltlatch/node/BadConfigurationTest.java
@@ -23,7 +23,7 @@
         "sockets", "memory_mb", "categories", "peers", "counter", "connIdle", "aim", "refill",
         "cancelling", "effect"};
     for (String key : keys) {
-      String wrong = config().replaceFirst("\"" + key + "\":", "\"" + key + "\":[[]],\"was\":");
+      String wrong = configurationJson().replaceFirst("\"" + key + "\":", "\"" + key + "\":[[]],\"was\":");
       Path path = Files.writeString(dir.resolve("config.json"), wrong);
       ByteArrayOutputStream one = new ByteArrayOutputStream();
       assertEquals(2,
@@ -33,9 +33,9 @@
               && one.toString(StandardCharsets.UTF_8).contains(key),
           one.toString(StandardCharsets.UTF_8));
     }
-    String[] texts = {"", "{", "{}", config().replace("1024", "100"),
-        config().replace("0000000000000001", "seed"),
-        config().replace("127.0.0.1:0\"", "127.0.0.1\"")};
+    String[] texts = {"", "{", "{}", configurationJson().replace("1024", "100"),
+        configurationJson().replace("0000000000000001", "seed"),
+        configurationJson().replace("127.0.0.1:0\"", "127.0.0.1\"")};
     for (String text : texts) {
       Path path = Files.writeString(dir.resolve("config.json"), text);
       assertEquals(2,
--- a/src/test/java/saltlatch/node/ClosingTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -31,11 +31,11 @@
  * moment.
  */
 @Timeout(60)
-class ClosingTest extends NodeHarness {
+class ConnectionCloseTest extends NodeHarness {
   private static final String LONG = "x".repeat(60_000);
 
   private static String submit(int id) {
-    return request(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
+    return queryCommand(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
   }
 
   /**
@@ -43,7 +43,7 @@
    */
   @Test
   void givenUpHalfWritten() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 5_000);
       if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
         actions.fail(d.requestId());
@@ -51,11 +51,11 @@
     int port = appServer.getLocalPort();
     appServer.close();
     try (Narrow srv = new Narrow(port)) {
-      Socket c = client();
+      Socket c = connectClient();
       send(c, submit(0));
-      assertEquals("arrived 0 waits 900", next());
-      assertEquals("ended 0/0 CONNECT_FAILED", next());
-      assertEquals("-ERR aborted", line(c));
+      assertEquals("arrived 0 waits 900", nextEventText());
+      assertEquals("ended 0/0 CONNECT_FAILED", nextEventText());
+      assertEquals("-ERR aborted", readLine(c));
       int got = srv.readToEnd();
       assertTrue(got < 60_000, got + " bytes");
     }
@@ -67,18 +67,18 @@
    */
   @Test
   void commandsBehindOneAnsweredAtOnce() throws Exception {
-    script = e -> actions.reject(requestIdOf(e), 0);
-    Socket c = client();
-    Socket idle = client();
-    send(idle, request(9));
-    assertEquals("-BUSY", line(idle));
+    eventHandler = e -> actions.reject(requestIdOf(e), 0);
+    Socket c = connectClient();
+    Socket idle = connectClient();
+    send(idle, queryCommand(9));
+    assertEquals("-BUSY", readLine(idle));
     var done = node.stop().toCompletionStage().toCompletableFuture();
     String ping = "*1\r\n$4\r\nPING\r\n";
     int asked = 0;
     for (String got = "+PONG"; !got.equals("closed"); asked++) {
-      send(c, ping + request(2 * asked) + ping + request(2 * asked + 1));
-      got = line(c);
-      if (!got.equals("closed")) assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + lines(c, 3));
+      send(c, ping + queryCommand(2 * asked) + ping + queryCommand(2 * asked + 1));
+      got = readLine(c);
+      if (!got.equals("closed")) assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + readLines(c, 3));
     }
     assertTrue(asked > 1);
     done.get();
--- a/src/test/java/saltlatch/node/AcceptTest.java
+++ b/src/test/java/saltlatch/node/ConnectionLimitTest.java
@@ -14,10 +14,10 @@
 
 /** A crowd that connects while the node's loop is busy. */
 @Timeout(60)
-class AcceptTest extends NodeHarness {
+class ConnectionLimitTest extends NodeHarness {
   @Override
-  String config() throws IOException {
-    return super.config().replace("\"sockets\":1024", "\"sockets\":256");
+  String configurationJson() throws IOException {
+    return super.configurationJson().replace("\"sockets\":1024", "\"sockets\":256");
   }
 
   private static long open() throws IOException {
@@ -34,7 +34,7 @@
   void acceptsNoMoreThanItMayHold() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
-    script = e -> {
+    eventHandler = e -> {
       held.countDown();
       try {
         assertTrue(go.await(30, TimeUnit.SECONDS));
@@ -42,11 +42,11 @@
         throw new IllegalStateException(i);
       }
     };
-    Socket first = client();
-    send(first, request(0));
+    Socket first = connectClient();
+    send(first, queryCommand(0));
     assertTrue(held.await(20, TimeUnit.SECONDS));
     long before = open();
-    for (int i = 0; i < 400; i++) client();
+    for (int i = 0; i < 400; i++) connectClient();
     long accepted = 0;
     for (int i = 0; i < 20 && accepted <= 256; i++) {
       accepted = open() - before - 400;
--- a/src/test/java/saltlatch/node/CounterCallsTest.java
+++ b/src/test/java/saltlatch/node/CounterCallsTest.java
@@ -18,22 +18,22 @@
    */
   @Test
   void waitsForTheCounter() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived a)
         actions.addToCounter(255, 1, 40_000, a.requestId() == 0 ? 100_000 : 0);
     };
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     Socket s = accept(counter);
-    assertEquals("bump ff 1 4000", line(s));
-    assertEquals("arrived 0 waits 900", next());
+    assertEquals("bump ff 1 4000", readLine(s));
+    assertEquals("arrived 0 waits 900", nextEventText());
     Thread.sleep(1_300);
     send(s, "ok 7\r\n");
-    assertEquals("counted 255 SUCCEEDED 7.0", next());
-    send(c, request(1));
-    assertEquals("bump ff 1 4000", line(s));
-    assertEquals("arrived 1 waits 900", next());
-    assertEquals("counted 255 TIMED_OUT 0.0", next());
+    assertEquals("counted 255 SUCCEEDED 7.0", nextEventText());
+    send(c, queryCommand(1));
+    assertEquals("bump ff 1 4000", readLine(s));
+    assertEquals("arrived 1 waits 900", nextEventText());
+    assertEquals("counted 255 TIMED_OUT 0.0", nextEventText());
   }
 
   /**
@@ -42,22 +42,22 @@
    */
   @Test
   void malformedCounterReplies() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
-    Socket c = client();
+    Socket c = connectClient();
     String[] answers = {"ok NaN\r\n", "noise\r\n", "ok 0x1p3\r\n", "ok", "busy\r\n", "error\r\n"};
     String[] told = {"CONNECTION_LOST", "CONNECTION_LOST", "CONNECTION_LOST", "TIMED_OUT",
         "SERVER_BUSY", "NOT_SENT"};
     Socket s = null;
     for (int i = 0; i < answers.length; i++) {
-      send(c, request(i));
+      send(c, queryCommand(i));
       if (i < 5) s = accept(counter);
-      line(s);
+      readLine(s);
       send(s, answers[i]);
       assertEquals("arrived " + i + " waits 900 counted 255 " + told[i] + " 0.0",
-          next() + " " + next());
-      if (i < 4) assertEquals("closed", line(s));
+          nextEventText() + " " + nextEventText());
+      if (i < 4) assertEquals("closed", readLine(s));
     }
   }
 
@@ -67,33 +67,33 @@
    */
   @Test
   void lateCounterReplies() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1.5, 40_000, 0);
       if (!(e instanceof GatewayEvent.CounterReplied n)
           || n.outcome() != GatewayEvent.AttemptOutcome.CONNECT_FAILED)
         return;
       for (int i = 0; i < 5; i++) actions.fail(i);
     };
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     Socket s = accept(counter);
-    assertEquals("bump ff 1.5000 4000", line(s));
-    assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0", next() + " " + next());
-    send(c, request(1));
-    assertEquals("bump ff 1.5000 4000", line(s));
+    assertEquals("bump ff 1.5000 4000", readLine(s));
+    assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0", nextEventText() + " " + nextEventText());
+    send(c, queryCommand(1));
+    assertEquals("bump ff 1.5000 4000", readLine(s));
     send(s, "ok 1.5\r\nok 3\r\n");
-    assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0", next() + " " + next());
-    send(c, request(2));
-    line(s);
+    assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0", nextEventText() + " " + nextEventText());
+    send(c, queryCommand(2));
+    readLine(s);
     send(s, "busy\r\n");
-    assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0", next() + " " + next());
-    send(c, request(3));
-    line(s);
+    assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0", nextEventText() + " " + nextEventText());
+    send(c, queryCommand(3));
+    readLine(s);
     s.close();
-    assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0", next() + " " + next());
+    assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0", nextEventText() + " " + nextEventText());
     counter.close();
-    send(c, request(4));
-    assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", next() + " " + next());
+    send(c, queryCommand(4));
+    assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", nextEventText() + " " + nextEventText());
     List<String> figures = infoLines(c);
     assertTrue(
         figures
--- a/src/test/java/saltlatch/node/CrossingTest.java
+++ b/src/test/java/saltlatch/node/EventOrderTest.java
@@ -19,7 +19,7 @@
  * by the scripted module, or a listener's backlog is full, until both have happened.
  */
 @Timeout(60)
-class CrossingTest extends NodeHarness {
+class EventOrderTest extends NodeHarness {
   private static final String PASSED = "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n";
 
   /** What the script holds the loop with, so that what comes meanwhile comes in one turn. */
@@ -40,19 +40,19 @@
   /** The module is asked again before a dispatch whose connection came up later is written. */
   @Test
   void lateConnectionIsNotWrittenAgainstThePolicy() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
         actions.fail(d.requestId());
     };
-    mayStart = false;
-    Socket c = client();
-    send(c, request(0));
+    allowAttemptStart = false;
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     Socket s = accept(appServer);
-    assertEquals("closed", line(s));
-    assertEquals("asked 0/0", permissionsAsked.poll(20, TimeUnit.SECONDS));
-    assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN", next() + " " + next());
-    assertEquals("-ERR aborted", line(c));
+    assertEquals("closed", readLine(s));
+    assertEquals("asked 0/0", attemptStartQueries.poll(20, TimeUnit.SECONDS));
+    assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN", nextEventText() + " " + nextEventText());
+    assertEquals("-ERR aborted", readLine(c));
   }
 
   /**
@@ -64,12 +64,12 @@
     Hold hold = new Hold();
     long capMs = 800;
     long lateMs = 150;
-    script = e -> {
+    eventHandler = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived)) return;
       actions.startAttempt(requestIdOf(e), 0, capMs * 10);
       hold.hold();
     };
-    send(client(), request(0));
+    send(connectClient(), queryCommand(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
     Thread.sleep(lateMs); // what is measured, not an order
     hold.over.countDown();
@@ -82,7 +82,7 @@
   /** A command's lines up to that of its terms. */
   private static String request(Socket appServer) throws IOException {
     StringBuilder lines = new StringBuilder();
-    while (!lines.toString().contains("d=")) lines.append(line(appServer)).append(' ');
+    while (!lines.toString().contains("d=")) lines.append(readLine(appServer)).append(' ');
     return lines.toString();
   }
 
@@ -93,19 +93,19 @@
   @Test
   void clientLeavesBeforeTheConnectionIsUp() throws Exception {
     Hold hold = new Hold();
-    script = e -> {
+    eventHandler = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived)) return;
       actions.startAttempt(requestIdOf(e), 0, 80_000);
       hold.hold();
     };
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    closeAndAwaitEnd(c);
+    closeAndAwaitFin(c);
     hold.over.countDown();
-    assertEquals("closed", line(accept(appServer)));
+    assertEquals("closed", readLine(accept(appServer)));
     assertEquals("arrived 0 waits 900 left 0 ended 0/0 WITHDRAWN over",
-        next() + " " + next() + " " + next());
+        nextEventText() + " " + nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -115,18 +115,18 @@
   @Test
   void closeReadWithTheRequestInFront() throws Exception {
     Hold hold = new Hold();
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived && requestIdOf(e) == 0) hold.hold();
       if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
-    Socket first = client();
+    Socket first = connectClient();
     Socket second = usualConnection();
-    send(first, request(0));
+    send(first, queryCommand(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    send(second, request(1));
-    closeAndAwaitEnd(second);
+    send(second, queryCommand(1));
+    closeAndAwaitFin(second);
     hold.over.countDown();
-    assertEquals("-BUSY", line(first));
+    assertEquals("-BUSY", readLine(first));
     List<String> batch = batches.poll(20, TimeUnit.SECONDS);
     while (batch != null && !batch.contains("arrived 1 waits 900"))
       batch = batches.poll(20, TimeUnit.SECONDS);
@@ -135,9 +135,9 @@
 
   /** A connection that the node has accepted: it has answered there. */
   private Socket usualConnection() throws IOException {
-    Socket s = client();
+    Socket s = connectClient();
     send(s, "*1\r\n$4\r\nPING\r\n");
-    assertEquals("+PONG", line(s));
+    assertEquals("+PONG", readLine(s));
     return s;
   }
 
@@ -148,12 +148,12 @@
   void closeBehindUnreadBytes() throws Exception {
     Socket c = usualConnection();
     StringBuilder many = new StringBuilder();
-    for (int i = 0; i < 64; i++) many.append(request(i));
+    for (int i = 0; i < 64; i++) many.append(queryCommand(i));
     send(c, many.toString());
-    for (int i = 0; i < 64; i++) assertEquals("arrived " + i + " waits 900", next());
-    send(c, request(64));
+    for (int i = 0; i < 64; i++) assertEquals("arrived " + i + " waits 900", nextEventText());
+    send(c, queryCommand(64));
     c.close();
-    assertEquals("left 0", next());
+    assertEquals("left 0", nextEventText());
   }
 
   /** The same with a reset, and with a half close. */
@@ -162,20 +162,20 @@
     for (boolean reset : new boolean[] {true, false}) {
       Socket c = usualConnection();
       StringBuilder many = new StringBuilder();
-      for (int i = 0; i < 64; i++) many.append(request(i));
+      for (int i = 0; i < 64; i++) many.append(queryCommand(i));
       send(c, many.toString());
       long first = -1;
       for (int i = 0; i < 64; i++) {
-        String text = next();
+        String text = nextEventText();
         assertTrue(text.startsWith("arrived"), text);
         if (first < 0) first = Long.parseLong(text.split(" ", 0)[1]);
       }
-      send(c, request(64));
+      send(c, queryCommand(64));
       if (reset) c.setSoLinger(true, 0);
       if (reset) c.close();
       else c.shutdownOutput();
-      assertEquals("left " + first, next());
-      for (int i = 1; i < 64; i++) next();
+      assertEquals("left " + first, nextEventText());
+      for (int i = 1; i < 64; i++) nextEventText();
     }
   }
 
@@ -185,26 +185,26 @@
    */
   @Test
   void bytesOnAnIdleConnection() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
         actions.fail(d.requestId());
     };
-    Socket c = client();
+    Socket c = connectClient();
     String[] strays = {"*3\r\n$2\r\nxx", PASSED};
     for (int i = 0; i < strays.length; i++) {
-      send(c, request(2 * i));
+      send(c, queryCommand(2 * i));
       Socket s = accept(appServer);
-      lines(s, 9);
+      readLines(s, 9);
       send(s, PASSED);
-      assertEquals("$2 hi", lines(c, 2));
+      assertEquals("$2 hi", readLines(c, 2));
       send(s, strays[i]);
-      assertEquals("closed", line(s));
-      send(c, request(2 * i + 1));
+      assertEquals("closed", readLine(s));
+      send(c, queryCommand(2 * i + 1));
       s = accept(appServer);
-      lines(s, 9);
+      readLines(s, 9);
       send(s, PASSED);
-      assertEquals("$2 hi", lines(c, 2));
+      assertEquals("$2 hi", readLines(c, 2));
       s.close();
       while (!infoLines(c).contains("connections_opened=" + (2 * i + 2))) Thread.onSpinWait();
     }
@@ -216,27 +216,27 @@
    */
   @Test
   void errorArrivesThoughMoreWasSent() throws Exception {
-    script = e -> actions.reject(requestIdOf(e), 0);
+    eventHandler = e -> actions.reject(requestIdOf(e), 0);
     Hold hold = new Hold();
     Socket c = usualConnection();
     Socket other = usualConnection();
-    script = e -> {
+    eventHandler = e -> {
       if (requestIdOf(e) == 0) hold.hold();
       actions.reject(requestIdOf(e), 0);
     };
-    send(other, request(0));
+    send(other, queryCommand(0));
     assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    send(c, request(1) + "nonsense\r\n" + "x".repeat(60_000));
+    send(c, queryCommand(1) + "nonsense\r\n" + "x".repeat(60_000));
     hold.over.countDown();
     assertEquals("-ERR Protocol error: no RESP2 value -BUSY".split(" -BUSY", 0)[0], errorAfter(c));
     // to a connection that was reset this fails, and what had come is gone
     send(c, "y".repeat(20_000));
-    assertEquals("closed", line(c));
+    assertEquals("closed", readLine(c));
   }
 
   /** Its first line is the denial of the req in front, its second the error. */
   private static String errorAfter(Socket c) throws IOException {
-    assertEquals("-BUSY", line(c));
-    return line(c);
+    assertEquals("-BUSY", readLine(c));
+    return readLine(c);
   }
 }
--- a/src/test/java/saltlatch/node/HistoryLinesTest.java
+++ b/src/test/java/saltlatch/node/HistoryLinesTest.java
@@ -26,8 +26,8 @@
   @TempDir private Path dir;
 
   @Override
-  String config() throws IOException {
-    return super.config().replace("\"settings\":", "\"history\":\"" + dir + "\",\"settings\":");
+  String configurationJson() throws IOException {
+    return super.configurationJson().replace("\"settings\":", "\"history\":\"" + dir + "\",\"settings\":");
   }
 
   /** The lines so far, without the clock's readings and the process's own number. */
@@ -66,7 +66,7 @@
 
   @Test
   void requestsAndTheirEnds() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived a) {
         if (a.requestId() == 0 || a.requestId() == 3)
           actions.startAttempt(a.requestId(), 0, 80_000);
@@ -75,23 +75,23 @@
       }
       if (e instanceof GatewayEvent.ClientDisconnected) actions.log("a client left");
     };
-    Socket client = client();
-    send(client, request(0));
+    Socket client = connectClient();
+    send(client, queryCommand(0));
     Socket attempt = accept(appServer);
-    lines(attempt, 9);
+    readLines(attempt, 9);
     send(attempt, REPLY);
-    assertEquals("$2 hi", lines(client, 2));
-    send(client, request(1));
-    assertEquals("-BUSY", line(client));
-    send(client, request(2));
-    assertEquals("-ERR aborted", line(client));
+    assertEquals("$2 hi", readLines(client, 2));
+    send(client, queryCommand(1));
+    assertEquals("-BUSY", readLine(client));
+    send(client, queryCommand(2));
+    assertEquals("-ERR aborted", readLine(client));
     Thread.sleep(10); // at least: the connection has settled after its last answer, and is reused
-    send(client, request(3));
-    lines(attempt, 9);
+    send(client, queryCommand(3));
+    readLines(attempt, 9);
     attempt.close();
-    for (int i = 0; i < 6; i++) next(); // four arrived, two attempts ended
+    for (int i = 0; i < 6; i++) nextEventText(); // four arrived, two attempts ended
     client.close();
-    assertEquals("left 3", next());
+    assertEquals("left 3", nextEventText());
     while (history().size() < 15) Thread.onSpinWait();
     assertEquals(List.of(line("started", ",{\"nodes\":\"1\"}"), line("ready", ""), arrived(0),
         dispatched(0), ended(0, "ANSWERED"), answered(0, "passed"), arrived(1),
@@ -102,7 +102,7 @@
 
   @Test
   void configurationReadAnew() throws Exception {
-    Path path = Files.writeString(dir.resolve("config.json"), config());
+    Path path = Files.writeString(dir.resolve("config.json"), configurationJson());
     node.reloadOn(new ReloadSignal(), path);
     Signal.raise(new Signal("HUP"));
     accept(discovery);
@@ -114,7 +114,7 @@
   /** A node of a fleet says what it makes of it, and which part of a quota it may use alone. */
   @Test
   void membership() throws Exception {
-    String two = config().replace("\"peersTotal\":1", "\"peersTotal\":2")
+    String two = configurationJson().replace("\"peersTotal\":1", "\"peersTotal\":2")
         .replace("\"familyInfo\":{", "\"familyInfo\":{\"peerInPerS\":40,")
         .replace("\"peers\":[", "\"membership\":true,\"peers\":[\"127.0.0.1:9\",")
         .replace("\"name\":\"n0\"", "\"name\":\"n7\"");
--- a/src/test/java/saltlatch/node/HollowNodeTest.java
+++ b/src/test/java/saltlatch/node/HollowNodeTest.java
@@ -33,7 +33,7 @@
   void followDiscoveryEachOnItsOwnLoop() throws Exception {
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(2));
     List<BlockingQueue<Long>> applied = new ArrayList<>();
-    try (ServerSocket discovery = NodeHarness.listen()) {
+    try (ServerSocket discovery = NodeHarness.openServerSocket()) {
       String config = Files.readString(Path.of("deploy/sample.json"))
           .replace("\"discovery\":\"127.0.0.1:16379\"",
               "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\"")
@@ -53,16 +53,16 @@
         applied.add(indices);
         Socket watch = discovery.accept();
         watch.setSoTimeout(20_000);
-        NodeHarness.line(watch);
-        NodeHarness.stream(watch, list(2 + i, "s-1") + list(4, "s-2"));
+        NodeHarness.readLine(watch);
+        NodeHarness.sendFirstChunk(watch, list(2 + i, "s-1") + list(4, "s-2"));
         assertEquals(2 + i, applied.get(i).poll(20, TimeUnit.SECONDS));
         assertEquals(4, applied.get(i).poll(20, TimeUnit.SECONDS));
         assertEquals(4, node.listIndex());
-        assertEquals(3, node.listedServers());
+        assertEquals(3, node.listedServerCount());
         assertTrue(node.infoText().contains("lists=2\n"), node.infoText());
         node.stop();
         String line = "";
-        while (!line.equals("closed")) line = NodeHarness.line(watch); // the watch ends
+        while (!line.equals("closed")) line = NodeHarness.readLine(watch); // the watch ends
         watch.close();
       }
     } finally {
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -42,8 +42,8 @@
 
   private Socket watch(String asks) throws IOException {
     Socket s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", line(s));
-    script = e -> {
+    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", readLine(s));
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.EndpointsUpdated l) events.add(l);
     };
     return s;
@@ -87,7 +87,7 @@
     Socket s = watch("1");
     List<String> targets = ready(1, MANY);
     targets.add(target("drains", "Terminating"));
-    stream(s, list(2, true, targets));
+    sendFirstChunk(s, list(2, true, targets));
     more(s, list(3, false, List.of(target("s-5", "Terminating"))));
     until(MANY + 2);
     // s-0, of the list last known
@@ -111,7 +111,7 @@
     Socket s = watch("1");
     List<String> first = ready(0, 2_000);
     first.add(target("s-7", "Gone"));
-    stream(s, list(2, true, first));
+    sendFirstChunk(s, list(2, true, first));
     until(2_000);
     assertEquals(1, distinct(GatewayEvent.EndpointState.REMOVED));
     assertEquals(1_999, distinct(GatewayEvent.EndpointState.READY));
@@ -130,7 +130,7 @@
   @Test
   void smallListsAreOneEvent() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
+    sendFirstChunk(s, list(2, true, ready(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
     assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, event.endpoints().size());
@@ -143,7 +143,7 @@
   @Test
   void watchEndsDuringSlices() throws Exception {
     Socket s = watch("1");
-    stream(s, list(2, true, ready(0, MANY)));
+    sendFirstChunk(s, list(2, true, ready(0, MANY)));
     assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, events.take().endpoints().size());
     s.close();
     while (distinct(GatewayEvent.EndpointState.READY) < MANY
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -45,21 +45,21 @@
   EdgeNode node;
   volatile GatewayActions actions;
   boolean stopped;
-  volatile Consumer<GatewayEvent> script = e -> {};
+  volatile Consumer<GatewayEvent> eventHandler = e -> {};
   // what the module says of a dispatch whose connection comes up late
-  volatile boolean mayStart = true;
-  final BlockingQueue<String> permissionsAsked = new LinkedBlockingQueue<>();
+  volatile boolean allowAttemptStart = true;
+  final BlockingQueue<String> attemptStartQueries = new LinkedBlockingQueue<>();
   final BlockingQueue<List<String>> batches = new LinkedBlockingQueue<>();
 
   @BeforeEach
   void start() throws Exception {
-    appServer = listen();
-    counter = listen();
-    discovery = listen();
+    appServer = openServerSocket();
+    counter = openServerSocket();
+    discovery = openServerSocket();
     peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-    node = new EdgeNode(NodeConfigurationReader.read(config()));
+    node = new EdgeNode(NodeConfigurationReader.read(configurationJson()));
     node.start(this::createPolicy).toCompletionStage().toCompletableFuture().get();
-    assertEquals("listed CACHED_SNAPSHOT [0 READY]", next());
+    assertEquals("listed CACHED_SNAPSHOT [0 READY]", nextEventText());
   }
 
   private GatewayPolicy createPolicy(long now, GatewaySettings site, GatewayActions out) {
@@ -68,16 +68,16 @@
       @Override
       public void handle(long at, List<GatewayEvent> events) {
         events.forEach(e -> {
-          eventTexts.add(text(e));
-          script.accept(e);
+          eventTexts.add(describe(e));
+          eventHandler.accept(e);
         });
-        batches.add(events.stream().map(NodeHarness::text).toList());
+        batches.add(events.stream().map(NodeHarness::describe).toList());
       }
 
       @Override
       public boolean mayStartAttempt(long at, long rid, int dispatch) {
-        permissionsAsked.add("asked " + rid + "/" + dispatch);
-        return mayStart;
+        attemptStartQueries.add("asked " + rid + "/" + dispatch);
+        return allowAttemptStart;
       }
     };
   }
@@ -92,7 +92,7 @@
     if (!stopped) node.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  String config() throws IOException {
+  String configurationJson() throws IOException {
     return Files.readString(Path.of("deploy/sample.json"))
         .replace("\"countLimit\":30", "\"countLimit\":1000")
         .replace("\"connectTimeout\":250", "\"connectTimeout\":5000")
@@ -108,7 +108,7 @@
             "\"address\":\"127.0.0.1:" + appServer.getLocalPort() + "\"");
   }
 
-  static String text(GatewayEvent e) {
+  static String describe(GatewayEvent e) {
     if (e instanceof GatewayEvent.RequestArrived a)
       return "arrived " + a.requestId() + " waits " + a.clientTimeoutTicks() / 10;
     if (e instanceof GatewayEvent.AttemptEnded d) return "ended " + d.requestId() + "/"
@@ -127,12 +127,12 @@
     return e.getClass().getSimpleName();
   }
 
-  String next() throws InterruptedException {
+  String nextEventText() throws InterruptedException {
     String text = eventTexts.poll(20, TimeUnit.SECONDS);
     return text == null ? "nothing" : text;
   }
 
-  static ServerSocket listen() throws IOException {
+  static ServerSocket openServerSocket() throws IOException {
     ServerSocket s = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     s.setSoTimeout(20_000);
     return s;
@@ -150,7 +150,7 @@
    * machine the system delivers it some time after the close, and a node that is held until then
    * must find it there.
    */
-  void closeAndAwaitEnd(Socket client) throws IOException, InterruptedException {
+  void closeAndAwaitFin(Socket client) throws IOException, InterruptedException {
     int port = client.getLocalPort();
     client.close();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -173,7 +173,7 @@
     return false;
   }
 
-  Socket client() throws IOException {
+  Socket connectClient() throws IOException {
     Socket s = new Socket(InetAddress.getLoopbackAddress(), node.port());
     s.setSoTimeout(20_000);
     sockets.add(s);
@@ -182,10 +182,10 @@
 
   /** A client that has been answered, as all are from now on: come again. */
   Socket answeredClient() throws IOException {
-    script = e -> actions.reject(requestIdOf(e), 0);
-    Socket s = client();
-    send(s, request(0));
-    assertEquals("-BUSY", line(s));
+    eventHandler = e -> actions.reject(requestIdOf(e), 0);
+    Socket s = connectClient();
+    send(s, queryCommand(0));
+    assertEquals("-BUSY", readLine(s));
     return s;
   }
 
@@ -194,13 +194,13 @@
   }
 
   /** The beginning of a chunked answer. */
-  static void stream(Socket s, String body) throws IOException {
+  static void sendFirstChunk(Socket s, String body) throws IOException {
     String chunk = Integer.toHexString(body.length()) + "\r\n" + body + "\r\n";
     send(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
   }
 
   /** A line without its end; the end of the stream is "closed". */
-  static String line(Socket s) throws IOException {
+  static String readLine(Socket s) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     InputStream in = s.getInputStream();
     for (int b = in.read(); b != '\n'; b = in.read()) {
@@ -210,17 +210,17 @@
     return out.toString(StandardCharsets.ISO_8859_1);
   }
 
-  static String lines(Socket s, int count) throws IOException {
+  static String readLines(Socket s, int count) throws IOException {
     List<String> all = new ArrayList<>();
-    for (int i = 0; i < count; i++) all.add(line(s));
+    for (int i = 0; i < count; i++) all.add(readLine(s));
     return String.join(" ", all);
   }
 
   static List<String> infoLines(Socket c) throws IOException {
     send(c, "*1\r\n$4\r\nINFO\r\n");
     List<String> figures = new ArrayList<>();
-    for (String line = line(c); !line.startsWith("held="); line = line(c)) figures.add(line);
-    line(c);
+    for (String line = readLine(c); !line.startsWith("held="); line = readLine(c)) figures.add(line);
+    readLine(c);
     return figures;
   }
 
@@ -229,7 +229,7 @@
    * what was left of it: less by what has passed since {@code saidAt} (the clock in ns) at the
    * most, never more. Else it stays as it is.
    */
-  static String withWaitOf(long capMs, String command, long saidAt) {
+  static String withDeadline(long capMs, String command, long saidAt) {
     long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - saidAt) + 1;
     Matcher told = WAIT.matcher(command);
     if (!told.find()) return command;
@@ -241,7 +241,7 @@
         "d=" + capMs + ",");
   }
 
-  static String request(int id) {
+  static String queryCommand(int id) {
     String name = Integer.toString(10 + id);
     return "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$" + name.length() + "\r\n" + name
         + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
--- a/src/test/java/saltlatch/node/NodeHistoryFileTest.java
+++ b/src/test/java/saltlatch/node/NodeHistoryFileTest.java
@@ -12,7 +12,7 @@
 import saltlatch.history.HistoryWriter;
 import saltlatch.membership.FleetView;
 import saltlatch.membership.MembershipMessage;
-import saltlatch.node.NodeHistory.QuotaShareFigures;
+import saltlatch.node.NodeHistory.QuotaShareValues;
 import saltlatch.node.NodeHistory.QuotaShareLevel;
 
 /**
@@ -80,7 +80,7 @@
   void eachLevelOfAQuotaShare() throws IOException {
     List<String> lines = lines(history -> {
       for (QuotaShareLevel level : QuotaShareLevel.values()) {
-        history.quotaShareChanged(level, new QuotaShareFigures(0.125, 0.5, 0.25, 30, 40));
+        history.quotaShareChanged(level, new QuotaShareValues(0.125, 0.5, 0.25, 30, 40));
       }
     });
     List<String> words = List.of("floor", "whole", "more");
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -25,30 +25,30 @@
   /** Commands behind one another are decided at once and answered in their order. */
   @Test
   void answersInOrder() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived) || requestIdOf(e) != 2) return;
       actions.reject(2, 2_500);
       actions.fail(1);
       actions.reject(0, 0);
     };
-    Socket c = client();
-    send(c, request(0) + request(1) + request(2) + "*1\r\n$4\r\nPING\r\n");
-    assertEquals("-BUSY -ERR aborted -BUSY 250 +PONG", lines(c, 4));
+    Socket c = connectClient();
+    send(c, queryCommand(0) + queryCommand(1) + queryCommand(2) + "*1\r\n$4\r\nPING\r\n");
+    assertEquals("-BUSY -ERR aborted -BUSY 250 +PONG", readLines(c, 4));
   }
 
   /** What can't be read ends its own connection at most. */
   @Test
   void badInput() throws Exception {
-    script = e -> actions.reject(requestIdOf(e), 0);
-    Socket good = client();
-    Socket bad = client();
-    send(bad, "*1\r\n$4\r\nPING\r\n" + request(1).replace("d=900", "d=9x0")
+    eventHandler = e -> actions.reject(requestIdOf(e), 0);
+    Socket good = connectClient();
+    Socket bad = connectClient();
+    send(bad, "*1\r\n$4\r\nPING\r\n" + queryCommand(1).replace("d=900", "d=9x0")
         + "*1\r\n$7\r\nCOMMAND\r\n" + "GET / HTTP/1.1\r\n\r\n");
     assertEquals(
         "+PONG -ERR malformed command -ERR unknown command -ERR Protocol error: no RESP2 value closed",
-        lines(bad, 5));
-    send(good, request(1).replace("c=read", "c=rexd") + request(1));
-    assertEquals("-ERR aborted -BUSY", lines(good, 2));
+        readLines(bad, 5));
+    send(good, queryCommand(1).replace("c=read", "c=rexd") + queryCommand(1));
+    assertEquals("-ERR aborted -BUSY", readLines(good, 2));
   }
 
   /**
@@ -57,21 +57,21 @@
    */
   @Test
   void invalidRequests() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     accept(counter);
-    assertEquals("arrived 0 waits 900", next());
-    Socket bad = client();
-    String[] wrong = {request(0), request(1).replace("units=1", "units=9"),
-        request(1).replace("spread=1", "spread=2"),
-        request(1).replace("$9\r\nSVC.QUERY", "$10\r\nSVC.SUBMIT"),
-        request(1).replace("$39", "$44").replace(",n=", ",first=1")};
+    assertEquals("arrived 0 waits 900", nextEventText());
+    Socket bad = connectClient();
+    String[] wrong = {queryCommand(0), queryCommand(1).replace("units=1", "units=9"),
+        queryCommand(1).replace("spread=1", "spread=2"),
+        queryCommand(1).replace("$9\r\nSVC.QUERY", "$10\r\nSVC.SUBMIT"),
+        queryCommand(1).replace("$39", "$44").replace(",n=", ",first=1")};
     for (String one : wrong) {
       send(bad, one);
-      assertEquals("-ERR aborted", line(bad), one);
+      assertEquals("-ERR aborted", readLine(bad), one);
     }
     assertEquals(null, eventTexts.peek());
   }
@@ -83,13 +83,13 @@
   void silentClients() throws Exception {
     Socket usual = answeredClient();
     long before = System.nanoTime();
-    Socket silent = client();
-    Socket half = client();
-    send(half, request(1).substring(0, 30));
-    assertEquals("closed -ERR command incomplete closed", line(silent) + " " + lines(half, 2));
+    Socket silent = connectClient();
+    Socket half = connectClient();
+    send(half, queryCommand(1).substring(0, 30));
+    assertEquals("closed -ERR command incomplete closed", readLine(silent) + " " + readLines(half, 2));
     assertTrue(System.nanoTime() - before < 3_000_000_000L);
-    send(usual, request(2));
-    assertEquals("-BUSY", line(usual));
+    send(usual, queryCommand(2));
+    assertEquals("-BUSY", readLine(usual));
   }
 
   /**
@@ -99,13 +99,13 @@
   @Test
   void manySilentConnections() throws Exception {
     Socket usual = answeredClient();
-    Socket oldest = client();
-    for (int i = 0; i < 520; i++) client();
-    Socket newest = client();
-    send(newest, request(1));
-    assertEquals("-BUSY closed", line(newest) + " " + line(oldest));
-    send(usual, request(2));
-    assertEquals("-BUSY", line(usual));
+    Socket oldest = connectClient();
+    for (int i = 0; i < 520; i++) connectClient();
+    Socket newest = connectClient();
+    send(newest, queryCommand(1));
+    assertEquals("-BUSY closed", readLine(newest) + " " + readLine(oldest));
+    send(usual, queryCommand(2));
+    assertEquals("-BUSY", readLine(usual));
   }
 
   /**
@@ -113,12 +113,12 @@
    */
   @Test
   void attemptsAndTheirEnds() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
         actions.fail(d.requestId());
     };
-    Socket c = client();
+    Socket c = connectClient();
     String[] answers = {"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n", "-ERR failed\r\n", "-BUSY\r\n", null};
     String[] told = {"SUCCEEDED over", "SERVER_ERROR", "SERVER_BUSY", "CONNECTION_LOST"};
     String[] got = {"$2 hi", "-ERR aborted", "-ERR aborted", "-ERR aborted"};
@@ -126,21 +126,21 @@
     for (int i = 0; i < answers.length; i++) {
       Thread.sleep(10); // at least: the connection has settled after its last answer
       long saidAt = System.nanoTime();
-      send(c, request(i));
-      assertEquals("arrived " + i + " waits 900", next());
+      send(c, queryCommand(i));
+      assertEquals("arrived " + i + " waits 900", nextEventText());
       if (s == null) s = accept(appServer);
       assertEquals(
           "*4 $9 SVC.QUERY $16 0000000000000007 $2 " + (10 + i)
               + " $40 c=read,t=plan,d=8000,units=1,spread=1,n=",
-          withWaitOf(8_000, lines(s, 9), saidAt));
+          withDeadline(8_000, readLines(s, 9), saidAt));
       if (answers[i] == null) s.close();
       else send(s, answers[i]);
-      assertEquals("ended " + i + "/0 " + told[i], next());
-      assertEquals(got[i], lines(c, got[i].startsWith("$") ? 2 : 1));
+      assertEquals("ended " + i + "/0 " + told[i], nextEventText());
+      assertEquals(got[i], readLines(c, got[i].startsWith("$") ? 2 : 1));
     }
     appServer.close();
-    send(c, request(4));
-    assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", next() + " " + next());
+    send(c, queryCommand(4));
+    assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -149,21 +149,21 @@
    */
   @Test
   void malformedReplies() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d) actions.fail(d.requestId());
     };
-    Socket c = client();
+    Socket c = connectClient();
     String[] answers = {"+OK\r\n", ":7\r\n", "*2\r\n$-1\r\n$-1\r\n", "-BUSYX\r\n",
         "*1\r\n$3000000000\r\nxx", "\0\1\r\n", "*1\r\n$9\r\nhalf of it"};
     for (int i = 0; i < answers.length; i++) {
-      send(c, request(i));
+      send(c, queryCommand(i));
       Socket s = accept(appServer);
-      lines(s, 9);
+      readLines(s, 9);
       send(s, answers[i]);
       assertEquals("arrived " + i + " waits 900 ended " + i + "/0 CONNECTION_LOST closed",
-          next() + " " + next() + " " + line(s));
-      assertEquals("-ERR aborted", line(c));
+          nextEventText() + " " + nextEventText() + " " + readLine(s));
+      assertEquals("-ERR aborted", readLine(c));
     }
   }
 
@@ -173,33 +173,33 @@
    */
   @Test
   void timedOutAttemptsAndStrayBytes() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived)
         actions.startAttempt(requestIdOf(e), 0, requestIdOf(e) == 0 ? 5_000 : 80_000);
       if (e instanceof GatewayEvent.AttemptEnded d && d.requestId() == 0) actions.fail(0);
       if (e instanceof GatewayEvent.ClientDisconnected l) actions.cancelAttempt(l.requestId(), 0);
     };
-    Socket c = client();
+    Socket c = connectClient();
     long saidAt = System.nanoTime();
-    send(c, request(0));
+    send(c, queryCommand(0));
     Socket s = accept(appServer);
     assertEquals(
         "*4 $9 SVC.QUERY $16 0000000000000007 $2 10 $39 c=read,t=plan,d=500,units=1,spread=1,n= closed",
-        withWaitOf(500, lines(s, 10), saidAt));
-    assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT", next() + " " + next());
-    assertEquals("-ERR aborted", line(c));
-    send(c, request(1));
+        withDeadline(500, readLines(s, 10), saidAt));
+    assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT", nextEventText() + " " + nextEventText());
+    assertEquals("-ERR aborted", readLine(c));
+    send(c, queryCommand(1));
     s = accept(appServer);
-    lines(s, 9);
+    readLines(s, 9);
     send(s, "*1\r\n$2\r\nhi\r\n-ERR stray\r\n");
-    assertEquals("$2 hi closed", lines(c, 2) + " " + line(s));
-    send(c, request(2));
+    assertEquals("$2 hi closed", readLines(c, 2) + " " + readLine(s));
+    send(c, queryCommand(2));
     s = accept(appServer);
-    lines(s, 9);
+    readLines(s, 9);
     assertEquals("arrived 1 waits 900 ended 1/0 SUCCEEDED over arrived 2 waits 900",
-        next() + " " + next() + " " + next());
+        nextEventText() + " " + nextEventText() + " " + nextEventText());
     c.close();
-    assertEquals("left 2 ended 2/0 CANCELLED over closed", next() + " " + next() + " " + line(s));
+    assertEquals("left 2 ended 2/0 CANCELLED over closed", nextEventText() + " " + nextEventText() + " " + readLine(s));
   }
 
   /**
@@ -209,21 +209,21 @@
   @Test
   void discoveryComesAndGoes() throws Exception {
     Socket s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(s));
+    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", readLine(s));
     String line = "{\"index\":7,\"snapshot\":false,\"endpoints\":[{\"name\":\"s-1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\","
         + "\"type\":\"m\",\"group\":3,\"status\":\"Terminating\",\"weight\":1.0,\"since_ms\":0}]}\n";
-    stream(s, "\n{\"index\":\n" + line);
+    sendFirstChunk(s, "\n{\"index\":\n" + line);
     s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(s));
-    stream(s, "\n" + line);
-    assertEquals("listed DELTA [1 DRAINING]", next());
+    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", readLine(s));
+    sendFirstChunk(s, "\n" + line);
+    assertEquals("listed DELTA [1 DRAINING]", nextEventText());
     s.close();
     s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=7 HTTP/1.1", line(s));
+    assertEquals("GET /api/targets?follow=1&since=7 HTTP/1.1", readLine(s));
     String body = line.replace("false", "true").replace("Terminating", "Ready")
         .replace("s-1", "s-2").replace("7", "8");
-    stream(s, body);
-    assertEquals("listed SNAPSHOT [2 READY]", next());
+    sendFirstChunk(s, body);
+    assertEquals("listed SNAPSHOT [2 READY]", nextEventText());
   }
 
   /**
@@ -232,37 +232,37 @@
    */
   @Test
   void reloadMovesDiscoveryAndCounter(@TempDir Path dir) throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.addToCounter(255, 1, 40_000, 0);
     };
     Path path = dir.resolve("config.json");
     node.reloadOn(new ReloadSignal(), path);
     Socket oldWatch = accept(discovery);
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     Socket old = accept(counter);
-    assertEquals("bump ff 1 4000", line(old));
+    assertEquals("bump ff 1 4000", readLine(old));
     ServerSocket wasCounter = counter;
     ServerSocket wasDiscovery = discovery;
     Files.writeString(path, "{");
     Signal.raise(new Signal("HUP"));
-    Socket asking = client();
+    Socket asking = connectClient();
     while (!infoLines(asking).contains("reloads_failed=1")) Thread.onSpinWait();
-    counter = listen();
-    discovery = listen();
-    Files.writeString(path, config());
+    counter = openServerSocket();
+    discovery = openServerSocket();
+    Files.writeString(path, configurationJson());
     Signal.raise(new Signal("HUP"));
     Socket watch = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(watch));
+    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", readLine(watch));
     String oldLine = "";
-    while (!oldLine.equals("closed")) oldLine = line(oldWatch);
-    send(c, request(1));
+    while (!oldLine.equals("closed")) oldLine = readLine(oldWatch);
+    send(c, queryCommand(1));
     Socket fresh = accept(counter);
-    assertEquals("arrived 0 waits 900 arrived 1 waits 900", next() + " " + next());
+    assertEquals("arrived 0 waits 900 arrived 1 waits 900", nextEventText() + " " + nextEventText());
     send(old, "ok 1\r\n");
-    assertEquals("bump ff 1 4000 closed", line(fresh) + " " + line(old));
+    assertEquals("bump ff 1 4000 closed", readLine(fresh) + " " + readLine(old));
     send(fresh, "ok 2\r\n");
-    assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0", next() + " " + next());
+    assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0", nextEventText() + " " + nextEventText());
     wasCounter.close();
     wasDiscovery.close();
   }
@@ -270,11 +270,11 @@
   /** One that comes before there is a node is not lost, and ends nothing. */
   @Test
   void reloadSignalBeforeTheStart(@TempDir Path dir) throws Exception {
-    Path path = Files.writeString(dir.resolve("config.json"), config());
-    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(config()));
+    Path path = Files.writeString(dir.resolve("config.json"), configurationJson());
+    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(configurationJson()));
     ServerSocket was = discovery;
-    discovery = listen();
-    Files.writeString(path, config());
+    discovery = openServerSocket();
+    Files.writeString(path, configurationJson());
     ReloadSignal hangups = new ReloadSignal();
     Signal.raise(new Signal("HUP"));
     while (!hangups.isPending()) Thread.onSpinWait();
@@ -285,7 +285,7 @@
     assertTrue(read.await(20, TimeUnit.SECONDS));
     early.start((now, site, out) -> (at, events) -> {}).toCompletionStage().toCompletableFuture()
         .get();
-    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", line(accept(discovery)));
+    assertEquals("GET /api/targets?follow=1&since=1 HTTP/1.1", readLine(accept(discovery)));
     was.close();
     early.stop().toCompletionStage().toCompletableFuture().get();
   }
@@ -293,14 +293,14 @@
   /** A probe asks for the load, and tells it under the settings' names. */
   @Test
   void healthChecks() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.checkHealth(0);
     };
-    send(client(), request(0));
+    send(connectClient(), queryCommand(0));
     Socket s = accept(appServer);
-    assertEquals("*2 $4 INFO $4 load", lines(s, 5));
+    assertEquals("*2 $4 INFO $4 load", readLines(s, 5));
     send(s, "$23\r\nqueue=2,utilization=0.6\r\n");
-    assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", next() + " " + next());
+    assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -309,18 +309,18 @@
    */
   @Test
   void datagrams() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.sendGossip(0,
           new GossipMessage(List.of(new GossipMessage.WindowUsage(7, 2, 1.5)), null));
     };
-    send(client(), request(0));
+    send(connectClient(), queryCommand(0));
     DatagramPacket packet = new DatagramPacket(new byte[300], 300);
     peer.receive(packet);
     peer.send(new DatagramPacket("hello".getBytes(StandardCharsets.ISO_8859_1), 5,
         packet.getSocketAddress()));
     peer.send(packet);
     assertEquals("arrived 0 waits 900 heard 0 [WindowUsage[customer=7, windowNumber=2, units=1.5]]",
-        next() + " " + next());
+        nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -328,41 +328,41 @@
    */
   @Test
   void policyFails() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived && requestIdOf(e) == 0)
         throw new IllegalStateException("made up for this test");
       if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
-    Socket c = client();
-    send(c, request(0));
-    assertEquals("-ERR aborted", line(c));
-    send(c, request(1));
-    assertEquals("-BUSY", line(c));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
+    assertEquals("-ERR aborted", readLine(c));
+    send(c, queryCommand(1));
+    assertEquals("-BUSY", readLine(c));
     assertEquals("arrived 0 waits 900 left 0 arrived 1 waits 900",
-        next() + " " + next() + " " + next());
+        nextEventText() + " " + nextEventText() + " " + nextEventText());
   }
 
   /** After SIGTERM connections are served while time allows; what is owed at the end is aborted. */
   @Test
   void stops() throws Exception {
-    Socket idle = client();
-    Socket busy = client();
-    send(busy, request(0));
-    assertEquals("arrived 0 waits 900", next());
+    Socket idle = connectClient();
+    Socket busy = connectClient();
+    send(busy, queryCommand(0));
+    assertEquals("arrived 0 waits 900", nextEventText());
     var done = node.stop().toCompletionStage().toCompletableFuture();
-    Socket late = client();
+    Socket late = connectClient();
     send(late, "*1\r\n$4\r\nPING\r\n");
-    assertEquals("+PONG", line(late));
-    script = e -> {
+    assertEquals("+PONG", readLine(late));
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     long before = System.nanoTime();
     while (System.nanoTime() - before < 700_000_000L) {
-      send(idle, request(1));
-      assertEquals("-BUSY", line(idle));
+      send(idle, queryCommand(1));
+      assertEquals("-BUSY", readLine(idle));
     }
-    assertEquals("-ERR aborted closed", lines(busy, 2));
-    assertEquals("closed closed", line(late) + " " + line(idle));
+    assertEquals("-ERR aborted closed", readLines(busy, 2));
+    assertEquals("closed closed", readLine(late) + " " + readLine(idle));
     done.get();
     stopped = true;
   }
--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -38,9 +38,9 @@
 
   @BeforeEach
   void start() throws Exception {
-    appServer = NodeHarness.listen();
-    counter = NodeHarness.listen();
-    discovery = NodeHarness.listen();
+    appServer = NodeHarness.openServerSocket();
+    counter = NodeHarness.openServerSocket();
+    discovery = NodeHarness.openServerSocket();
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
@@ -95,7 +95,7 @@
       try {
         Socket c = client();
         NodeHarness.send(c, PING);
-        if (NodeHarness.line(c).equals("+PONG")) return;
+        if (NodeHarness.readLine(c).equals("+PONG")) return;
       } catch (IOException e) {
         Thread.sleep(20); // not listening yet
       }
@@ -128,22 +128,22 @@
     } catch (java.net.SocketTimeoutException e) {
       // the one in hand is waited for still
     }
-    NodeHarness.line(watch);
-    NodeHarness.stream(watch,
+    NodeHarness.readLine(watch);
+    NodeHarness.sendFirstChunk(watch,
         "{\"index\":2,\"snapshot\":true,\"endpoints\":[{\"name\":\"s-2\",\"address\":\"127.0.0.1:"
             + appServer.getLocalPort()
             + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,"
             + "\"since_ms\":0}]}\n");
     Socket c = client();
     NodeHarness.send(c, PING);
-    assertEquals("+PONG", NodeHarness.line(c));
+    assertEquals("+PONG", NodeHarness.readLine(c));
     Socket count = counted(c);
-    NodeHarness.line(count);
+    NodeHarness.readLine(count);
     NodeHarness.send(count, "ok 0\r\n");
     Socket s = accept(appServer);
-    NodeHarness.lines(s, 9);
+    NodeHarness.readLines(s, 9);
     NodeHarness.send(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
-    assertEquals("$2 hi", NodeHarness.lines(c, 2));
+    assertEquals("$2 hi", NodeHarness.readLines(c, 2));
     assertTrue(descriptors() < DESCRIPTORS - 16, descriptors() + " descriptors");
     assertTrue(System.nanoTime() - back < 30_000_000_000L);
   }
@@ -155,11 +155,11 @@
   private Socket counted(Socket c) throws IOException {
     counter.setSoTimeout(2_000);
     for (int id = 1; id <= 10; id++) {
-      NodeHarness.send(c, NodeHarness.request(id).replace("d=900", "d=9000").replace("$39", "$40"));
+      NodeHarness.send(c, NodeHarness.queryCommand(id).replace("d=900", "d=9000").replace("$39", "$40"));
       try {
         return accept(counter);
       } catch (java.net.SocketTimeoutException e) {
-        assertEquals("-BUSY", NodeHarness.line(c).substring(0, 5));
+        assertEquals("-BUSY", NodeHarness.readLine(c).substring(0, 5));
       }
     }
     throw new IOException("no count call");
@@ -178,7 +178,7 @@
     long since = System.nanoTime();
     int answered = 0;
     NodeHarness.send(c, PING);
-    while (NodeHarness.line(c).equals("+PONG")) {
+    while (NodeHarness.readLine(c).equals("+PONG")) {
       answered++;
       NodeHarness.send(c, PING);
     }
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -42,7 +42,7 @@
   void connectionsInTheBacklog() throws Exception {
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
-    script = e -> {
+    eventHandler = e -> {
       if (!(e instanceof GatewayEvent.RequestArrived)) return;
       held.countDown();
       try {
@@ -52,19 +52,19 @@
       }
       actions.reject(requestIdOf(e), 0);
     };
-    Socket first = client();
-    send(first, request(0));
+    Socket first = connectClient();
+    send(first, queryCommand(0));
     assertTrue(held.await(20, TimeUnit.SECONDS));
     List<Socket> crowd = new ArrayList<>();
     for (int i = 1; i <= 300; i++) {
-      Socket c = client();
-      send(c, request(i));
+      Socket c = connectClient();
+      send(c, queryCommand(i));
       crowd.add(c);
     }
     CompletableFuture<Void> done = stopNode();
     go.countDown();
-    for (Socket c : crowd) assertEquals("-BUSY", line(c));
-    for (Socket c : crowd) assertEquals("closed", line(c));
+    for (Socket c : crowd) assertEquals("-BUSY", readLine(c));
+    for (Socket c : crowd) assertEquals("closed", readLine(c));
     done.get(5, TimeUnit.SECONDS);
   }
 
@@ -74,7 +74,7 @@
    */
   @Test
   void requestsUpToTheLastTurn() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
     List<Socket> clients = new ArrayList<>();
@@ -83,9 +83,9 @@
     CompletableFuture<Void> done = stopNode();
     int answered = 0;
     for (int round = 0; !clients.isEmpty(); round++) {
-      for (int i = 0; i < clients.size(); i++) send(clients.get(i), request(100 * round + i));
+      for (int i = 0; i < clients.size(); i++) send(clients.get(i), queryCommand(100 * round + i));
       for (Socket c : List.copyOf(clients)) {
-        if (line(c).equals("-BUSY")) answered++;
+        if (readLine(c).equals("-BUSY")) answered++;
         else clients.remove(c);
       }
     }
@@ -101,12 +101,12 @@
    */
   @Test
   void answersInTheWriteQueue() throws Exception {
-    Socket c = client();
+    Socket c = connectClient();
     String info = "*1\r\n$4\r\nINFO\r\n";
     for (int i = 0; i < 2_000; i++) send(c, info);
     CompletableFuture<Void> done = stopNode();
     int got = 0;
-    for (String line = line(c); !line.equals("closed"); line = line(c))
+    for (String line = readLine(c); !line.equals("closed"); line = readLine(c))
       if (line.startsWith("held=")) got++;
     assertEquals(2_000, got);
     done.get(5, TimeUnit.SECONDS);
@@ -117,16 +117,16 @@
    */
   @Test
   void appServerHangs() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
     };
-    Socket c = client();
-    send(c, request(0));
+    Socket c = connectClient();
+    send(c, queryCommand(0));
     Socket s = accept(appServer);
-    lines(s, 9);
+    readLines(s, 9);
     long since = System.nanoTime();
     CompletableFuture<Void> done = stopNode();
-    assertEquals("-ERR aborted closed", lines(c, 2));
+    assertEquals("-ERR aborted closed", readLines(c, 2));
     long took = (System.nanoTime() - since) / 1_000_000;
     // SIGKILL comes 1.7 s after SIGTERM at the soonest, 3.7 s where deadlines are long
     assertTrue(took < 3_400, took + " ms");
@@ -137,7 +137,7 @@
   /** The end is told before the node is ready: it never gets ready, and is over at once. */
   @Test
   void beforeItIsReady() throws Exception {
-    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(config()));
+    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(configurationJson()));
     CompletableFuture<Void> done = early.stop().toCompletionStage().toCompletableFuture();
     CompletableFuture<Void> open = early.start((now, site, out) -> (at, events) -> {})
         .toCompletionStage().toCompletableFuture();
@@ -148,21 +148,21 @@
   /** Half a command waits for its rest while the node ends: whole, it is answered. */
   @Test
   void halfACommand() throws Exception {
-    script = e -> {
+    eventHandler = e -> {
       if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
     };
-    Socket c = client();
-    String two = PING + request(1);
+    Socket c = connectClient();
+    String two = PING + queryCommand(1);
     int half = two.length() - 20;
     CompletableFuture<Void> done = stopNode();
     long answers = 0;
     while (true) {
       send(c, two.substring(0, half));
-      String pong = line(c);
+      String pong = readLine(c);
       if (pong.equals("closed")) break;
       assertEquals("+PONG", pong);
       send(c, two.substring(half));
-      String busy = line(c);
+      String busy = readLine(c);
       if (busy.equals("closed")) break; // refusing: half a command is not waited for any more
       assertEquals("-BUSY", busy);
       answers++;
@@ -184,7 +184,7 @@
       assertEquals(7, c.read(got));
       CompletableFuture<Void> done = stopNode();
       assertEquals(-1, c.read(got));
-      c.write(ByteBuffer.wrap(request(0).getBytes(StandardCharsets.ISO_8859_1)));
+      c.write(ByteBuffer.wrap(queryCommand(0).getBytes(StandardCharsets.ISO_8859_1)));
       done.get(5, TimeUnit.SECONDS);
       // else the system takes it: no reset has come
       assertThrows(IOException.class, () -> c.write(ByteBuffer.allocate(1)));
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -36,7 +36,7 @@
   /** Waits for the next watch, and tells how long that took. */
   private long nextWatch(long since, String asks) throws IOException {
     Socket s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", line(s));
+    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", readLine(s));
     last = s;
     return (System.nanoTime() - since) / 1_000_000;
   }
@@ -52,14 +52,14 @@
   @Test
   void fallsSilent() throws Exception {
     Socket s = first();
-    stream(s, list(2, false, "s-1", "Ready"));
-    assertEquals("listed DELTA [1 READY]", next());
+    sendFirstChunk(s, list(2, false, "s-1", "Ready"));
+    assertEquals("listed DELTA [1 READY]", nextEventText());
     long since = System.nanoTime();
     long took = nextWatch(since, "2");
     assertTrue(took > 4_000 && took < TOLD_MS - 500, took + " ms");
     assertEquals("closed", restOf(s));
-    stream(last, list(3, false, "s-1", "Terminating"));
-    assertEquals("listed DELTA [1 DRAINING]", next());
+    sendFirstChunk(last, list(3, false, "s-1", "Terminating"));
+    assertEquals("listed DELTA [1 DRAINING]", nextEventText());
   }
 
   /** The agent takes the connection and says nothing, as while discovery is down. */
@@ -70,8 +70,8 @@
     assertTrue(took < 3_000, took + " ms");
     long again = nextWatch(System.nanoTime(), "1"); // and so on, until there is one that answers
     assertTrue(again < 3_000, again + " ms");
-    stream(last, list(2, false, "s-1", "Ready"));
-    assertEquals("listed DELTA [1 READY]", next());
+    sendFirstChunk(last, list(2, false, "s-1", "Ready"));
+    assertEquals("listed DELTA [1 READY]", nextEventText());
   }
 
   /** A beginning without an end is no line: bytes that trickle keep no watch alive. */
@@ -102,8 +102,8 @@
   void isReset() throws Exception {
     Socket s = first();
     long since = System.nanoTime();
-    stream(s, list(2, false, "s-1", "Ready"));
-    assertEquals("listed DELTA [1 READY]", next());
+    sendFirstChunk(s, list(2, false, "s-1", "Ready"));
+    assertEquals("listed DELTA [1 READY]", nextEventText());
     s.setSoLinger(true, 0);
     s.close();
     long took = nextWatch(since, "2");
@@ -138,8 +138,8 @@
     send(last, HEAD + "400\r\n{\"index\":9,\"sna");
     last.close();
     nextWatch(System.nanoTime(), "1");
-    stream(last, list(2, true, "s-2", "Ready"));
-    assertEquals("listed SNAPSHOT [1 READY]", next());
+    sendFirstChunk(last, list(2, true, "s-2", "Ready"));
+    assertEquals("listed SNAPSHOT [1 READY]", nextEventText());
   }
 
   /**
@@ -155,7 +155,7 @@
     for (int i = 0; i < text.length(); i += 7)
       chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
     chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
-    assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]", next() + " " + next());
+    assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]", nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -167,11 +167,11 @@
     Path path = dir.resolve("config.json");
     node.reloadOn(new ReloadSignal(), path);
     Socket old = first();
-    stream(old, list(7, false, "s-1", "Terminating"));
-    assertEquals("listed DELTA [1 DRAINING]", next());
+    sendFirstChunk(old, list(7, false, "s-1", "Terminating"));
+    assertEquals("listed DELTA [1 DRAINING]", nextEventText());
     java.net.ServerSocket was = discovery;
-    discovery = listen();
-    Files.writeString(path, config());
+    discovery = openServerSocket();
+    Files.writeString(path, configurationJson());
     Signal.raise(new Signal("HUP"));
     nextWatch(System.nanoTime(), "7");
     try {
@@ -179,9 +179,9 @@
     } catch (IOException e) {
       // closed already, as it should be
     }
-    stream(last, list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready")
+    sendFirstChunk(last, list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready")
         + list(8, false, "s-4", "Ready"));
-    assertEquals("listed DELTA [2 READY]", next());
+    assertEquals("listed DELTA [2 READY]", nextEventText());
     was.close();
   }
 
@@ -199,17 +199,17 @@
     for (String one : bad) {
       first();
       // what comes behind it is no help: it would hide what is missing
-      stream(last, one + list(3, false, "s-3", "Ready"));
+      sendFirstChunk(last, one + list(3, false, "s-3", "Ready"));
     }
     first();
-    stream(last, good);
-    assertEquals("listed DELTA [1 READY]", next());
+    sendFirstChunk(last, good);
+    assertEquals("listed DELTA [1 READY]", nextEventText());
   }
 
   private static String restOf(Socket s) throws IOException {
     try {
       String line = "";
-      while (!line.equals("closed")) line = line(s);
+      while (!line.equals("closed")) line = readLine(s);
     } catch (java.net.SocketException e) {
       // reset: closed as well
     }
