--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -13,7 +13,7 @@
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.plan.Offered;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 
@@ -48,7 +48,7 @@
           try {
             for (RespValue r = reader.next(); r != null; r = reader.next())
               socket.write("$2\r\nok\r\n");
-          } catch (FramingLostException e) {
+          } catch (FramingException e) {
             socket.close();
           }
         });
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -17,8 +17,8 @@
 import saltlatch.lab.plan.Box;
 import saltlatch.lab.plan.Truth;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.FramingLostException;
-import saltlatch.wire.resp.NamedFigures;
+import saltlatch.wire.FramingException;
+import saltlatch.wire.resp.NamedNumbers;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
@@ -136,7 +136,7 @@
       c.reader.feed(data);
       try {
         for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) command(c, r);
-      } catch (FramingLostException e) {
+      } catch (FramingException e) {
         socket.close();
       }
     });
@@ -192,7 +192,7 @@
       return;
     }
     String id = words.get(2);
-    int units = (int) Math.max(1, NamedFigures.find(words.get(3), "units"));
+    int units = (int) Math.max(1, NamedNumbers.find(words.get(3), "units"));
     truth.dispatched(id, customer, submit, units);
     Server srv = c.server;
     Box.Turn turn = srv.box.take(now, srv.inProgress);
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -22,7 +22,7 @@
 import saltlatch.lab.plan.Front;
 import saltlatch.lab.plan.Offered.Arrival;
 import saltlatch.lab.scenario.Scenario;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
@@ -332,7 +332,7 @@
         if (t == null) continue;
         answered(t, r);
       }
-    } catch (FramingLostException e) {
+    } catch (FramingException e) {
       c.socket.close();
     }
   }
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -25,7 +25,7 @@
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Timeline;
 import saltlatch.lab.plan.Timeline.Act;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 
@@ -262,7 +262,7 @@
         if (answer != null) return answer;
       }
       return null;
-    } catch (FramingLostException e) {
+    } catch (FramingException e) {
       throw new IOException(e);
     }
   }
--- a/src/main/java/saltlatch/node/ActionExecutor.java
+++ b/src/main/java/saltlatch/node/ActionExecutor.java
@@ -92,7 +92,7 @@
 
   @Override
   public void setTimer(long dueTicks, long timerId) {
-    scheduler.at(dueTicks, () -> events.add(new GatewayEvent.TimerFired(timerId)));
+    scheduler.scheduleAt(dueTicks, () -> events.add(new GatewayEvent.TimerFired(timerId)));
   }
 
   @Override
@@ -117,8 +117,8 @@
 
   @Override
   public void watchEndpoints(boolean on) {
-    if (on) partners.discovery().follow();
-    else partners.discovery().stop();
+    if (on) partners.discovery().openWatch();
+    else partners.discovery().closeWatch();
   }
 
   @Override
--- a/src/main/java/saltlatch/node/AttemptListener.java
+++ b/src/main/java/saltlatch/node/AttemptListener.java
@@ -7,7 +7,7 @@
 import saltlatch.state.RequestContext;
 import saltlatch.wire.appserver.AppServerClient;
 import saltlatch.wire.appserver.AppServerReply;
-import saltlatch.wire.resp.NamedFigures;
+import saltlatch.wire.resp.NamedNumbers;
 import saltlatch.wire.transport.CallResult;
 
 /**
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void healthChecked(int serverId, AppServerReply reply, long elapsedTicks) {
+  public void healthCheckEnded(int serverId, AppServerReply reply, long elapsedTicks) {
     events.add(new GatewayEvent.HealthChecked(serverId, reply.result().outcome(), elapsedTicks,
         loadReport(reply)));
     directory.releaseUnused();
@@ -65,7 +65,7 @@
     if (reply.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
     for (String field : loadReportFields) {
-      values.add(NamedFigures.find(reply.loadReport(), field));
+      values.add(NamedNumbers.find(reply.loadReport(), field));
     }
     return values;
   }
--- a/src/main/java/saltlatch/node/ClientRequestHandler.java
+++ b/src/main/java/saltlatch/node/ClientRequestHandler.java
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public void abandon(RequestContext context) {
+  public void abort(RequestContext context) {
     responses.fail(context);
     clientDisconnected(context);
   }
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -79,7 +79,7 @@
         started.fail(e);
         return;
       }
-      listener.open(configuration.addresses().listen()).onFailure(started::fail)
+      listener.listen(configuration.addresses().listen()).onFailure(started::fail)
           .onSuccess(done -> serve(started));
     });
     return started.future();
@@ -87,7 +87,7 @@
 
   private void serve(Promise<Void> started) {
     if (stopping) return; // it never was ready: nobody counts on it
-    listener.ready();
+    listener.markReady();
     LOG.info("{} serves on {}", configuration.name(), configuration.addresses().listen());
     history.ready();
     started.complete();
--- a/src/main/java/saltlatch/node/EndpointListListener.java
+++ b/src/main/java/saltlatch/node/EndpointListListener.java
@@ -42,7 +42,7 @@
 
   /** Opens the watch once the node serves, unless the policy does that. */
   void openWatch() {
-    if (!policyOpensWatch) discovery.follow();
+    if (!policyOpensWatch) discovery.openWatch();
   }
 
   @Override
@@ -59,7 +59,7 @@
     if (policyOpensWatch) {
       events.add(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.FAILED, List.of()));
     } else {
-      discovery.follow();
+      discovery.openWatch();
     }
   }
 
--- a/src/main/java/saltlatch/node/EventBatcher.java
+++ b/src/main/java/saltlatch/node/EventBatcher.java
@@ -54,7 +54,7 @@
     batch.add(event);
     if (scheduled) return;
     scheduled = true;
-    scheduler.afterTurn(this::flush);
+    scheduler.afterCurrentIteration(this::flush);
   }
 
   /** Whether a batch is waiting for the end of this turn. */
--- a/src/main/java/saltlatch/node/EventLoopScheduler.java
+++ b/src/main/java/saltlatch/node/EventLoopScheduler.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public TimerQueue.Timer at(long dueTicks, Runnable action) {
+  public TimerQueue.Timer scheduleAt(long dueTicks, Runnable action) {
     TimerQueue.Timer timer = timers.add(dueTicks, action);
     if (dueTicks < wakeUpTicks) updateWakeUp();
     return timer;
@@ -47,7 +47,7 @@
    * of their own behind what was read in the turn: a second hop is behind these too.
    */
   @Override
-  public void afterTurn(Runnable action) {
+  public void afterCurrentIteration(Runnable action) {
     loop.runOnContext(first -> loop.runOnContext(second -> action.run()));
   }
 
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -69,7 +69,7 @@
 
   /** Begins; completes the promise once no client is connected any more. */
   void start() {
-    vertx.setTimer(schedule.drainStartMs(), t -> listener.closeConnectionsWhenAnswered());
+    vertx.setTimer(schedule.drainStartMs(), t -> listener.closeConnectionsAfterReply());
     vertx.setTimer(schedule.rejectStartMs(), t -> rejectAll());
     vertx.setPeriodic(MIN_SERVING_MS, CHECK_INTERVAL_MS, this::check);
   }
--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -58,7 +58,7 @@
   private void tick() {
     membership.tick(scheduler.now());
     reportChanges();
-    scheduler.at(scheduler.now() + MembershipTimings.tickIntervalTicks(), this::tick);
+    scheduler.scheduleAt(scheduler.now() + MembershipTimings.tickIntervalTicks(), this::tick);
   }
 
   /**
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -160,15 +160,15 @@
     LOG.info("configuration_reloaded discovery={} counter={}", addresses.discovery(),
         addresses.counter());
     history.reloaded();
-    partners.discovery().moveTo(addresses.discovery());
+    partners.discovery().changeAddress(addresses.discovery());
     if (partners.counter() != null && addresses.counter() != null) {
-      partners.counter().moveTo(addresses.counter());
+      partners.counter().changeAddress(addresses.counter());
     }
   }
 
   /** A planned end is near: no more lists are followed, and the peers learn of it. */
   void leaveFleet() {
-    if (partners != null) partners.discovery().stop();
+    if (partners != null) partners.discovery().closeWatch();
     if (membership != null) membership.leave();
   }
 
@@ -198,7 +198,7 @@
   /** Fails the request that the policy failed on, and reports it to the policy as gone. */
   private void failRequestOf(GatewayEvent event) {
     RequestContext request = requests.find(requestIdOf(event));
-    if (request != null && !request.isFinished()) clientRequests.abandon(request);
+    if (request != null && !request.isFinished()) clientRequests.abort(request);
   }
 
   /** The request that an event is about, or below 0; the policy's timers bear requests' numbers. */
--- a/src/main/java/saltlatch/node/PeerMessageListener.java
+++ b/src/main/java/saltlatch/node/PeerMessageListener.java
@@ -25,7 +25,7 @@
 
   @Override
   public void datagramReceived(int sender, byte[] datagram) {
-    if (datagram.length > 0 && datagram[0] == MembershipCodec.FIRST_BYTE) {
+    if (datagram.length > 0 && datagram[0] == MembershipCodec.MAGIC_BYTE) {
       if (membership != null) membership.received(sender, datagram);
       return;
     }
--- a/src/main/java/saltlatch/wire/ProtocolException.java
+++ b/src/main/java/saltlatch/wire/ProtocolException.java
@@ -30,12 +30,12 @@
   }
 
   /** The partner's message, and the part of it, at which reading stopped. */
-  public final String where() {
+  public final String location() {
     return where;
   }
 
   /** What is wrong there, in a few words and without its place. */
-  public final String what() {
+  public final String problem() {
     return what;
   }
 
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -32,7 +32,7 @@
         long elapsedTicks);
 
     /** A health check has ended; called once for each, perhaps before its start returns. */
-    void healthChecked(int server, AppServerReply reply, long elapsedTicks);
+    void healthCheckEnded(int server, AppServerReply reply, long elapsedTicks);
 
     /** Whether an attempt whose connection has just come up may still be sent. */
     boolean mayStartAttempt(RequestContext request, int attempt);
@@ -80,7 +80,7 @@
     // this side closes first.
     this.idleTimeoutTicks = Math.max(idleTimeoutTicks / 2,
         idleTimeoutTicks - IDLE_MARGIN_SWEEPS * SWEEP_INTERVAL_TICKS);
-    client = TcpConnector.client(vertx, Math.max(1, connectTimeoutTicks / Ticks.PER_MILLISECOND));
+    client = TcpConnector.createClient(vertx, Math.max(1, connectTimeoutTicks / Ticks.PER_MILLISECOND));
     sweep();
   }
 
@@ -125,7 +125,7 @@
     metrics.add(Metric.HEALTH_CHECKS);
     AppServerConnection connection = takeConnection(server);
     if (connection == null) {
-      listener.healthChecked(server, noConnectionFree(), 0);
+      listener.healthCheckEnded(server, noConnectionFree(), 0);
       return;
     }
     connection.send(AppServerConnection.Call
@@ -211,7 +211,7 @@
     for (Server server : List.copyOf(connectedServers)) {
       if (server.connections != null) closeIdleBefore(server, scheduler.now() - idleTimeoutTicks);
     }
-    scheduler.at(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
+    scheduler.scheduleAt(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
   // ---- for the connections
@@ -243,7 +243,7 @@
     metrics.add(
         reply.result() == CallResult.ANSWERED ? Metric.ATTEMPTS_SUCCEEDED : Metric.ATTEMPTS_FAILED);
     if (call.isHealthCheck()) {
-      listener.healthChecked(connection.server(), reply, elapsedTicks);
+      listener.healthCheckEnded(connection.server(), reply, elapsedTicks);
     } else {
       listener.attemptEnded(call.request(), call.attempt(), connection.server(), reply,
           elapsedTicks);
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -9,7 +9,7 @@
 import saltlatch.state.NodeMetrics.Metric;
 import saltlatch.state.RequestContext;
 import saltlatch.state.TimerQueue;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.CallResult;
@@ -83,7 +83,7 @@
     socket.exceptionHandler(e -> owner.metrics().add(Metric.SERVER_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> end(AppServerReply.withoutValue(
         commandWritten ? CallResult.CONNECTION_LOST : CallResult.CONNECTION_LOST_UNWRITTEN)));
-    owner.scheduler().afterTurn(this::sendFirstCall);
+    owner.scheduler().afterCurrentIteration(this::sendFirstCall);
   }
 
   /**
@@ -107,7 +107,7 @@
     unsentCommand = newCall.command();
     sentTicks = owner.scheduler().now();
     deadlineTicks = sentTicks + newCall.timeoutTicks();
-    timeout = owner.scheduler().at(deadlineTicks, () -> end(AppServerReply
+    timeout = owner.scheduler().scheduleAt(deadlineTicks, () -> end(AppServerReply
         .withoutValue(commandWritten ? CallResult.TIMED_OUT : CallResult.TIMED_OUT_UNWRITTEN)));
     if (socket != null) write();
   }
@@ -143,7 +143,7 @@
       RespValue reply = decoder.next();
       if (reply == null) limitRestOfReply();
       else replied(reply);
-    } catch (FramingLostException e) {
+    } catch (FramingException e) {
       end(MALFORMED);
     }
   }
@@ -155,7 +155,7 @@
   private void limitRestOfReply() {
     if (restOfReplyTimeout != null) return;
     long dueTicks = owner.scheduler().now() + owner.restOfReplyTimeoutTicks();
-    restOfReplyTimeout = owner.scheduler().at(dueTicks, () -> end(MALFORMED));
+    restOfReplyTimeout = owner.scheduler().scheduleAt(dueTicks, () -> end(MALFORMED));
   }
 
   /**
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -1,7 +1,7 @@
 package saltlatch.wire.appserver;
 
 import java.util.List;
-import saltlatch.wire.resp.NamedFigures;
+import saltlatch.wire.resp.NamedNumbers;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.CallResult;
 
@@ -53,8 +53,8 @@
 
   private static AppServerReply answered(byte[] value, List<RespValue> elements) {
     String use = text(elements, USE_ELEMENT);
-    return new AppServerReply(CallResult.ANSWERED, value, NamedFigures.find(use, ACTUAL_UNITS),
-        NamedFigures.find(use, FLEET_UTILIZATION), text(elements, LOAD_ELEMENT));
+    return new AppServerReply(CallResult.ANSWERED, value, NamedNumbers.find(use, ACTUAL_UNITS),
+        NamedNumbers.find(use, FLEET_UTILIZATION), text(elements, LOAD_ELEMENT));
   }
 
   private static AppServerReply ofErrorLine(String text) {
@@ -115,7 +115,7 @@
     return fleetUtilization;
   }
 
-  /** Figures by name, as {@link NamedFigures} reads them; empty: none came. */
+  /** Figures by name, as {@link NamedNumbers} reads them; empty: none came. */
   public String loadReport() {
     return loadReport;
   }
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -8,13 +8,13 @@
 import saltlatch.state.ClientRequest;
 import saltlatch.state.NodeMetrics;
 import saltlatch.state.NodeMetrics.Metric;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespEncoder;
 import saltlatch.wire.resp.RespValue;
 import saltlatch.wire.transport.SocketCloser;
-import saltlatch.wire.transport.UnreadAge;
+import saltlatch.wire.transport.TcpReceiveAge;
 
 /**
  * One client's connection. Hands requests on as their commands come, and writes replies in the
@@ -69,7 +69,7 @@
 
   /** How long the last bytes lay unread in the operating system; 0 if that is not known. */
   long readDelayTicks() {
-    return UnreadAge.ofSocketTicks(socket);
+    return TcpReceiveAge.ticksSinceLastReceive(socket);
   }
 
   // ---- how it ends
@@ -107,7 +107,7 @@
   /** Has the requests that wait for a final response get one now. */
   void abandonRequests() {
     List.copyOf(pendingReplies).stream().filter(PendingReply::isAwaitingResponse)
-        .forEach(pending -> listener.handler().abandon(pending.request()));
+        .forEach(pending -> listener.handler().abort(pending.request()));
   }
 
   /**
@@ -138,17 +138,17 @@
     reading = true;
     try {
       takeCommands();
-    } catch (FramingLostException e) {
+    } catch (FramingException e) {
       metrics().add(Metric.COMMANDS_LOST_FRAMING);
       framingLost = true;
-      replyLine(PROTOCOL_ERROR_PREFIX + e.what());
+      replyLine(PROTOCOL_ERROR_PREFIX + e.problem());
     }
     reading = false;
     if (framingLost || isFull()) socket.pause();
     lingerIfDue();
   }
 
-  private void takeCommands() throws FramingLostException {
+  private void takeCommands() throws FramingException {
     for (RespValue command = decoder.next(); command != null; command = decoder.next()) {
       usedAtTicks = listener.scheduler().now();
       hasSentCommand = true;
@@ -157,9 +157,9 @@
     }
   }
 
-  private void take(RespValue command) throws FramingLostException {
+  private void take(RespValue command) throws FramingException {
     if (!(command instanceof RespValue.Array array))
-      throw new FramingLostException("command", "a command is an array");
+      throw new FramingException("command", "a command is an array");
     List<RespValue> words = array.elements() == null ? List.of() : array.elements();
     String verb = verb(words);
     if (verb.startsWith(ClientCommandDecoder.VERB_PREFIX)) {
--- a/src/main/java/saltlatch/wire/client/ClientListener.java
+++ b/src/main/java/saltlatch/wire/client/ClientListener.java
@@ -32,7 +32,7 @@
     void clientDisconnected(RequestContext request);
 
     /** A request must get its final response now, since this node stops. */
-    void abandon(RequestContext request);
+    void abort(RequestContext request);
 
     /** The text that the command INFO gets. */
     String infoText();
@@ -55,7 +55,7 @@
   private boolean closing;
   private boolean rejecting;
 
-  /** Listens once {@link #open} is called. */
+  /** Listens once {@link #listen} is called. */
   public ClientListener(Vertx vertx, Scheduler scheduler, Handler handler, NodeMetrics metrics,
       int maxConnections) {
     this.scheduler = scheduler;
@@ -71,7 +71,7 @@
   }
 
   /** Listens at this address; done once connections are accepted, failed if it is taken. */
-  public Future<?> open(SocketAddress address) {
+  public Future<?> listen(SocketAddress address) {
     sweep();
     return server.listen(address);
   }
@@ -82,7 +82,7 @@
   }
 
   /** From now on PING is answered with PONG, which has clients counted on this node. */
-  public void ready() {
+  public void markReady() {
     ready = true;
   }
 
@@ -91,7 +91,7 @@
    * end of an idle connection and is lost with it: whoever has just been answered has not sent the
    * next one yet.
    */
-  public void closeConnectionsWhenAnswered() {
+  public void closeConnectionsAfterReply() {
     closing = true;
   }
 
@@ -149,7 +149,7 @@
     for (ClientConnection connection : connections.open()) {
       connection.closeIfIncompleteSince(scheduler.now() - STALE_AFTER_TICKS);
     }
-    scheduler.at(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
+    scheduler.scheduleAt(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
   // ---- for the connections
--- a/src/main/java/saltlatch/wire/client/LingeringClose.java
+++ b/src/main/java/saltlatch/wire/client/LingeringClose.java
@@ -61,6 +61,6 @@
   }
 
   private void closeWithin(long ticks) {
-    scheduler.at(scheduler.now() + ticks, () -> SocketCloser.closeNow(socket));
+    scheduler.scheduleAt(scheduler.now() + ticks, () -> SocketCloser.closeNow(socket));
   }
 }
--- a/src/main/java/saltlatch/wire/client/RequestTerms.java
+++ b/src/main/java/saltlatch/wire/client/RequestTerms.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import saltlatch.wire.MalformedMessageException;
-import saltlatch.wire.resp.DecimalFormat;
+import saltlatch.wire.resp.DecimalCodec;
 
 /**
  * The list of names and values in a client's command, {@code NAME=VALUE,NAME=VALUE}, with the
@@ -71,7 +71,7 @@
   }
 
   long clientTimeoutMs() throws MalformedMessageException {
-    long timeoutMs = DecimalFormat.parseWhole(required(CLIENT_TIMEOUT_MS));
+    long timeoutMs = DecimalCodec.parseDigits(required(CLIENT_TIMEOUT_MS));
     if (timeoutMs < 0 || timeoutMs >= CLIENT_TIMEOUT_LIMIT_MS) {
       throw outOfRange(CLIENT_TIMEOUT_MS, "0 to 2^31 - 1 ms");
     }
@@ -80,7 +80,7 @@
 
   double units() throws MalformedMessageException {
     String value = values.get(UNITS);
-    double units = value == null ? DEFAULT_UNITS : DecimalFormat.parse(value);
+    double units = value == null ? DEFAULT_UNITS : DecimalCodec.parse(value);
     boolean inRange = units > 0 && units < UNITS_LIMIT; // false too for what is not a number
     if (!inRange) throw outOfRange(UNITS, "over 0 and under 1e9 units");
     return units;
@@ -99,7 +99,7 @@
   }
 
   private int nodeNumber(String name) throws MalformedMessageException {
-    long number = DecimalFormat.parseWhole(values.get(name));
+    long number = DecimalCodec.parseDigits(values.get(name));
     if (number < 0 || number >= NODE_LIMIT) throw outOfRange(name, "0 to 2^20 - 1 nodes");
     return (int) number;
   }
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -60,7 +60,7 @@
     this.metrics = metrics;
     this.timeoutTicks = timeoutTicks;
     long connectTimeoutMs = CONNECT_TIMEOUTS * timeoutTicks / Ticks.PER_MILLISECOND;
-    client = TcpConnector.client(vertx, Math.max(MIN_CONNECT_TIMEOUT_MS, connectTimeoutMs));
+    client = TcpConnector.createClient(vertx, Math.max(MIN_CONNECT_TIMEOUT_MS, connectTimeoutMs));
     sweep();
   }
 
@@ -90,7 +90,7 @@
    * other, by which an older total would replace a newer one: a call on the new connection is
    * written only once all calls on the old one have their result.
    */
-  public void moveTo(SocketAddress newAddress) {
+  public void changeAddress(SocketAddress newAddress) {
     if (address.equals(newAddress)) return;
     address = newAddress;
     for (int slot = 0; slot < MAX_CONNECTIONS; slot++) {
@@ -106,7 +106,7 @@
       if (connection != null && (connection.isIdleFor(IDLE_TICKS) || connection.isStuck()))
         connection.close();
     }
-    at(nowTicks() + SWEEP_INTERVAL_TICKS, this::sweep);
+    scheduleAt(nowTicks() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
   Future<NetSocket> connect() {
@@ -121,8 +121,8 @@
     return timeoutTicks;
   }
 
-  TimerQueue.Timer at(long atTicks, Runnable task) {
-    return scheduler.at(atTicks, task);
+  TimerQueue.Timer scheduleAt(long atTicks, Runnable task) {
+    return scheduler.scheduleAt(atTicks, task);
   }
 
   void count(Metric metric) {
--- a/src/main/java/saltlatch/wire/counter/CounterCodec.java
+++ b/src/main/java/saltlatch/wire/counter/CounterCodec.java
@@ -1,7 +1,7 @@
 package saltlatch.wire.counter;
 
 import saltlatch.api.Ticks;
-import saltlatch.wire.resp.DecimalFormat;
+import saltlatch.wire.resp.DecimalCodec;
 import saltlatch.wire.transport.CallResult;
 
 /** The lines of the counter's protocol. */
@@ -25,14 +25,14 @@
   /** The call that adds units to a name's total, which the counter forgets after some time. */
   static String encodeAdd(long name, double units, long timeToLiveTicks) {
     long timeToLiveMs = Math.max(MIN_TIME_TO_LIVE_MS, timeToLiveTicks / Ticks.PER_MILLISECOND);
-    return ADD + " " + Long.toHexString(name) + " " + DecimalFormat.format(units) + " "
+    return ADD + " " + Long.toHexString(name) + " " + DecimalCodec.format(units) + " "
         + timeToLiveMs + LINE_END;
   }
 
   /** Reads an answer's line without its end. */
   static Answer decode(String line) {
     double total = line.startsWith(TOTAL_PREFIX)
-        ? DecimalFormat.parse(line.substring(TOTAL_PREFIX.length())) : Double.NaN;
+        ? DecimalCodec.parse(line.substring(TOTAL_PREFIX.length())) : Double.NaN;
     return Double.isNaN(total) ? new Answer(resultWithoutTotal(line), 0)
         : new Answer(CallResult.ANSWERED, total);
   }
--- a/src/main/java/saltlatch/wire/counter/CounterConnection.java
+++ b/src/main/java/saltlatch/wire/counter/CounterConnection.java
@@ -103,7 +103,7 @@
 
   void call(long name, long timeoutTicks, String text) {
     CounterCall call = new CounterCall(name, owner.nowTicks(), timeoutTicks, text);
-    call.timeout = owner.at(call.sentAtTicks + timeoutTicks, () -> timedOut(call));
+    call.timeout = owner.scheduleAt(call.sentAtTicks + timeoutTicks, () -> timedOut(call));
     calls.add(call);
     lastCallAtTicks = call.sentAtTicks;
     if (isWritable()) write(call);
--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -41,7 +41,7 @@
      */
     void endpointsReceived(EndpointList list, Runnable applied);
 
-    /** The watch has ended; {@link DiscoveryClient#follow()} opens the next one. */
+    /** The watch has ended; {@link DiscoveryClient#openWatch()} opens the next one. */
     void watchEnded();
   }
 
@@ -72,7 +72,7 @@
   private int currentWatch; // its number; what another one brings is ignored
 
   /**
-   * Does nothing before {@link #follow()}.
+   * Does nothing before {@link #openWatch()}.
    *
    * @param known the list that the node starts with
    */
@@ -87,22 +87,22 @@
   }
 
   /** Opens a watch as soon as the pacing allows; one that is on is ended. */
-  public void follow() {
-    stop();
+  public void openWatch() {
+    closeWatch();
     int watch = ++currentWatch;
-    timeout = scheduler.at(pacing.nextOpeningAtTicks(scheduler.now()), () -> open(watch));
+    timeout = scheduler.scheduleAt(pacing.nextOpeningAtTicks(scheduler.now()), () -> open(watch));
   }
 
   /** Goes on at another address, at once where a watch is on or due. */
-  public void moveTo(SocketAddress newAddress) {
+  public void changeAddress(SocketAddress newAddress) {
     if (address.equals(newAddress)) return;
     address = newAddress;
     pacing.addressChanged();
-    if (timeout != null) follow();
+    if (timeout != null) openWatch();
   }
 
   /** Ends the watch without a word to the listener. */
-  public void stop() {
+  public void closeWatch() {
     currentWatch++;
     if (timeout != null) timeout.cancel();
     timeout = null;
@@ -190,7 +190,7 @@
     if (bytesInARow < MAX_BYTES_IN_A_ROW) return;
     bytesInARow = 0;
     response.pause();
-    scheduler.at(scheduler.now() + READ_PAUSE_TICKS, () -> {
+    scheduler.scheduleAt(scheduler.now() + READ_PAUSE_TICKS, () -> {
       if (watch == currentWatch) response.resume();
     });
   }
@@ -228,7 +228,7 @@
 
   private void expectWithin(int watch, long ticks) {
     if (timeout != null) timeout.cancel();
-    timeout = scheduler.at(scheduler.now() + ticks, () -> end(watch, null));
+    timeout = scheduler.scheduleAt(scheduler.now() + ticks, () -> end(watch, null));
   }
 
   /** Ends the watch, unless it has ended before; {@code cause} null: silent or closed. */
@@ -236,7 +236,7 @@
     if (watch != currentWatch) return;
     metrics.add(Metric.WATCHES_BROKEN);
     LOG.info("watch_ended reason={}", cause == null ? "silent or closed" : cause.toString());
-    stop();
+    closeWatch();
     listener.watchEnded();
   }
 }
--- a/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import saltlatch.state.HeapExhaustion;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.LimitExceededException;
 import saltlatch.wire.ProtocolException;
 
@@ -53,7 +53,7 @@
    * Takes in what has come, and gives on each list that is complete.
    *
    * @return whether a whole object, a whole entry of one, or an empty line was in it
-   * @throws FramingLostException   an object is malformed; nothing can be read on from there
+   * @throws FramingException   an object is malformed; nothing can be read on from there
    * @throws LimitExceededException an object is beyond a bound, or beyond the heap: the same comes
    *     when it is asked for again
    */
@@ -132,13 +132,13 @@
   }
 
   private void outside(byte current) throws ProtocolException {
-    if (outside.size() >= MAX_PART_BYTES) throw new FramingLostException(WHERE,
+    if (outside.size() >= MAX_PART_BYTES) throw new FramingException(WHERE,
         "a list without end", MAX_PART_BYTES + " bytes outside entries");
     outside.write(current);
   }
 
-  private static FramingLostException malformed(String what) {
-    return new FramingLostException(WHERE, what);
+  private static FramingException malformed(String what) {
+    return new FramingException(WHERE, what);
   }
 
   private LimitExceededException tooLarge(String what, String limit) {
@@ -155,7 +155,7 @@
     String what = HeapExhaustion.explain(failure);
     return HeapExhaustion.isCauseOf(failure)
         ? new LimitExceededException(WHERE, what, null, failure)
-        : new FramingLostException(WHERE, what);
+        : new FramingException(WHERE, what);
   }
 
   /** The same object for a word that recurs: thousands of entries name a few zones and types. */
--- a/src/main/java/saltlatch/wire/peer/GossipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/GossipCodec.java
@@ -16,7 +16,7 @@
  * then one for each node.
  */
 public final class GossipCodec {
-  static final byte FIRST_BYTE = 0x51;
+  static final byte MAGIC_BYTE = 0x51;
 
   private static final int ENTRY_BYTES = 7;
   private static final int HEAD_BYTES = 5; // of an entry: customer and window
@@ -38,7 +38,7 @@
   /** The datagram of a message; usage beyond what it holds is left out. */
   public static byte[] encode(GossipMessage message) {
     byte[] bytes = new byte[MAX_BYTES];
-    bytes[0] = FIRST_BYTE;
+    bytes[0] = MAGIC_BYTE;
     int at = 1;
     if (message.reachability() != null)
       at = putReachability(bytes, at, toBits(message.reachability()));
@@ -112,7 +112,7 @@
   }
 
   private static boolean hasForm(byte[] bytes) {
-    return bytes.length > 0 && bytes.length <= MAX_BYTES && bytes[0] == FIRST_BYTE
+    return bytes.length > 0 && bytes.length <= MAX_BYTES && bytes[0] == MAGIC_BYTE
         && (bytes.length - 1) % ENTRY_BYTES == 0;
   }
 
--- a/src/main/java/saltlatch/wire/peer/MembershipCodec.java
+++ b/src/main/java/saltlatch/wire/peer/MembershipCodec.java
@@ -16,7 +16,7 @@
  */
 public final class MembershipCodec {
   /** No gossip datagram begins with this byte. */
-  public static final byte FIRST_BYTE = (byte) 0xB7;
+  public static final byte MAGIC_BYTE = (byte) 0xB7;
 
   private static final byte VERSION = 1;
   private static final int VOUCHES_FLAG = 0x40; // in the byte of the kind
@@ -34,7 +34,7 @@
   public static byte[] encode(MembershipMessage message) {
     int entries = Math.min(message.updates().size(), MAX_ENTRIES);
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries * ENTRY_BYTES);
-    buffer.put(FIRST_BYTE);
+    buffer.put(MAGIC_BYTE);
     buffer.put(VERSION);
     buffer
         .put((byte) (message.kind().code() | (message.grantsLeaseToReceiver() ? VOUCHES_FLAG : 0)));
@@ -60,7 +60,7 @@
    * That costs this datagram only, since each stands for itself.
    */
   public static MembershipMessage decode(byte[] bytes) {
-    if (bytes.length < HEADER_BYTES || bytes[0] != FIRST_BYTE || bytes[1] != VERSION) return null;
+    if (bytes.length < HEADER_BYTES || bytes[0] != MAGIC_BYTE || bytes[1] != VERSION) return null;
     byte[] copy = bytes.clone();
     if (!hasCheckSum(copy)) return null;
     ByteBuffer buffer = ByteBuffer.wrap(copy);
--- a/src/main/java/saltlatch/wire/resp/DecimalFormat.java
+++ b/src/main/java/saltlatch/wire/resp/DecimalCodec.java
@@ -1,14 +1,14 @@
 package saltlatch.wire.resp;
 
 /** Plain decimal numbers, as the protocol has them: to text and back. Has no state. */
-public final class DecimalFormat {
+public final class DecimalCodec {
   private static final String DECIMAL_CHARACTERS = "0123456789.-+eE";
   /** Fits a long with room to spare. */
   private static final int MAX_WHOLE_DIGITS = 15;
   /** Four decimal places: totals come to seven digits. */
   private static final long SCALE = 10_000;
 
-  private DecimalFormat() {}
+  private DecimalCodec() {}
 
   /**
    * Reads a decimal number; not a number ({@code NaN}) for what is none, or is infinite. Guards
@@ -26,7 +26,7 @@
   }
 
   /** Reads a number of 1 to 15 digits and nothing else; -1 for any other text. */
-  public static long parseWhole(String text) {
+  public static long parseDigits(String text) {
     boolean isWhole = text.length() <= MAX_WHOLE_DIGITS && consistsOf(text, "0123456789");
     return isWhole ? Long.parseLong(text) : -1;
   }
--- a/src/main/java/saltlatch/wire/resp/RespDecoder.java
+++ b/src/main/java/saltlatch/wire/resp/RespDecoder.java
@@ -5,12 +5,12 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 
 /**
  * Cuts one connection's byte stream into RESP2 values. Each connection owns a decoder, on the event
  * loop; it holds no more than one value that is not whole yet, of {@link #MAX_MESSAGE_BYTES}, and
- * what was read with its last byte. After a {@link FramingLostException} it is of no further use.
+ * what was read with its last byte. After a {@link FramingException} it is of no further use.
  */
 public final class RespDecoder {
   /** As the protocol's page gives it. */
@@ -60,14 +60,14 @@
   /**
    * The next whole value; null while it has not all come.
    *
-   * @throws FramingLostException where no value begins, or it exceeds a limit
+   * @throws FramingException where no value begins, or it exceeds a limit
    */
-  public RespValue next() throws FramingLostException {
+  public RespValue next() throws FramingException {
     position = begin;
     RespValue value = readValue(0);
     if (value == null) {
       if (end - begin > MAX_MESSAGE_BYTES) {
-        throw new FramingLostException("RESP2 value", "message too long",
+        throw new FramingException("RESP2 value", "message too long",
             MAX_MESSAGE_BYTES + " bytes");
       }
       return null;
@@ -84,7 +84,7 @@
   }
 
   /** Null while it has not all come, as from all methods below. */
-  private RespValue readValue(int level) throws FramingLostException {
+  private RespValue readValue(int level) throws FramingException {
     String line = readLine();
     if (line == null) return null;
     if (line.isEmpty()) throw noValue();
@@ -98,21 +98,21 @@
     };
   }
 
-  private RespValue readBulk(int length) throws FramingLostException {
+  private RespValue readBulk(int length) throws FramingException {
     if (length == NULL_LENGTH) return new RespValue.Bulk(null);
     if (end - position < length + LINE_END_BYTES) return null;
     if (!isLineEnd(position + length)) {
-      throw new FramingLostException("RESP2 bulk string", "bulk string without its end");
+      throw new FramingException("RESP2 bulk string", "bulk string without its end");
     }
     byte[] bytes = Arrays.copyOfRange(buffer, position, position + length);
     position += length + LINE_END_BYTES;
     return new RespValue.Bulk(bytes);
   }
 
-  private RespValue readArray(int count, int level) throws FramingLostException {
+  private RespValue readArray(int count, int level) throws FramingException {
     if (count == NULL_LENGTH) return new RespValue.Array(null);
     if (level >= MAX_ARRAY_LEVELS) {
-      throw new FramingLostException("RESP2 array", "arrays too deep",
+      throw new FramingException("RESP2 array", "arrays too deep",
           MAX_ARRAY_LEVELS + " levels");
     }
     List<RespValue> elements = new ArrayList<>(count);
@@ -124,7 +124,7 @@
     return new RespValue.Array(elements);
   }
 
-  private String readLine() throws FramingLostException {
+  private String readLine() throws FramingException {
     for (int i = position; i + 1 < end && i - position <= MAX_LINE_BYTES; i++) {
       if (isLineEnd(i)) {
         String text = new String(buffer, position, i - position, StandardCharsets.ISO_8859_1);
@@ -133,7 +133,7 @@
       }
     }
     if (end - position > MAX_LINE_BYTES) {
-      throw new FramingLostException("RESP2 line", "line too long", MAX_LINE_BYTES + " bytes");
+      throw new FramingException("RESP2 line", "line too long", MAX_LINE_BYTES + " bytes");
     }
     return null;
   }
@@ -142,17 +142,17 @@
     return buffer[at] == '\r' && buffer[at + 1] == '\n';
   }
 
-  private static int length(String text, int limit, String unit) throws FramingLostException {
+  private static int length(String text, int limit, String unit) throws FramingException {
     try {
       int length = Integer.parseInt(text);
       if (length >= NULL_LENGTH && length <= limit && !text.startsWith("+")) return length;
     } catch (NumberFormatException e) {
       // falls through: as good as a number out of range
     }
-    throw new FramingLostException("RESP2 length", "no length: " + text, limit + " " + unit);
+    throw new FramingException("RESP2 length", "no length: " + text, limit + " " + unit);
   }
 
-  private static FramingLostException noValue() {
-    return new FramingLostException("RESP2 value", "no RESP2 value");
+  private static FramingException noValue() {
+    return new FramingException("RESP2 value", "no RESP2 value");
   }
 }
--- a/src/main/java/saltlatch/wire/transport/Scheduler.java
+++ b/src/main/java/saltlatch/wire/transport/Scheduler.java
@@ -11,12 +11,12 @@
   long now();
 
   /** Runs the action once, as soon as this time has come; at the next turn if it is past. */
-  TimerQueue.Timer at(long dueTicks, Runnable action);
+  TimerQueue.Timer scheduleAt(long dueTicks, Runnable action);
 
   /**
    * Runs the action once all that the present turn of the loop brings has been handed on. Guards
    * against acting on the first of two events that came together, such as a command and the close
    * behind it: closes are handed on by tasks behind what was read.
    */
-  void afterTurn(Runnable action);
+  void afterCurrentIteration(Runnable action);
 }
--- a/src/main/java/saltlatch/wire/transport/TcpConnector.java
+++ b/src/main/java/saltlatch/wire/transport/TcpConnector.java
@@ -25,7 +25,7 @@
   }
 
   /** A client whose connections are given up if they have not come up after this time. */
-  public static NetClient client(Vertx vertx, long connectTimeoutMs) {
+  public static NetClient createClient(Vertx vertx, long connectTimeoutMs) {
     return vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setTcpKeepAlive(false)
         .setConnectTimeout((int) connectTimeoutMs).setReconnectAttempts(0));
   }
--- a/src/main/java/saltlatch/wire/transport/UnreadAge.java
+++ b/src/main/java/saltlatch/wire/transport/TcpReceiveAge.java
@@ -12,13 +12,13 @@
  * stopped reads what came meanwhile as if it had just come. Has no state; called on the
  * connection's event loop, and only after this node has been stalled.
  */
-public final class UnreadAge {
+public final class TcpReceiveAge {
   private static final long UNKNOWN = 0;
 
-  private UnreadAge() {}
+  private TcpReceiveAge() {}
 
   /** In ticks; 0 where the system has no record, or the connection has closed meanwhile. */
-  public static long ofSocketTicks(NetSocket socket) {
+  public static long ticksSinceLastReceive(NetSocket socket) {
     try {
       Channel channel = ((NetSocketInternal) socket).channelHandlerContext().channel();
       return channel instanceof EpollSocketChannel epoll
--- a/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerClientTest.java
@@ -56,7 +56,7 @@
     scheduler = new ManualScheduler(vertx.getOrCreateContext());
     appServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     appServer.setSoTimeout(20_000);
-    scheduler.onLoop(() -> {
+    scheduler.runOnLoop(() -> {
       client = new AppServerClient(vertx, scheduler, new EndRecorder(), new NodeMetrics(),
           CONNECT_TIMEOUT_TICKS, IDLE_TIMEOUT_TICKS, MAX_CONNECTIONS);
       client.setAddress(SERVER,
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void healthChecked(int server, AppServerReply reply, long elapsedTicks) {
+    public void healthCheckEnded(int server, AppServerReply reply, long elapsedTicks) {
       ends.add("health check " + reply.result() + " " + reply.loadReport());
     }
 
@@ -112,13 +112,13 @@
 
   private void awaitEnds(int count) throws Exception {
     boolean[] reached = new boolean[1];
-    while (!reached[0]) scheduler.onLoop(() -> reached[0] = ends.size() == count);
+    while (!reached[0]) scheduler.runOnLoop(() -> reached[0] = ends.size() == count);
   }
 
   /** A short request, of which an attempt has come whole to the app server. */
   private RequestContext startedAttempt(long timeoutTicks) throws Exception {
     RequestContext request = request(COMMAND);
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, timeoutTicks));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, timeoutTicks));
     receivedCommand();
     return request;
   }
@@ -133,7 +133,7 @@
   void forwardedCommandWithoutBody() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
         + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n");
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n00000000b4d65521\r\n"
         + "$16\r\n9b1f03aa5c7e2d41\r\n$42\r\nc=lookup,t=team,d=480,units=2,spread=3,x=y\r\n";
     assertEquals(expected, received(expected.length()));
@@ -143,7 +143,7 @@
   void forwardedCommandWithBody() throws Exception {
     RequestContext request = request("*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
         + "$2\r\nid\r\n$39\r\nd=2000,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n");
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     String expected = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n00000000B4D65521\r\n"
         + "$2\r\nid\r\n$38\r\nd=480,c=order,t=team,k=5c0f6e1a2b3d4c5\r\n$4\r\nBODY\r\n";
     assertEquals(expected, received(expected.length()));
@@ -157,7 +157,7 @@
   void forwardedCommandGivesTheTimeLeft() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
-    scheduler.onLoop(() -> {
+    scheduler.runOnLoop(() -> {
       client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS);
       scheduler.advanceOnLoop(305);
     });
@@ -171,7 +171,7 @@
   void forwardedCommandGivesOneMillisecondAtLeast() throws Exception {
     RequestContext request = request("*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$14\r\nc=a,t=b,d=9000\r\n");
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, 9));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, 9));
     String expected = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
         + "$2\r\n10\r\n$11\r\nc=a,t=b,d=1\r\n";
     assertEquals(expected, received(expected.length()));
@@ -180,12 +180,12 @@
   /** A health check, and a command behind it on the same connection: nothing else is written. */
   @Test
   void healthCheckCommand() throws Exception {
-    scheduler.onLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
     String expected = "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n";
     assertEquals(expected, received(expected.length()));
     reply("$10\r\ninflight=7\r\n", 1);
     scheduler.advance(30);
-    scheduler.onLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.checkHealth(SERVER, TIMEOUT_TICKS));
     assertEquals(expected, received(expected.length()));
     reply("-NOPERM\r\n", 2);
     assertEquals(List.of("health check ANSWERED inflight=7", "health check MALFORMED_REPLY "),
@@ -244,7 +244,7 @@
   @Test
   void timedOutBeforeTheConnectionIsUp() throws Exception {
     RequestContext request = request(COMMAND);
-    scheduler.onLoop(() -> {
+    scheduler.runOnLoop(() -> {
       client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS);
       scheduler.advanceOnLoop(TIMEOUT_TICKS);
     });
@@ -268,9 +268,9 @@
   @Test
   void cancelledAttemptEndsItsConnection() throws Exception {
     RequestContext request = startedAttempt(TIMEOUT_TICKS);
-    scheduler.onLoop(() -> client.cancelAttempt(request, 1));
+    scheduler.runOnLoop(() -> client.cancelAttempt(request, 1));
     assertEquals(List.of(), ends);
-    scheduler.onLoop(() -> client.cancelAttempt(request, 0));
+    scheduler.runOnLoop(() -> client.cancelAttempt(request, 0));
     assertEquals(List.of("attempt 0 CANCELLED"), ends);
     assertEquals("", received(1));
   }
@@ -287,7 +287,7 @@
   void refusedConnection() throws Exception {
     appServer.close();
     RequestContext request = request(COMMAND);
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     awaitEnds(1);
     assertEquals(List.of("attempt 0 CONNECT_FAILED"), ends);
   }
@@ -300,7 +300,7 @@
   void withdrawnAttemptWritesNothing() throws Exception {
     mayStart = false;
     RequestContext request = request(COMMAND);
-    scheduler.onLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
+    scheduler.runOnLoop(() -> client.startAttempt(request, 0, SERVER, TIMEOUT_TICKS));
     assertEquals("", received(1));
     awaitEnds(1);
     assertEquals(List.of("attempt 0 WITHDRAWN"), ends);
@@ -309,7 +309,7 @@
   @Test
   void noConnectionBeyondTheLimit() throws Exception {
     RequestContext request = request(COMMAND);
-    scheduler.onLoop(() -> {
+    scheduler.runOnLoop(() -> {
       for (int attempt = 0; attempt <= MAX_CONNECTIONS; attempt++) {
         client.startAttempt(request, attempt, SERVER, TIMEOUT_TICKS);
       }
@@ -335,9 +335,9 @@
   void serverIsRemovedOnceNothingIsInFlight() throws Exception {
     startedAttempt(TIMEOUT_TICKS);
     List<Boolean> removed = new ArrayList<>();
-    scheduler.onLoop(() -> removed.add(client.remove(SERVER)));
+    scheduler.runOnLoop(() -> removed.add(client.remove(SERVER)));
     reply(ANSWER, 1);
-    scheduler.onLoop(() -> removed.add(client.remove(SERVER)));
+    scheduler.runOnLoop(() -> removed.add(client.remove(SERVER)));
     assertEquals(List.of(false, true), removed);
     assertEquals("", received(1));
   }
--- a/src/test/java/saltlatch/wire/appserver/AppServerCommandEncoderTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerCommandEncoderTest.java
@@ -14,7 +14,7 @@
 
   private static String forward(long timeLeftMs, String... words) throws ProtocolException {
     return AppServerCommandEncoder
-        .forward(ClientCommandDecoder.decode(RespText.words(words)).command(), timeLeftMs)
+        .forward(ClientCommandDecoder.decode(RespText.commandWords(words)).command(), timeLeftMs)
         .toString();
   }
 
--- a/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import saltlatch.wire.ProtocolException;
-import saltlatch.wire.resp.NamedFigures;
+import saltlatch.wire.resp.NamedNumbers;
 import saltlatch.wire.resp.RespText;
 
 /** App servers' replies, faulty ones too. */
@@ -17,12 +17,12 @@
         "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n", "-ERR failed inflight=7\r\n", "-ERR failed\r\n",
         "-BUSY\r\n", "+OK\r\n", "$-1\r\n", "*0\r\n", "-BUSYX\r\n",
         "*3\r\n$2\r\nok\r\n$9\r\ncost=-1e9\r\n$23\r\ninflight=NaN,util=1e999\r\n"}) {
-      AppServerReply reply = AppServerReply.ofAttempt(RespText.read(text));
+      AppServerReply reply = AppServerReply.ofAttempt(RespText.decode(text));
       decoded.append(reply.result().outcome()).append(' ')
           .append(
               reply.value() == null ? "-" : new String(reply.value(), StandardCharsets.ISO_8859_1))
-          .append(' ').append(NamedFigures.find(reply.loadReport(), "inflight")).append(' ')
-          .append(NamedFigures.find(reply.loadReport(), "util")).append('\n');
+          .append(' ').append(NamedNumbers.find(reply.loadReport(), "inflight")).append(' ')
+          .append(NamedNumbers.find(reply.loadReport(), "util")).append('\n');
     }
     assertEquals("""
         SUCCEEDED ok 7.0 0.61
@@ -42,7 +42,7 @@
   @Test
   void figuresOfUse() throws ProtocolException {
     AppServerReply reply = AppServerReply.ofAttempt(
-        RespText.read("*3\r\n$2\r\nok\r\n$13\r\ncost=3,used=7\r\n$10\r\ninflight=7\r\n"));
+        RespText.decode("*3\r\n$2\r\nok\r\n$13\r\ncost=3,used=7\r\n$10\r\ninflight=7\r\n"));
     assertEquals("3.0 7.0 inflight=7",
         reply.actualUnits() + " " + reply.fleetUtilization() + " " + reply.loadReport());
   }
--- a/src/test/java/saltlatch/wire/client/ClientCommandDecoderTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientCommandDecoderTest.java
@@ -15,7 +15,7 @@
   private static final String ID = "9b1f03aa5c7e2d41";
 
   private static ClientRequest decode(String... words) throws ProtocolException {
-    return ClientCommandDecoder.decode(RespText.words(words));
+    return ClientCommandDecoder.decode(RespText.commandWords(words));
   }
 
   @Test
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -52,10 +52,10 @@
     metrics = new NodeMetrics();
     listener = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
         MOST_CONNECTIONS);
-    scheduler.onLoop(() -> listener.ready());
+    scheduler.runOnLoop(() -> listener.markReady());
     List<Future<?>> open = new ArrayList<>();
     scheduler
-        .onLoop(() -> open.add(listener.open(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+        .runOnLoop(() -> open.add(listener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
     ManualScheduler.await(open.get(0));
   }
 
@@ -76,7 +76,7 @@
     public void clientDisconnected(RequestContext request) {}
 
     @Override
-    public void abandon(RequestContext request) {
+    public void abort(RequestContext request) {
       request.fail();
     }
 
@@ -215,8 +215,8 @@
     Socket socket = connect();
     send(socket, QUERY + QUERY + PING);
     awaitInFlight(2);
-    scheduler.onLoop(() -> arrived.get(1).reject(7));
-    scheduler.onLoop(() -> arrived.get(0).succeed(new byte[] {'a'}));
+    scheduler.runOnLoop(() -> arrived.get(1).reject(7));
+    scheduler.runOnLoop(() -> arrived.get(0).succeed(new byte[] {'a'}));
     assertEquals("$1\r\na\r\n-BUSY 7\r\n+PONG\r\n", receive(socket, 23));
   }
 
@@ -240,14 +240,14 @@
     Socket socket = connect();
     send(socket, QUERY + PING);
     awaitInFlight(1);
-    scheduler.onLoop(() -> listener.failPendingAndRejectNew());
+    scheduler.runOnLoop(() -> listener.failPendingAndRejectNew());
     assertEquals("-ERR aborted\r\n+PONG\r\n", receive(socket, 21));
     assertReply("-BUSY\r\n", QUERY);
   }
 
   private void awaitInFlight(int count) throws Exception {
     boolean[] reached = new boolean[1];
-    while (!reached[0]) scheduler.onLoop(() -> reached[0] = requests.size() == count);
+    while (!reached[0]) scheduler.runOnLoop(() -> reached[0] = requests.size() == count);
   }
 
   /** A client that has been answered: its connection is known to be accepted. */
@@ -304,7 +304,7 @@
     }
     awaitInFlight(MOST_CONNECTIONS);
     assertEquals("", receive(connect(), 1));
-    scheduler.onLoop(() -> listener.failPendingAndRejectNew());
+    scheduler.runOnLoop(() -> listener.failPendingAndRejectNew());
     for (Socket socket : pending) assertEquals("-ERR aborted\r\n", receive(socket, 14));
   }
 
@@ -323,7 +323,7 @@
     ClientListener early = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
         MOST_CONNECTIONS);
     List<Future<?>> open = new ArrayList<>();
-    scheduler.onLoop(() -> open.add(early.open(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+    scheduler.runOnLoop(() -> open.add(early.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
     ManualScheduler.await(open.get(0));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), early.port())) {
       socket.setSoTimeout(20_000);
--- a/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
@@ -136,7 +136,7 @@
     misspelt.forEach((from, to) -> {
       MalformedMessageException fault = assertThrows(MalformedMessageException.class,
           () -> ConfigurationCodec.decode(CONFIGURATION.replace(from, to)));
-      assertEquals(fault.getMessage(), fault.where() + ": " + fault.what());
+      assertEquals(fault.getMessage(), fault.location() + ": " + fault.problem());
       faults.add(fault.getMessage());
     });
     faults.sort(null);
--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.state.NodeMetrics;
-import saltlatch.wire.transport.StoppedClock;
+import saltlatch.wire.transport.FixedTimeScheduler;
 
 /** The bytes of calls to the counter, on a real connection with a clock that stands still. */
 @Timeout(60)
@@ -40,7 +40,7 @@
     counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     counter.setSoTimeout(20_000);
     client = new CounterClient(vertx,
-        SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"), new StoppedClock(),
+        SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"), new FixedTimeScheduler(),
         (name, result, total, ticks) -> answers
             .add(Long.toHexString(name) + " " + result + " " + total),
         new NodeMetrics(), TIMEOUT_TICKS);
@@ -53,7 +53,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private void onLoop(Runnable task) throws Exception {
+  private void runOnLoop(Runnable task) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.runOnContext(v -> {
       task.run();
@@ -84,7 +84,7 @@
   @Test
   void bytesOfEachCall() throws Exception {
     long sameConnection = 8L << 32; // the low bits and the fold choose the connection
-    onLoop(() -> {
+    runOnLoop(() -> {
       client.add(0, 1, 40_000, 0);
       client.add(0, 2.5, 40_009, 0);
       client.add(0, -0.0001, 9, 0);
@@ -97,7 +97,7 @@
 
   @Test
   void bytesOfANameWithItsHighestBitSet() throws Exception {
-    onLoop(() -> client.add(0xffffffffffffffffL, 123456.78901, 1_000_000_000, 0));
+    runOnLoop(() -> client.add(0xffffffffffffffffL, 123456.78901, 1_000_000_000, 0));
     accept();
     assertReceived("bump ffffffffffffffff 123456.7890 100000000\r\n");
   }
@@ -105,7 +105,7 @@
   /** Each form of an answer; what is no answer ends the connection and may have been added. */
   @Test
   void formsOfAnswers() throws Exception {
-    onLoop(() -> {
+    runOnLoop(() -> {
       for (int call = 0; call < 5; call++) client.add(0xff, 1, 10, 0);
     });
     accept();
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -46,13 +46,13 @@
     }
 
     @Override
-    public TimerQueue.Timer at(long when, Runnable then) {
+    public TimerQueue.Timer scheduleAt(long when, Runnable then) {
       events.add("at " + (when - now));
       return timers.add(when, then);
     }
 
     @Override
-    public void afterTurn(Runnable then) {
+    public void afterCurrentIteration(Runnable then) {
       then.run();
     }
   }
@@ -69,7 +69,7 @@
     @Override
     public void watchEnded() {
       events.add("ended");
-      discovery.follow();
+      discovery.openWatch();
     }
   }
 
@@ -94,7 +94,7 @@
     discovery = new DiscoveryClient(vertx,
         SocketAddress.inetSocketAddress(agent.getLocalPort(), "127.0.0.1"), scheduler,
         new Follower(), counters, new EndpointList(0, 1, true, List.of()));
-    onLoop(discovery::follow);
+    runOnLoop(discovery::openWatch);
     next("at 0");
   }
 
@@ -105,7 +105,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private void onLoop(Runnable what) throws Exception {
+  private void runOnLoop(Runnable what) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.runOnContext(v -> {
       what.run();
@@ -115,7 +115,7 @@
   }
 
   private void pass(long ticks) throws Exception {
-    onLoop(() -> {
+    runOnLoop(() -> {
       scheduler.now += ticks;
       scheduler.timers.runDue(scheduler.now);
     });
@@ -174,8 +174,8 @@
     next("listed 0/2", "at 45000");
     more(tooLarge());
     next("ended", "at 10000");
-    onLoop(
-        () -> discovery.moveTo(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
+    runOnLoop(
+        () -> discovery.changeAddress(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
     next("at 0");
   }
 
@@ -230,9 +230,9 @@
     watch.close();
     next("ended", "at 10000");
     pass(10_000);
-    onLoop(toApply.take());
+    runOnLoop(toApply.take());
     assertTrue(counters.infoText().contains("watches=1\n"));
-    onLoop(toApply.take());
+    runOnLoop(toApply.take());
     watched(0, "since=3", list(0, 4, false));
     next("listed 0/4", "at 45000");
   }
--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 import saltlatch.wire.LimitExceededException;
 import saltlatch.wire.ProtocolException;
 
@@ -106,15 +106,15 @@
         ENTRY + "}"};
     for (String one : within) {
       String text = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + one + "]}\n";
-      assertInstanceOf(FramingLostException.class, unreadable(text), text);
+      assertInstanceOf(FramingException.class, unreadable(text), text);
     }
     for (String text : new String[] {"{\"index\":3,\"snapshot\":true}\n",
         "{\"endpoints\":[" + ENTRY + "]}\n",
         "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + ",\n{\"index\":4}\n", "]\n",
         "[]\n"}) {
-      assertInstanceOf(FramingLostException.class, unreadable(text), text);
+      assertInstanceOf(FramingException.class, unreadable(text), text);
     }
-    assertInstanceOf(FramingLostException.class,
+    assertInstanceOf(FramingException.class,
         unreadable("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)));
   }
 
@@ -127,8 +127,8 @@
         new OutOfMemoryError());
     ProtocolException full = EndpointListParser.undecodable(wrapped);
     assertInstanceOf(LimitExceededException.class, full);
-    assertTrue(full.what().startsWith("the heap of "), full.getMessage());
-    assertInstanceOf(FramingLostException.class,
+    assertTrue(full.problem().startsWith("the heap of "), full.getMessage());
+    assertInstanceOf(FramingException.class,
         EndpointListParser.undecodable(new JsonParseException("no number")));
   }
 
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltlatch.state.NodeMetrics;
-import saltlatch.wire.transport.StoppedClock;
+import saltlatch.wire.transport.FixedTimeScheduler;
 
 /** Every byte of the watch's HTTP request, on a real connection. */
 @Timeout(60)
 class WatchRequestBytesTest {
-  private final StoppedClock clock = new StoppedClock();
+  private final FixedTimeScheduler clock = new FixedTimeScheduler();
   private Vertx vertx;
   private Context loop;
   private ServerSocket agent;
@@ -56,7 +56,7 @@
             @Override
             public void watchEnded() {}
           }, new NodeMetrics(), known);
-      client.follow();
+      client.openWatch();
       clock.runDue();
       done.complete(null);
     });
--- a/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
+++ b/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
@@ -5,13 +5,13 @@
 
 import io.vertx.core.buffer.Buffer;
 import org.junit.jupiter.api.Test;
-import saltlatch.wire.FramingLostException;
+import saltlatch.wire.FramingException;
 
 /** A stream of bytes cut into values. */
 class RespDecoderTest {
   /** Every byte comes on its own, and two messages behind one another. */
   @Test
-  void messagesInPieces() throws FramingLostException {
+  void messagesInPieces() throws FramingException {
     RespDecoder decoder = new RespDecoder();
     StringBuilder decoded = new StringBuilder();
     String text = "*3\r\n$2\r\nab\r\n$-1\r\n$4\r\nx=,y\r\n-BUSY\r\n";
@@ -35,7 +35,7 @@
     String[] texts = {"GET / HTTP/1.1\r\n", "$5\r\nabcdefg\r\n", "*99\r\n", "$65537\r\n", "$x\r\n",
         "*1\r\n*1\r\n*1\r\n", "+" + "x".repeat(1100)};
     for (String text : texts) {
-      assertThrows(FramingLostException.class, () -> RespText.read(text), text);
+      assertThrows(FramingException.class, () -> RespText.decode(text), text);
     }
   }
 
@@ -49,6 +49,6 @@
   }
 
   private static String error(String text) {
-    return assertThrows(FramingLostException.class, () -> RespText.read(text)).getMessage();
+    return assertThrows(FramingException.class, () -> RespText.decode(text)).getMessage();
   }
 }
--- a/src/test/java/saltlatch/wire/resp/RespText.java
+++ b/src/test/java/saltlatch/wire/resp/RespText.java
@@ -19,12 +19,12 @@
   }
 
   /** The words of a command once it has been decoded. */
-  public static List<RespValue> words(String... words) throws ProtocolException {
-    return ((RespValue.Array) read(command(words))).elements();
+  public static List<RespValue> commandWords(String... words) throws ProtocolException {
+    return ((RespValue.Array) decode(command(words))).elements();
   }
 
   /** The first value in a text; null if it is not whole. */
-  public static RespValue read(String text) throws ProtocolException {
+  public static RespValue decode(String text) throws ProtocolException {
     RespDecoder decoder = new RespDecoder();
     decoder.feed(Buffer.buffer(text.getBytes(StandardCharsets.ISO_8859_1)));
     return decoder.next();
--- a/src/test/java/saltlatch/wire/transport/StoppedClock.java
+++ b/src/test/java/saltlatch/wire/transport/FixedTimeScheduler.java
@@ -3,7 +3,7 @@
 import saltlatch.state.TimerQueue;
 
 /** A scheduler whose clock stands at 0: nothing times out, and a turn is over at once. */
-public final class StoppedClock implements Scheduler {
+public final class FixedTimeScheduler implements Scheduler {
   private final TimerQueue timers = new TimerQueue();
 
   @Override
@@ -12,12 +12,12 @@
   }
 
   @Override
-  public TimerQueue.Timer at(long when, Runnable then) {
+  public TimerQueue.Timer scheduleAt(long when, Runnable then) {
     return timers.add(when, then);
   }
 
   @Override
-  public void afterTurn(Runnable then) {
+  public void afterCurrentIteration(Runnable then) {
     then.run();
   }
 
--- a/src/test/java/saltlatch/wire/transport/ManualScheduler.java
+++ b/src/test/java/saltlatch/wire/transport/ManualScheduler.java
@@ -25,18 +25,18 @@
   }
 
   @Override
-  public TimerQueue.Timer at(long when, Runnable then) {
+  public TimerQueue.Timer scheduleAt(long when, Runnable then) {
     return timers.add(when, then);
   }
 
   @Override
-  public void afterTurn(Runnable then) {
+  public void afterCurrentIteration(Runnable then) {
     loop.runOnContext(v -> loop.runOnContext(w -> then.run()));
   }
 
   /** Moves the clock and runs what has fallen due; from another thread. */
   public void advance(long ticks) throws Exception {
-    onLoop(() -> advanceOnLoop(ticks));
+    runOnLoop(() -> advanceOnLoop(ticks));
   }
 
   /** Moves the clock and runs what has fallen due; on the loop. */
@@ -46,7 +46,7 @@
   }
 
   /** Runs a step on the loop and returns once it is done. */
-  public void onLoop(Runnable step) throws Exception {
+  public void runOnLoop(Runnable step) throws Exception {
     Promise<Void> done = Promise.promise();
     loop.runOnContext(v -> {
       try {
