--- a/src/main/java/saltlatch/distribution/Distributor.java
+++ b/src/main/java/saltlatch/distribution/Distributor.java
@@ -1,10 +1,10 @@
 package saltlatch.distribution;
 
 /**
- * The decisions of one relay, without I/O: events in, {@link Actions} out. It follows one of
- * several upstreams, keeps the list with a bounded log of its changes, and sends its watchers what
- * they lack. Times are in milliseconds of one monotonic clock. Events may be reported from within
- * an action; all come from one thread.
+ * The decisions of one relay, without I/O: events in, {@link DistributorActions} out. It follows
+ * one of several upstreams, keeps the list with a bounded log of its changes, and sends its
+ * watchers what they lack. Times are in milliseconds of one monotonic clock. Events may be reported
+ * from within an action; all come from one thread.
  */
 public final class Distributor {
   /** Why an upstream's watch ended. */
@@ -18,17 +18,17 @@
   }
 
   private final Replica replica;
-  private final Upstreams upstreams;
-  private final Watchers watchers;
+  private final UpstreamSelector upstreams;
+  private final WatcherDispatcher watchers;
   private final Outbox outbox;
   private long olderPassedOver;
 
   /** A distributor over {@code upstreams} upstreams, in order of preference. */
-  public Distributor(Limits limits, int upstreams, long seed, Actions actions) {
+  public Distributor(RelayLimits limits, int upstreams, long seed, DistributorActions actions) {
     outbox = new Outbox(actions);
     replica = new Replica(limits.entries(), limits.logChanges());
-    this.upstreams = new Upstreams(upstreams, seed, replica, outbox);
-    watchers = new Watchers(limits, replica, outbox);
+    this.upstreams = new UpstreamSelector(upstreams, seed, replica, outbox);
+    watchers = new WatcherDispatcher(limits, replica, outbox);
   }
 
   /** Starts: the first upstream is opened. */
@@ -100,7 +100,7 @@
    * When {@link #tick} is next wanted, to be asked after each event; a time that is over means at
    * once.
    */
-  public long nextTick() {
+  public long nextTickAtMs() {
     return Math.min(upstreams.due(), watchers.due());
   }
 
@@ -112,8 +112,8 @@
   }
 
   /** What operators read. */
-  public Status status(long now) {
-    return new Status(replica.version(), replica.size(), upstreams.current(),
+  public RelayStatus status(long now) {
+    return new RelayStatus(replica.version(), replica.size(), upstreams.current(),
         upstreams.staleMs(now), watchers.size(), watchers.behind(), watchers.waiting(),
         watchers.changesSent(), watchers.coalescedSent(), watchers.snapshotsSent(),
         watchers.refused(), watchers.stalled(), upstreams.failures(), upstreams.malformedCount(),
@@ -137,7 +137,7 @@
 
   private void older(Update update, long now) {
     olderPassedOver++;
-    if (update.whole() || update.version().series() < replica.version().series()) {
+    if (update.snapshot() || update.version().series() < replica.version().series()) {
       upstreams.fallsBehind(now);
     } else {
       upstreams.alive(now);
--- a/src/main/java/saltlatch/distribution/Actions.java
+++ b/src/main/java/saltlatch/distribution/DistributorActions.java
@@ -1,7 +1,7 @@
 package saltlatch.distribution;
 
 /** What the distributor wants done; a host carries it out and reports the outcome as events. */
-public interface Actions {
+public interface DistributorActions {
   /** Why a watcher's or an upstream's connection is ended. */
   enum Reason {
     /** More watchers than this relay holds. */
--- a/src/main/java/saltlatch/distribution/Entry.java
+++ b/src/main/java/saltlatch/distribution/Entry.java
@@ -11,7 +11,7 @@
  */
 public record Entry(String name, boolean removed, String json) {
   /** This entry as gone from the list. */
-  Entry gone() {
+  Entry asRemoved() {
     return new Entry(name, true, json);
   }
 }
--- a/src/main/java/saltlatch/distribution/Messages.java
+++ b/src/main/java/saltlatch/distribution/MessageCache.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Makes what watchers are sent, one instance for all who stand at the same position. */
-final class Messages {
+final class MessageCache {
   /** A whole list is sent again for so long, ms: it costs the encoding of all entries. */
   static final long SNAPSHOT_REUSE_MS = 5_000;
   /**
@@ -23,7 +23,7 @@
   private long snapshotAdded;
   private long snapshotBytes;
 
-  Messages(Replica replica, int logChanges) {
+  MessageCache(Replica replica, int logChanges) {
     this.replica = replica;
     reuseChanges = (long) (logChanges * REUSE_PART);
   }
--- a/src/main/java/saltlatch/distribution/Outbox.java
+++ b/src/main/java/saltlatch/distribution/Outbox.java
@@ -7,12 +7,12 @@
  * Holds actions back until the decision they come from is whole, so that a host may report an
  * outcome (a socket that took all at once, a connection refused) from within the action itself.
  */
-final class Outbox implements Actions {
-  private final Actions host;
+final class Outbox implements DistributorActions {
+  private final DistributorActions host;
   private final Deque<Runnable> held = new ArrayDeque<>();
   private boolean releasing;
 
-  Outbox(Actions host) {
+  Outbox(DistributorActions host) {
     this.host = host;
   }
 
--- a/src/main/java/saltlatch/distribution/Limits.java
+++ b/src/main/java/saltlatch/distribution/RelayLimits.java
@@ -9,9 +9,9 @@
  *     get a snapshot
  * @param snapshotBytesPerSecond     budget of bytes a second for whole lists, over all watchers
  */
-public record Limits(int watchers, int entries, int logChanges, long snapshotBytesPerSecond) {
+public record RelayLimits(int watchers, int entries, int logChanges, long snapshotBytesPerSecond) {
   /** All are at least 1. */
-  public Limits {
+  public RelayLimits {
     if (watchers < 1 || entries < 1 || logChanges < 1 || snapshotBytesPerSecond < 1) {
       throw new IllegalArgumentException("limits below 1");
     }
--- a/src/main/java/saltlatch/distribution/Status.java
+++ b/src/main/java/saltlatch/distribution/RelayStatus.java
@@ -21,7 +21,7 @@
  * @param olderPassedOver   lines of an older version or series that were ignored
  * @param logChanges        changed entries now kept for watchers that resume
  */
-public record Status(Version version, int entries, int upstream, long staleMs, int watchers,
+public record RelayStatus(Version version, int entries, int upstream, long staleMs, int watchers,
     int behind, int waiting, long changesSent, long coalescedSent, long snapshotsSent, long refused,
     long stalled, long upstreamFailures, long upstreamMalformed, long olderPassedOver,
     int logChanges) {}
--- a/src/main/java/saltlatch/distribution/Replica.java
+++ b/src/main/java/saltlatch/distribution/Replica.java
@@ -52,7 +52,7 @@
     if (order <= 0) {
       return order == 0 ? Outcome.SAME : Outcome.OLDER;
     }
-    return update.whole() ? compare(update) : change(update);
+    return update.snapshot() ? compare(update) : change(update);
   }
 
   /** Whether any list was received yet. */
@@ -89,7 +89,7 @@
     if (update.version().series() < version.series()) {
       return Outcome.OLDER;
     }
-    return update.whole() ? replace(update) : Outcome.NO_BASE;
+    return update.snapshot() ? replace(update) : Outcome.NO_BASE;
   }
 
   private Outcome replace(Update update) {
@@ -113,7 +113,7 @@
     log.leapt(version.index(), index);
     for (Entry entry : entries.values()) {
       if (!next.containsKey(entry.name())) {
-        log.add(index, entry.gone());
+        log.add(index, entry.asRemoved());
       }
     }
     for (Entry entry : next.values()) {
--- a/src/main/java/saltlatch/distribution/Update.java
+++ b/src/main/java/saltlatch/distribution/Update.java
@@ -6,7 +6,7 @@
  * What one line of a watch says.
  *
  * @param version the list's version once this is applied
- * @param whole   true: the entries are the whole list; false: those that changed since the line
+ * @param snapshot   true: the entries are the whole list; false: those that changed since the line
  *     before
  */
-public record Update(Version version, boolean whole, List<Entry> entries) {}
+public record Update(Version version, boolean snapshot, List<Entry> entries) {}
--- a/src/main/java/saltlatch/distribution/Upstreams.java
+++ b/src/main/java/saltlatch/distribution/UpstreamSelector.java
@@ -6,7 +6,7 @@
  * Which upstream is followed. One watch is open at a time; one that fails, falls silent or is
  * behind is put off.
  */
-final class Upstreams {
+final class UpstreamSelector {
   /** An upstream that says nothing for so long is left, ms: two keep-alives and a little. */
   static final long SILENT_MS = 4_500;
   /**
@@ -39,7 +39,7 @@
   private final Upstream[] upstreams;
   private final SplittableRandom random;
   private final Replica replica;
-  private final Actions actions;
+  private final DistributorActions actions;
 
   private int current = NONE;
   private int last = NONE;
@@ -56,7 +56,7 @@
   private long failed;
   private long malformed;
 
-  Upstreams(int count, long seed, Replica replica, Actions actions) {
+  UpstreamSelector(int count, long seed, Replica replica, DistributorActions actions) {
     upstreams = new Upstream[count];
     for (int upstream = 0; upstream < count; upstream++) {
       upstreams[upstream] = new Upstream();
@@ -76,7 +76,7 @@
   void stop() {
     stopped = true;
     if (current != NONE) {
-      close(Actions.Reason.STOPPING);
+      close(DistributorActions.Reason.STOPPING);
     }
   }
 
@@ -130,14 +130,14 @@
       return;
     }
     int upstream = current;
-    close(Actions.Reason.SUPERSEDED);
+    close(DistributorActions.Reason.SUPERSEDED);
     open(upstream, Version.NONE, now);
   }
 
   /** The watch is to be ended since it can't be used. */
   void malformed(long now) {
     int upstream = current;
-    close(Actions.Reason.MALFORMED);
+    close(DistributorActions.Reason.MALFORMED);
     putOffMalformed(upstream, now);
     openNext(now);
   }
@@ -233,7 +233,7 @@
     actions.openUpstream(upstream, since);
   }
 
-  private void close(Actions.Reason reason) {
+  private void close(DistributorActions.Reason reason) {
     actions.closeUpstream(current, reason);
     current = NONE;
   }
@@ -277,7 +277,7 @@
 
   private void silent(long now) {
     int upstream = current;
-    close(Actions.Reason.SILENT);
+    close(DistributorActions.Reason.SILENT);
     putOff(upstream, now);
     openNext(now);
   }
@@ -306,7 +306,7 @@
       return;
     }
     int upstream = current;
-    close(Actions.Reason.SUPERSEDED);
+    close(DistributorActions.Reason.SUPERSEDED);
     putOffBehind(upstream, now);
     openNext(now);
   }
@@ -359,7 +359,7 @@
 
   private void returnTo(int upstream, long now) {
     int left = current;
-    close(Actions.Reason.SUPERSEDED);
+    close(DistributorActions.Reason.SUPERSEDED);
     open(upstream, replica.version(), now);
     before = left;
   }
--- a/src/main/java/saltlatch/distribution/Watchers.java
+++ b/src/main/java/saltlatch/distribution/WatcherDispatcher.java
@@ -10,7 +10,7 @@
  * The watchers: each is sent what it lacks, one message at a time. Who does not take a message gets
  * nothing more, and once it has taken it the latest state of all that changed meanwhile.
  */
-final class Watchers {
+final class WatcherDispatcher {
   /**
    * An idle watcher is sent a keep-alive after so long at the latest; the protocol has 2,000, less
    * what a tick may be late.
@@ -34,15 +34,15 @@
 
   private final int most;
   private final Replica replica;
-  private final Messages messages;
-  private final Admission admission;
-  private final Actions actions;
+  private final MessageCache messages;
+  private final SnapshotAdmission admission;
+  private final DistributorActions actions;
   /**
    * Those with nothing on the way, the one least recently sent to first; then those with a message
    * on the way, likewise.
    */
-  private final Map<Long, Watcher> idle = new LinkedHashMap<>();
-  private final Map<Long, Watcher> sending = new LinkedHashMap<>();
+  private final Map<Long, WatcherState> idle = new LinkedHashMap<>();
+  private final Map<Long, WatcherState> sending = new LinkedHashMap<>();
 
   private long changesSent;
   private long coalescedSent;
@@ -51,12 +51,12 @@
   private long stalled;
   private Version before = Version.NONE;
 
-  Watchers(Limits limits, Replica replica, Actions actions) {
+  WatcherDispatcher(RelayLimits limits, Replica replica, DistributorActions actions) {
     most = limits.watchers();
     this.replica = replica;
     this.actions = actions;
-    messages = new Messages(replica, limits.logChanges());
-    admission = new Admission(limits.snapshotBytesPerSecond());
+    messages = new MessageCache(replica, limits.logChanges());
+    admission = new SnapshotAdmission(limits.snapshotBytesPerSecond());
   }
 
   /** A watcher asks for what comes after {@code since}. */
@@ -64,10 +64,10 @@
     closed(id);
     if (size() >= most) {
       refused++;
-      actions.closeWatcher(id, Actions.Reason.TOO_MANY_WATCHERS);
+      actions.closeWatcher(id, DistributorActions.Reason.TOO_MANY_WATCHERS);
       return;
     }
-    Watcher watcher = new Watcher(id, since, now);
+    WatcherState watcher = new WatcherState(id, since, now);
     idle.put(id, watcher);
     serve(watcher, now);
     admit(now);
@@ -78,7 +78,7 @@
 
   /** The socket has taken all. */
   void drained(long id, long now) {
-    Watcher watcher = sending.remove(id);
+    WatcherState watcher = sending.remove(id);
     if (watcher == null) {
       return;
     }
@@ -91,7 +91,7 @@
 
   /** The socket has taken some: the watcher is given more time, up to a bound. */
   void progressed(long id, long now) {
-    Watcher watcher = sending.get(id);
+    WatcherState watcher = sending.get(id);
     if (watcher == null || now + STALLED_MS > watcher.sentAt + TAKEN_WITHIN_MS) {
       return;
     }
@@ -103,7 +103,7 @@
   /** The connection has ended. */
   void closed(long id) {
     sending.remove(id);
-    Watcher watcher = idle.remove(id);
+    WatcherState watcher = idle.remove(id);
     if (watcher != null) {
       admission.remove(watcher);
     }
@@ -112,7 +112,7 @@
   /** The list has moved on from {@code former}: all that are idle get the change. */
   void listChanged(Version former, long now) {
     before = former;
-    for (Watcher watcher : new ArrayList<>(idle.values())) {
+    for (WatcherState watcher : new ArrayList<>(idle.values())) {
       serve(watcher, now);
     }
     admit(now);
@@ -135,11 +135,11 @@
 
   /** Closes all. */
   void stop() {
-    List<Watcher> all = new ArrayList<>(idle.values());
+    List<WatcherState> all = new ArrayList<>(idle.values());
     all.addAll(sending.values());
-    for (Watcher watcher : all) {
+    for (WatcherState watcher : all) {
       closed(watcher.id);
-      actions.closeWatcher(watcher.id, Actions.Reason.STOPPING);
+      actions.closeWatcher(watcher.id, DistributorActions.Reason.STOPPING);
     }
   }
 
@@ -175,13 +175,13 @@
     return stalled;
   }
 
-  private int count(Predicate<Watcher> condition) {
+  private int count(Predicate<WatcherState> condition) {
     return (int) (idle.values().stream().filter(condition).count()
         + sending.values().stream().filter(condition).count());
   }
 
   /** Sends what an idle watcher lacks, or queues it for a whole list. */
-  private void serve(Watcher watcher, long now) {
+  private void serve(WatcherState watcher, long now) {
     if (!replica.listed() || !watcher.lacks(replica.version())) {
       return;
     }
@@ -192,12 +192,12 @@
     }
   }
 
-  private boolean canResume(Watcher watcher) {
+  private boolean canResume(WatcherState watcher) {
     return watcher.listed && watcher.version.series() == replica.version().series()
         && replica.log().reaches(watcher.version.index());
   }
 
-  private void changes(Watcher watcher, long now) {
+  private void changes(WatcherState watcher, long now) {
     if (watcher.waiting) {
       admission.remove(watcher);
       watcher.waiting = false;
@@ -207,7 +207,7 @@
     send(watcher, messages.changesSince(watcher.version.index()), now);
   }
 
-  private void queue(Watcher watcher, long now) {
+  private void queue(WatcherState watcher, long now) {
     if (watcher.listed && !watcher.waiting) {
       watcher.waitingSince = now;
     }
@@ -216,7 +216,7 @@
   }
 
   private void admit(long now) {
-    for (Watcher next = admission.ready(now); next != null; next = admission.ready(now)) {
+    for (WatcherState next = admission.ready(now); next != null; next = admission.ready(now)) {
       Message snapshot = messages.snapshot(next.version, now);
       admission.admit(next, messages.snapshotBytes());
       next.waiting = false;
@@ -231,7 +231,7 @@
       long id = first(sending).id;
       sending.remove(id);
       stalled++;
-      actions.closeWatcher(id, Actions.Reason.STALLED);
+      actions.closeWatcher(id, DistributorActions.Reason.STALLED);
     }
   }
 
@@ -245,12 +245,12 @@
     }
   }
 
-  private void keepAlive(Watcher watcher, long now) {
+  private void keepAlive(WatcherState watcher, long now) {
     admission.remove(watcher);
     send(watcher, KEEP_ALIVE, now);
   }
 
-  private void send(Watcher watcher, Message message, long now) {
+  private void send(WatcherState watcher, Message message, long now) {
     idle.remove(watcher.id);
     if (message.kind() != Message.Kind.KEEP_ALIVE) {
       watcher.version = message.version();
@@ -262,7 +262,7 @@
     actions.send(watcher.id, message);
   }
 
-  private static Watcher first(Map<Long, Watcher> watchers) {
+  private static WatcherState first(Map<Long, WatcherState> watchers) {
     return watchers.values().iterator().next();
   }
 }
--- a/src/main/java/saltlatch/distribution/Watcher.java
+++ b/src/main/java/saltlatch/distribution/WatcherState.java
@@ -1,7 +1,7 @@
 package saltlatch.distribution;
 
 /** One watcher: where it stands and what is on the way to it. */
-final class Watcher {
+final class WatcherState {
   final long id;
   /** What it holds once the message on the way is applied. */
   Version version;
@@ -18,7 +18,7 @@
   /** When its socket last took anything, or was given something to take, ms. */
   long progressedAtMs;
 
-  Watcher(long id, Version since, long now) {
+  WatcherState(long id, Version since, long now) {
     this.id = id;
     version = since;
     listed = !since.equals(Version.NONE);
--- a/src/main/java/saltlatch/relay/MessageEncoder.java
+++ b/src/main/java/saltlatch/relay/EncodedMessageCache.java
@@ -9,7 +9,7 @@
  * Gives the one encoded form of each message to all who send it. The latest of each kind is kept
  * between its watchers, so that those who come one after the other share it as well.
  */
-final class MessageEncoder {
+final class EncodedMessageCache {
   private final IdentityHashMap<Message, EncodedMessage> used = new IdentityHashMap<>();
   private final Map<Message.Kind, EncodedMessage> latest = new EnumMap<>(Message.Kind.class);
   private long encodings;
--- a/src/main/java/saltlatch/relay/Connection.java
+++ b/src/main/java/saltlatch/relay/InboundConnection.java
@@ -9,7 +9,7 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /** A connection of the relay's listener, and what its other side may cost. */
-final class Connection {
+final class InboundConnection {
   /**
    * Bytes that may come before what was asked is answered: a request, or a few written one behind
    * the other.
@@ -19,7 +19,7 @@
   private final ChannelHandlerContext first;
   private int unansweredBytes;
 
-  Connection(HttpConnection connection) {
+  InboundConnection(HttpConnection connection) {
     ChannelPipeline pipeline = ((ConnectionBase) connection).channel().pipeline();
     pipeline.addFirst(new InboundLimit());
     first = pipeline.firstContext();
--- a/src/main/java/saltlatch/relay/Relay.java
+++ b/src/main/java/saltlatch/relay/Relay.java
@@ -14,11 +14,11 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltlatch.distribution.Actions;
+import saltlatch.distribution.DistributorActions;
 import saltlatch.distribution.Distributor;
 import saltlatch.distribution.Distributor.Failure;
 import saltlatch.distribution.Message;
-import saltlatch.distribution.Status;
+import saltlatch.distribution.RelayStatus;
 import saltlatch.distribution.Update;
 import saltlatch.distribution.Version;
 
@@ -118,10 +118,10 @@
   }
 
   private String figures() {
-    Status status = distributor.status(now());
+    RelayStatus status = distributor.status(now());
     String upstream = status.upstream() < 0 ? "none"
         : config.upstreams().get(status.upstream()).toString();
-    return RelayFigures.text(status, upstream, server);
+    return RelayMetrics.text(status, upstream, server);
   }
 
   /**
@@ -141,7 +141,7 @@
   }
 
   private void setTimer() {
-    long due = distributor.nextTick();
+    long due = distributor.nextTickAtMs();
     if (due >= timerDue) return;
     if (timer >= 0) vertx.cancelTimer(timer);
     timerDue = due;
@@ -152,7 +152,7 @@
     });
   }
 
-  private final Actions actions = new Actions() {
+  private final DistributorActions actions = new DistributorActions() {
     @Override
     public void openUpstream(int upstream, Version since) {
       if (watch != null) watch.close();
@@ -179,7 +179,7 @@
     }
   };
 
-  private final UpstreamWatch.Host upstreamEvents = new UpstreamWatch.Host() {
+  private final UpstreamWatch.Listener upstreamEvents = new UpstreamWatch.Listener() {
     @Override
     public void opened(int upstream) {
       LOG.info("watch_opened upstream={}", config.upstreams().get(upstream));
@@ -205,7 +205,7 @@
     }
   };
 
-  private final WatcherServer.Host watcherEvents = new WatcherServer.Host() {
+  private final WatcherServer.Listener watcherEvents = new WatcherServer.Listener() {
     @Override
     public void opened(long watcher, Version since) {
       handle(() -> distributor.watcherOpened(watcher, since, now()));
--- a/src/main/java/saltlatch/relay/RelayConfig.java
+++ b/src/main/java/saltlatch/relay/RelayConfig.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import saltlatch.distribution.Limits;
+import saltlatch.distribution.RelayLimits;
 import saltlatch.wire.transport.TcpConnector;
 
 /**
@@ -22,7 +22,7 @@
  * @param seed      of the jitter of its retries
  */
 public record RelayConfig(String name, SocketAddress listen, List<SocketAddress> upstreams,
-    Limits limits, long seed) {
+    RelayLimits limits, long seed) {
 
   /** A configuration that can't be used; the message names the key. */
   public static final class InvalidConfigException extends Exception {
@@ -42,7 +42,7 @@
    * Bounds for keys that are left out: what seven machines need for 2,700 nodes and 34,000 entries,
    * with room.
    */
-  private static final Limits DEFAULTS = new Limits(3_000, 65_536, 65_536, 64L * 1024 * 1024);
+  private static final RelayLimits DEFAULTS = new RelayLimits(3_000, 65_536, 65_536, 64L * 1024 * 1024);
 
   /** Reads and checks a configuration's text. */
   public static RelayConfig parse(String text) throws InvalidConfigException {
@@ -56,12 +56,12 @@
     return new RelayConfig(name, listen, upstreams, limits(root), seed);
   }
 
-  private static Limits limits(JsonObject root) throws InvalidConfigException {
+  private static RelayLimits limits(JsonObject root) throws InvalidConfigException {
     if (!root.has("limits")) return DEFAULTS;
     if (!root.get("limits").isJsonObject()) throw new InvalidConfigException("limits is no object");
     JsonObject limits = root.getAsJsonObject("limits");
     rejectUnknown(limits, "limits.", LIMIT_KEYS);
-    return new Limits((int) limit(limits, "watchers", DEFAULTS.watchers(), Integer.MAX_VALUE),
+    return new RelayLimits((int) limit(limits, "watchers", DEFAULTS.watchers(), Integer.MAX_VALUE),
         (int) limit(limits, "entries", DEFAULTS.entries(), Integer.MAX_VALUE),
         (int) limit(limits, "log_changes", DEFAULTS.logChanges(), Integer.MAX_VALUE), limit(limits,
             "snapshot_bytes_per_second", DEFAULTS.snapshotBytesPerSecond(), Long.MAX_VALUE));
--- a/src/main/java/saltlatch/relay/RelayFigures.java
+++ b/src/main/java/saltlatch/relay/RelayMetrics.java
@@ -4,16 +4,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.stream.Collectors;
-import saltlatch.distribution.Status;
+import saltlatch.distribution.RelayStatus;
 
 /** What operators read of a relay; docs/relay.md has the meaning of each line. */
-final class RelayFigures {
+final class RelayMetrics {
   private static final long NANOS_PER_MS = 1_000_000;
 
-  private RelayFigures() {}
+  private RelayMetrics() {}
 
   /** One {@code name=value} a line, in a fixed order. */
-  static String text(Status status, String upstream, WatcherServer server) {
+  static String text(RelayStatus status, String upstream, WatcherServer server) {
     Map<String, Object> lines = new LinkedHashMap<>();
     lines.put("version", status.version().index());
     lines.put("series", status.version().series());
--- a/src/main/java/saltlatch/relay/UpstreamWatch.java
+++ b/src/main/java/saltlatch/relay/UpstreamWatch.java
@@ -17,7 +17,7 @@
  */
 final class UpstreamWatch {
   /** Gets its events, on the event loop. */
-  interface Host {
+  interface Listener {
     /** It was answered with status 200. */
     void opened(int upstream);
 
@@ -35,17 +35,17 @@
 
   private final Context loop;
   private final int upstream;
-  private final Host host;
+  private final Listener host;
   private final WatchParser parser;
   private HttpClientRequest request;
   private HttpClientResponse response;
   private boolean ended;
 
-  UpstreamWatch(Context loop, int upstream, int maxEntries, Host host) {
+  UpstreamWatch(Context loop, int upstream, int maxEntries, Listener host) {
     this.loop = loop;
     this.upstream = upstream;
     this.host = host;
-    this.parser = new WatchParser(maxEntries, new WatchParser.Sink() {
+    this.parser = new WatchParser(maxEntries, new WatchParser.Listener() {
       @Override
       public void updateReceived(Update update) {
         if (!ended) host.updateReceived(upstream, update);
--- a/src/main/java/saltlatch/relay/WatchParser.java
+++ b/src/main/java/saltlatch/relay/WatchParser.java
@@ -13,7 +13,7 @@
  */
 final class WatchParser {
   /** Gets the stream's content, in its order. */
-  interface Sink {
+  interface Listener {
     /** A whole line has come. */
     void updateReceived(Update update);
 
@@ -41,7 +41,7 @@
 
   private final int maxEntries;
   private final long maxLineBytes;
-  private final Sink sink;
+  private final Listener sink;
   private final EntryParser values = new EntryParser();
   private final byte[] entry = new byte[MAX_ENTRY_BYTES];
   private int entryLength;
@@ -55,7 +55,7 @@
   private boolean quoted;
   private boolean escaped;
 
-  WatchParser(int maxEntries, Sink sink) {
+  WatchParser(int maxEntries, Listener sink) {
     this.maxEntries = maxEntries;
     this.maxLineBytes = MAX_ENVELOPE_BYTES + (long) maxEntries * MAX_MEAN_ENTRY_BYTES;
     this.sink = sink;
--- a/src/main/java/saltlatch/relay/Watcher.java
+++ b/src/main/java/saltlatch/relay/WatchResponse.java
@@ -13,17 +13,17 @@
  * It writes one piece at a time and the next once the socket has taken it: a watcher that reads
  * nothing holds no bytes of its own but those that the system holds for its socket.
  */
-final class Watcher {
+final class WatchResponse {
   /** Gets its events, on the event loop. */
-  interface Host {
+  interface Listener {
     /** The socket has taken all that was sent. */
-    void drained(Watcher watcher);
+    void drained(WatchResponse watcher);
 
     /** The socket has taken a piece of a message. */
-    void progressed(Watcher watcher);
+    void progressed(WatchResponse watcher);
 
     /** A request for the whole list has been answered. */
-    void answered(Watcher watcher);
+    void answered(WatchResponse watcher);
   }
 
   private static final int UNAVAILABLE = 503;
@@ -32,18 +32,18 @@
 
   private final long id;
   private final boolean follows;
-  private final Connection connection;
+  private final InboundConnection connection;
   private final HttpServerResponse response;
   private final Context loop;
-  private final MessageEncoder encoder;
-  private final Host host;
+  private final EncodedMessageCache encoder;
+  private final Listener host;
   private final Deque<EncodedMessage> unsent = new ArrayDeque<>(); // the first is being written
   private int nextPiece;
   private boolean ended;
   private long bytesTaken;
 
-  Watcher(long id, boolean follows, Connection connection, HttpServerResponse response,
-      Context loop, MessageEncoder encoder, Host host) {
+  WatchResponse(long id, boolean follows, InboundConnection connection, HttpServerResponse response,
+      Context loop, EncodedMessageCache encoder, Listener host) {
     this.id = id;
     this.follows = follows;
     this.connection = connection;
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -26,7 +26,7 @@
  */
 final class WatcherServer {
   /** Gets its events, on the event loop. */
-  interface Host {
+  interface Listener {
     /** A watcher asks for what comes after {@code since}. */
     void opened(long watcher, Version since);
 
@@ -60,21 +60,22 @@
 
   private final Vertx vertx;
   private final Context loop;
-  private final Host host;
+  private final Listener host;
   private final LongSupplier clock;
   private final int maxConnections;
   private final Supplier<String> figures;
   private final HttpServer server;
-  private final MessageEncoder encoder = new MessageEncoder();
-  private final Map<HttpConnection, Connection> connections = new HashMap<>();
-  private final Map<Connection, Long> idle = new LinkedHashMap<>(); // since when (ms), oldest first
-  private final Map<Long, Watcher> watchers = new HashMap<>();
+  private final EncodedMessageCache encoder = new EncodedMessageCache();
+  private final Map<HttpConnection, InboundConnection> connections = new HashMap<>();
+  // since when (ms), oldest first
+  private final Map<InboundConnection, Long> idle = new LinkedHashMap<>();
+  private final Map<Long, WatchResponse> watchers = new HashMap<>();
   private long lastId;
   private long bytesOfClosed;
   private long connectionsRefused;
 
   WatcherServer(Vertx vertx, Context loop, int maxWatchers, LongSupplier clock,
-      Supplier<String> figures, Host host) {
+      Supplier<String> figures, Listener host) {
     this.vertx = vertx;
     this.loop = loop;
     this.host = host;
@@ -99,24 +100,24 @@
   }
 
   void send(long watcher, Message message) {
-    Watcher to = watchers.get(watcher);
+    WatchResponse to = watchers.get(watcher);
     if (to != null) to.send(message);
   }
 
   /** The watcher is one too many. */
   void refuse(long watcher) {
-    Watcher to = remove(watcher);
+    WatchResponse to = remove(watcher);
     if (to != null) to.refuse();
   }
 
   void close(long watcher, boolean politely) {
-    Watcher to = remove(watcher);
+    WatchResponse to = remove(watcher);
     if (to != null) to.close(politely);
   }
 
   /** Bytes of messages that sockets have taken. */
   long bytesOut() {
-    return bytesOfClosed + watchers.values().stream().mapToLong(Watcher::bytesTaken).sum();
+    return bytesOfClosed + watchers.values().stream().mapToLong(WatchResponse::bytesTaken).sum();
   }
 
   /** Bytes of encoded messages that are held, whatever the number of watchers. */
@@ -137,7 +138,7 @@
   }
 
   private void accept(HttpConnection made) {
-    Connection connection = new Connection(made);
+    InboundConnection connection = new InboundConnection(made);
     connections.put(made, connection);
     idle.put(connection, clock.getAsLong());
     made.closeHandler(v -> {
@@ -153,7 +154,7 @@
    */
   private void closeOldestIdle() {
     connectionsRefused++;
-    Connection oldest = idle.keySet().iterator().next();
+    InboundConnection oldest = idle.keySet().iterator().next();
     idle.remove(oldest);
     oldest.close();
   }
@@ -161,8 +162,8 @@
   /** Oldest first, so that the first one in time ends the look. */
   private void closeIdle() {
     long before = clock.getAsLong() - IDLE_MS;
-    for (Iterator<Map.Entry<Connection, Long>> all = idle.entrySet().iterator(); all.hasNext();) {
-      Map.Entry<Connection, Long> next = all.next();
+    for (Iterator<Map.Entry<InboundConnection, Long>> all = idle.entrySet().iterator(); all.hasNext();) {
+      Map.Entry<InboundConnection, Long> next = all.next();
       if (next.getValue() > before) return;
       all.remove();
       next.getKey().close();
@@ -170,7 +171,7 @@
   }
 
   private void request(HttpServerRequest request) {
-    Connection connection = connections.get(request.connection());
+    InboundConnection connection = connections.get(request.connection());
     idle.remove(connection);
     HttpServerResponse response = request.response();
     response.endHandler(v -> answered(request.connection()));
@@ -189,7 +190,7 @@
   }
 
   private void answered(HttpConnection made) {
-    Connection connection = connections.get(made);
+    InboundConnection connection = connections.get(made);
     if (connection == null) return;
     connection.answered();
     idle.put(connection, clock.getAsLong());
@@ -201,7 +202,7 @@
         || request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
   }
 
-  private void targets(HttpServerRequest request, Connection connection) {
+  private void targets(HttpServerRequest request, InboundConnection connection) {
     Version since;
     boolean follows = "1".equals(request.getParam("follow"));
     try {
@@ -210,7 +211,7 @@
       request.response().setStatusCode(BAD_REQUEST).end();
       return;
     }
-    Watcher watcher = new Watcher(++lastId, follows, connection, request.response(), loop, encoder,
+    WatchResponse watcher = new WatchResponse(++lastId, follows, connection, request.response(), loop, encoder,
         events);
     watchers.put(watcher.id(), watcher);
     request.response().closeHandler(v -> lost(watcher));
@@ -225,30 +226,30 @@
     return text == null ? 0 : Long.parseUnsignedLong(text) & Long.MAX_VALUE;
   }
 
-  private final Watcher.Host events = new Watcher.Host() {
+  private final WatchResponse.Listener events = new WatchResponse.Listener() {
     @Override
-    public void drained(Watcher watcher) {
+    public void drained(WatchResponse watcher) {
       host.drained(watcher.id());
     }
 
     @Override
-    public void progressed(Watcher watcher) {
+    public void progressed(WatchResponse watcher) {
       host.progressed(watcher.id());
     }
 
     @Override
-    public void answered(Watcher watcher) {
+    public void answered(WatchResponse watcher) {
       if (remove(watcher.id()) != null) host.closed(watcher.id());
     }
   };
 
-  private void lost(Watcher watcher) {
+  private void lost(WatchResponse watcher) {
     watcher.connectionClosed();
     if (remove(watcher.id()) != null) host.closed(watcher.id());
   }
 
-  private Watcher remove(long id) {
-    Watcher watcher = watchers.remove(id);
+  private WatchResponse remove(long id) {
+    WatchResponse watcher = watchers.remove(id);
     if (watcher != null) bytesOfClosed += watcher.bytesTaken();
     return watcher;
   }
--- a/src/test/java/saltlatch/cli/LabCommandTest.java
+++ b/src/test/java/saltlatch/cli/LabCommandTest.java
@@ -13,7 +13,7 @@
   private final StringWriter errors = new StringWriter();
 
   private int run(String... arguments) {
-    return new CommandLine(new Commands()).setErr(new PrintWriter(errors)).execute(arguments);
+    return new CommandLine(new RootCommand()).setErr(new PrintWriter(errors)).execute(arguments);
   }
 
   @Test
--- a/src/test/java/saltlatch/distribution/DecisionTrace.java
+++ b/src/test/java/saltlatch/distribution/DecisionTrace.java
@@ -23,7 +23,7 @@
  * those that have stopped. Messages are numbered by instance; a keep-alive while time runs is only
  * counted.
  */
-final class DecisionTrace implements Actions {
+final class DecisionTrace implements DistributorActions {
   private static final String ACTION = "  -> ";
 
   private final StringBuilder played = new StringBuilder();
@@ -86,7 +86,7 @@
       String[] option = words[word].split("=", 0);
       options.put(option[0], Integer.parseInt(option[1]));
     }
-    Limits limits = new Limits(options.get("watchers"), options.get("entries"), options.get("log"),
+    RelayLimits limits = new RelayLimits(options.get("watchers"), options.get("entries"), options.get("log"),
         options.get("budget"));
     distributor = new Distributor(limits, options.get("upstreams"), options.get("seed"), this);
   }
@@ -123,7 +123,7 @@
       if (alive >= 0 && at % 1_000 == 0) {
         distributor.upstreamAlive(alive, at);
       }
-      if (distributor.nextTick() <= at) {
+      if (distributor.nextTickAtMs() <= at) {
         distributor.tick(at);
       }
       while (!taken.isEmpty()) {
@@ -136,7 +136,7 @@
   }
 
   private void status(String[] words) {
-    Status status = distributor.status(now);
+    RelayStatus status = distributor.status(now);
     String all = status.toString().replaceAll("Version.series=(\\d+), index=(\\d+).", "$1/$2");
     Map<String, String> values = new HashMap<>();
     for (String field : all.substring(all.indexOf('[') + 1, all.length() - 1)
--- a/src/test/java/saltlatch/distribution/DistributionModelTest.java
+++ b/src/test/java/saltlatch/distribution/DistributionModelTest.java
@@ -23,9 +23,9 @@
   private static final long IN_FORCE_WITHIN_WITH_A_RELAY_KILLED = 4 * SECOND;
   private static final int SEEDS = Integer.getInteger("distribution.seeds", 20);
   private static final int MINUTES = Integer.getInteger("distribution.minutes", 10);
-  private static final Limits LIMITS = new Limits(40, 100, 30, 20_000);
-  private static final ModelFleet.Shape SMALL = new ModelFleet.Shape(2, 3, 24, 60, 20, LIMITS);
-  private static final ModelFleet.Plant NOTHING = new ModelFleet.Plant() {};
+  private static final RelayLimits LIMITS = new RelayLimits(40, 100, 30, 20_000);
+  private static final ModelFleet.FleetSize SMALL = new ModelFleet.FleetSize(2, 3, 24, 60, 20, LIMITS);
+  private static final ModelFleet.InjectedFault NOTHING = new ModelFleet.InjectedFault() {};
 
   @Test
   void invariantsHoldUnderRandomFaults() {
@@ -43,7 +43,7 @@
 
   @Test
   void checkerFindsADroppedChange() {
-    assertFound("holds another list", new ModelFleet.Plant() {
+    assertFound("holds another list", new ModelFleet.InjectedFault() {
       @Override
       public Message onTheWay(ModelLink link, Message message) {
         boolean several = message.kind() == Message.Kind.CHANGES && message.entries().size() > 1;
@@ -60,7 +60,7 @@
    */
   @Test
   void checkerFindsARemovalLostOnTheWayToARelay() {
-    assertFound("holds another list", new ModelFleet.Plant() {
+    assertFound("holds another list", new ModelFleet.InjectedFault() {
       @Override
       public Message onTheWay(ModelLink link, Message message) {
         boolean toRelay = link.from.toString().equals("second1")
@@ -73,7 +73,7 @@
 
   @Test
   void checkerFindsMixedSeries() {
-    assertFound("changes of another series", new ModelFleet.Plant() {
+    assertFound("changes of another series", new ModelFleet.InjectedFault() {
       @Override
       public Message onTheWay(ModelLink link, Message message) {
         boolean toWatcher = link.from.toString().startsWith("watcher");
@@ -85,7 +85,7 @@
 
   @Test
   void checkerFindsAnOlderList() {
-    assertFound("is sent back", new ModelFleet.Plant() {
+    assertFound("is sent back", new ModelFleet.InjectedFault() {
       private Message older;
 
       @Override
@@ -102,9 +102,9 @@
 
   @Test
   void checkerFindsAnExceededBudget() {
-    assertFound("bytes of lists in a second", new ModelFleet.Plant() {
+    assertFound("bytes of lists in a second", new ModelFleet.InjectedFault() {
       @Override
-      public long budget(Limits limits) {
+      public long budget(RelayLimits limits) {
         return limits.snapshotBytesPerSecond() * 2 / 3;
       }
     });
@@ -112,7 +112,7 @@
 
   @Test
   void checkerFindsLateKeepAlives() {
-    assertFound("unaware", new ModelFleet.Plant() {
+    assertFound("unaware", new ModelFleet.InjectedFault() {
       @Override
       public long ticksLate() {
         return 200;
@@ -122,7 +122,7 @@
 
   @Test
   void checkerFindsASecondMessageOnTheWay() {
-    assertFound("queues a second message", new ModelFleet.Plant() {
+    assertFound("queues a second message", new ModelFleet.InjectedFault() {
       @Override
       public boolean drainsEarly() {
         return true;
@@ -132,7 +132,7 @@
 
   @Test
   void checkerFindsOneThatNeverConverges() {
-    ModelFleet fleet = underFaults(1, new ModelFleet.Plant() {
+    ModelFleet fleet = underFaults(1, new ModelFleet.InjectedFault() {
       @Override
       public Message onTheWay(ModelLink link, Message message) {
         return link.from.toString().equals("watcher3") ? withEntries(message, null) : message;
@@ -141,8 +141,8 @@
     assertEquals(-1, timeToConverge(fleet));
   }
 
-  private static void assertFound(String violation, ModelFleet.Plant plant) {
-    ModelFleet fleet = underFaults(1, plant);
+  private static void assertFound(String violation, ModelFleet.InjectedFault injectedFault) {
+    ModelFleet fleet = underFaults(1, injectedFault);
     assertTrue(fleet.violations.stream().anyMatch(found -> found.contains(violation)),
         () -> "found " + fleet.violations);
   }
@@ -160,19 +160,19 @@
    */
   @Test
   void sizeThatIsComing() {
-    Limits limits = new Limits(1_500, 60_000, 4_096, 20_000_000);
-    ModelFleet fleet = new ModelFleet(new ModelFleet.Shape(2, 5, 2_700, 45_333, 85, limits), 10_000,
+    RelayLimits limits = new RelayLimits(1_500, 60_000, 4_096, 20_000_000);
+    ModelFleet fleet = new ModelFleet(new ModelFleet.FleetSize(2, 5, 2_700, 45_333, 85, limits), 10_000,
         7, NOTHING);
     long started = System.nanoTime();
     long all = timeUntilWatchersHaveIt(fleet);
     report("start of all: " + all / SECOND + " s", fleet, started);
     changesForAMinute(fleet);
-    assertTrue(Collections.max(fleet.timesToForce) < IN_FORCE_WITHIN);
+    assertTrue(Collections.max(fleet.applyDelaysMs) < IN_FORCE_WITHIN);
     report("2 changes/s for a minute", fleet, started);
     fleet.killRelay(4, 20 * SECOND);
     changesForAMinute(fleet);
     report("the same, a relay killed", fleet, started);
-    assertTrue(Collections.max(fleet.timesToForce) < IN_FORCE_WITHIN_WITH_A_RELAY_KILLED);
+    assertTrue(Collections.max(fleet.applyDelaysMs) < IN_FORCE_WITHIN_WITH_A_RELAY_KILLED);
     assertEquals(Set.of(), fleet.violations);
   }
 
@@ -185,7 +185,7 @@
   }
 
   private static void changesForAMinute(ModelFleet fleet) {
-    fleet.timesToForce.clear();
+    fleet.applyDelaysMs.clear();
     fleet.messages.clear();
     for (int change = 0; change < 120; change++) {
       fleet.source.change(fleet.simulation.now());
@@ -196,7 +196,7 @@
   }
 
   private static void report(String phase, ModelFleet fleet, long started) {
-    List<Long> times = new ArrayList<>(fleet.timesToForce);
+    List<Long> times = new ArrayList<>(fleet.applyDelaysMs);
     Collections.sort(times);
     String force = times.isEmpty() ? ""
         : ", in force p50 " + times.get(times.size() / 2) + " ms, p99 "
@@ -206,11 +206,11 @@
         + (System.nanoTime() - started) / 1_000_000 + " ms of the model's run");
   }
 
-  private static ModelFleet underFaults(long seed, ModelFleet.Plant plant) {
-    ModelFleet fleet = new ModelFleet(SMALL, 1_000, seed, plant);
-    Faults faults = new Faults(fleet, seed);
+  private static ModelFleet underFaults(long seed, ModelFleet.InjectedFault injectedFault) {
+    ModelFleet fleet = new ModelFleet(SMALL, 1_000, seed, injectedFault);
+    FaultInjector faults = new FaultInjector(fleet, seed);
     faults.begin(MINUTES * MINUTE);
-    while (fleet.simulation.now() < faults.over()) {
+    while (fleet.simulation.now() < faults.allFaultsEndAt()) {
       fleet.simulation.run(SECOND);
     }
     return fleet;
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -22,7 +22,7 @@
   private record Sent(long at, long watcher, Message message) {}
 
   /** Notes what is done; takes messages at once, from within the action, where told so. */
-  private static final class Host implements Actions {
+  private static final class Host implements DistributorActions {
     final List<Sent> sent = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
     Distributor distributor;
@@ -57,7 +57,7 @@
     return new Entry("s" + number, false, "{\"name\":\"s" + number + "\",\"state\":" + state + "}");
   }
 
-  private static Host listed(Limits limits, int entries) {
+  private static Host listed(RelayLimits limits, int entries) {
     Host host = new Host();
     host.distributor = new Distributor(limits, 1, 1, host);
     host.distributor.start(0);
@@ -69,7 +69,7 @@
   private static void run(Host host, long end) {
     for (; host.now < end; host.now++) {
       host.distributor.upstreamAlive(0, host.now);
-      if (host.distributor.nextTick() <= host.now) {
+      if (host.distributor.nextTickAtMs() <= host.now) {
         host.distributor.tick(host.now);
       }
     }
@@ -77,7 +77,7 @@
 
   @Test
   void manyThatStartAtOnceAreServedWithinTheBudget() {
-    Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
     long listBytes = 64
         + IntStream.range(0, 100).mapToLong(number -> entry(number, 0).json().length() + 1L).sum();
@@ -106,13 +106,13 @@
 
   @Test
   void limitsBelowOneAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Limits(1, 1, 1, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Limits(0, 1, 1, 1));
+    assertThrows(IllegalArgumentException.class, () -> new RelayLimits(1, 1, 1, 0));
+    assertThrows(IllegalArgumentException.class, () -> new RelayLimits(0, 1, 1, 1));
   }
 
   @Test
   void oneMessageForAllAtTheSamePosition() {
-    Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     for (int watcher = 0; watcher < WATCHERS; watcher++) {
       host.distributor.watcherOpened(watcher, new Version(7, 1), 0);
       host.distributor.watcherDrained(watcher, 0);
@@ -129,7 +129,7 @@
   @Test
   void anyNumberMayTakeAtOnce() {
     int many = 50_000;
-    Host host = listed(new Limits(many, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(many, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
     for (int watcher = 0; watcher < many; watcher++) {
       host.distributor.watcherOpened(watcher, new Version(7, 1), 0);
@@ -143,7 +143,7 @@
 
   @Test
   void slowWatcherIsNotAStalledOne() {
-    Host host = listed(new Limits(2, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(2, 1_000, 1_000, BUDGET), 100);
     host.distributor.watcherOpened(1, Version.NONE, 0);
     host.distributor.watcherOpened(2, Version.NONE, 0);
     run(host, 20 * SECOND);
@@ -157,7 +157,7 @@
   /** One that takes a little now and then does not keep a list's memory for ever. */
   @Test
   void tricklingWatcherIsClosedInTheEnd() {
-    Host host = listed(new Limits(1, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(1, 1_000, 1_000, BUDGET), 100);
     host.distributor.watcherOpened(1, Version.NONE, 0);
     while (host.closed.isEmpty() && host.now < 300 * SECOND) {
       run(host, host.now + SECOND);
@@ -172,7 +172,7 @@
    */
   @Test
   void snapshotIsReusedWhileChangesGoOn() {
-    Host host = listed(new Limits(WATCHERS, 1_000, 1_000, BUDGET), 100);
+    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
     host.takesAtOnce = true;
     for (int change = 2; change < 202; change++) {
       host.distributor.upstreamUpdated(0,
--- a/src/test/java/saltlatch/distribution/Faults.java
+++ b/src/test/java/saltlatch/distribution/FaultInjector.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /** Changes at the source and faults everywhere, drawn from a seed. */
-final class Faults {
+final class FaultInjector {
   private static final long LONGEST_MS = 60_000;
   private static final long SELDOM_MS = 2_000;
   private static final long OFTEN_MS = 400;
@@ -16,7 +16,7 @@
   private long end;
   private long over;
 
-  Faults(ModelFleet fleet, long seed) {
+  FaultInjector(ModelFleet fleet, long seed) {
     this.fleet = fleet;
     random = new SplittableRandom(seed);
     meanGapMs = seed % 2 == 0 ? SELDOM_MS : OFTEN_MS;
@@ -30,7 +30,7 @@
   }
 
   /** When the last fault will have ended, ms: not before the duration given is over. */
-  long over() {
+  long allFaultsEndAt() {
     return over;
   }
 
@@ -68,7 +68,7 @@
   private void seldom(long duration) {
     switch (random.nextInt(4)) {
       case 0 -> fleet.source.beginSeries(fleet.simulation.now());
-      case 1 -> fleet.agents.get(0).babble();
+      case 1 -> fleet.agents.get(0).sendMalformedLine();
       case 2 -> fleet.watcherNodes
           .forEach(node -> fleet.killWatcher(fleet.watcherNodes.indexOf(node), 100));
       default -> fleet.freeze(0, duration);
--- a/src/test/java/saltlatch/distribution/ModelAgent.java
+++ b/src/test/java/saltlatch/distribution/ModelAgent.java
@@ -67,7 +67,7 @@
   }
 
   /** Ends all watches with a line that can't be read. */
-  void babble() {
+  void sendMalformedLine() {
     List<ModelLink> all = new ArrayList<>(watches);
     watches.clear();
     all.forEach(link -> link.closeByServer(true));
--- a/src/test/java/saltlatch/distribution/ModelFleet.java
+++ b/src/test/java/saltlatch/distribution/ModelFleet.java
@@ -16,14 +16,14 @@
  */
 final class ModelFleet {
   /** What a fault planted in the model alters. */
-  interface Plant {
+  interface InjectedFault {
     /** What is delivered in place of a message. */
     default Message onTheWay(ModelLink link, Message message) {
       return message;
     }
 
     /** The budget that a relay is held to. */
-    default long budget(Limits limits) {
+    default long budget(RelayLimits limits) {
       return limits.snapshotBytesPerSecond();
     }
 
@@ -57,7 +57,7 @@
       return alive;
     }
 
-    int life() {
+    int incarnation() {
       return life;
     }
 
@@ -81,20 +81,20 @@
   }
 
   /** Sizes of a model. */
-  record Shape(int first, int second, int watchers, int names, int fill, Limits limits) {}
+  record FleetSize(int first, int second, int watchers, int names, int fill, RelayLimits limits) {}
 
   /** A whole list as all who got the same message hold it. */
-  record Whole(Map<String, Entry> entries, long checksum) {}
+  record Snapshot(Map<String, Entry> entries, long checksum) {}
 
   private record Path(Node one, Node other) {}
 
   final Simulation simulation = new Simulation();
   final SplittableRandom random;
   final ModelSource source;
-  final Plant plant;
+  final InjectedFault injectedFault;
   final long bytesPerMs;
   final Set<String> violations = new LinkedHashSet<>();
-  final List<Long> timesToForce = new ArrayList<>();
+  final List<Long> applyDelaysMs = new ArrayList<>();
   final Map<Message.Kind, Long> messages = new LinkedHashMap<>();
   final List<ModelAgent> agents = new ArrayList<>();
   final List<Node> agentNodes = new ArrayList<>();
@@ -102,15 +102,15 @@
   final List<ModelRelay> relays = new ArrayList<>();
   final List<Node> watcherNodes = new ArrayList<>();
   final List<ModelWatcher> watchers = new ArrayList<>();
-  private final IdentityHashMap<Message, Whole> lists = new IdentityHashMap<>();
+  private final IdentityHashMap<Message, Snapshot> lists = new IdentityHashMap<>();
   private final Map<Path, Long> cutUntil = new HashMap<>();
   private long links;
 
-  ModelFleet(Shape shape, long bytesPerMs, long seed, Plant plant) {
+  ModelFleet(FleetSize shape, long bytesPerMs, long seed, InjectedFault injectedFault) {
     random = new SplittableRandom(seed);
     source = new ModelSource(shape.names(), shape.fill(), random.split());
     this.bytesPerMs = bytesPerMs;
-    this.plant = plant;
+    this.injectedFault = injectedFault;
     addAgent();
     addAgent();
     List<Node> first = addRelays("first", shape.first(), agentNodes, shape.limits());
@@ -134,17 +134,17 @@
     messages.merge(message.kind(), 1L, Long::sum);
   }
 
-  void inForce(Version version, Message.Kind kind) {
+  void recordApplied(Version version, Message.Kind kind) {
     if (kind == Message.Kind.CHANGES) {
-      timesToForce.add(simulation.now() - source.time(version));
+      applyDelaysMs.add(simulation.now() - source.time(version));
     }
   }
 
-  Whole listOf(Message message) {
+  Snapshot listOf(Message message) {
     return lists.computeIfAbsent(message, whole -> {
       Map<String, Entry> list = new HashMap<>();
       whole.entries().forEach(entry -> list.put(entry.name(), entry));
-      return new Whole(list, list.values().stream().mapToLong(ModelSource::checksum).sum());
+      return new Snapshot(list, list.values().stream().mapToLong(ModelSource::checksum).sum());
     });
   }
 
@@ -154,7 +154,7 @@
     return link;
   }
 
-  boolean up(Node from, Node to) {
+  boolean connected(Node from, Node to) {
     return simulation.now() >= cutUntil.getOrDefault(new Path(from, to), 0L);
   }
 
@@ -173,7 +173,7 @@
 
   void killRelay(int relay, long duration) {
     if (kill(relayNodes.get(relay))) {
-      relays.get(relay).died();
+      relays.get(relay).processKilled();
       simulation.after(duration, () -> {
         relayNodes.get(relay).alive = true;
         relays.get(relay).start(random.nextLong());
@@ -183,7 +183,7 @@
 
   void killWatcher(int watcher, long duration) {
     if (kill(watcherNodes.get(watcher))) {
-      watchers.get(watcher).died();
+      watchers.get(watcher).processKilled();
       simulation.after(duration, () -> {
         watcherNodes.get(watcher).alive = true;
         watchers.get(watcher).start();
@@ -217,7 +217,7 @@
     agentNodes.add(node);
   }
 
-  private List<Node> addRelays(String tier, int count, List<Node> above, Limits limits) {
+  private List<Node> addRelays(String tier, int count, List<Node> above, RelayLimits limits) {
     List<Node> nodes = new ArrayList<>();
     for (int number = 0; number < count; number++) {
       Node node = new Node(tier + number, simulation);
--- a/src/test/java/saltlatch/distribution/ModelLink.java
+++ b/src/test/java/saltlatch/distribution/ModelLink.java
@@ -21,7 +21,7 @@
   interface Client {
     void opened(ModelLink link);
 
-    void told(ModelLink link, Message message);
+    void messageReceived(ModelLink link, Message message);
 
     void ended(ModelLink link, boolean malformed);
   }
@@ -45,8 +45,8 @@
     this.to = to;
     this.id = id;
     this.delay = delay;
-    fromLife = from.life();
-    toLife = to.life();
+    fromLife = from.incarnation();
+    toLife = to.incarnation();
   }
 
   /** Messages written and not yet taken. */
@@ -56,7 +56,7 @@
 
   void open(Version since) {
     whenUp(delay, () -> {
-      if (!to.alive() || to.life() != toLife) {
+      if (!to.alive() || to.incarnation() != toLife) {
         end(false);
         return;
       }
@@ -71,7 +71,7 @@
     if (sent.size() == 1) {
       carry();
     }
-    if (fleet.plant.drainsEarly()) {
+    if (fleet.injectedFault.drainsEarly()) {
       fleet.simulation.after(1, () -> to.server().drained(this));
     }
   }
@@ -89,7 +89,7 @@
   }
 
   /** One of the two processes died. */
-  void broken() {
+  void breakOff() {
     if (!from.alive()) {
       ended = true;
     }
@@ -100,7 +100,7 @@
   }
 
   private void serverHearsOfEnd() {
-    if (accepted && to.alive() && to.life() == toLife) {
+    if (accepted && to.alive() && to.incarnation() == toLife) {
       accepted = false;
       to.server().closed(this);
     }
@@ -114,7 +114,7 @@
   }
 
   private void toClient(Runnable event) {
-    if (!ended && from.alive() && from.life() == fromLife) {
+    if (!ended && from.alive() && from.incarnation() == fromLife) {
       event.run();
     }
   }
@@ -122,25 +122,25 @@
   private void carry() {
     long transfer = ModelFleet.bytes(sent.peek()) / fleet.bytesPerMs;
     whenUp(delay + transfer, () -> {
-      if (!accepted || !to.alive() || to.life() != toLife) {
+      if (!accepted || !to.alive() || to.incarnation() != toLife) {
         return;
       }
       if (!ended && !from.reads()) {
         fleet.simulation.after(RETRY_MS, this::carry);
         return;
       }
-      Message message = fleet.plant.onTheWay(this, sent.poll());
+      Message message = fleet.injectedFault.onTheWay(this, sent.poll());
       if (!sent.isEmpty()) {
         carry();
       }
-      toClient(() -> from.client().told(this, message));
+      toClient(() -> from.client().messageReceived(this, message));
       to.server().drained(this);
     });
   }
 
   private void whenUp(long after, Runnable event) {
     fleet.simulation.after(after, () -> {
-      if (fleet.up(from, to)) {
+      if (fleet.connected(from, to)) {
         event.run();
       } else {
         whenUp(RETRY_MS, event);
--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -9,7 +9,7 @@
 /**
  * A host around a Distributor on the model's network, which holds it to its bounds at every action.
  */
-final class ModelRelay implements ModelLink.Server, ModelLink.Client, Actions {
+final class ModelRelay implements ModelLink.Server, ModelLink.Client, DistributorActions {
   private static final long SECOND = 1_000;
   private static final long KEEP_ALIVE_MS = 2_000;
 
@@ -18,7 +18,7 @@
   private final ModelFleet fleet;
   private final ModelFleet.Node node;
   private final List<ModelFleet.Node> above;
-  private final Limits limits;
+  private final RelayLimits limits;
   private final Map<Long, ModelLink> watchers = new LinkedHashMap<>();
   private final Map<Long, Long> takenAt = new LinkedHashMap<>();
   private final Deque<Spent> spent = new ArrayDeque<>();
@@ -29,7 +29,7 @@
   private int ticks;
   long mostSnapshotBytesInASecond;
 
-  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> above, Limits limits) {
+  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> above, RelayLimits limits) {
     this.fleet = fleet;
     this.node = node;
     this.above = above;
@@ -49,15 +49,15 @@
     next();
   }
 
-  void died() {
+  void processKilled() {
     ticks++;
-    watchers.values().forEach(ModelLink::broken);
+    watchers.values().forEach(ModelLink::breakOff);
     if (upstream != null) {
-      upstream.broken();
+      upstream.breakOff();
     }
   }
 
-  Status status() {
+  RelayStatus status() {
     return distributor.status(now());
   }
 
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public void told(ModelLink link, Message message) {
+  public void messageReceived(ModelLink link, Message message) {
     if (link != upstream) {
       return;
     }
@@ -162,7 +162,7 @@
     }
     long inASecond = spent.stream().mapToLong(Spent::bytes).sum();
     mostSnapshotBytesInASecond = Math.max(mostSnapshotBytesInASecond, inASecond);
-    fleet.check(inASecond <= fleet.plant.budget(limits) + bytes,
+    fleet.check(inASecond <= fleet.injectedFault.budget(limits) + bytes,
         node + " sent " + inASecond + " bytes of lists in a second");
   }
 
@@ -171,17 +171,17 @@
   }
 
   private void next(long earliest) {
-    long due = Math.max(earliest, distributor.nextTick());
+    long due = Math.max(earliest, distributor.nextTickAtMs());
     if (due == Long.MAX_VALUE || (due >= tickAt && tickAt > now())) {
       return;
     }
     tickAt = due;
     int tick = ++ticks;
-    fleet.simulation.after(due - now() + fleet.plant.ticksLate(), () -> {
+    fleet.simulation.after(due - now() + fleet.injectedFault.ticksLate(), () -> {
       if (tick == ticks && node.alive()) {
         tickAt = Long.MAX_VALUE;
         distributor.tick(now());
-        fleet.check(distributor.nextTick() > now(), node + " wants a tick that does nothing");
+        fleet.check(distributor.nextTickAtMs() > now(), node + " wants a tick that does nothing");
         next(now() + 1);
       }
     });
--- a/src/test/java/saltlatch/distribution/ModelSource.java
+++ b/src/test/java/saltlatch/distribution/ModelSource.java
@@ -65,7 +65,7 @@
     for (int left = random.nextInt(1, 4); left > 0; left--) {
       Entry entry = entry(random.nextInt(names));
       if (list.containsKey(entry.name()) && random.nextInt(3) == 0) {
-        entry = list.get(entry.name()).gone();
+        entry = list.get(entry.name()).asRemoved();
       }
       put(entry);
       changed.add(entry);
@@ -79,7 +79,7 @@
   void beginSeries(long now) {
     for (int left = 5; left > 0; left--) {
       Entry entry = entry(random.nextInt(names));
-      put(random.nextBoolean() ? entry.gone() : entry);
+      put(random.nextBoolean() ? entry.asRemoved() : entry);
     }
     version = new Version(version.series() + 1, 1);
     record(now);
--- a/src/test/java/saltlatch/distribution/ModelWatcher.java
+++ b/src/test/java/saltlatch/distribution/ModelWatcher.java
@@ -46,9 +46,9 @@
     connect();
   }
 
-  void died() {
+  void processKilled() {
     if (link != null) {
-      link.broken();
+      link.breakOff();
       link = null;
     }
   }
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public void told(ModelLink from, Message message) {
+  public void messageReceived(ModelLink from, Message message) {
     if (from != link) {
       return;
     }
@@ -81,7 +81,7 @@
     fleet.check(message.version().compareTo(version) > 0,
         node + " is sent back from " + version + " to " + message.version());
     if (message.kind() == Message.Kind.SNAPSHOT) {
-      ModelFleet.Whole whole = fleet.listOf(message);
+      ModelFleet.Snapshot whole = fleet.listOf(message);
       base = whole.entries();
       changed.clear();
       checksum = whole.checksum();
@@ -94,7 +94,7 @@
     Long truth = fleet.source.checksum(version);
     fleet.check(truth != null && truth == checksum,
         node + " holds another list than the source at " + version);
-    fleet.inForce(version, message.kind());
+    fleet.recordApplied(version, message.kind());
   }
 
   private void put(Entry entry) {
@@ -113,9 +113,9 @@
   private void leave() {
     link = null;
     relay++;
-    int life = node.life();
+    int life = node.incarnation();
     fleet.simulation.after(BACKOFF.delayMs(failures++, fleet.random), () -> {
-      if (node.alive() && node.life() == life && link == null) {
+      if (node.alive() && node.incarnation() == life && link == null) {
         connect();
       }
     });
--- a/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import saltlatch.cli.Commands;
+import saltlatch.cli.RootCommand;
 
 /** {@code lab scale report}: what it writes and its exit codes. */
 class CapacityReportCommandTest {
   @TempDir Path directory;
 
   private static int run(Path page, Path data, String... more) {
-    CommandLine commands = new CommandLine(new Commands());
+    CommandLine commands = new CommandLine(new RootCommand());
     String[] arguments = {"lab", "scale", "report", "--page", page.toString(), "--data",
         data.toString()};
     String[] all = java.util.Arrays.copyOf(arguments, arguments.length + more.length);
--- a/src/test/java/saltlatch/relay/RelayConfigTest.java
+++ b/src/test/java/saltlatch/relay/RelayConfigTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
-import saltlatch.cli.Commands;
-import saltlatch.distribution.Limits;
+import saltlatch.cli.RootCommand;
+import saltlatch.distribution.RelayLimits;
 import saltlatch.relay.RelayConfig.InvalidConfigException;
 
 class RelayConfigTest {
@@ -34,7 +34,7 @@
     assertEquals("r0", config.name());
     assertEquals(7000, config.listen().port());
     assertEquals(2, config.upstreams().size());
-    assertEquals(new Limits(5, 6, 7, 8), config.limits());
+    assertEquals(new RelayLimits(5, 6, 7, 8), config.limits());
     assertEquals(9, config.seed());
     assertEquals(65_536,
         parse("{'listen':'127.0.0.1:0','upstreams':['127.0.0.1:1']}").limits().entries());
@@ -79,7 +79,7 @@
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
     try {
-      int code = new CommandLine(new Commands()).execute("relay", config.toString());
+      int code = new CommandLine(new RootCommand()).execute("relay", config.toString());
       String said = err.toString(StandardCharsets.UTF_8).lines()
           .filter(l -> l.startsWith("saltlatch relay:")).reduce("", String::concat);
       assertTrue(said.contains(named), said);
--- a/src/test/java/saltlatch/relay/RelayHarness.java
+++ b/src/test/java/saltlatch/relay/RelayHarness.java
@@ -16,9 +16,9 @@
 abstract class RelayHarness {
   static final int MB = 1 << 20;
 
-  final AtomicLong ahead = new AtomicLong(); // ms by which the relays' clock is ahead
+  final AtomicLong clockOffsetMs = new AtomicLong(); // ms by which the relays' clock is ahead
   final List<Relay> relays = new ArrayList<>();
-  final List<AutoCloseable> open = new ArrayList<>();
+  final List<AutoCloseable> closeables = new ArrayList<>();
   TestUpstream upstream;
 
   @BeforeEach
@@ -28,13 +28,13 @@
 
   @AfterEach
   void end() throws Exception {
-    for (AutoCloseable one : open) one.close();
+    for (AutoCloseable one : closeables) one.close();
     for (Relay relay : relays) stop(relay);
   }
 
   TestUpstream upstream() throws IOException {
     TestUpstream made = new TestUpstream();
-    open.add(made);
+    closeables.add(made);
     return made;
   }
 
@@ -42,7 +42,7 @@
   Relay relay(String limits, String firstLine) throws Exception {
     Relay relay = relay(limits, upstream);
     upstream.answer();
-    upstream.tell(firstLine);
+    upstream.sendChunk(firstLine);
     return relay;
   }
 
@@ -52,7 +52,7 @@
     RelayConfig config = RelayConfig.parse(("{'listen':'127.0.0.1:0','upstreams':[" + addresses
         + "],'limits':{" + limits + "},'seed':1}").replace('\'', '"'));
     Relay relay = new Relay(config,
-        () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + ahead.get());
+        () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + clockOffsetMs.get());
     relays.add(relay);
     relay.start().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     return relay;
@@ -65,27 +65,27 @@
   /**
    * Puts the relay's clock on, once all that it has begun is told by the old one, and has it look.
    */
-  void pass(Relay relay, long ms) throws Exception {
-    info(relay, "version");
-    ahead.addAndGet(ms);
+  void advanceClock(Relay relay, long ms) throws Exception {
+    metric(relay, "version");
+    clockOffsetMs.addAndGet(ms);
     relay.wake();
-    info(relay, "version");
+    metric(relay, "version");
   }
 
   TestWatcher watcher(Relay relay, long since) throws IOException {
-    return added(TestWatcher.follow(relay.port(), since));
+    return closeAfterTest(TestWatcher.follow(relay.port(), since));
   }
 
-  TestWatcher added(TestWatcher watcher) {
-    open.add(watcher);
+  TestWatcher closeAfterTest(TestWatcher watcher) {
+    closeables.add(watcher);
     return watcher;
   }
 
-  static long info(Relay relay, String name) throws Exception {
-    return Long.parseLong(text(relay, name));
+  static long metric(Relay relay, String name) throws Exception {
+    return Long.parseLong(metricText(relay, name));
   }
 
-  static String text(Relay relay, String name) throws Exception {
+  static String metricText(Relay relay, String name) throws Exception {
     String all = relay.info().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     return all.lines().filter(line -> line.startsWith(name + "=")).findFirst().orElseThrow()
         .substring(name.length() + 1);
@@ -93,6 +93,6 @@
 
   /** Waits for a figure that another thread brings about; the test's time-out ends the wait. */
   static void await(Relay relay, String name, long value) throws Exception {
-    while (info(relay, name) != value) Thread.onSpinWait();
+    while (metric(relay, name) != value) Thread.onSpinWait();
   }
 }
--- a/src/test/java/saltlatch/relay/TestUpstream.java
+++ b/src/test/java/saltlatch/relay/TestUpstream.java
@@ -45,7 +45,7 @@
   }
 
   /** Writes as one chunk. */
-  TestUpstream tell(String text) throws IOException {
+  TestUpstream sendChunk(String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     write(Integer.toHexString(bytes.length) + "\r\n");
     watch.getOutputStream().write(bytes);
@@ -64,7 +64,7 @@
   }
 
   /** True once the relay has ended the watch. */
-  boolean isLeft() throws IOException {
+  boolean isClosedByRelay() throws IOException {
     try {
       return watch.getInputStream().read() < 0;
     } catch (java.net.SocketTimeoutException e) {
@@ -74,11 +74,11 @@
     }
   }
 
-  static String whole(long index, String... entries) {
+  static String snapshotLine(long index, String... entries) {
     return list(index, true, entries);
   }
 
-  static String changes(long index, String... entries) {
+  static String changesLine(long index, String... entries) {
     return list(index, false, entries);
   }
 
--- a/src/test/java/saltlatch/relay/TestWatcher.java
+++ b/src/test/java/saltlatch/relay/TestWatcher.java
@@ -31,14 +31,14 @@
   }
 
   static TestWatcher follow(int port, long since) throws IOException {
-    return new TestWatcher(port, 0).ask("/api/targets?follow=1&since=" + since);
+    return new TestWatcher(port, 0).sendGet("/api/targets?follow=1&since=" + since);
   }
 
-  TestWatcher ask(String path) throws IOException {
-    return say("GET " + path + " HTTP/1.1\r\nHost: relay\r\n\r\n");
+  TestWatcher sendGet(String path) throws IOException {
+    return sendText("GET " + path + " HTTP/1.1\r\nHost: relay\r\n\r\n");
   }
 
-  TestWatcher say(String request) throws IOException {
+  TestWatcher sendText(String request) throws IOException {
     socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
     return this;
   }
@@ -83,7 +83,7 @@
    * True if the other side has ended the connection, in whichever way, with nothing more to be
    * read.
    */
-  boolean isEnded() throws IOException {
+  boolean isClosedByRelay() throws IOException {
     try {
       while (in.read() >= 0) {
         // what comes before the end is dropped
--- a/src/test/java/saltlatch/relay/WatchParserTest.java
+++ b/src/test/java/saltlatch/relay/WatchParserTest.java
@@ -21,7 +21,7 @@
 
   private final List<Update> told = new ArrayList<>();
   private int keptAlive;
-  private final WatchParser parser = new WatchParser(10, new WatchParser.Sink() {
+  private final WatchParser parser = new WatchParser(10, new WatchParser.Listener() {
     @Override
     public void updateReceived(Update update) {
       told.add(update);
@@ -102,7 +102,7 @@
   }
 
   private void assertBeyond(String head, String repeated, int bound, String cause) {
-    WatchParser fresh = new WatchParser(10, new WatchParser.Sink() {
+    WatchParser fresh = new WatchParser(10, new WatchParser.Listener() {
       @Override
       public void updateReceived(Update update) {
         told.add(update);
