--- a/src/main/java/saltlatch/cli/RootCommand.java
+++ b/src/main/java/saltlatch/cli/RootCommand.java
@@ -15,8 +15,9 @@
  */
 @Command(name = "saltlatch", mixinStandardHelpOptions = true, version = "saltlatch 0.2.0",
     description = "A quota-keeping gateway for a shared API, and its laboratory.",
-    subcommands = {RootCommand.ServeCommand.class, RootCommand.SimHostCommand.class, EmulateCommand.class,
-        LoadCommand.class, ReportCommand.class, LabCommand.class, RelayCommand.class})
+    subcommands = {RootCommand.ServeCommand.class, RootCommand.SimHostCommand.class,
+        EmulateCommand.class, LoadCommand.class, ReportCommand.class, LabCommand.class,
+        RelayCommand.class})
 public final class RootCommand implements Runnable {
 
   /** True for the subcommands whose work goes on after {@code main} returns. */
--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -45,8 +45,8 @@
     history = openHistory(configuration);
     history.started(configuration.settings().nodeCount());
     runtime = new NodeRuntime(vertx, loop, configuration, metrics, history);
-    listener = new ClientListener(vertx, runtime.scheduler(), runtime.clientRequestHandler(), metrics,
-        configuration.resourceLimits().maxClientConnections());
+    listener = new ClientListener(vertx, runtime.scheduler(), runtime.clientRequestHandler(),
+        metrics, configuration.resourceLimits().maxClientConnections());
   }
 
   private static VertxOptions options() {
--- a/src/main/java/saltlatch/node/EndpointListApplier.java
+++ b/src/main/java/saltlatch/node/EndpointListApplier.java
@@ -73,7 +73,8 @@
     }
     // Behind the policy's turn, so that no two slices fall into one batch.
     if (!pending.isEmpty()) {
-      scheduler.afterCurrentIteration(() -> scheduler.scheduleAt(scheduler.now() + SLICE_PAUSE_TICKS, this::applyNext));
+      scheduler.afterCurrentIteration(
+          () -> scheduler.scheduleAt(scheduler.now() + SLICE_PAUSE_TICKS, this::applyNext));
     }
   }
 
--- a/src/main/java/saltlatch/node/MembershipInfo.java
+++ b/src/main/java/saltlatch/node/MembershipInfo.java
@@ -28,15 +28,17 @@
    *
    * @param gossipValidityTicks for how long the policy goes by a peer's gossip
    */
-  static String text(FleetView view, QuotaShareLevel level, Membership membership, long leaseRemainingMs,
-      long takeoverRemainingMs, MembershipTimings timings, long gossipValidityTicks) {
+  static String text(FleetView view, QuotaShareLevel level, Membership membership,
+      long leaseRemainingMs, long takeoverRemainingMs, MembershipTimings timings,
+      long gossipValidityTicks) {
     return "members_standing=" + view.infoName() + "\nmembers_share=" + levelName(level)
         + "\nmembers_live=" + membership.liveCount() + "\nmembers_failed="
         + membership.countInState(MembershipMessage.State.FAILED) + "\nmembers_left="
         + membership.countInState(MembershipMessage.State.LEFT) + "\nmembers_view="
         + membership.version() + "\nmembers_digest=" + Long.toHexString(membership.digest())
-        + "\nmembers_health=" + membership.localHealthMultiplier() + "\nmembers_holds_ms=" + leaseRemainingMs
-        + "\nmembers_takes_ms=" + takeoverRemainingMs + timingLines(timings, gossipValidityTicks);
+        + "\nmembers_health=" + membership.localHealthMultiplier() + "\nmembers_holds_ms="
+        + leaseRemainingMs + "\nmembers_takes_ms=" + takeoverRemainingMs
+        + timingLines(timings, gossipValidityTicks);
   }
 
   private static String timingLines(MembershipTimings timings, long gossipValidityTicks) {
--- a/src/main/java/saltlatch/node/NodeHistory.java
+++ b/src/main/java/saltlatch/node/NodeHistory.java
@@ -87,6 +87,6 @@
    * @param leaseRemainingMs     for how much longer it may use its whole share
    * @param takeoverRemainingMs  for how much longer it may use what others have left
    */
-  record QuotaShareValues(double currentShare, double evenShare, double floor, long leaseRemainingMs,
-      long takeoverRemainingMs) {}
+  record QuotaShareValues(double currentShare, double evenShare, double floor,
+      long leaseRemainingMs, long takeoverRemainingMs) {}
 }
--- a/src/main/java/saltlatch/node/NodeHistoryFile.java
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -101,9 +101,9 @@
 
   @Override
   public void quotaShareChanged(QuotaShareLevel level, QuotaShareValues figures) {
-    history.add("share", "is", MembershipInfo.levelName(level), "part", figures.currentShare(), "whole",
-        figures.evenShare(), "floor", figures.floor(), "holds_ms", figures.leaseRemainingMs(), "takes_ms",
-        figures.takeoverRemainingMs());
+    history.add("share", "is", MembershipInfo.levelName(level), "part", figures.currentShare(),
+        "whole", figures.evenShare(), "floor", figures.floor(), "holds_ms",
+        figures.leaseRemainingMs(), "takes_ms", figures.takeoverRemainingMs());
   }
 
   private static String word(FinalOutcome outcome) {
--- a/src/main/java/saltlatch/node/OutboundClients.java
+++ b/src/main/java/saltlatch/node/OutboundClients.java
@@ -11,5 +11,5 @@
  * @param counter null: there is no counter
  * @param peers   null: this node has no peers
  */
-record OutboundClients(AppServerClient appServers, EndpointDirectory directory, CounterClient counter,
-    DiscoveryClient discovery, PeerSocket peers) {}
+record OutboundClients(AppServerClient appServers, EndpointDirectory directory,
+    CounterClient counter, DiscoveryClient discovery, PeerSocket peers) {}
--- a/src/main/java/saltlatch/relay/RelayConfig.java
+++ b/src/main/java/saltlatch/relay/RelayConfig.java
@@ -42,7 +42,8 @@
    * Bounds for keys that are left out: what seven machines need for 2,700 nodes and 34,000 entries,
    * with room.
    */
-  private static final RelayLimits DEFAULTS = new RelayLimits(3_000, 65_536, 65_536, 64L * 1024 * 1024);
+  private static final RelayLimits DEFAULTS = new RelayLimits(3_000, 65_536, 65_536,
+      64L * 1024 * 1024);
 
   /** Reads and checks a configuration's text. */
   public static RelayConfig parse(String text) throws InvalidConfigException {
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -162,7 +162,8 @@
   /** Oldest first, so that the first one in time ends the look. */
   private void closeIdle() {
     long before = clock.getAsLong() - IDLE_MS;
-    for (Iterator<Map.Entry<InboundConnection, Long>> all = idle.entrySet().iterator(); all.hasNext();) {
+    for (Iterator<Map.Entry<InboundConnection, Long>> all = idle.entrySet().iterator(); all
+        .hasNext();) {
       Map.Entry<InboundConnection, Long> next = all.next();
       if (next.getValue() > before) return;
       all.remove();
@@ -211,8 +212,8 @@
       request.response().setStatusCode(BAD_REQUEST).end();
       return;
     }
-    WatchResponse watcher = new WatchResponse(++lastId, follows, connection, request.response(), loop, encoder,
-        events);
+    WatchResponse watcher = new WatchResponse(++lastId, follows, connection, request.response(),
+        loop, encoder, events);
     watchers.put(watcher.id(), watcher);
     request.response().closeHandler(v -> lost(watcher));
     host.opened(watcher.id(), since);
--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -80,7 +80,8 @@
     // this side closes first.
     this.idleTimeoutTicks = Math.max(idleTimeoutTicks / 2,
         idleTimeoutTicks - IDLE_MARGIN_SWEEPS * SWEEP_INTERVAL_TICKS);
-    client = TcpConnector.createClient(vertx, Math.max(1, connectTimeoutTicks / Ticks.PER_MILLISECOND));
+    client = TcpConnector.createClient(vertx,
+        Math.max(1, connectTimeoutTicks / Ticks.PER_MILLISECOND));
     sweep();
   }
 
--- a/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
@@ -132,8 +132,8 @@
   }
 
   private void outside(byte current) throws ProtocolException {
-    if (outside.size() >= MAX_PART_BYTES) throw new FramingException(WHERE,
-        "a list without end", MAX_PART_BYTES + " bytes outside entries");
+    if (outside.size() >= MAX_PART_BYTES) throw new FramingException(WHERE, "a list without end",
+        MAX_PART_BYTES + " bytes outside entries");
     outside.write(current);
   }
 
--- a/src/main/java/saltlatch/wire/resp/RespDecoder.java
+++ b/src/main/java/saltlatch/wire/resp/RespDecoder.java
@@ -67,8 +67,7 @@
     RespValue value = readValue(0);
     if (value == null) {
       if (end - begin > MAX_MESSAGE_BYTES) {
-        throw new FramingException("RESP2 value", "message too long",
-            MAX_MESSAGE_BYTES + " bytes");
+        throw new FramingException("RESP2 value", "message too long", MAX_MESSAGE_BYTES + " bytes");
       }
       return null;
     }
@@ -112,8 +111,7 @@
   private RespValue readArray(int count, int level) throws FramingException {
     if (count == NULL_LENGTH) return new RespValue.Array(null);
     if (level >= MAX_ARRAY_LEVELS) {
-      throw new FramingException("RESP2 array", "arrays too deep",
-          MAX_ARRAY_LEVELS + " levels");
+      throw new FramingException("RESP2 array", "arrays too deep", MAX_ARRAY_LEVELS + " levels");
     }
     List<RespValue> elements = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
--- a/src/test/java/saltlatch/distribution/DecisionTrace.java
+++ b/src/test/java/saltlatch/distribution/DecisionTrace.java
@@ -86,8 +86,8 @@
       String[] option = words[word].split("=", 0);
       options.put(option[0], Integer.parseInt(option[1]));
     }
-    RelayLimits limits = new RelayLimits(options.get("watchers"), options.get("entries"), options.get("log"),
-        options.get("budget"));
+    RelayLimits limits = new RelayLimits(options.get("watchers"), options.get("entries"),
+        options.get("log"), options.get("budget"));
     distributor = new Distributor(limits, options.get("upstreams"), options.get("seed"), this);
   }
 
--- a/src/test/java/saltlatch/distribution/DistributionModelTest.java
+++ b/src/test/java/saltlatch/distribution/DistributionModelTest.java
@@ -24,7 +24,8 @@
   private static final int SEEDS = Integer.getInteger("distribution.seeds", 20);
   private static final int MINUTES = Integer.getInteger("distribution.minutes", 10);
   private static final RelayLimits LIMITS = new RelayLimits(40, 100, 30, 20_000);
-  private static final ModelFleet.FleetSize SMALL = new ModelFleet.FleetSize(2, 3, 24, 60, 20, LIMITS);
+  private static final ModelFleet.FleetSize SMALL = new ModelFleet.FleetSize(2, 3, 24, 60, 20,
+      LIMITS);
   private static final ModelFleet.InjectedFault NOTHING = new ModelFleet.InjectedFault() {};
 
   @Test
@@ -161,8 +162,8 @@
   @Test
   void sizeThatIsComing() {
     RelayLimits limits = new RelayLimits(1_500, 60_000, 4_096, 20_000_000);
-    ModelFleet fleet = new ModelFleet(new ModelFleet.FleetSize(2, 5, 2_700, 45_333, 85, limits), 10_000,
-        7, NOTHING);
+    ModelFleet fleet = new ModelFleet(new ModelFleet.FleetSize(2, 5, 2_700, 45_333, 85, limits),
+        10_000, 7, NOTHING);
     long started = System.nanoTime();
     long all = timeUntilWatchersHaveIt(fleet);
     report("start of all: " + all / SECOND + " s", fleet, started);
--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -29,7 +29,8 @@
   private int ticks;
   long mostSnapshotBytesInASecond;
 
-  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> above, RelayLimits limits) {
+  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> above,
+      RelayLimits limits) {
     this.fleet = fleet;
     this.node = node;
     this.above = above;
--- a/src/test/java/saltlatch/node/BadConfigurationTest.java
+++ b/src/test/java/saltlatch/node/BadConfigurationTest.java
@@ -23,7 +23,8 @@
         "sockets", "memory_mb", "categories", "peers", "counter", "connIdle", "aim", "refill",
         "cancelling", "effect"};
     for (String key : keys) {
-      String wrong = configurationJson().replaceFirst("\"" + key + "\":", "\"" + key + "\":[[]],\"was\":");
+      String wrong = configurationJson().replaceFirst("\"" + key + "\":",
+          "\"" + key + "\":[[]],\"was\":");
       Path path = Files.writeString(dir.resolve("config.json"), wrong);
       ByteArrayOutputStream one = new ByteArrayOutputStream();
       assertEquals(2,
--- a/src/test/java/saltlatch/node/ConnectionCloseTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -78,7 +78,8 @@
     for (String got = "+PONG"; !got.equals("closed"); asked++) {
       send(c, ping + queryCommand(2 * asked) + ping + queryCommand(2 * asked + 1));
       got = readLine(c);
-      if (!got.equals("closed")) assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + readLines(c, 3));
+      if (!got.equals("closed"))
+        assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + readLines(c, 3));
     }
     assertTrue(asked > 1);
     done.get();
--- a/src/test/java/saltlatch/node/CounterCallsTest.java
+++ b/src/test/java/saltlatch/node/CounterCallsTest.java
@@ -78,22 +78,27 @@
     send(c, queryCommand(0));
     Socket s = accept(counter);
     assertEquals("bump ff 1.5000 4000", readLine(s));
-    assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 0 waits 900 counted 255 TIMED_OUT 0.0",
+        nextEventText() + " " + nextEventText());
     send(c, queryCommand(1));
     assertEquals("bump ff 1.5000 4000", readLine(s));
     send(s, "ok 1.5\r\nok 3\r\n");
-    assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 1 waits 900 counted 255 SUCCEEDED 3.0",
+        nextEventText() + " " + nextEventText());
     send(c, queryCommand(2));
     readLine(s);
     send(s, "busy\r\n");
-    assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 2 waits 900 counted 255 SERVER_BUSY 0.0",
+        nextEventText() + " " + nextEventText());
     send(c, queryCommand(3));
     readLine(s);
     s.close();
-    assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 3 waits 900 counted 255 CONNECTION_LOST 0.0",
+        nextEventText() + " " + nextEventText());
     counter.close();
     send(c, queryCommand(4));
-    assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 4 waits 900 counted 255 CONNECT_FAILED 0.0",
+        nextEventText() + " " + nextEventText());
     List<String> figures = infoLines(c);
     assertTrue(
         figures
--- a/src/test/java/saltlatch/node/EventOrderTest.java
+++ b/src/test/java/saltlatch/node/EventOrderTest.java
@@ -51,7 +51,8 @@
     Socket s = accept(appServer);
     assertEquals("closed", readLine(s));
     assertEquals("asked 0/0", attemptStartQueries.poll(20, TimeUnit.SECONDS));
-    assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN",
+        nextEventText() + " " + nextEventText());
     assertEquals("-ERR aborted", readLine(c));
   }
 
--- a/src/test/java/saltlatch/node/HistoryLinesTest.java
+++ b/src/test/java/saltlatch/node/HistoryLinesTest.java
@@ -27,7 +27,8 @@
 
   @Override
   String configurationJson() throws IOException {
-    return super.configurationJson().replace("\"settings\":", "\"history\":\"" + dir + "\",\"settings\":");
+    return super.configurationJson().replace("\"settings\":",
+        "\"history\":\"" + dir + "\",\"settings\":");
   }
 
   /** The lines so far, without the clock's readings and the process's own number. */
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -219,7 +219,8 @@
   static List<String> infoLines(Socket c) throws IOException {
     send(c, "*1\r\n$4\r\nINFO\r\n");
     List<String> figures = new ArrayList<>();
-    for (String line = readLine(c); !line.startsWith("held="); line = readLine(c)) figures.add(line);
+    for (String line = readLine(c); !line.startsWith("held="); line = readLine(c))
+      figures.add(line);
     readLine(c);
     return figures;
   }
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -86,7 +86,8 @@
     Socket silent = connectClient();
     Socket half = connectClient();
     send(half, queryCommand(1).substring(0, 30));
-    assertEquals("closed -ERR command incomplete closed", readLine(silent) + " " + readLines(half, 2));
+    assertEquals("closed -ERR command incomplete closed",
+        readLine(silent) + " " + readLines(half, 2));
     assertTrue(System.nanoTime() - before < 3_000_000_000L);
     send(usual, queryCommand(2));
     assertEquals("-BUSY", readLine(usual));
@@ -140,7 +141,8 @@
     }
     appServer.close();
     send(c, queryCommand(4));
-    assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 4 waits 900 ended 4/0 CONNECT_FAILED",
+        nextEventText() + " " + nextEventText());
   }
 
   /**
@@ -186,7 +188,8 @@
     assertEquals(
         "*4 $9 SVC.QUERY $16 0000000000000007 $2 10 $39 c=read,t=plan,d=500,units=1,spread=1,n= closed",
         withDeadline(500, readLines(s, 10), saidAt));
-    assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 0 waits 900 ended 0/0 TIMED_OUT",
+        nextEventText() + " " + nextEventText());
     assertEquals("-ERR aborted", readLine(c));
     send(c, queryCommand(1));
     s = accept(appServer);
@@ -199,7 +202,8 @@
     assertEquals("arrived 1 waits 900 ended 1/0 SUCCEEDED over arrived 2 waits 900",
         nextEventText() + " " + nextEventText() + " " + nextEventText());
     c.close();
-    assertEquals("left 2 ended 2/0 CANCELLED over closed", nextEventText() + " " + nextEventText() + " " + readLine(s));
+    assertEquals("left 2 ended 2/0 CANCELLED over closed",
+        nextEventText() + " " + nextEventText() + " " + readLine(s));
   }
 
   /**
@@ -258,11 +262,13 @@
     while (!oldLine.equals("closed")) oldLine = readLine(oldWatch);
     send(c, queryCommand(1));
     Socket fresh = accept(counter);
-    assertEquals("arrived 0 waits 900 arrived 1 waits 900", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 0 waits 900 arrived 1 waits 900",
+        nextEventText() + " " + nextEventText());
     send(old, "ok 1\r\n");
     assertEquals("bump ff 1 4000 closed", readLine(fresh) + " " + readLine(old));
     send(fresh, "ok 2\r\n");
-    assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0", nextEventText() + " " + nextEventText());
+    assertEquals("counted 255 SUCCEEDED 1.0 counted 255 SUCCEEDED 2.0",
+        nextEventText() + " " + nextEventText());
     wasCounter.close();
     wasDiscovery.close();
   }
@@ -300,7 +306,8 @@
     Socket s = accept(appServer);
     assertEquals("*2 $4 INFO $4 load", readLines(s, 5));
     send(s, "$23\r\nqueue=2,utilization=0.6\r\n");
-    assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]", nextEventText() + " " + nextEventText());
+    assertEquals("arrived 0 waits 900 probed SUCCEEDED [0.6]",
+        nextEventText() + " " + nextEventText());
   }
 
   /**
--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -155,7 +155,8 @@
   private Socket counted(Socket c) throws IOException {
     counter.setSoTimeout(2_000);
     for (int id = 1; id <= 10; id++) {
-      NodeHarness.send(c, NodeHarness.queryCommand(id).replace("d=900", "d=9000").replace("$39", "$40"));
+      NodeHarness.send(c,
+          NodeHarness.queryCommand(id).replace("d=900", "d=9000").replace("$39", "$40"));
       try {
         return accept(counter);
       } catch (java.net.SocketTimeoutException e) {
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -155,7 +155,8 @@
     for (int i = 0; i < text.length(); i += 7)
       chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
     chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
-    assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]", nextEventText() + " " + nextEventText());
+    assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]",
+        nextEventText() + " " + nextEventText());
   }
 
   /**
--- a/src/test/java/saltlatch/relay/RelayTest.java
+++ b/src/test/java/saltlatch/relay/RelayTest.java
@@ -32,7 +32,8 @@
     upstream.sendChunk(changesLine(42, entry("s-2", "Gone")));
     assertEquals(changesLine(42, entry("s-2", "Gone")).trim(), early.list().toString());
     assertEquals(42, watcher(relay, 0).listAt(42).get("index").getAsLong());
-    assertEquals(changesLine(42, entry("s-2", "Gone")).trim(), watcher(relay, 41).list().toString());
+    assertEquals(changesLine(42, entry("s-2", "Gone")).trim(),
+        watcher(relay, 41).list().toString());
     // what a whole list leaves out is told as gone, with all its fields
     upstream.sendChunk(snapshotLine(50, entry("s-3", "Ready")));
     assertEquals("[" + STRANGE.replace("Ready", "Gone") + "," + entry("s-3", "Ready") + "]",
@@ -42,8 +43,8 @@
   /** A relay may follow a relay: the series goes up and down with the index. */
   @Test
   void seriesGoesBothWays() throws Exception {
-    Relay relay = relay("",
-        snapshotLine(5, entry("s-1", "Ready")).replace("\"snapshot\"", "\"series\":77,\"snapshot\""));
+    Relay relay = relay("", snapshotLine(5, entry("s-1", "Ready")).replace("\"snapshot\"",
+        "\"series\":77,\"snapshot\""));
     TestWatcher watcher = closeAfterTest(
         new TestWatcher(relay.port(), 0).sendGet("/api/targets?follow=1&since=5&series=77"));
     await(relay, "version", 5);
@@ -103,7 +104,8 @@
     assertEquals("/api/targets?follow=1&since=5", upstream.accept());
     upstream.reset();
     assertEquals("/api/targets?follow=1&since=5", upstream.answer());
-    upstream.sendChunk(snapshotLine(3, entry("s-1", "Terminating"))).sendChunk(changesLine(4, entry("s-1", "Gone")));
+    upstream.sendChunk(snapshotLine(3, entry("s-1", "Terminating")))
+        .sendChunk(changesLine(4, entry("s-1", "Gone")));
     await(relay, "older_passed_over", 2);
     upstream.reset();
     assertEquals("/api/targets?follow=1&since=5", upstream.answer());
@@ -145,7 +147,8 @@
     TestUpstream second = upstream();
     Relay relay = relay("'entries':500", upstream, second);
     upstream.answer();
-    upstream.sendChunk(sent.equals("ENTRIES") ? snapshotLine(9, entries(501)) : sent.replace("ENDLESS ", ""));
+    upstream.sendChunk(
+        sent.equals("ENTRIES") ? snapshotLine(9, entries(501)) : sent.replace("ENDLESS ", ""));
     if (sent.startsWith("ENDLESS")) repeatUntilLeft(sent.endsWith("[") ? "[" : " ");
     second.answer();
     second.sendChunk(snapshotLine(2, entries(500)));
--- a/src/test/java/saltlatch/relay/SlowWatcherTest.java
+++ b/src/test/java/saltlatch/relay/SlowWatcherTest.java
@@ -27,7 +27,8 @@
   private static final int SMALL_BUFFER = 16 * 1024;
 
   private TestWatcher stalled(Relay relay) throws IOException {
-    return closeAfterTest(new TestWatcher(relay.port(), SMALL_BUFFER)).sendGet("/api/targets?follow=1&since=0");
+    return closeAfterTest(new TestWatcher(relay.port(), SMALL_BUFFER))
+        .sendGet("/api/targets?follow=1&since=0");
   }
 
   private static long heap() {
@@ -52,7 +53,8 @@
     await(relay, "watchers", 31);
     await(relay, "snapshots_sent", 31);
     for (int i = 2; i <= 201; i++) {
-      upstream.sendChunk(changesLine(i, entry("s-" + i % 20, i % 2 == 0 ? "Terminating" : "Ready")));
+      upstream
+          .sendChunk(changesLine(i, entry("s-" + i % 20, i % 2 == 0 ? "Terminating" : "Ready")));
       assertEquals(i, reads.listAt(i).get("index").getAsLong());
     }
     assertEquals(30, metric(relay, "behind"));
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -54,8 +54,8 @@
         MOST_CONNECTIONS);
     scheduler.runOnLoop(() -> listener.markReady());
     List<Future<?>> open = new ArrayList<>();
-    scheduler
-        .runOnLoop(() -> open.add(listener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+    scheduler.runOnLoop(
+        () -> open.add(listener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
     ManualScheduler.await(open.get(0));
   }
 
@@ -323,7 +323,8 @@
     ClientListener early = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
         MOST_CONNECTIONS);
     List<Future<?>> open = new ArrayList<>();
-    scheduler.runOnLoop(() -> open.add(early.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+    scheduler
+        .runOnLoop(() -> open.add(early.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
     ManualScheduler.await(open.get(0));
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), early.port())) {
       socket.setSoTimeout(20_000);
--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -40,7 +40,8 @@
     counter = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     counter.setSoTimeout(20_000);
     client = new CounterClient(vertx,
-        SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"), new FixedTimeScheduler(),
+        SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"),
+        new FixedTimeScheduler(),
         (name, result, total, ticks) -> answers
             .add(Long.toHexString(name) + " " + result + " " + total),
         new NodeMetrics(), TIMEOUT_TICKS);
--- a/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
+++ b/src/test/java/saltlatch/wire/discovery/DiscoveryClientTest.java
@@ -174,8 +174,8 @@
     next("listed 0/2", "at 45000");
     more(tooLarge());
     next("ended", "at 10000");
-    runOnLoop(
-        () -> discovery.changeAddress(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
+    runOnLoop(() -> discovery
+        .changeAddress(SocketAddress.inetSocketAddress(agent.getLocalPort(), "localhost")));
     next("at 0");
   }
 
