--- a/src/main/java/saltlatch/policy/PeerUsage.java
+++ b/src/main/java/saltlatch/policy/PeerUsage.java
@@ -1,40 +1,43 @@
 package saltlatch.policy;
 
 /**
- * What other nodes use of a customer's quota, and this node's learned share of it.
+ * Tracks the usage of a customer's quota by other nodes and learns this node's share of the quota.
  *
- * <p>Inputs are the window's totals ({@link CounterTotals}) and the sums that peers gossip; of the
- * two, whichever knows more counts. Amounts are units. What is new is charged to
- * {@link AvailableUnits}; the learned share serves where neither source answers.
+ * <p>Inputs are the window's counter totals ({@link CounterTotals}) and the sums that peers gossip;
+ * the larger of the two is used. Amounts are units. Increases are charged to
+ * {@link AvailableUnits}; the learned share is used when neither source answers.
  */
 final class PeerUsage {
-  /** A peer that reports more in one window is wrong. */
+  /** Largest sum that a peer can plausibly report for one window, in bursts of the plan. */
   private static final double MAX_REPORTED_BURSTS = 8;
 
-  /** Over this the rate of the others' usage is taken: 5 s. */
+  /** Time constant of the exponential decay of the peers' usage: 5 s. */
   private static final double DECAY_TICKS = 50_000;
 
-  /** Step of the learned share: about ten answers. */
+  /** Smoothing factor of the learned share: averages over about ten updates. */
   private static final double LEARNING_STEP = 0.1;
 
-  /** The least share, as a part of an even one: use may move to other nodes within seconds. */
+  /**
+   * Smallest learned share, as a fraction of an even share: a customer's requests may move to
+   * another node within seconds.
+   */
   private static final double MIN_EVEN_SHARE_FRACTION = 0.5;
 
-  /** Part of the burst that must be charged before a window teaches the share. */
+  /** Fraction of the burst that must be charged in a window before the share is learned from it. */
   private static final double MIN_CHARGED_BURST_FRACTION = 0.25;
 
   private PeerUsage() {}
 
-  /** Whether a reported sum can be true at all. */
+  /** Returns whether a reported sum is at most {@link #MAX_REPORTED_BURSTS}. */
   static boolean isPlausible(CustomerQuota customer, double reportedUnits) {
     return reportedUnits <= MAX_REPORTED_BURSTS * customer.plan.burstUnits();
   }
 
   /**
-   * Whether a reported sum is news: sums only grow within a window, so a smaller or equal one was
-   * sent twice or overtaken on the way.
+   * Returns whether a reported sum is larger than the last one of the same node. Sums only grow
+   * within a window, so a smaller or equal sum is a duplicate or arrived out of order.
    *
-   * @param node the reporter's place in the customer's set
+   * @param node the reporter's index within the customer's nodes
    */
   static boolean isNew(QuotaWindow window, int node, double reportedUnits) {
     if (window.gossipUnitsByNode == null) {
@@ -43,16 +46,16 @@
     return node < window.gossipUnitsByNode.length && reportedUnits > window.gossipUnitsByNode[node];
   }
 
-  /** Notes a peer's sum for a window; the customer is charged by {@link #charge}. */
+  /** Records a peer's sum for a window; {@link #charge} then charges the customer for it. */
   static void recordReported(QuotaWindow window, int node, double reportedUnits) {
     window.peerUnitsByGossip += reportedUnits - window.gossipUnitsByNode[node];
     window.gossipUnitsByNode[node] = reportedUnits;
   }
 
   /**
-   * Charges the customer for what is newly known of the others' usage in a window.
+   * Charges the customer for the usage of other nodes in a window that has not been charged yet.
    *
-   * @param usageFresh whether peers' reports are fresh enough to go by
+   * @param usageFresh whether the peers' reports are recent enough to decide by
    */
   static void charge(QuotaWindow window, boolean usageFresh, long now) {
     CustomerQuota customer = window.customer;
@@ -69,9 +72,13 @@
   }
 
   /**
-   * The share sums to one over the nodes where peers report: half an even one, and half by what
-   * each admitted. Without reports it is this node's part of what was counted, at least half an
-   * even one, so that a node which just gets a customer's use isn't left without any.
+   * Moves the learned share towards this node's share in a window.
+   *
+   * <p>While peers report, one half of the share is an even split and the other half is
+   * proportional to the units that each node admitted, so that the shares of all nodes sum to one.
+   * Without reports the share is this node's fraction of the counted units, and at least half an
+   * even share, so that a node that has only just started to receive a customer's requests has a
+   * share too.
    */
   private static void learnShare(QuotaWindow window, boolean usageFresh) {
     CustomerQuota customer = window.customer;
@@ -87,7 +94,7 @@
     customer.learnedShare += LEARNING_STEP * (share - customer.learnedShare);
   }
 
-  /** Units that the others use in a tick, as of late. */
+  /** Returns the recent usage of other nodes, in units per tick. */
   static double recentUnitsPerTick(CustomerQuota customer, long now) {
     return recentUnits(customer, now) / DECAY_TICKS;
   }
--- a/src/main/java/saltlatch/policy/PendingCounterCall.java
+++ b/src/main/java/saltlatch/policy/PendingCounterCall.java
@@ -1,12 +1,13 @@
 package saltlatch.policy;
 
 /**
- * A counter call in flight, or wanted; lives until its reply. Kept by {@link QuotaCharges}.
+ * A counter call that is queued or in flight, held until its reply arrives. Owned by
+ * {@link QuotaCharges}.
  *
- * @param window  the window whose count is added to
- * @param request the request that waits for the total; null where units are only carried
- * @param units   what is added, below 0 where units are given back
- * @param sentAtTicks  when it was wanted, in ticks
+ * @param window      the window whose count the call adds to
+ * @param request     the request that waits for the total; null if the call only reports units
+ * @param units       units to add; negative if units are refunded
+ * @param sentAtTicks when the call was queued, in ticks
  */
 record PendingCounterCall(QuotaWindow window, RequestState request, double units,
     long sentAtTicks) {}
--- a/src/main/java/saltlatch/policy/PooledShare.java
+++ b/src/main/java/saltlatch/policy/PooledShare.java
@@ -3,23 +3,23 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * The part of a customer's quota that this node goes by while peers report and the counter is
- * silent: the sum of the shares of those nodes that hear exactly each other. Serves only where
- * nodes know each other by membership.
+ * Computes the part of a customer's quota that this node decides by while peers report and the
+ * counter is silent: the sum of the shares of this node's pool. A pool is a set of nodes that each
+ * receive gossip from exactly the nodes of the pool. Used only if membership is enabled.
  *
- * <p>Inputs are the pool's share ({@link QuotaShares#pooledShare}) and when the counter last
- * answered for the customer; the result rescales the available units, which refill at that part of
- * the rate. While the counter answers, the part is the whole quota.
+ * <p>Inputs are the pool's share ({@link QuotaShares#pooledShare}) and the time of the counter's
+ * last answer for the customer. The result scales the available units and their refill rate. While
+ * the counter answers, the part is 1, the full quota.
  *
- * <p>Guards against a network split in which each side takes its own members for all of the fleet
- * and uses the whole quota. It shows as usage of several quotas once the sides meet again. Sets of
- * nodes that hear exactly each other are a partition, so no share is used on two sides. Harms a
- * customer whose requests reach only the smaller side.
+ * <p>Guards against a network partition in which the nodes on each side assume that they are the
+ * entire fleet and use the full quota. The failure shows as usage of several quotas once the
+ * partition has healed. Pools are disjoint, so no share is used on two sides. The rule does harm to
+ * a customer whose requests reach only the smaller side.
  */
 final class PooledShare {
   private final QuotaGossip gossip;
   private final UnreportedPeerUsage unreportedPeerUsage;
-  private QuotaShares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null while membership is disabled
 
   PooledShare(QuotaGossip gossip, UnreportedPeerUsage unreportedPeerUsage) {
     this.gossip = gossip;
@@ -30,14 +30,17 @@
     shares = fleetShares;
   }
 
-  /** Follows the pool; called with the customer's units refilled up to now. */
+  /**
+   * Adjusts the customer's available units to the pool's current share. The caller must have
+   * refilled them up to now.
+   */
   void updateShare(CustomerQuota customer, long now) {
     double share = share(customer, now);
     if (share == customer.gossipShare) {
       return;
     }
     if (customer.gossipShare < 1) {
-      restoreWhole(customer);
+      restoreFullQuota(customer);
     }
     customer.usageDuringPartition = 0;
     if (share < 1) {
@@ -57,13 +60,13 @@
   }
 
   /**
-   * Extrapolates the whole quota as if every node had admitted alike; what the others did admit is
-   * charged when they report it.
+   * Extrapolates the pool's units to the full quota, on the assumption that every node admitted the
+   * same. Units that other nodes did admit are charged when those nodes report them.
    */
-  private static void restoreWhole(CustomerQuota customer) {
-    double wholeUnits = (customer.availableUnits + customer.usageDuringPartition)
+  private static void restoreFullQuota(CustomerQuota customer) {
+    double fullQuotaUnits = (customer.availableUnits + customer.usageDuringPartition)
         / customer.gossipShare - customer.usageDuringPartition + customer.presumedPeerUsage;
-    AvailableUnits.setFullQuotaUnits(customer, wholeUnits);
+    AvailableUnits.setFullQuotaUnits(customer, fullQuotaUnits);
     customer.presumedPeerUsage = 0;
   }
 }
--- a/src/main/java/saltlatch/policy/QuotaCharges.java
+++ b/src/main/java/saltlatch/policy/QuotaCharges.java
@@ -8,18 +8,19 @@
 import saltlatch.api.Ticks;
 
 /**
- * What a customer's window is charged at the counter: a request's reservation, its settlement by
- * actual units, and refunds. Units that no call has carried yet ride on the window's next call.
- * Owns the {@link PendingCounterCall}s; times are in ticks.
+ * Charges customers' windows at the counter: the reservation of each request, its correction to the
+ * actual units, and refunds. Units that no call has reported yet are added to the window's next
+ * call. Owns the {@link PendingCounterCall}s; times are in ticks.
  *
- * <p>A call that timed out or broke off may have counted: it is taken as counted, so that its units
- * aren't charged twice, and aren't taken for another node's when a total shows them. One that the
- * counter turned down added nothing: its units are carried by the next call.
+ * <p>A call that timed out or whose connection broke may have been counted. It is assumed to have
+ * been counted, so that its units are neither charged twice nor attributed to another node when a
+ * total includes them. A call that the counter refused added nothing, so its units are added to the
+ * next call.
  */
 final class QuotaCharges {
-  /** The longest time for which a counter keeps a count. */
+  /** Longest time for which the counter stores a count. */
   private static final long MAX_COUNTER_TTL_TICKS = 60 * Ticks.PER_SECOND;
-  /** Part of the shortest latency objective that a reply is waited for. */
+  /** Timeout of a counter call, as a fraction of the shortest latency objective. */
   private static final double REPLY_TIMEOUT_OBJECTIVE_FRACTION = 0.05;
 
   private final boolean actualUnitsReported;
@@ -27,7 +28,7 @@
   private final CounterHealth health;
   private final long replyTimeoutTicks;
   private final long longestClientTimeoutTicks;
-  private final List<PendingCounterCall> wanted = new ArrayList<>();
+  private final List<PendingCounterCall> queuedCalls = new ArrayList<>();
 
   QuotaCharges(GatewaySettings settings, ObjectiveBounds bounds, QuotaManager quotas,
       CounterHealth health) {
@@ -38,7 +39,10 @@
     longestClientTimeoutTicks = bounds.longestClientTimeoutTicks();
   }
 
-  /** Units to reserve: the client's where they are binding, else the learned reservation. */
+  /**
+   * Returns the units to reserve for a request: the client's estimate if estimates are binding,
+   * otherwise the learned reservation.
+   */
   double unitsToReserve(RequestState request) {
     return actualUnitsReported ? learnedReservation(request).units()
         : request.arrival.estimatedUnits();
@@ -54,25 +58,25 @@
     return byClass[requestClass];
   }
 
-  /** Wants the counter call that decides a request; 0 units: it only reads the total. */
+  /** Queues the counter call that decides a request; with 0 units it only reads the total. */
   void charge(RequestState request, double units, long now) {
     request.chargedUnits = units;
     request.awaitingCounter = true;
-    wantCall(request.window, request, units, now);
+    queueCall(request.window, request, units, now);
   }
 
-  /** A request was admitted without a call of its own. */
+  /** Charges an admitted request that has no counter call with the window's next call. */
   void deferCharge(RequestState request) {
     request.window.charge(request.reservedUnits);
   }
 
-  /** A request was charged and admitted, and none of its attempts has started. */
+  /** Refunds a request that was charged and admitted, but of which no attempt has started. */
   void refund(RequestState request) {
     request.window.refund(request.reservedUnits);
     quotas.recordAdmitted(request.window, -request.reservedUnits);
   }
 
-  /** Corrects the charge by an answer's actual units, on the window that was charged. */
+  /** Corrects a request's charge to the actual units, in the window that was charged. */
   void settle(RequestState request, double actualUnits, long now) {
     if (actualUnits <= 0 || !actualUnitsReported) {
       return;
@@ -84,17 +88,23 @@
     quotas.recordAdmitted(request.window, actualUnits - request.reservedUnits);
     request.window.charge(actualUnits - request.reservedUnits);
     if (health.isHealthy()) {
-      wantCall(request.window, null, 0, now);
+      queueCall(request.window, null, 0, now);
     }
   }
 
-  /** Takes the call that a reply belongs to, the oldest of its window; null if there is none. */
+  /**
+   * Removes and returns the call that a reply belongs to, which is the oldest call of its window;
+   * null if there is none.
+   */
   PendingCounterCall takeCall(long counterName) {
     QuotaWindow window = quotas.findWindow(counterName);
     return window == null ? null : window.calls.poll();
   }
 
-  /** A call has ended, and its request, if it had one, is decided. */
+  /**
+   * Updates the window after a call has ended. Must be called after the call's request, if it has
+   * one, was decided.
+   */
   void recordReply(PendingCounterCall call, AttemptOutcome outcome, long now) {
     QuotaWindow window = call.window();
     boolean answered = outcome == AttemptOutcome.SUCCEEDED;
@@ -110,42 +120,44 @@
     request.awaitingCounter = false;
     window.charge((request.admitted ? request.reservedUnits : 0) - request.chargedUnits);
     if (answered && window.unsentUnits != 0 && health.isHealthy()) {
-      wantCall(window, null, 0, now);
+      queueCall(window, null, 0, now);
     }
   }
 
   /**
-   * Carries what no call has carried yet, as long as the counter keeps the window's count. Called
-   * at each housekeeping; true once the window has no use any more.
+   * Queues a call for the units that no call has reported yet, as long as the counter stores the
+   * window's count. Called at each housekeeping run.
+   *
+   * @return whether the window can be released
    */
   boolean flushOrExpire(QuotaWindow window, long now) {
-    long keptUntil = window.endsAtTicks + longestClientTimeoutTicks;
-    if (window.unsentUnits != 0 && now < keptUntil && health.isHealthy()) {
-      wantCall(window, null, 0, now);
+    long countExpiresAtTicks = window.endsAtTicks + longestClientTimeoutTicks;
+    if (window.unsentUnits != 0 && now < countExpiresAtTicks && health.isHealthy()) {
+      queueCall(window, null, 0, now);
     }
-    return now > keptUntil && window.calls.isEmpty();
+    return now > countExpiresAtTicks && window.calls.isEmpty();
   }
 
-  private void wantCall(QuotaWindow window, RequestState request, double units, long now) {
+  private void queueCall(QuotaWindow window, RequestState request, double units, long now) {
     PendingCounterCall call = new PendingCounterCall(window, request, units + window.unsentUnits,
         now);
     window.unsentUnits = 0;
     window.calls.add(call);
-    wanted.add(call);
+    queuedCalls.add(call);
   }
 
   /**
-   * Emits the calls that are wanted. Guards against a busy counter whose replies all come a little
-   * late and are thrown away: they are waited for, as far as latency objectives leave time. Harms
-   * while the counter is silent: the backoff's calls hold up their requests.
+   * Emits the queued calls. The reply timeout guards against a busy counter all of whose replies
+   * arrive slightly late and are discarded: it is as long as the latency objectives permit. It does
+   * harm while the counter is silent: the calls that the backoff lets through delay their requests.
    */
   void emit(GatewayActions actions, long now) {
-    for (PendingCounterCall call : wanted) {
+    for (PendingCounterCall call : queuedCalls) {
       QuotaWindow window = call.window();
       long ttlTicks = Math.min(MAX_COUNTER_TTL_TICKS,
           Math.max(1, window.endsAtTicks - now + longestClientTimeoutTicks));
       actions.addToCounter(window.counterName, call.units(), ttlTicks, replyTimeoutTicks);
     }
-    wanted.clear();
+    queuedCalls.clear();
   }
 }
--- a/src/main/java/saltlatch/policy/QuotaGossip.java
+++ b/src/main/java/saltlatch/policy/QuotaGossip.java
@@ -7,38 +7,46 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * Gossip of quota usage: while the counter cannot take a call for each request, nodes report to
- * each other the units that they admitted of each customer in each window.
+ * Exchanges quota usage with peers: while the counter cannot serve a call for each request, nodes
+ * report to each other the units that they admitted for each customer in each window.
  *
- * <p>{@link GossipSchedule} says when, {@link GossipSelection} what each peer gets; this class
- * joins them and takes in what arrives. It does no I/O and reads no clock: {@link PolicyEngine}
- * sends what is due and {@link QuotaManager} charges what peers report. Times are ticks, amounts
- * units.
+ * <p>{@link GossipSchedule} decides when messages are sent and {@link GossipSelection} what each
+ * peer receives; this class builds the messages and processes those that arrive. It does no I/O and
+ * reads no clock: {@link PolicyEngine} sends the messages that are due and {@link QuotaManager}
+ * charges the reported usage. Times are in ticks, amounts in units.
  */
 final class QuotaGossip {
-  /** Bytes of a datagram, by the protocol. */
+  /** Largest datagram that the protocol allows. */
   static final int MAX_DATAGRAM_BYTES = 256;
 
-  /** Bytes that one sum takes of a datagram. */
+  /** Size of one reported sum in a datagram. */
   private static final int ENTRY_BYTES = 7;
 
-  /** Part of the worth of all requests that gossip may cost, if every attempt is reported. */
+  /**
+   * Largest cost of gossip as a fraction of the value of all requests, if every attempt is
+   * reported.
+   */
   private static final double MAX_PRICE = 0.02;
 
-  /** Windows' numbers travel modulo this. */
+  /** Messages contain window numbers modulo this. */
   private static final long WINDOW_NUMBER_MODULUS = 128;
 
   private final int ownIndex;
   private final int nodeCount;
-  /** Nodes of a customer's set; a wider one costs more to report than it brings. */
+  /**
+   * Largest number of nodes of a customer for which usage is reported. With more nodes the reports
+   * cost more than they are worth.
+   */
   private final double maxCustomerNodeCount;
   private final GossipSchedule schedule;
   private final GossipSelection selection;
-  private QuotaShares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null while membership is disabled
 
   /**
-   * @param intakePerSecond datagrams a second that a node takes in of its peers; 0: no gossip
-   * @param datagramPrice   price of a full datagram for each first attempt, as a part of all worth
+   * @param intakePerSecond datagrams per second that a node accepts from its peers; 0 disables
+   *     gossip
+   * @param datagramPrice   price of delivering one full datagram for each client's first attempt,
+   *     as a fraction of the value of all requests
    */
   QuotaGossip(int ownIndex, int nodeCount, double intakePerSecond, double datagramPrice) {
     this.ownIndex = ownIndex;
@@ -49,33 +57,42 @@
     selection = new GossipSelection(ownIndex, nodeCount);
   }
 
-  /** Nodes know each other from now on: messages go to live members and say who is reachable. */
+  /**
+   * Enables membership: from now on messages are sent only to live members and list the nodes from
+   * which this node receives gossip.
+   */
   void setQuotaShares(QuotaShares fleetShares) {
     shares = fleetShares;
     schedule.setQuotaShares(fleetShares);
   }
 
-  /** Time between two rounds of messages. */
+  /** Returns the time between two rounds of messages. */
   double periodTicks() {
     return schedule.periodTicks();
   }
 
-  /** How long a peer's message says which nodes it reaches, and that it is reachable itself. */
+  /**
+   * Returns how long a peer's message remains valid as evidence that the peer is reachable and of
+   * the nodes that it reaches.
+   */
   long validityTicks() {
     return schedule.validityTicks();
   }
 
-  /** Reported by the engine whenever the counter is not healthy. */
+  /** Keeps gossip active; the engine calls this whenever the counter is not healthy. */
   void recordCounterUnhealthy(long now) {
     schedule.recordCounterUnhealthy(now);
   }
 
-  /** Whether peers' reports on a customer of so many nodes are fresh enough to go by. */
+  /**
+   * Returns whether the peers' reports on a customer with this number of nodes are recent enough to
+   * decide by.
+   */
   boolean isUsageFresh(long now, int customerNodeCount) {
     return customerNodeCount <= maxCustomerNodeCount && schedule.isFresh(now);
   }
 
-  /** Notes the units that this node admitted in a window so far. */
+  /** Records the units that this node has admitted in a window so far. */
   void recordAdmitted(long counterName, long customerId, long windowNumber, int firstNode,
       int customerNodeCount, double units) {
     if (!schedule.isEnabled() || customerNodeCount > maxCustomerNodeCount) {
@@ -87,12 +104,15 @@
         firstNode, customerNodeCount);
   }
 
-  /** The full number of the window a peer means: the latest one with those last digits. */
+  /**
+   * Returns the full number of a peer's window: the latest one up to the current window that
+   * equals the short number modulo {@link #WINDOW_NUMBER_MODULUS}.
+   */
   static long fullWindowNumber(long currentNumber, int shortNumber) {
     return currentNumber - Math.floorMod(currentNumber - shortNumber, WINDOW_NUMBER_MODULUS);
   }
 
-  /** The messages that are due now by peer, in the order in which they are to be sent. */
+  /** Returns the messages that are due now by peer, in the order in which to send them. */
   Map<Integer, GossipMessage> dueMessages(long now) {
     if (!schedule.isActive(now)) {
       selection.clear();
@@ -112,8 +132,8 @@
         : shares.reachability(now, validityTicks());
     int maxEntries = reachability == null ? GossipMessage.MAX_ENTRIES
         : GossipMessage.maxUsageEntries(nodeCount);
-    for (int step = 1; step < nodeCount; step++) {
-      int peer = (ownIndex + step) % nodeCount;
+    for (int offset = 1; offset < nodeCount; offset++) {
+      int peer = (ownIndex + offset) % nodeCount;
       if (shares != null && !shares.isLive(peer)) {
         continue;
       }
@@ -126,7 +146,7 @@
     return messages;
   }
 
-  /** Takes in a peer's message and returns its sums; none of a stranger. */
+  /** Processes a peer's message and returns its sums; an empty list for an unknown sender. */
   List<GossipMessage.WindowUsage> receive(long now, int sender, GossipMessage message) {
     if (sender < 0 || sender >= nodeCount || sender == ownIndex) {
       return List.of();
--- a/src/main/java/saltlatch/policy/QuotaManager.java
+++ b/src/main/java/saltlatch/policy/QuotaManager.java
@@ -9,23 +9,25 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * Quotas of all customers as this node knows them. Owns every {@link CustomerQuota} and {@link
- * QuotaWindow}, and brings counter totals, gossip and this node's own admissions to the rules that
- * act on them.
+ * Manages the quotas of all customers on this node. Owns every {@link CustomerQuota} and {@link
+ * QuotaWindow}, and passes counter totals, gossip and this node's admissions to the rules that
+ * process them.
  *
- * <p>Who may use which part of a quota:
+ * <p>The part of a quota that this node may use:
  * <ul>
- * <li>the counter answers: all of it, less what {@link CounterTotals} shows of the others;
- * <li>it does not, and peers report: {@link CapacityFromGossip}, within {@link PooledShare};
- * <li>neither is to be had: {@link FallbackShare}.
+ * <li>while the counter answers: the full quota, less the usage of other nodes that
+ * {@link CounterTotals} computes;
+ * <li>while only peers report: what {@link CapacityFromGossip} allows within {@link PooledShare};
+ * <li>while neither answers: {@link FallbackShare}.
  * </ul>
- * In each case {@link AvailableUnits} refills what is left, and {@link HardCeiling} bounds all.
+ * In each case {@link AvailableUnits} refills the remaining units, and {@link HardCeiling} limits
+ * the units admitted in total.
  *
- * <p>Does no I/O and reads no clock: {@link PolicyEngine} calls it on its one thread and decides.
- * Times are ticks, amounts units.
+ * <p>Does no I/O and reads no clock; {@link PolicyEngine} calls it on its single thread and makes
+ * the decisions. Times are in ticks, amounts in units.
  */
 final class QuotaManager {
-  /** A customer without requests for so long is forgotten: a minute. */
+  /** Time without requests after which a customer's state may be released: one minute. */
   private static final long IDLE_TICKS = 60 * Ticks.PER_SECOND;
 
   private static final int WINDOW_NUMBER_BITS = 31;
@@ -55,12 +57,12 @@
     capacityFromGossip = new CapacityFromGossip(gossip, unreportedPeerUsage);
   }
 
-  /** Sets the time of what follows. */
+  /** Sets the current time for the calls that follow. */
   void advanceTo(long time) {
     now = time;
   }
 
-  /** Nodes know each other from now on: shares follow the leases. */
+  /** Enables membership: from now on shares depend on the leases. */
   void setQuotaShares(QuotaShares shares) {
     membershipEnabled = true;
     fallbackShare.setQuotaShares(shares);
@@ -68,21 +70,24 @@
     pooledShare.setQuotaShares(shares);
   }
 
-  /** The window of that name at the counter; null if it is released. */
+  /** Returns the window with this name at the counter; null if it was released. */
   QuotaWindow findWindow(long counterName) {
     return windows.find(counterName);
   }
 
-  /** Visits each window and releases those of which the predicate is true. */
-  void releaseWindowsIf(Predicate<QuotaWindow> isOver) {
+  /** Calls the predicate once for each window and releases the window if it returns true. */
+  void releaseWindowsIf(Predicate<QuotaWindow> isExpired) {
     windows.forEach(window -> {
-      if (isOver.test(window)) {
+      if (isExpired.test(window)) {
         windows.release(window.counterName);
       }
     });
   }
 
-  /** Releases customers idle for long, unless that would forgive a part of a ceiling. */
+  /**
+   * Releases customers that have been idle for a minute, except those whose usage of the hard
+   * ceiling would be lost with their state.
+   */
   void releaseIdleCustomers() {
     customers.forEach(customer -> {
       boolean ceilingMayBeForgotten = HardCeiling.mayRelease(customer, now);
@@ -94,10 +99,10 @@
   }
 
   /**
-   * Takes in an answer of the counter.
+   * Processes a reply of the counter.
    *
-   * @param ownUnits   units that the answered call added
-   * @param totalUnits the count behind that call
+   * @param ownUnits   units that this node's call added
+   * @param totalUnits the count after that call
    */
   void applyCounterTotal(QuotaWindow window, double ownUnits, double totalUnits) {
     CustomerQuota customer = window.customer;
@@ -108,7 +113,7 @@
     PeerUsage.charge(window, usageFresh, now);
   }
 
-  /** Takes in a peer's message. */
+  /** Processes a peer's message. */
   void applyGossip(GatewayEvent.GossipReceived event) {
     for (GossipMessage.WindowUsage usage : gossip.receive(now, event.sender(), event.message())) {
       CustomerQuota customer = customers.find(usage.customer());
@@ -135,7 +140,7 @@
     PeerUsage.charge(window, isUsageFresh(customer), now);
   }
 
-  /** Notes units that this node admitted; below 0, that it did not use after all. */
+  /** Records units that this node admitted; negative if admitted units were not used. */
   void recordAdmitted(QuotaWindow window, double units) {
     CustomerQuota customer = window.customer;
     window.admittedUnits += units;
@@ -148,7 +153,7 @@
         customer.nodeCount, window.admittedUnits);
   }
 
-  /** The customer of a request that has arrived, created at its first one. */
+  /** Returns the customer of an arriving request; the first request of a customer creates it. */
   CustomerQuota customerFor(GatewayEvent.RequestArrived arrival) {
     int nodeCount = Math.max(1,
         arrival.nodeCount() > 0 ? arrival.nodeCount() : settings.nodeCount());
@@ -174,7 +179,10 @@
     return customer;
   }
 
-  /** A window lasts as long as the plan's rate takes to refill its burst. */
+  /**
+   * Returns the length of the plan's windows, which is the time in which the plan's rate refills
+   * its burst.
+   */
   static long windowLengthTicks(GatewaySettings.QuotaPlan plan) {
     return Math.max(1,
         (long) (plan.burstUnits() / plan.ratePerSecond() * (double) Ticks.PER_SECOND));
@@ -185,9 +193,10 @@
   }
 
   /**
-   * The customer's window now, created at its first use.
+   * Returns the customer's current window and creates it on first use.
    *
-   * @param counterAnswers what the window before it left uncarried shows how much goes uncounted
+   * @param counterAnswers whether the counter answers; if so, the units of the previous window that
+   *     no call reported are used to learn which fraction of the charges is counted in time
    */
   QuotaWindow currentWindow(CustomerQuota customer, boolean counterAnswers) {
     long lengthTicks = windowLengthTicks(customer.plan);
@@ -203,7 +212,7 @@
     return customer.window;
   }
 
-  /** Brings the customer's available units up to now. */
+  /** Refills the customer's available units up to now. */
   void refill(CustomerQuota customer) {
     AvailableUnits.refill(customer, now);
     if (!membershipEnabled) {
@@ -217,8 +226,9 @@
   }
 
   /**
-   * Whether the quota has capacity for a request, decided without the counter: by what peers report
-   * if that is fresh, else by this node's share, of which any units left admit a whole request.
+   * Returns whether the quota has capacity for a request, decided without the counter: by the
+   * peers' reports if they are recent, otherwise by this node's share. Any units left of the share
+   * admit one complete request.
    */
   boolean hasLocalCapacity(CustomerQuota customer, double requestUnits) {
     if (isUsageFresh(customer)) {
@@ -243,12 +253,12 @@
     return gossip.isUsageFresh(now, customer.nodeCount);
   }
 
-  /** Whether this node's part of the hard ceiling holds so many units. */
+  /** Returns whether this node's part of the hard ceiling has at least this many units left. */
   boolean ceilingAllows(CustomerQuota customer, double units) {
     return HardCeiling.allows(customer, units, now);
   }
 
-  /** Takes the units of an admitted request out of this node's part of the hard ceiling. */
+  /** Deducts the units of an admitted request from this node's part of the hard ceiling. */
   void chargeCeiling(CustomerQuota customer, double units) {
     HardCeiling.charge(customer, units);
   }
--- a/src/main/java/saltlatch/policy/QuotaWindow.java
+++ b/src/main/java/saltlatch/policy/QuotaWindow.java
@@ -3,12 +3,11 @@
 import java.util.ArrayDeque;
 
 /**
- * One customer's count for one window of the quota.
+ * Holds one customer's usage in one window of the quota.
  *
- * <p>{@link QuotaManager} creates it with the first request of the window. The engine releases it
- * once the window and the longest client timeout are over and no call is in flight; it also keeps
- * the calls and {@code unsentUnits}. {@link CounterTotals} writes the counter's fields, {@link
- * PeerUsage} those of other nodes. All amounts are units.
+ * <p>{@link QuotaManager} creates it with the first request of the window. It is released after the
+ * window has ended, the longest client timeout has also passed and no call is in flight. The
+ * comment above each group of fields names the class that writes it. All amounts are in units.
  */
 final class QuotaWindow {
   final CustomerQuota customer;
@@ -18,30 +17,31 @@
 
   // QuotaCharges
   final ArrayDeque<PendingCounterCall> calls = new ArrayDeque<>();
-  /** Charged or refunded by this node, carried by no call yet. */
+  /** Units charged (or, if negative, refunded) by this node that no call has reported yet. */
   double unsentUnits;
 
   // CounterTotals
-  /** The counter's last total, with the lost units added. */
+  /** The counter's last total plus {@link #lostUnits}. */
   double lastTotalUnits;
-  /** Net units of this node that answers have confirmed. */
+  /** Net units of this node that replies of the counter have confirmed. */
   double ownConfirmedUnits;
-  /** Units of adds that timed out since the last total; they may have been counted. */
+  /** Units of calls that timed out since the last total; they may have been counted. */
   double unconfirmedUnits;
-  /** Units that the counter has lost. */
+  /** Units that the counter has lost in this window. */
   double lostUnits;
-  /** Charged by all nodes, with what is taken to have been admitted uncounted. */
+  /** Units charged by all nodes, including the estimate of those admitted without being counted. */
   double totalChargedUnits;
 
-  /** Admitted by this node, counted or not. */
+  // QuotaManager
+  /** Units admitted by this node, counted or not. */
   double admittedUnits;
 
   // PeerUsage
   double peerUnitsByCounter;
   double peerUnitsByGossip;
-  /** The part of the others' units that the customer has been charged for. */
+  /** Units of other nodes for which the customer has already been charged. */
   double peerChargedUnits;
-  /** The last sum of each node of the customer's set; null until one arrives. */
+  /** The last sum of each of the customer's nodes; null until one arrives. */
   double[] gossipUnitsByNode;
 
   QuotaWindow(CustomerQuota customer, long counterName, long endsAtTicks) {
@@ -51,24 +51,24 @@
   }
 
   /**
-   * Adds to what this node owes the counter, to ride on the next call.
+   * Adds units to the next call to the counter.
    *
-   * @param units of an admitted request that no call carried; below 0 gives units back
+   * @param units units admitted that no call has reported; negative to refund units
    */
   void charge(double units) {
     unsentUnits += units;
   }
 
   /**
-   * Gives units back to the counter with the next call.
+   * Refunds units with the next call to the counter.
    *
-   * @param units of a request that was charged and not executed
+   * @param units units of a request that was charged but not executed
    */
   void refund(double units) {
     unsentUnits -= units;
   }
 
-  /** Notes an add that timed out or whose connection broke: it may have been counted. */
+  /** Records a call that timed out or whose connection broke; it may have been counted. */
   void recordUnconfirmed(double units) {
     unconfirmedUnits += units;
   }
--- a/src/main/java/saltlatch/policy/UnreportedPeerUsage.java
+++ b/src/main/java/saltlatch/policy/UnreportedPeerUsage.java
@@ -3,24 +3,24 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * What peers are taken to use of a customer's quota while their gossip is overdue. Serves only
- * where nodes know each other by membership.
+ * Estimates the usage of a customer's quota by peers whose gossip is overdue. Used only if
+ * membership is enabled.
  *
- * <p>Inputs are when each peer last sent a message and what this node admitted meanwhile; results
- * are units.
+ * <p>Inputs are the time of each peer's last message and the units that this node has admitted
+ * since then; results are in units.
  *
- * <p>Guards against a network split: for as long as a silent peer still counts as reachable, each
- * side sees the same capacity and both use it, which shows as a quota used more than once. Each
- * overdue peer is therefore taken to admit as much as this node does. When the peer leaves the pool
- * the units are charged, and they are given back only when the counter or the peer reports. Harms a
- * customer of which the silent peers admitted less: it is rejected with capacity left.
+ * <p>Guards against a network partition: while a silent peer still counts as reachable, both sides
+ * see the same capacity and both use it, which shows as a quota used more than once. Each overdue
+ * peer is therefore assumed to admit as many units as this node. When the peer leaves the pool the
+ * units are charged, and they are refunded only when the counter or the peer reports. The rule does
+ * harm if the silent peers admitted less: the customer's requests are rejected with capacity left.
  */
 final class UnreportedPeerUsage {
-  /** Gossip periods after which a peer's next message is overdue: it may be cut off. */
+  /** Gossip periods after which a peer's next message is overdue: the peer may be unreachable. */
   private static final double OVERDUE_PERIODS = 1.2;
 
   private final QuotaGossip gossip;
-  private QuotaShares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null while membership is disabled
 
   UnreportedPeerUsage(QuotaGossip gossip) {
     this.gossip = gossip;
@@ -30,7 +30,10 @@
     shares = fleetShares;
   }
 
-  /** Charges what overdue peers are taken to have admitted, once they are no longer relied on. */
+  /**
+   * Charges the estimated usage of overdue peers; called when this node stops relying on their
+   * reports.
+   */
   void chargePresumedUsage(CustomerQuota customer, long now) {
     if (shares == null) {
       return;
@@ -42,8 +45,8 @@
   }
 
   /**
-   * Units that overdue peers may have admitted since they last reported: as much as they did of
-   * late, or each as much as this node since, whichever is more.
+   * Returns the units that overdue peers may have admitted since their last report: the larger of
+   * the estimate by their recent rate and as many units for each of them as this node admitted.
    */
   double unreportedUnits(CustomerQuota customer, double othersUnitsPerTick, long now) {
     if (shares == null) {
@@ -58,7 +61,7 @@
         overdue * customer.admittedWhilePeersOverdue);
   }
 
-  /** Peers of the customer's set that reported lately, but whose next message is overdue. */
+  /** Returns how many of the customer's nodes reported recently but have an overdue message. */
   private int overdueNodeCount(CustomerQuota customer, long now) {
     return shares.overdueNodeCount(now, (long) (OVERDUE_PERIODS * gossip.periodTicks()),
         2 * gossip.validityTicks(), customer.firstNode, customer.nodeCount);
