--- a/src/main/java/saltlatch/policy/PolicyEngine.java
+++ b/src/main/java/saltlatch/policy/PolicyEngine.java
@@ -12,13 +12,14 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * All decisions of one gateway node: builds the rules, hands each event to the rule that it
- * concerns, keeps house every {@link HousekeepingSchedule#PERIOD_TICKS} and lets
- * {@link ActionEmitter} emit. It holds no rule itself. Times are in ticks.
+ * Makes all decisions of one gateway node. Creates the rules, dispatches each event to the rule
+ * that handles it, runs housekeeping every {@link HousekeepingSchedule#PERIOD_TICKS} and calls
+ * {@link ActionEmitter} after each batch of events. It contains no rule itself. Times are in ticks.
  *
- * <p>A host makes one engine from its settings, calls {@link #handle} with the events of one
- * instant, always on the same thread, and does what comes out through {@link GatewayActions}. Same
- * settings and events, same actions: the only source of chance is the settings' seed.
+ * <p>A host creates one engine from its settings, calls {@link #handle} with the events of one
+ * instant, always on the same thread, and executes the actions that it receives through
+ * {@link GatewayActions}. The same settings and events yield the same actions: the seed in the
+ * settings is the only source of randomness.
  */
 public final class PolicyEngine implements GatewayPolicy {
   private final GatewaySettings settings;
@@ -40,14 +41,15 @@
   private final HousekeepingSchedule housekeeping;
   private final TimerStallDetection stalls;
   private final ActionEmitter emitter;
-  /** Null: nodes don't know each other. */
+  /** Null while membership is disabled. */
   private QuotaShares shares;
   private long now;
 
   /**
-   * An engine without requests or servers, whose first batch of events brings the endpoint list.
+   * Creates an engine without requests or app servers; the first batch of events must contain the
+   * endpoint list.
    *
-   * @param now the clock, in ticks
+   * @param now the current time, in ticks
    */
   public PolicyEngine(long now, GatewaySettings settings, GatewayActions actions) {
     this.now = now;
@@ -96,7 +98,7 @@
     long stallTicks = stalls.stallTicks(now, nowTicks);
     now = nowTicks;
     if (stallTicks > 0) {
-      resumed(stallTicks);
+      handleStall(stallTicks);
     }
     quotas.advanceTo(now);
     for (GatewayEvent event : events) {
@@ -126,15 +128,15 @@
       quotas.applyGossip(message);
     } else if (event instanceof GatewayEvent.ResponseStarted started) {
       lifecycle.responseStarted(started.requestId());
-    } else if (event instanceof GatewayEvent.ClientDisconnected gone) {
-      lifecycle.clientDisconnected(gone.requestId());
+    } else if (event instanceof GatewayEvent.ClientDisconnected disconnect) {
+      lifecycle.clientDisconnected(disconnect.requestId());
     } else if (event instanceof GatewayEvent.MembershipChanged change) {
       membershipChanged(change);
     }
   }
 
-  /** This node was stalled, see {@link TimerStallDetection}. */
-  private void resumed(long stallTicks) {
+  /** Removes a stall of this node from all measurements, see {@link TimerStallDetection}. */
+  private void handleStall(long stallTicks) {
     servers.forEach(server -> outliers.recordStall(server, now));
     requests.forEach(request -> attempts.excludeStall(request, stallTicks));
     actions.log("was away for " + stallTicks / Ticks.PER_MILLISECOND + " ms");
@@ -170,7 +172,7 @@
 
   private void timerFired(GatewayEvent.TimerFired timer) {
     if (timer.timerId() < 0) {
-      keepHouse();
+      runHousekeeping();
     } else {
       lifecycle.deadlineReached(timer.timerId());
     }
@@ -195,7 +197,7 @@
     shares.update(change);
   }
 
-  private void keepHouse() {
+  private void runHousekeeping() {
     housekeeping.restart(now);
     completions.decay();
     slowStart.decay();
--- a/src/main/java/saltlatch/policy/RequestClassStats.java
+++ b/src/main/java/saltlatch/policy/RequestClassStats.java
@@ -3,20 +3,23 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * What this node has learned of one request class: how long an attempt takes, and which timeout
- * most requests come with. Owned by {@link RequestLifecycle}, written by {@link AttemptTracker} and
+ * Learned statistics of one request class: how long an attempt takes, and the client timeout of
+ * most requests. Owned by {@link RequestLifecycle}, written by {@link AttemptTracker} and
  * {@link ClientRetryDetection}. Times are in ticks.
  */
 final class RequestClassStats {
-  /** Smallest size of a request that times are divided by. */
+  /** Smallest size of a request, in units, that is used to compute times per unit. */
   private static final double MIN_UNITS = 0.1;
-  /** Part of the latency objective that an attempt is first thought to take. */
+  /** Initial estimate of an attempt's duration, as a fraction of the latency objective. */
   private static final double INITIAL_OBJECTIVE_FRACTION = 0.25;
-  /** Step of the mean time a unit takes: about 50 attempts. */
+  /** Smoothing factor of the mean time per unit: averages over about 50 attempts. */
   private static final double UNIT_TIME_STEP = 0.02;
-  /** Step of the recent time of an attempt: about ten attempts. */
+  /** Smoothing factor of the recent attempt duration: averages over about ten attempts. */
   private static final double RECENT_TIME_STEP = 0.1;
-  /** How firmly the usual timeout is held, in requests. */
+  /**
+   * Largest vote count of the usual timeout: number of requests with other timeouts after which it
+   * is replaced.
+   */
   private static final long MAX_TIMEOUT_VOTES = 100;
 
   final GatewaySettings.RequestClass requestClass;
@@ -29,7 +32,7 @@
     this.requestClass = requestClass;
   }
 
-  /** How long an attempt of a request of this size takes, by its mean time per unit. */
+  /** Returns the expected duration of an attempt of this size, by the mean time per unit. */
   double expectedTicks(double units) {
     if (ticksPerUnit <= 0) {
       return INITIAL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveTicks();
@@ -37,23 +40,25 @@
     return Math.max(1, ticksPerUnit * Math.max(MIN_UNITS, units));
   }
 
-  /** How long the last ten attempts or so took, whatever their outcome. */
+  /** Returns the mean duration of about the last ten attempts, whatever their outcome. */
   double recentAttemptTicks() {
     return recentAttemptTicks;
   }
 
-  /** An attempt has ended. */
+  /** Updates the statistics after an attempt has ended. */
   void recordAttempt(double units, double elapsedTicks, boolean succeeded) {
     if (succeeded) {
-      double perUnit = elapsedTicks / Math.max(MIN_UNITS, units);
-      ticksPerUnit += (ticksPerUnit <= 0 ? 1 : UNIT_TIME_STEP) * (perUnit - ticksPerUnit);
+      double attemptTicksPerUnit = elapsedTicks / Math.max(MIN_UNITS, units);
+      ticksPerUnit += (ticksPerUnit <= 0 ? 1 : UNIT_TIME_STEP)
+          * (attemptTicksPerUnit - ticksPerUnit);
     }
     recentAttemptTicks += RECENT_TIME_STEP * (elapsedTicks - recentAttemptTicks);
   }
 
   /**
-   * Takes in a request's timeout and says whether it is the usual one: that of most requests, by
-   * majority vote. First attempts of clients come with it, their retries with what is left.
+   * Records a request's timeout and returns whether it is the usual one, the timeout of most
+   * requests by majority vote. A client's first request has the usual timeout, and its retries
+   * have the time that remains of it.
    */
   boolean recordTimeout(long timeoutTicks, long resolutionTicks) {
     if (timeoutVotes == 0) {
--- a/src/main/java/saltlatch/policy/RequestCompletion.java
+++ b/src/main/java/saltlatch/policy/RequestCompletion.java
@@ -1,9 +1,9 @@
 package saltlatch.policy;
 
 /**
- * Wants a request's final answer. A rejection becomes a failure where the client could do harm by
- * sending the request again ({@link RetryPolicy}); what was charged for a request that was never
- * sent is given back. Whoever calls it marks the request as changed.
+ * Sets the final answer of a request. A rejection becomes a failure if it would not be safe for the
+ * client to send the request again ({@link RetryPolicy}). The charge for a request that was never
+ * sent to an app server is refunded. The caller must mark the request as changed.
  */
 final class RequestCompletion {
   private final QuotaCharges charges;
@@ -14,40 +14,43 @@
     this.retryAfter = retryAfter;
   }
 
-  /** Rejects a request that is out of time; its client has no time to come back either. */
+  /**
+   * Rejects a request whose deadline has passed, without Retry-After: the client has no time left
+   * for a retry.
+   */
   void rejectLate(RequestState request) {
     reject(request, 0);
   }
 
-  /** Rejects a request that its customer's quota has no room for. */
+  /** Rejects a request for which its customer's quota has no capacity. */
   void rejectWithoutQuota(RequestState request, long now) {
     reject(request, retryAfter.withoutQuota(request, now));
   }
 
   /**
-   * Rejects a request that can't be served now: concurrency cap, ceiling, overload, no app server,
-   * or no further attempt is allowed.
+   * Rejects a request that cannot be served now because of the concurrency cap, the hard ceiling or
+   * overload, or because no app server is available or no further attempt is allowed.
    */
   void rejectWithoutCapacity(RequestState request) {
     reject(request, retryAfter.withoutCapacity());
   }
 
   private void reject(RequestState request, long retryAfterTicks) {
-    RequestOutcome end = RetryPolicy.isRejectSafe(request) ? RequestOutcome.REJECTED
+    RequestOutcome outcome = RetryPolicy.isRejectSafe(request) ? RequestOutcome.REJECTED
         : RequestOutcome.FAILED;
-    finish(request, end, retryAfterTicks);
+    finish(request, outcome, retryAfterTicks);
   }
 
-  /** Fails a request: it may have been executed. */
+  /** Fails a request that may have been executed. */
   void fail(RequestState request) {
     finish(request, RequestOutcome.FAILED, 0);
   }
 
-  private void finish(RequestState request, RequestOutcome end, long retryAfterTicks) {
+  private void finish(RequestState request, RequestOutcome outcome, long retryAfterTicks) {
     if (request.admitted && request.attemptCount == 0 && request.window != null) {
       charges.refund(request);
     }
-    request.pendingOutcome = end;
+    request.pendingOutcome = outcome;
     request.retryAfterTicks = retryAfter.limited(retryAfterTicks);
   }
 }
--- a/src/main/java/saltlatch/policy/RequestLifecycle.java
+++ b/src/main/java/saltlatch/policy/RequestLifecycle.java
@@ -7,14 +7,14 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * The way of a request: arrival, admission, attempts one at a time, final answer. Its methods are
- * the event handlers for requests; they change only what is wanted of a request and mark it, and
- * {@link ActionEmitter} does the rest. A timer ends every request shortly before its client's
- * timeout, also while its counter call is in flight. Times are in ticks.
+ * Handles the events of requests from arrival through admission and attempts, one at a time, to the
+ * final answer. The handlers only set a request's pending actions and mark the request as changed;
+ * {@link ActionEmitter} emits the actions. A timer ends every request shortly before its client's
+ * timeout, even while its counter call is in flight. Times are in ticks.
  */
 final class RequestLifecycle {
-  /** Clock steps before the client's timeout at which the final answer goes out. */
-  private static final long DEADLINE_MARGIN_STEPS = 2;
+  /** Time before the client's timeout at which the final answer is sent, in clock resolutions. */
+  private static final long DEADLINE_MARGIN_RESOLUTIONS = 2;
 
   private final RequestTable requests;
   private final QuotaManager quotas;
@@ -41,7 +41,7 @@
     this.completion = completion;
     this.charges = charges;
     this.clientRetries = clientRetries;
-    deadlineMarginTicks = DEADLINE_MARGIN_STEPS * settings.clockResolutionTicks();
+    deadlineMarginTicks = DEADLINE_MARGIN_RESOLUTIONS * settings.clockResolutionTicks();
     for (GatewaySettings.RequestClass requestClass : settings.requestClasses()) {
       statsByClass.add(new RequestClassStats(requestClass));
     }
@@ -58,7 +58,7 @@
     admission.decideOrCallCounter(request, now);
   }
 
-  /** Ignores an event of an attempt that is not the one in flight. */
+  /** Handles the end of an attempt; ignores it unless the attempt is the one in flight. */
   void attemptEnded(GatewayEvent.AttemptEnded event, long now) {
     RequestState request = requests.find(event.requestId());
     if (!isInFlight(request, event.attempt())) {
@@ -79,7 +79,10 @@
     return request != null && request.attempt != null && attempt == request.attemptCount - 1;
   }
 
-  /** Nothing is in flight and no answer has come: another attempt, or the end. */
+  /**
+   * Chooses a server for another attempt or, if none is possible, rejects the request. Called when
+   * nothing is in flight and no answer has arrived.
+   */
   private void retryOrReject(RequestState request, AttemptOutcome outcome, long now) {
     request.nextServer = retryPolicy.mayRetry(request, outcome, now) ? balancer.choose(request, now)
         : null;
@@ -88,7 +91,10 @@
     }
   }
 
-  /** Attempts wanted in this instant at servers that take none any more go elsewhere. */
+  /**
+   * Chooses other servers for attempts that are pending in this batch of events and whose server no
+   * longer accepts requests.
+   */
   void endpointsUpdated(long now) {
     for (RequestState request : requests.changed()) {
       if (request.nextServer != null && !request.nextServer.ready) {
@@ -97,7 +103,7 @@
     }
   }
 
-  /** The answer streams: the client's timeout no longer runs. */
+  /** Handles the start of a streamed response, after which the client's timeout does not apply. */
   void responseStarted(long requestId) {
     RequestState request = requests.find(requestId);
     if (request != null) {
@@ -105,7 +111,7 @@
     }
   }
 
-  /** Nobody waits for an answer any more. */
+  /** Finishes a request whose client has disconnected. */
   void clientDisconnected(long requestId) {
     RequestState request = requests.find(requestId);
     if (request != null) {
@@ -128,9 +134,10 @@
   }
 
   /**
-   * Whether an attempt may still begin, its connection having come up only now. Guards against one
-   * that begins when what allowed it is past: the client gone, the server draining or replaced, the
-   * idempotency key about to be forgotten.
+   * Returns whether an attempt may still start after its connection has been established. Guards
+   * against starting an attempt whose conditions have changed meanwhile: the client has
+   * disconnected, the server is draining or was restarted, or the idempotency key is about to
+   * expire.
    */
   boolean mayStartAttempt(long requestId, int attemptNumber, long now) {
     RequestState request = requests.find(requestId);
--- a/src/main/java/saltlatch/policy/RequestOutcome.java
+++ b/src/main/java/saltlatch/policy/RequestOutcome.java
@@ -1,11 +1,11 @@
 package saltlatch.policy;
 
-/** The final answer that is wanted for a request. */
+/** The pending final answer of a request. */
 enum RequestOutcome {
-  /** None yet. */
+  /** No final answer is pending. */
   NONE,
-  /** The client may send the request again without harm. */
+  /** The request is rejected; the client may safely send it again. */
   REJECTED,
-  /** The request may have been executed. */
+  /** The request has failed; it may have been executed. */
   FAILED
 }
--- a/src/main/java/saltlatch/policy/RequestState.java
+++ b/src/main/java/saltlatch/policy/RequestState.java
@@ -3,47 +3,48 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * One request, from its arrival until its final answer is out and nothing of it is in flight. Kept
- * by {@link RequestTable}. The rules write what they want of it ({@code nextServer},
- * {@code pendingOutcome}); {@link ActionEmitter} alone turns that into actions. Times are in ticks.
+ * State of one request, from its arrival until its final answer has been sent and neither an
+ * attempt nor a counter call is in flight. Held by {@link RequestTable}. The rules set the pending
+ * actions ({@code nextServer}, {@code pendingOutcome}); only {@link ActionEmitter} emits them.
+ * Times are in ticks.
  */
 final class RequestState {
   final GatewayEvent.RequestArrived arrival;
   final RequestClassStats stats;
   final CustomerQuota customer;
-  /** A client's retry that comes too late for its latency objective. */
+  /** A client's retry that can no longer be answered within its latency objective. */
   boolean lateRetry;
-  /** The final answer is out by then. */
+  /** Time by which the final answer must be sent. */
   long deadlineTicks;
 
   // Admission; written by AdmissionControl and QuotaCharges.
-  /** The window that is charged; null where the plan has no quota. */
+  /** The window that is charged; null if the plan has no quota. */
   QuotaWindow window;
   double reservedUnits;
-  /** The part of the reservation that the request's counter call added. */
+  /** Units of the reservation that the request's counter call added. */
   double chargedUnits;
   boolean awaitingCounter;
   boolean admitted;
 
   // Attempts; written by RequestLifecycle and AttemptTracker.
-  /** In flight; there are never two at once. */
+  /** The attempt in flight, at most one at a time; null if there is none. */
   Attempt attempt;
   int attemptCount;
   ServerState lastServer;
-  /** Start of the first attempt that may have been executed; below 0: there is none. */
+  /** Start of the first attempt that may have been executed; negative if there is none. */
   long possiblyExecutedAtTicks = -1;
   ServerState possiblyExecutedOn;
   boolean streaming;
 
-  // What is wanted, and what has been emitted.
-  /** Wanted: an attempt there. */
+  // Pending actions and the state of emitted actions.
+  /** Server of the pending attempt; null if none is pending. */
   ServerState nextServer;
   RequestOutcome pendingOutcome = RequestOutcome.NONE;
   long retryAfterTicks;
-  /** Its final answer is out, or its client is gone. */
+  /** The final answer has been sent or the client has disconnected. */
   boolean finished;
   boolean deadlineTimerSet;
-  /** Among the changed requests of {@link RequestTable}. */
+  /** Whether the request is among the changed ones of {@link RequestTable}. */
   boolean changed;
 
   RequestState(GatewayEvent.RequestArrived arrival, RequestClassStats stats,
@@ -53,7 +54,7 @@
     this.customer = customer;
   }
 
-  /** Whether an attempt may have been executed. */
+  /** Returns whether an attempt may have been executed. */
   boolean possiblyExecuted() {
     return possiblyExecutedAtTicks >= 0;
   }
--- a/src/main/java/saltlatch/policy/RequestTable.java
+++ b/src/main/java/saltlatch/policy/RequestTable.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * The requests that this node has not finished, and which of them an event has changed since
- * actions were last emitted. Every event handler marks the request it names.
+ * Holds this node's unfinished requests and those of them that have changed since actions were last
+ * emitted. Every event handler marks the request of its event.
  */
 final class RequestTable {
   private final SlotMap<RequestState> requests = new SlotMap<>();
@@ -16,7 +16,7 @@
     requests.put(request.arrival.requestId(), request);
   }
 
-  /** Null for a request that is not held. */
+  /** Returns the request, or null if the table does not contain it. */
   RequestState find(long requestId) {
     return requests.find(requestId);
   }
@@ -25,11 +25,11 @@
     requests.release(request.arrival.requestId());
   }
 
-  void forEach(Consumer<RequestState> use) {
-    requests.forEach(use);
+  void forEach(Consumer<RequestState> action) {
+    requests.forEach(action);
   }
 
-  /** The next emission looks at it. */
+  /** Marks a request for the next emission of actions. */
   void markChanged(RequestState request) {
     if (!request.changed) {
       changed.add(request);
@@ -37,7 +37,7 @@
     request.changed = true;
   }
 
-  /** In the order in which they were first marked. */
+  /** Returns the changed requests in the order in which they were first marked. */
   List<RequestState> changed() {
     return changed;
   }
--- a/src/main/java/saltlatch/policy/RetryAfterAdvice.java
+++ b/src/main/java/saltlatch/policy/RetryAfterAdvice.java
@@ -4,17 +4,20 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * When the client of a rejected request should come back (Retry-After), in ticks. Inputs: the
- * quota's window, the counter's backoff, the longest advice that clients heed.
+ * Computes the delay after which the client of a rejected request should retry (Retry-After), in
+ * ticks. Inputs are the end of the quota's window, the counter's backoff and the longest delay that
+ * clients respect.
  *
- * <p>Where the quota is known to be spent: at the turn of the window and a random part of a window
- * later. Where the counter is unhealthy and the quota isn't known to be spent: at this node's next
- * counter call or a random backoff later, so that the retry can still be in time. Where the app
- * servers are under pressure: as late as clients heed. Guards against clients that come back all at
- * once. Harms a client whose quota has room again sooner.
+ * <p>If the quota is known to be exhausted, the retry is due at a random time in the first half of
+ * the next window. If the counter is unhealthy and the quota is not known to be exhausted, the
+ * retry is due at a random time up to one backoff after this node's next counter call, so that it
+ * can still meet its latency objective. If the request cannot be served for other reasons, such as
+ * overloaded app servers, the delay is the longest that clients respect. Guards against clients
+ * that all retry at the same time. The rule does harm to a client whose quota has capacity again
+ * earlier.
  */
 final class RetryAfterAdvice {
-  /** Part of a window over which clients are spread. */
+  /** Fraction of a window over which retries are spread. */
   private static final double SPREAD_WINDOW_FRACTION = 0.5;
 
   private final GatewaySettings.Limits limits;
@@ -30,27 +33,31 @@
     this.random = random;
   }
 
-  /** For a request that its quota has no room for. */
+  /** Returns the delay for a request for which its quota has no capacity. */
   long withoutQuota(RequestState request, long now) {
-    // Both are drawn in any case: which of them is used must not shift later draws.
+    // Always draws both numbers, so that later draws do not depend on which of them is used.
     double spreadTicks = SPREAD_WINDOW_FRACTION
         * QuotaManager.windowLengthTicks(request.customer.plan) * random.nextDouble();
     long nextCallTicks = counterHealth.ticksUntilNextCall(now)
         + (long) (counterHealth.backoffTicks() * random.nextDouble());
-    boolean knownSpent = request.lateRetry || request.awaitingCounter
+    boolean knownExhausted = request.lateRetry || request.awaitingCounter
         || gossip.isUsageFresh(now, request.customer.nodeCount);
-    return knownSpent ? request.window.endsAtTicks - now + (long) spreadTicks : nextCallTicks;
+    return knownExhausted ? request.window.endsAtTicks - now + (long) spreadTicks : nextCallTicks;
   }
 
   /**
-   * For a request that can't be served now: concurrency cap, ceiling, overload, no app server, or
-   * no further attempt is allowed.
+   * Returns the delay for a request that cannot be served now because of the concurrency cap, the
+   * hard ceiling or overload, or because no app server is available or no further attempt is
+   * allowed.
    */
   long withoutCapacity() {
     return limits.maxRetryAfterTicks();
   }
 
-  /** What is sent of an advice: 0 where the deployment sends none, at most what clients heed. */
+  /**
+   * Returns the delay to send: at most the longest that clients respect, or 0 if the deployment
+   * sends no Retry-After.
+   */
   long limited(long retryAfterTicks) {
     return limits.maySendRetryAfter()
         ? Math.min(limits.maxRetryAfterTicks(), Math.max(0, retryAfterTicks)) : 0;
--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -7,18 +7,18 @@
 import saltlatch.api.Ticks;
 
 /**
- * Whether a request may be sent again, to which app servers, and which final answer is safe.
- * Inputs: the request class's retry safety, what is known of earlier attempts, the number of
- * attempts. Times are in ticks.
+ * Decides whether a request may be retried, at which app servers, and which final answer is safe.
+ * Inputs are the retry safety of the request class, the state of earlier attempts and their number.
+ * Times are in ticks.
  *
- * <p>An idempotent request may always be sent again. One with an idempotency key may while the
- * servers remember the key of its first attempt that may have been executed, and only to servers
- * that share that memory. Any other may only if no attempt can have been executed. Guards against a
- * request that is executed twice; a client that reads REJECTED sends its request again, so the same
- * holds for the final answer.
+ * <p>An idempotent request may always be retried. A request with an idempotency key may be retried
+ * while the servers store the key of its first attempt that may have been executed, and only at
+ * servers that share stored keys with the server of that attempt. Any other request may be retried
+ * only if no attempt can have been executed. Guards against executing a request twice. A client
+ * that receives REJECTED may send its request again, so the same conditions apply to a rejection.
  */
 final class RetryPolicy {
-  /** As a rule an attempt's last byte has reached the server by then. */
+  /** Time within which the last byte of an attempt normally reaches the server. */
   private static final long SENDING_TICKS = 20 * Ticks.PER_MILLISECOND;
 
   private final int maxAttempts;
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Whether another attempt may follow one that has ended, nothing being in flight.
+   * Returns whether another attempt may follow one that has ended. No attempt may be in flight.
    *
    * @param outcome how the last attempt ended
    */
@@ -37,21 +37,27 @@
         && outcome != AttemptOutcome.NOT_SENT && request.attemptCount < maxAttempts;
   }
 
-  /** Whether an attempt that starts now can't be the second that is executed. */
+  /** Returns whether an attempt that starts now cannot execute the request a second time. */
   boolean isAttemptSafe(RequestState request, long now) {
     return !request.possiblyExecuted()
         || request.stats.requestClass.retrySafety() == RetrySafety.IDEMPOTENT
         || isKeyRemembered(request, now);
   }
 
-  /** Whether the key of the first attempt that may have been executed outlives a new attempt. */
+  /**
+   * Returns whether servers still store the key of the first attempt that may have been executed
+   * when a new attempt reaches them.
+   */
   private static boolean isKeyRemembered(RequestState request, long now) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
     return requestClass.retrySafety() == RetrySafety.IDEMPOTENT_BY_KEY
         && now + SENDING_TICKS < request.possiblyExecutedAtTicks + requestClass.keyTtlTicks();
   }
 
-  /** Whether that server knows the request's key, if it has to. */
+  /**
+   * Returns whether a server shares stored idempotency keys with the server that may have executed
+   * the request; true if the request does not depend on a key.
+   */
   static boolean sharesKeys(RequestState request, ServerState server) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
     if (requestClass.retrySafety() != RetrySafety.IDEMPOTENT_BY_KEY
@@ -65,7 +71,9 @@
     };
   }
 
-  /** Whether the client may send the request again, wherever that comes to. */
+  /**
+   * Returns whether the client may send the request again, whichever node and server receive it.
+   */
   static boolean isRejectSafe(RequestState request) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
     return (!request.possiblyExecuted() && request.attempt == null)
--- a/src/main/java/saltlatch/policy/TimerStallDetection.java
+++ b/src/main/java/saltlatch/policy/TimerStallDetection.java
@@ -1,21 +1,22 @@
 package saltlatch.policy;
 
 /**
- * Whether this node was stopped or starved since it last ran: its housekeeping timer is overdue by
- * more than half of the shortest latency objective. Inputs: the clock and the timer that was asked
- * for. Times are in ticks.
+ * Detects that this node was suspended or starved of CPU time since it last ran: its housekeeping
+ * timer is overdue by more than half of the shortest latency objective. Inputs are the clock and
+ * the time for which the timer was set. Times are in ticks.
  *
- * <p>Guards against beliefs that the node's own absence made: app servers silent and slow, a
- * counter without answers. They show as a node that sends all app servers next to nothing, or calls
- * a healthy counter unhealthy, right after a stall. {@link AttemptTracker} takes the stall out of
- * what it measures, and the outcome of a counter call from before the stall judges the counter
- * neither way. Harms where the host's clock leaps. The node's own StallDetector asks the same of
- * the event loop, before anything is read, to give requests their age.
+ * <p>Guards against wrong conclusions from a stall of this node: app servers appear silent and
+ * slow, and the counter appears not to answer. The failure shows as a node that, right after a
+ * stall, sends almost no requests to any app server or treats a healthy counter as unhealthy.
+ * {@link AttemptTracker} excludes the stall from its measurements, and the outcome of a counter
+ * call that was sent before the stall does not affect {@link CounterHealth}. The rule does harm if
+ * the host's clock jumps forward. StallDetector of the node package applies the same check to the
+ * event loop, before any socket is read, to determine the age of requests.
  */
 final class TimerStallDetection {
-  /** Part of the shortest latency objective by which an overdue timer shows a stall. */
+  /** Delay of the timer that indicates a stall, as a fraction of the shortest latency objective. */
   private static final double OVERDUE_OBJECTIVE_FRACTION = 0.5;
-  /** Housekeeping periods by which the timer is overdue at least. */
+  /** Smallest delay of the timer that indicates a stall, in housekeeping periods. */
   private static final long MIN_OVERDUE_PERIODS = 2;
 
   private final HousekeepingSchedule schedule;
@@ -33,21 +34,21 @@
   }
 
   /**
-   * For how long the node was stalled, 0 if it wasn't.
+   * Returns the duration of the stall that has just ended, or 0 if there was none.
    *
-   * @param lastRunAt when it last ran
+   * @param lastRunAtTicks when the node last ran, in ticks
    */
-  long stallTicks(long lastRunAt, long now) {
-    long timerAt = schedule.timerAtTicks();
-    if (timerAt <= 0 || now - Math.max(timerAt, lastRunAt) <= thresholdTicks) {
+  long stallTicks(long lastRunAtTicks, long now) {
+    long timerDueAtTicks = schedule.timerAtTicks();
+    if (timerDueAtTicks <= 0 || now - Math.max(timerDueAtTicks, lastRunAtTicks) <= thresholdTicks) {
       return 0;
     }
     resumedAtTicks = now;
-    return now - lastRunAt;
+    return now - lastRunAtTicks;
   }
 
-  /** Whether what began at that time was in flight during the last stall. */
-  boolean spansStall(long beganAt) {
-    return beganAt < resumedAtTicks;
+  /** Returns whether an operation in flight that began at this time spans the last stall. */
+  boolean spansStall(long beganAtTicks) {
+    return beganAtTicks < resumedAtTicks;
   }
 }
