--- a/src/main/java/saltlatch/policy/ServerList.java
+++ b/src/main/java/saltlatch/policy/ServerList.java
@@ -7,9 +7,9 @@
 import saltlatch.api.GatewayEvent.EndpointUpdateKind;
 
 /**
- * The app servers, from the endpoint list: which of them take requests, and how many. A server that
- * drains or left the list takes no new attempt from that instant on; it is kept while attempts are
- * in flight there.
+ * Holds the app servers of the endpoint list, and counts those that accept requests. A server that
+ * drains or is removed from the list receives no new attempts from then on; its state is held while
+ * attempts are in flight there.
  */
 final class ServerList {
   private final SlowStart slowStart;
@@ -25,21 +25,21 @@
     this.random = random;
   }
 
-  void forEach(Consumer<ServerState> use) {
-    servers.forEach(use);
+  void forEach(Consumer<ServerState> action) {
+    servers.forEach(action);
   }
 
-  /** Servers that take requests, as of the last {@link #recount}. */
+  /** Returns the number of servers that accept requests, as of the last {@link #recount}. */
   int readyServers() {
     return readyServers;
   }
 
-  /** The same, those that warm up counted by their capacity. */
+  /** Returns the same number, in which a server that warms up counts by its capacity. */
   double effectiveServers() {
     return effectiveServers;
   }
 
-  /** Takes in the list, or changes of it; not of kind FAILED. */
+  /** Applies a new list or changes to the list; the kind must not be FAILED. */
   void update(GatewayEvent.EndpointsUpdated update, long now) {
     if (update.kind() != EndpointUpdateKind.DELTA) {
       servers.forEach(server -> server.ready = false);
@@ -74,12 +74,12 @@
   private ServerState add(long serverId, long now) {
     ServerState server = servers.put(serverId, new ServerState(serverId));
     server.decayedAtTicks = now;
-    // Many nodes with few requests each must not all begin with the same servers.
+    // A random start prevents many nodes with few requests each from starting at the same servers.
     server.rotationCredit = random.nextDouble();
     return server;
   }
 
-  /** Counts the servers that take requests; capacities change with time. */
+  /** Counts the servers that accept requests; called periodically as capacities change. */
   void recount(long now) {
     effectiveServers = 0;
     readyServers = 0;
@@ -89,7 +89,7 @@
     });
   }
 
-  /** Releases a server that takes no requests and has nothing in flight. */
+  /** Releases a server that accepts no requests and has no attempt in flight. */
   void releaseIfUnused(ServerState server) {
     if (!server.ready && server.inFlight == 0) {
       servers.release(server.id);
--- a/src/main/java/saltlatch/policy/ServerState.java
+++ b/src/main/java/saltlatch/policy/ServerState.java
@@ -1,20 +1,20 @@
 package saltlatch.policy;
 
 /**
- * One app server, for as long as it is listed or has attempts in flight. Kept by
- * {@link ServerList}; each group of fields names the one class that writes it. Times are in ticks.
+ * State of one app server while it is listed or has attempts in flight. Held by {@link ServerList};
+ * the comment above each group of fields names the only class that writes it. Times are in ticks.
  */
 final class ServerState {
   final long id;
 
   // Written by ServerList, from the endpoint list.
-  /** When it last started; 0: long ago. */
+  /** Time of the server's last start; 0 if it started long ago. */
   long startedAtTicks;
   int zone;
   int keyGroup;
-  /** Capacity relative to others. */
+  /** Capacity relative to other servers. */
   double weight;
-  /** Takes requests: listed, and not draining. */
+  /** Whether the server accepts requests: it is listed and not draining. */
   boolean ready;
 
   // Written by AttemptTracker.
@@ -25,20 +25,23 @@
   double inverseExpectedSum;
   /** Sum of start / expected time over the attempts in flight. */
   double startOverExpectedSum;
-  /** Attempts that succeeded; decays. */
+  /** Number of attempts that succeeded; decays exponentially. */
   double completed;
-  /** Time that ended attempts took, in expected times; decays. */
+  /** Time taken by ended attempts, in multiples of the expected time; decays exponentially. */
   double spentTime;
   long decayedAtTicks;
-  /** Last outcome, or start of the first attempt in flight if that is later. */
+  /**
+   * Time of the last outcome or, if later, of the last attempt that started on the idle server or
+   * of the end of this node's last stall.
+   */
   long lastResponseAtTicks;
 
   // Written by WeightedRoundRobinLoadBalancer.
-  /** Turns of the rotation that it has to come; below 0: that it had ahead of its part. */
+  /** Turns of the rotation due to the server; negative if it had more than its share. */
   double rotationCredit;
 
   // Written by SlowStart.
-  /** Units that it may be sent while it warms up; below 0: sent ahead. */
+  /** Units that may be sent to the server while it warms up; negative if overdrawn. */
   double warmUpBudgetUnits;
   long warmUpBudgetAtTicks;
 
--- a/src/main/java/saltlatch/policy/SlotMap.java
+++ b/src/main/java/saltlatch/policy/SlotMap.java
@@ -7,22 +7,22 @@
 import java.util.function.Consumer;
 
 /**
- * A map from outside ids whose items are visited in the order of small slots, never of hashes: the
- * same ids added and released give the same order on every node and run. A released slot is used
- * again. Items may be released while they are visited.
+ * Maps ids to items and iterates in slot order, never in hash order: the same sequence of additions
+ * and releases yields the same iteration order on every node and in every run. Released slots are
+ * reused. Items may be released during iteration.
  */
 final class SlotMap<T> {
   private final Map<Long, Integer> slotById = new HashMap<>();
   private final List<T> slots = new ArrayList<>();
   private final List<Integer> freeSlots = new ArrayList<>();
 
-  /** Null for an id that is not held. */
+  /** Returns the item, or null if the map does not contain the id. */
   T find(long id) {
     Integer slot = slotById.get(id);
     return slot == null ? null : slots.get(slot);
   }
 
-  /** Adds an item, or replaces that of the same id in its slot; returns the item. */
+  /** Adds an item, or replaces the item of the same id in its slot, and returns it. */
   T put(long id, T item) {
     Integer slot = slotById.get(id);
     if (slot == null && !freeSlots.isEmpty()) {
@@ -37,7 +37,7 @@
     return item;
   }
 
-  /** Does nothing for an id that is not held. */
+  /** Removes an item; does nothing if the map does not contain the id. */
   void release(long id) {
     Integer slot = slotById.remove(id);
     if (slot != null) {
@@ -46,10 +46,10 @@
     }
   }
 
-  void forEach(Consumer<T> use) {
+  void forEach(Consumer<T> action) {
     for (int i = 0; i < slots.size(); i++) {
       if (slots.get(i) != null) {
-        use.accept(slots.get(i));
+        action.accept(slots.get(i));
       }
     }
   }
--- a/src/main/java/saltlatch/policy/SlowStart.java
+++ b/src/main/java/saltlatch/policy/SlowStart.java
@@ -4,32 +4,35 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * What an app server that has just started may be sent. Inputs: its start, the deployment's
- * warm-up rule, the units this node sends. Times are in ticks, the budget in units.
+ * Limits the load that is sent to an app server that has just started. Inputs are the server's
+ * start time, the warm-up settings of the deployment ({@link GatewaySettings.Limits}) and the units
+ * that this node sends. Times are in ticks, budgets in units.
  *
- * <p>Its capacity rises evenly from the rule's initial part to 1 over the warm-up time. Besides, it
- * has a budget: in each window of the rule a part of what a server carries on average, times the
- * rule's factor and its capacity. A node's part of the budget is a rate, and each node begins at a
- * random place on the way to its first request. Guards against a hundred nodes, each with a part
- * below one request, sending it one each. Harms a server that could take more while it warms up.
+ * <p>The server's capacity, a fraction of its full capacity, rises linearly from the initial
+ * capacity to 1 over the warm-up time. In addition, the server has a budget for each warm-up
+ * window: a fraction of the units that this node sends to an average server, times the warm-up
+ * budget factor and the server's capacity. The budget refills continuously, and each node starts
+ * with a random fraction of one request. Guards against a hundred nodes that each have a budget of
+ * less than one request and each send the server one request at once. The rule does harm to a
+ * server that could accept more load while it warms up.
  */
 final class SlowStart {
-  /** Part of the budget that is used: so the rule holds in 99 of 100 draws. */
+  /** Fraction of the budget that is used, so that the limit holds in 99 of 100 random draws. */
   private static final double BUDGET_FRACTION = 0.85;
 
   private final GatewaySettings.Limits limits;
   private final SplittableRandom random;
-  /** Units sent to servers; decays over the rule's window. */
+  /** Units sent to servers; decays exponentially over the warm-up window. */
   private double sentUnits;
-  /** Units of requests that wanted a first attempt; decays likewise. */
-  private double wantedUnits;
+  /** Units of requests for which a first attempt was requested; decays in the same way. */
+  private double requestedUnits;
 
   SlowStart(GatewaySettings.Limits limits, SplittableRandom random) {
     this.limits = limits;
     this.random = random;
   }
 
-  /** Part of its full capacity that a server has now, 1 once it is warm. */
+  /** Returns the server's current fraction of its full capacity, 1 once it has warmed up. */
   double capacity(ServerState server, long now) {
     long age = now - server.startedAtTicks;
     if (server.startedAtTicks <= 0 || age >= limits.warmUpTicks()) {
@@ -43,50 +46,51 @@
     return capacity(server, now) < 1;
   }
 
-  /** A server has started, or is first known to have: its budget begins. */
+  /** Initializes the budget of a server that has restarted or is new in the endpoint list. */
   void beginWarmUp(ServerState server, long now) {
     server.warmUpBudgetUnits = random.nextDouble();
     server.warmUpBudgetAtTicks = now;
   }
 
   /**
-   * Whether a server may be sent a request now; refills its budget.
+   * Refills the server's budget and returns whether a request may be sent to the server now.
    *
-   * @param readyServers servers that take requests
+   * @param readyServers number of servers that accept requests
    */
   boolean allows(ServerState server, int readyServers, long now) {
     double capacity = capacity(server, now);
     if (capacity >= 1) {
       return true;
     }
-    // By number, not by capacity: where most servers warm up, each of the few warm ones would seem
-    // to carry much.
-    double carriedUnits = Math.max(sentUnits, wantedUnits) / Math.max(1, readyServers);
-    double budgetUnits = BUDGET_FRACTION * limits.warmUpBudgetFactor() * capacity * carriedUnits;
-    double gainedUnits = budgetUnits * (now - server.warmUpBudgetAtTicks)
+    // Divides by the number of servers, not by their total capacity: while most servers warm up,
+    // the latter would overestimate the load of a warm server.
+    double meanUnitsPerServer = Math.max(sentUnits, requestedUnits) / Math.max(1, readyServers);
+    double budgetUnits = BUDGET_FRACTION * limits.warmUpBudgetFactor() * capacity
+        * meanUnitsPerServer;
+    double refillUnits = budgetUnits * (now - server.warmUpBudgetAtTicks)
         / Math.max(1, limits.warmUpWindowTicks());
     server.warmUpBudgetUnits = Math.min(Math.max(1, budgetUnits),
-        server.warmUpBudgetUnits + gainedUnits);
+        server.warmUpBudgetUnits + refillUnits);
     server.warmUpBudgetAtTicks = now;
     return server.warmUpBudgetUnits >= 1;
   }
 
-  /** A request wants its first attempt. */
+  /** Records that a first attempt was requested, even if no server could be chosen. */
   void recordRequested(double units) {
-    wantedUnits += units;
+    requestedUnits += units;
   }
 
-  /** An attempt starts; charged to the server's budget, warm or not. */
+  /** Charges an attempt that starts to the server's budget, whether or not the server warms up. */
   void recordSent(ServerState server, double units) {
     sentUnits += units;
     server.warmUpBudgetUnits -= units;
   }
 
-  /** Called once each housekeeping period. */
+  /** Decays the sums of units; called once in each housekeeping period. */
   void decay() {
     double factor = Math.exp(
         -HousekeepingSchedule.PERIOD_TICKS / Math.max(1.0, (double) limits.warmUpWindowTicks()));
     sentUnits *= factor;
-    wantedUnits *= factor;
+    requestedUnits *= factor;
   }
 }
--- a/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
+++ b/src/main/java/saltlatch/policy/WeightedRoundRobinLoadBalancer.java
@@ -4,25 +4,28 @@
 import java.util.List;
 
 /**
- * Which app server gets an attempt: a smooth weighted round robin. Inputs: each server's weight,
- * its capacity while it warms up, its slowness, what is in flight there.
+ * Chooses the app server of an attempt by smooth weighted round robin. Inputs are each server's
+ * weight, its capacity while it warms up, its slowness and its number of attempts in flight.
  *
- * <p>At each choice every server that may take the request gains its part of a turn as credit; the
- * one with the most credit that isn't saturated gets the attempt and pays a turn. The weight is
- * divided by the square of the slowness, since a slow server is slower still by its queue. A server
- * whose warm-up budget is used up keeps its credit: else it would wait for its part and then again.
- * Guards against a server that pauses and piles up what it is sent (saturated), and against credit
- * that is saved up and spent in a rush. Harms where the list's weights are far from the truth.
+ * <p>At each choice, every server that may receive the request gains its share of one turn as
+ * credit. The server with the most credit that is not saturated receives the attempt and pays one
+ * turn. The weight is divided by the square of the slowness, since the queue of a slow server
+ * delays its answers further. A server whose warm-up budget is used up retains its credit;
+ * otherwise it would have to wait first for its budget and then for its credit.
+ *
+ * <p>Guards against a server that pauses and accumulates the attempts sent to it (saturated), and
+ * against credit that accumulates and is then spent in a burst. The rule does harm if the weights
+ * in the endpoint list are far from the servers' real capacities.
  */
 final class WeightedRoundRobinLoadBalancer {
-  /** Smallest weight taken from the list: a server listed with 0 still gets turns. */
+  /** Smallest effective weight: a server listed with weight 0 still receives turns. */
   private static final double MIN_WEIGHT = 0.1;
-  /** Turns that a server's credit may be ahead or behind. */
+  /** Largest absolute value of a server's credit, in turns. */
   private static final double MAX_CREDIT_TURNS = 2;
-  /** Times its part of what is in flight from which on a server is saturated. */
-  private static final double SATURATED_PART = 2;
-  /** Attempts in flight that never make a server saturated. */
-  private static final double NEVER_SATURATED_ATTEMPTS = 2;
+  /** A server is saturated above this multiple of its share of all attempts in flight. */
+  private static final double SATURATION_SHARE_FACTOR = 2;
+  /** Number of attempts in flight up to which a server is never saturated. */
+  private static final double MAX_UNSATURATED_ATTEMPTS = 2;
 
   private final ServerList servers;
   private final SlowStart slowStart;
@@ -35,7 +38,7 @@
     this.outliers = outliers;
   }
 
-  /** The server for the request's next attempt; null if none may take it. */
+  /** Returns the server for the request's next attempt; null if no server may receive it. */
   ServerState choose(RequestState request, long now) {
     if (request.attemptCount == 0) {
       slowStart.recordRequested(request.arrival.estimatedUnits());
@@ -49,7 +52,10 @@
     return chosen;
   }
 
-  /** The second attempt goes elsewhere; later ones may come back. */
+  /**
+   * Returns the servers that may receive the request's next attempt. The second attempt excludes
+   * the server of the first; later attempts may use it again.
+   */
   private List<ServerState> candidates(RequestState request) {
     List<ServerState> candidates = new ArrayList<>();
     servers.forEach(server -> {
@@ -74,31 +80,31 @@
       totalWeight += weights[i];
       inFlight += candidates.get(i).inFlight;
     }
-    ServerState richest = null;
-    ServerState richestNotSaturated = null;
+    ServerState best = null;
+    ServerState bestUnsaturated = null;
     for (int i = 0; i < weights.length; i++) {
       ServerState server = candidates.get(i);
-      double part = weights[i] / totalWeight;
+      double share = weights[i] / totalWeight;
       server.rotationCredit = Math.max(-MAX_CREDIT_TURNS,
-          Math.min(MAX_CREDIT_TURNS, server.rotationCredit + part));
+          Math.min(MAX_CREDIT_TURNS, server.rotationCredit + share));
       if (!slowStart.allows(server, servers.readyServers(), now)) {
         continue;
       }
-      richest = richer(richest, server);
-      if (!isSaturated(server, inFlight, part)) {
-        richestNotSaturated = richer(richestNotSaturated, server);
+      best = withMoreCredit(best, server);
+      if (!isSaturated(server, inFlight, share)) {
+        bestUnsaturated = withMoreCredit(bestUnsaturated, server);
       }
     }
-    return richestNotSaturated != null ? richestNotSaturated : richest;
+    return bestUnsaturated != null ? bestUnsaturated : best;
   }
 
-  /** The first of two that are equal. */
-  private static ServerState richer(ServerState richest, ServerState server) {
-    return richest == null || server.rotationCredit > richest.rotationCredit ? server : richest;
+  /** Returns the server with more credit, or the first one if both have the same. */
+  private static ServerState withMoreCredit(ServerState best, ServerState server) {
+    return best == null || server.rotationCredit > best.rotationCredit ? server : best;
   }
 
-  private static boolean isSaturated(ServerState server, int inFlight, double part) {
-    return server.inFlight > NEVER_SATURATED_ATTEMPTS
-        && server.inFlight > SATURATED_PART * inFlight * part;
+  private static boolean isSaturated(ServerState server, int inFlight, double share) {
+    return server.inFlight > MAX_UNSATURATED_ATTEMPTS
+        && server.inFlight > SATURATION_SHARE_FACTOR * inFlight * share;
   }
 }
