--- a/src/main/java/saltlatch/api/GatewayActions.java
+++ b/src/main/java/saltlatch/api/GatewayActions.java
@@ -1,63 +1,70 @@
 package saltlatch.api;
 
 /**
- * What a {@link GatewayPolicy} makes its host do. The policy calls these methods while it handles
- * events, on the host's thread; the host must not hand over events from within them. Each outcome
- * comes back as a {@link GatewayEvent}. Times are in {@linkplain Ticks ticks}.
+ * Carries out the decisions of a {@link GatewayPolicy}; implemented by its host. The policy calls
+ * these methods on the host's thread while it handles events; the host must not pass events to the
+ * policy from within such a call. The host reports each outcome with a {@link GatewayEvent}. Times
+ * are in {@linkplain Ticks ticks}.
  */
 public interface GatewayActions {
   /**
-   * Sends a request to an app server. Its attempts are numbered from 0 in the order of these calls;
-   * a {@link GatewayEvent.AttemptEnded} follows for each.
+   * Sends a request to an app server. The attempts of a request are numbered from 0 in the order of
+   * these calls; the host reports the end of each with a {@link GatewayEvent.AttemptEnded}.
    *
-   * @param timeoutTicks how long the attempt is waited for
+   * @param timeoutTicks how long the host waits for the attempt to end
    */
   void startAttempt(long requestId, long serverId, long timeoutTicks);
 
   /**
-   * Final answer: a retry of the client is harmless.
+   * Sends the final answer that the request was rejected; the client may safely retry.
    *
-   * @param retryAfterTicks when the client should come back, 0 for no advice
+   * @param retryAfterTicks how long the client should wait before it retries; 0 for no advice
    */
   void reject(long requestId, long retryAfterTicks);
 
-  /** Final answer: the request may have been executed. */
+  /** Sends the final answer that the request failed; it may have been executed. */
   void fail(long requestId);
 
-  /** Gives up an attempt in flight; its {@link GatewayEvent.AttemptEnded} follows all the same. */
+  /**
+   * Cancels an attempt in flight; the host still reports a {@link GatewayEvent.AttemptEnded} for
+   * it.
+   */
   void cancelAttempt(long requestId, int attempt);
 
   /**
-   * Asks for a {@link GatewayEvent.TimerFired} with this id.
+   * Requests a {@link GatewayEvent.TimerFired} with this id.
    *
-   * @param atTicks a point in time; at once if it is past
+   * @param atTicks a point in time; if it has passed, the timer fires immediately
    */
   void setTimer(long atTicks, long timerId);
 
   /**
-   * Probes an app server; a {@link GatewayEvent.HealthChecked} follows. Part of the hosts'
-   * protocol; saltlatch.policy learns from attempts and doesn't use it.
+   * Probes an app server; the host reports a {@link GatewayEvent.HealthChecked}. Part of the hosts'
+   * protocol, but not used by saltlatch.policy, which learns from attempts.
    */
   void checkHealth(long serverId);
 
-  /** Closes connections to an app server that carry no attempt; not used by saltlatch.policy. */
+  /** Closes connections to an app server that carry no attempt. Not used by saltlatch.policy. */
   void closeIdleConnections(long serverId);
 
   /**
-   * Adds to a named count of the counter; a {@link GatewayEvent.CounterReplied} follows.
+   * Adds units to a named count of the counter; the host reports a
+   * {@link GatewayEvent.CounterReplied}.
    *
-   * @param units        what is added, below 0 to give back, 0 to read the total
-   * @param ttlTicks     how long after its first call the counter forgets the count
-   * @param timeoutTicks how long the reply is waited for, or the time in the settings where that is
-   *     longer; the simulator knows only that
+   * @param units        the units to add; negative to refund, 0 to read the total
+   * @param ttlTicks     how long after its first call the counter deletes the count
+   * @param timeoutTicks how long the host waits for the reply; if the timeout in the host's
+   *     settings is longer, that one applies. The simulator uses only the one in its settings.
    */
   void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks);
 
-  /** Opens or closes the watch of the endpoint list, where that is left to the policy. */
+  /**
+   * Opens or closes the watch of the endpoint list, if the deployment leaves that to the policy.
+   */
   void watchEndpoints(boolean on);
 
   /**
-   * Sends a datagram to a peer; it may be lost, and nothing comes back.
+   * Sends a datagram to a peer. The datagram may be lost, and no event reports its outcome.
    *
    * @param peer the node's number in the fleet
    */
--- a/src/main/java/saltlatch/api/GatewayEvent.java
+++ b/src/main/java/saltlatch/api/GatewayEvent.java
@@ -3,147 +3,157 @@
 import java.util.List;
 
 /**
- * What a host hands to its {@link GatewayPolicy}. Times are in {@linkplain Ticks ticks};
- * {@code elapsedTicks} is the time since the action that the event answers.
+ * An event that a host passes to its {@link GatewayPolicy}. Times are in {@linkplain Ticks ticks};
+ * {@code elapsedTicks} is the time between the action and the event that reports its outcome.
  */
 public sealed interface GatewayEvent {
-  /** What an update of the endpoint list is. */
+  /** The kind of an update of the endpoint list. */
   enum EndpointUpdateKind {
-    /** Entries that changed. */
+    /** Only the entries that changed. */
     DELTA,
-    /** The whole list: what it does not name is gone. */
+    /** The complete list; servers that it does not contain were removed. */
     SNAPSHOT,
-    /** The whole list as it was known before the start. */
+    /** The complete list as it was known before the start. */
     CACHED_SNAPSHOT,
-    /** No list: the watch ended, or could not be opened. */
+    /** No list: the watch ended or could not be opened. */
     FAILED
   }
 
-  /** Whether an app server takes requests. */
+  /** Whether an app server accepts requests. */
   enum EndpointState {
-    /** It finishes what it has and takes nothing new. */
+    /** It completes the requests it has and accepts no new ones. */
     DRAINING,
-    /** It is off the list. */
+    /** It is no longer in the endpoint list. */
     REMOVED,
-    /** It takes requests. */
+    /** It accepts requests. */
     READY
   }
 
   /** How an attempt, a health check or a counter call ended. */
   enum AttemptOutcome {
-    /** It was answered. */
+    /** It was answered without an error. */
     SUCCEEDED,
-    /** The answer is an error; the request may have been executed. */
+    /** The answer reports an error; the request may have been executed. */
     SERVER_ERROR,
-    /** It was turned down without being executed. */
+    /** The server or the counter refused it without executing it. */
     SERVER_BUSY,
-    /** No answer came in time; it may have been executed, or may yet be. */
+    /** No answer arrived in time; it may have been executed or may still be. */
     TIMED_OUT,
-    /** The connection never came up, or broke before the last byte was written. */
+    /** The connection could not be opened, or broke before the last byte was written. */
     CONNECT_FAILED,
-    /** The connection broke after that; it may have been executed. */
+    /** The connection broke after the last byte was written; it may have been executed. */
     CONNECTION_LOST,
-    /** The policy gave it up. */
+    /** The policy cancelled it. */
     CANCELLED,
-    /** The host did not send it: the request is over, or no connection was free. */
+    /** The host did not send it, because the request had ended or no connection was free. */
     NOT_SENT,
-    /** The host asked before writing it, and it was no longer allowed. */
+    /**
+     * The host asked the policy just before writing it, and it was no longer allowed; see
+     * {@link GatewayPolicy#mayStartAttempt}.
+     */
     WITHDRAWN;
 
-    /** Whether the server, or the counter, cannot have executed it. */
+    /** Returns whether the server or the counter cannot have executed it. */
     public boolean neverExecuted() {
       return this == SERVER_BUSY || this == CONNECT_FAILED || this == NOT_SENT || this == WITHDRAWN;
     }
   }
 
   /**
-   * An app server as the endpoint list names it.
+   * An entry of the endpoint list: an app server.
    *
-   * @param serverId       its number within this node
-   * @param startedAtTicks when it last started; 0: long ago
-   * @param zone           its zone's place in the settings
-   * @param keyGroup       the group of servers that share their memory of idempotency keys
-   * @param weight         its capacity relative to others
-   * @param machineType    its machine type's place in the settings
+   * @param serverId       the server's number within this node
+   * @param startedAtTicks when the server last started; 0 if long ago
+   * @param zone           index of the server's zone in the settings
+   * @param keyGroup       the group of servers that share stored idempotency keys
+   * @param weight         the server's capacity relative to others
+   * @param machineType    index of the server's machine type in the settings
    */
   record Endpoint(long serverId, long startedAtTicks, int zone, int keyGroup, EndpointState state,
       double weight, int machineType) {}
 
-  /** The endpoint list, or changes of it; without endpoints if it failed. */
+  /**
+   * The endpoint list was updated. An update of kind {@link EndpointUpdateKind#FAILED} contains no
+   * endpoints.
+   */
   record EndpointsUpdated(EndpointUpdateKind kind,
       List<Endpoint> endpoints) implements GatewayEvent {}
 
   /**
-   * A client's request.
+   * A client's request has arrived.
    *
-   * @param requestClass       its place in {@link GatewaySettings#requestClasses}
-   * @param plan               its customer's place in {@link GatewaySettings#quotaPlans}
-   * @param clientTimeoutTicks how long the client waits, from when it sent the request
-   * @param estimatedUnits     what it takes from the quota, by the client
-   * @param nodeCount          how many nodes the customer's requests come through; 0: all
-   * @param firstNode          the first of these nodes, the others follow by number
-   * @param retry              the client marked it as a retry
-   * @param ageTicks           how long it is known to have lain unread while this node was stalled
+   * @param requestClass       index of its class in {@link GatewaySettings#requestClasses}
+   * @param plan               index of the customer's plan in {@link GatewaySettings#quotaPlans}
+   * @param clientTimeoutTicks how long the client waits, counted from when it sent the request
+   * @param estimatedUnits     the client's estimate of the units that the request uses of the quota
+   * @param nodeCount          number of nodes that receive the customer's requests; 0 for all nodes
+   * @param firstNode          the first of these nodes; the others follow by number
+   * @param retry              whether the client marked the request as a retry
+   * @param ageTicks           how long the request is known to have waited unread while this node
+   *     was stalled
    */
   record RequestArrived(long requestId, int requestClass, int plan, long customer,
       long clientTimeoutTicks, double estimatedUnits, int nodeCount, int firstNode, boolean retry,
       long ageTicks) implements GatewayEvent {}
 
-  /** The answer has begun to stream; the client's timeout no longer runs. */
+  /** The answer has begun to stream; the client's timeout no longer applies. */
   record ResponseStarted(long requestId, long serverId, int attempt,
       long elapsedTicks) implements GatewayEvent {}
 
   /**
    * An attempt has ended.
    *
-   * @param attempt          its number, from 0
-   * @param requestFinished  the client has its answer, no other will be sent
-   * @param actualUnits      units the request took; 0 if the answer doesn't say
-   * @param fleetUtilization the customer's use over all nodes, as a meter reports it; 0: it doesn't
-   * @param loadReport       the server's load report, empty if none came
+   * @param attempt          the attempt's number, from 0
+   * @param requestFinished  whether the client has received its answer, so that no other will be
+   *     sent
+   * @param actualUnits      units that the request used; 0 if the answer does not report them
+   * @param fleetUtilization the customer's usage across all nodes as reported by a meter; 0 if not
+   *     reported
+   * @param loadReport       the server's load report; empty if the answer contained none
    */
   record AttemptEnded(long requestId, long serverId, int attempt, AttemptOutcome outcome,
       boolean requestFinished, long elapsedTicks, double actualUnits, double fleetUtilization,
       List<Double> loadReport) implements GatewayEvent {}
 
-  /** The client closed its connection before its answer. */
+  /** The client closed its connection before it received its answer. */
   record ClientDisconnected(long requestId) implements GatewayEvent {}
 
-  /** A timer that {@link GatewayActions#setTimer} asked for is due. */
+  /** A timer set by {@link GatewayActions#setTimer} has expired. */
   record TimerFired(long timerId) implements GatewayEvent {}
 
   /**
    * A health check has ended.
    *
-   * @param loadReport the server's load report, empty if none came
+   * @param loadReport the server's load report; empty if the answer contained none
    */
   record HealthChecked(long serverId, AttemptOutcome outcome, long elapsedTicks,
       List<Double> loadReport) implements GatewayEvent {}
 
   /**
-   * A datagram of a peer.
+   * A datagram from a peer has arrived.
    *
    * @param sender the peer's number in the fleet
    */
   record GossipReceived(int sender, GossipMessage message) implements GatewayEvent {}
 
-  /** What a member of the fleet is to this node. */
+  /** The state of a member of the fleet as this node sees it. */
   enum MemberState {
-    /** It is there. */
+    /** It is reachable. */
     LIVE,
-    /** It isn't there, but it may run. */
+    /** It is not reachable, but may still be running. */
     UNREACHABLE,
-    /** Its part of quotas beyond the floor belongs to this node's side. */
+    /** The live members on this node's side have taken over its share of quotas above the floor. */
     TAKEN_OVER
   }
 
   /**
-   * What this node knows of the fleet, where nodes know each other.
+   * The fleet as this node sees it, if membership is enabled.
    *
-   * @param states             by member
-   * @param leaseUntilTicks    until then this node uses its whole share of quotas
-   * @param takeoverUntilTicks until then it uses besides what members that are gone left
-   * @param nodeCount          nodes that a limit on what all may do together is divided by
+   * @param states             the state of each member, by its number
+   * @param leaseUntilTicks    until when this node may use its full share of quotas
+   * @param takeoverUntilTicks until when it may also use its part of the shares that were taken
+   *     over
+   * @param nodeCount          number of nodes by which limits on all nodes together are divided
    */
   record MembershipChanged(List<MemberState> states, long leaseUntilTicks, long takeoverUntilTicks,
       int nodeCount) implements GatewayEvent {}
@@ -151,7 +161,7 @@
   /**
    * A counter call has ended.
    *
-   * @param total the count behind it, where it was answered
+   * @param total the count after the call, if the call was answered
    */
   record CounterReplied(long counterName, AttemptOutcome outcome, double total,
       long elapsedTicks) implements GatewayEvent {}
--- a/src/main/java/saltlatch/api/GatewayPolicy.java
+++ b/src/main/java/saltlatch/api/GatewayPolicy.java
@@ -3,22 +3,23 @@
 import java.util.List;
 
 /**
- * The decisions of one gateway node: takes events and emits actions through its
- * {@link GatewayActions}. Does no I/O, reads no clock and starts no thread. One thread calls it.
- * Times are in {@linkplain Ticks ticks}.
+ * Makes the decisions of one gateway node: it receives events and emits actions through its
+ * {@link GatewayActions}. It does no I/O, reads no clock and starts no thread; its host calls it on
+ * one thread only. Times are in {@linkplain Ticks ticks}.
  */
 public interface GatewayPolicy {
   /**
-   * Takes in the events of one instant and emits what follows from them before it returns.
+   * Handles the events of one instant and emits the resulting actions before it returns.
    *
-   * @param nowTicks the common clock
+   * @param nowTicks the time of the clock that all events share
    * @param events   in order of arrival
    */
   void handle(long nowTicks, List<GatewayEvent> events);
 
   /**
-   * Whether an attempt may still begin. A host asks in the instant of writing it, where its
-   * connection came up only after the attempt was wanted, and has handed over all earlier events.
+   * Returns whether an attempt may still begin. If the connection of an attempt opens only after
+   * {@link GatewayActions#startAttempt}, the host calls this method immediately before it writes
+   * the attempt, and after it has passed on all earlier events.
    *
    * @param attempt the attempt's number, from 0
    */
@@ -27,26 +28,27 @@
   }
 
   /**
-   * A timer overdue by more than this shows that the host was stalled: what it reads then may have
-   * lain unread, and the host says for how long ({@link GatewayEvent.RequestArrived#ageTicks}).
+   * Returns the delay of a timer above which the host is considered to have been stalled. Requests
+   * that the host reads after a stall may have waited unread, and the host reports for how long
+   * ({@link GatewayEvent.RequestArrived#ageTicks}).
    */
   default long stallThresholdTicks() {
     return Long.MAX_VALUE;
   }
 
   /**
-   * How long a peer's last gossip counts; after a partition nodes may take each other for reachable
-   * for so long.
+   * Returns how long a peer's last gossip counts as current. After a partition, nodes may treat
+   * each other as reachable for this long.
    */
   default long gossipValidityTicks() {
     return 0;
   }
 
-  /** Makes instances; {@code PolicyEngine::new} is one. */
+  /** Creates policies, for example {@code PolicyEngine::new}. */
   interface Factory {
     /**
-     * An instance that has seen no event. The host's first batch brings the endpoint list, of kind
-     * {@link GatewayEvent.EndpointUpdateKind#CACHED_SNAPSHOT}.
+     * Creates a policy that has handled no event. The host's first batch of events must contain the
+     * endpoint list, of kind {@link GatewayEvent.EndpointUpdateKind#CACHED_SNAPSHOT}.
      */
     GatewayPolicy create(long nowTicks, GatewaySettings settings, GatewayActions actions);
   }
--- a/src/main/java/saltlatch/api/GatewaySettings.java
+++ b/src/main/java/saltlatch/api/GatewaySettings.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What a {@link GatewayPolicy} reads at its start. Times are in {@linkplain Ticks ticks}.
+ * The settings that a {@link GatewayPolicy} reads at its start. Times are in
+ * {@linkplain Ticks ticks}.
  *
- * @param seed                 the only source of chance
- * @param nodeCount            nodes of the fleet
- * @param clockResolutionTicks the step of the clock that events come with
- * @param requestClasses       by the number that requests name
- * @param quotaPlans           by the number that requests name
+ * @param seed                 seed of the policy's only source of randomness
+ * @param nodeCount            number of nodes of the fleet
+ * @param clockResolutionTicks resolution of the clock that gives events their time
+ * @param requestClasses       by the index that requests carry
+ * @param quotaPlans           by the index that requests carry
  */
 public record GatewaySettings(long seed, int nodeCount, long clockResolutionTicks, Limits limits,
     CounterSettings counter, PeerSettings peers, List<RequestClass> requestClasses,
@@ -17,62 +18,63 @@
 
   /** Whether a request may be sent again after an attempt that may have been executed. */
   public enum RetrySafety {
-    /** Any number of times. */
+    /** It may be sent any number of times. */
     IDEMPOTENT,
-    /** By its idempotency key, to servers that remember the key and while they do. */
+    /** It may be sent to servers that store its idempotency key, for as long as they store it. */
     IDEMPOTENT_BY_KEY,
-    /** Only if every earlier attempt is known not to have been executed. */
+    /** It may be sent only if every earlier attempt is known not to have been executed. */
     NOT_IDEMPOTENT
   }
 
-  /** The app servers that share their memory of idempotency keys. */
+  /** The app servers that share stored idempotency keys. */
   public enum KeyScope {
-    /** All of them. */
+    /** All app servers. */
     ALL,
-    /** Those of one zone. */
+    /** The servers of one zone. */
     ZONE,
-    /** Those of one key group, see {@link GatewayEvent.Endpoint#keyGroup}. */
+    /** The servers of one key group, see {@link GatewayEvent.Endpoint#keyGroup}. */
     GROUP
   }
 
   /**
    * A class of requests.
    *
-   * @param keyScope              where its idempotency keys are remembered
-   * @param keyTtlTicks           for how long they are
-   * @param latencyObjectiveTicks an answer later than this is of no more use
+   * @param keyScope              the servers that share the idempotency keys of its requests
+   * @param keyTtlTicks           how long servers store an idempotency key
+   * @param latencyObjectiveTicks an answer that takes longer has no value any more
    * @param clientTimeoutTicks    how long clients wait for an answer
-   * @param priorityWeight        worth of one request answered within its objective
+   * @param priorityWeight        value of one request that is answered within the objective
    */
   public record RequestClass(RetrySafety retrySafety, KeyScope keyScope, long keyTtlTicks,
       long latencyObjectiveTicks, long clientTimeoutTicks, double priorityWeight) {}
 
   /**
-   * What a customer may use.
+   * The amount that a customer may use.
    *
-   * @param ratePerSecond     units a second of its quota; 0: it has none
-   * @param burstUnits        the most that the quota holds
-   * @param maxConcurrent     requests in flight at most; 0: any number
-   * @param ceilingPerSecond  units a second that are never exceeded; 0: no ceiling
-   * @param ceilingBurstUnits the most that the ceiling holds
-   * @param priorityWeight    worth of its requests, multiplies that of the request class
+   * @param ratePerSecond     rate at which the quota refills, in units per second; 0 for no quota
+   * @param burstUnits        the maximum number of units that the quota holds
+   * @param maxConcurrent     the maximum number of requests in flight; 0 for no limit
+   * @param ceilingPerSecond  rate that is never exceeded, in units per second; 0 for no ceiling
+   * @param ceilingBurstUnits the maximum number of units that the ceiling holds
+   * @param priorityWeight    value of the customer's requests; multiplied by that of the request
+   *     class
    */
   public record QuotaPlan(double ratePerSecond, double burstUnits, int maxConcurrent,
       double ceilingPerSecond, double ceilingBurstUnits, double priorityWeight) {}
 
   /**
-   * What the deployment allows and asks of every node.
+   * The rules of the deployment that apply to every node.
    *
-   * @param mustOpenWatch      the policy opens the watch of the endpoint list itself
-   * @param mayCancelAttempts  an attempt in flight may be given up
-   * @param maxAttempts        attempts of one request at most
-   * @param maySendRetryAfter  rejections may carry a Retry-After
-   * @param maxRetryAfterTicks the longest that clients heed
-   * @param clientsMarkRetries clients mark their retries
-   * @param warmUpTicks        how long an app server warms up after its start; 0: not at all
-   * @param initialCapacity    part of its capacity that it has at its start
+   * @param mustOpenWatch      whether the policy opens the watch of the endpoint list itself
+   * @param mayCancelAttempts  whether attempts in flight may be cancelled
+   * @param maxAttempts        the maximum number of attempts per request
+   * @param maySendRetryAfter  whether rejections may carry a Retry-After
+   * @param maxRetryAfterTicks the longest Retry-After that clients respect
+   * @param clientsMarkRetries whether clients mark their retries
+   * @param warmUpTicks        how long an app server warms up after its start; 0 for no warm-up
+   * @param initialCapacity    fraction of its capacity that a server has at its start
    * @param warmUpBudgetFactor budget of a server that warms up, in multiples of its capacity times
-   *     the mean rate of servers
+   *     the mean rate of all servers
    * @param warmUpWindowTicks  the window of that budget
    */
   public record Limits(boolean mustOpenWatch, boolean mayCancelAttempts, int maxAttempts,
@@ -83,9 +85,9 @@
   /**
    * The shared counter.
    *
-   * @param available          there is one
-   * @param reportsActualUnits answers say how many units their requests took; estimates aren't
-   *     binding
+   * @param available          whether the deployment has a counter
+   * @param reportsActualUnits whether answers report the units that their requests used, so that
+   *     the clients' estimates are not binding
    */
   public record CounterSettings(boolean available, boolean reportsActualUnits) {}
 
@@ -93,9 +95,9 @@
    * Gossip between nodes.
    *
    * @param ownIndex           this node's number in the fleet
-   * @param datagramsPerSecond datagrams that a node takes in; 0: none may be sent
-   * @param datagramPrice      price of delivering one full datagram for each client's first
-   *     attempt, as a part of the worth of all requests
+   * @param datagramsPerSecond datagrams per second that a node can receive; 0 if none may be sent
+   * @param datagramPrice      cost of delivering one full datagram for each client's first attempt,
+   *     as a fraction of the value of all requests
    */
   public record PeerSettings(int ownIndex, double datagramsPerSecond, double datagramPrice) {}
 }
--- a/src/main/java/saltlatch/api/GossipMessage.java
+++ b/src/main/java/saltlatch/api/GossipMessage.java
@@ -4,37 +4,42 @@
 import java.util.List;
 
 /**
- * What one node sends to a peer while the counter is unhealthy. It fits one datagram.
+ * A message from one node to a peer while the counter is unhealthy. It fits in one datagram.
  *
- * @param usage        units that the sender has admitted, for windows that concern the peer; empty:
+ * @param usage        units that the sender has admitted in windows that concern the peer; empty if
  *     it has admitted none
- * @param reachability where nodes know each other; null from a node that doesn't send it
+ * @param reachability the nodes that the sender reaches, if membership is enabled; null from a node
+ *     that does not send it
  */
 public record GossipMessage(List<WindowUsage> usage, Reachability reachability) {
-  /** Entries that a datagram holds. */
+  /** The maximum number of entries in a datagram. */
   public static final int MAX_ENTRIES = 36;
-  /** Nodes whose reachability takes the place of one entry. */
+  /** Number of nodes whose reachability takes up the space of one entry. */
   public static final int NODES_PER_ENTRY = 23;
-  /** Larger fleets don't send reachability. */
+  /** The largest fleet whose nodes send reachability. */
   public static final int MAX_NODES_WITH_REACHABILITY = 16 * NODES_PER_ENTRY - 2;
 
   /**
-   * Units that the sender has admitted of a customer in one window, since the window began.
+   * The units of a customer that the sender has admitted in one window, since the start of the
+   * window.
    *
    * @param windowNumber the window's number modulo 128
    */
   public record WindowUsage(long customer, int windowNumber, double units) {}
 
   /**
-   * What the sender knows of the fleet.
+   * The fleet as the sender sees it.
    *
-   * @param reachableNodes the nodes whose gossip it receives, itself among them
-   * @param holdsLease     whether it uses its whole share of quotas
-   * @param holdsTakeover  whether it uses besides what members that are gone left of theirs
+   * @param reachableNodes the nodes whose gossip the sender receives, including the sender
+   * @param holdsLease     whether the sender uses its full share of quotas
+   * @param holdsTakeover  whether the sender also uses its part of the shares that were taken over
    */
   public record Reachability(BitSet reachableNodes, boolean holdsLease, boolean holdsTakeover) {}
 
-  /** Entries left for usage in a fleet of so many nodes that send reachability. */
+  /**
+   * Returns how many entries for usage a datagram holds in a fleet of this many nodes, if they send
+   * reachability.
+   */
   public static int maxUsageEntries(int nodes) {
     return MAX_ENTRIES - (nodes > MAX_NODES_WITH_REACHABILITY ? 0
         : (nodes + 2 + NODES_PER_ENTRY - 1) / NODES_PER_ENTRY);
