--- a/src/main/java/saltlatch/policy/ActionEmitter.java
+++ b/src/main/java/saltlatch/policy/ActionEmitter.java
@@ -4,9 +4,10 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * Emits the difference between what is wanted and what is: of each changed request its final
- * answer, next attempt, cancellation and timer; of the node its watch, housekeeping timer and
- * counter calls. The only class that starts attempts and answers requests. Times are in ticks.
+ * Compares the wanted state with the current one and emits the actions that are missing: for each
+ * changed request its final answer, next attempt, cancellation and timer; for the node its endpoint
+ * watch, housekeeping timer and counter calls. No other class starts attempts or answers requests.
+ * Times are in ticks.
  */
 final class ActionEmitter {
   private final GatewayActions actions;
--- a/src/main/java/saltlatch/policy/AdmissionControl.java
+++ b/src/main/java/saltlatch/policy/AdmissionControl.java
@@ -1,22 +1,24 @@
 package saltlatch.policy;
 
 /**
- * Whether a request is admitted: the one place that asks all other rules, in this order.
+ * Decides whether a request is admitted. This class is the only one that combines the rules of
+ * admission; it checks them in this order:
  * <ol>
- * <li>Its client's timeout is over: rejected.
- * <li>The quota. While the counter is healthy, by the total of the request's own counter call: the
- * window's count without this request must be below the burst; a customer whose window is spent is
- * admitted by the room that {@link QuotaManager} follows. While it isn't, by what peers say or this
- * node's share, but for one call each backoff ({@link CounterHealth}).
- * A client's late retry ({@link ClientRetryDetection}) is rejected while the window is exhausted or
- * the counter unhealthy.
- * <li>The plan's cap on concurrent requests, by this node's share of it.
- * <li>The plan's hard ceiling, by this node's part.
+ * <li>The client's timeout: a request whose timeout has passed is rejected.
+ * <li>The quota. While the counter is healthy, the total that the request's own counter call
+ * returns decides: without this request, the window's count must be below the burst. If the
+ * customer's window is exhausted, the available units that {@link QuotaManager} maintains decide
+ * instead. While the counter is unhealthy, peers' reports or this node's share decide, except for
+ * one request per backoff period, which calls the counter ({@link CounterHealth}). A client's late
+ * retry ({@link ClientRetryDetection}) is rejected while the window is exhausted or the counter is
+ * unhealthy.
+ * <li>The plan's limit on concurrent requests, of which this node has a share.
+ * <li>The plan's hard ceiling, of which this node has a part.
  * <li>{@link LoadShedding}.
- * <li>An app server ({@link WeightedRoundRobinLoadBalancer}).
+ * <li>An app server must be available ({@link WeightedRoundRobinLoadBalancer}).
  * </ol>
- * Units are quota units, times are in ticks. Guards against use beyond a quota, and against
- * requests that are held up and then rejected all the same.
+ * Units are quota units, times are in ticks. Guards against usage beyond a quota, and against
+ * requests that wait only to be rejected.
  */
 final class AdmissionControl {
   private final QuotaManager quotas;
@@ -39,7 +41,7 @@
     this.completion = completion;
   }
 
-  /** A request has arrived: decides it, or wants the counter call that will. */
+  /** Decides a request that has arrived, or requests the counter call whose reply decides it. */
   void decideOrCallCounter(RequestState request, long now) {
     if (request.deadlineTicks <= now) {
       completion.rejectLate(request);
@@ -55,57 +57,61 @@
     request.reservedUnits = charges.unitsToReserve(request);
     request.window = quotas.currentWindow(customer, health.lastCallAnswered());
     quotas.refill(customer);
-    // What peers say is known without a call: calls are for requests that it leaves room for.
-    boolean byGossip = !health.isHealthy() && gossip.isUsageFresh(now, customer.nodeCount);
-    boolean full = byGossip
+    // Peers' reports need no call: only requests that they leave capacity for may use a call.
+    boolean decidedByGossip = !health.isHealthy() && gossip.isUsageFresh(now, customer.nodeCount);
+    boolean isFull = decidedByGossip
         ? request.lateRetry || !quotas.hasLocalCapacity(customer, request.reservedUnits)
         : isKnownFull(request);
     boolean mayCall = health.isHealthy()
-        || (health.mayCall(now) && !request.lateRetry && !(byGossip && full));
+        || (health.mayCall(now) && !request.lateRetry && !(decidedByGossip && isFull));
     if (mayCall) {
       health.recordCall(now);
-      charges.charge(request, full ? 0 : request.reservedUnits, now);
+      charges.charge(request, isFull ? 0 : request.reservedUnits, now);
       return;
     }
-    boolean hasRoom = !full
-        && (byGossip || quotas.hasLocalCapacity(customer, request.reservedUnits));
-    decide(request, hasRoom, now);
+    boolean hasUnits = !isFull
+        && (decidedByGossip || quotas.hasLocalCapacity(customer, request.reservedUnits));
+    decide(request, hasUnits, now);
     if (request.admitted) {
       charges.deferCharge(request);
     }
   }
 
   /**
-   * Whether the request is sure to find no room, so that its call only reads. Guards against adds
-   * that are sure to be given back: they would make the customer look fuller to the other nodes
-   * than it is.
+   * Returns whether the quota is certain to have no capacity for the request, so that its counter
+   * call only reads the total. Guards against adds that are certain to be refunded: until then, the
+   * customer would appear to other nodes to have used more than it has.
    */
   private boolean isKnownFull(RequestState request) {
     CustomerQuota customer = request.customer;
-    boolean withoutRoom = customer.exhausted && !customer.isOnFallbackShare()
+    boolean lacksUnits = customer.exhausted && !customer.isOnFallbackShare()
         && customer.availableUnits < request.reservedUnits;
-    return withoutRoom || (request.lateRetry && (customer.exhausted || !health.isHealthy()));
+    return lacksUnits || (request.lateRetry && (customer.exhausted || !health.isHealthy()));
   }
 
-  /** The counter has answered the request's call, and the total is taken into its window. */
+  /**
+   * Decides a request after the counter has answered its call and the total was applied to its
+   * window.
+   */
   void decideWithCounterTotal(RequestState request, long now) {
     QuotaWindow window = request.window;
     CustomerQuota customer = request.customer;
     boolean belowBurst = window.totalChargedUnits - request.chargedUnits < customer.plan
         .burstUnits();
     customer.exhausted |= !belowBurst || customer.availableUnits <= 0;
-    // Guards against windows that differ from the quota's own refill: a heavy customer would spend
-    // each window at its start, be rejected with room left, and find a whole burst at the turn.
-    boolean hasRoom = gossip.isUsageFresh(now, customer.nodeCount)
+    // Guards against the window's count and the refill of the quota diverging: a heavy customer
+    // would exhaust each window at its start, be rejected although the quota has refilled, and get
+    // a full burst when the next window starts.
+    boolean hasUnits = gossip.isUsageFresh(now, customer.nodeCount)
         ? quotas.hasLocalCapacity(customer, request.reservedUnits)
         : customer.availableUnits >= request.reservedUnits;
-    decide(request, customer.exhausted ? !request.lateRetry && hasRoom : belowBurst, now);
+    decide(request, customer.exhausted ? !request.lateRetry && hasUnits : belowBurst, now);
   }
 
-  /** The request's call has ended without an answer. */
+  /** Decides a request whose counter call has ended without an answer. */
   void decideWithoutCounterTotal(RequestState request, long now) {
-    boolean hasRoom = quotas.hasLocalCapacity(request.customer, request.reservedUnits);
-    decide(request, hasRoom, now);
+    boolean hasUnits = quotas.hasLocalCapacity(request.customer, request.reservedUnits);
+    decide(request, hasUnits, now);
   }
 
   private void decide(RequestState request, boolean hasQuota, long now) {
@@ -113,7 +119,7 @@
       return;
     }
     if (request.deadlineTicks <= now) {
-      // A counter's reply that was read long after it came: nobody waits for this request any more.
+      // The counter's reply was read long after it arrived; the client no longer waits.
       completion.rejectLate(request);
     } else if (!hasQuota) {
       completion.rejectWithoutQuota(request, now);
@@ -135,7 +141,10 @@
     return request.nextServer != null;
   }
 
-  /** This node's share of the plan's cap, by the share of the customer's use that it sees. */
+  /**
+   * Returns whether this node's share of the plan's limit on concurrent requests allows another
+   * one. The share is the part of the customer's usage that this node receives.
+   */
   private static boolean hasConcurrency(CustomerQuota customer) {
     int cap = customer.plan.maxConcurrent();
     return cap <= 0 || customer.inFlight < Math.max(1, Math.ceil(cap * customer.learnedShare));
--- a/src/main/java/saltlatch/policy/Attempt.java
+++ b/src/main/java/saltlatch/policy/Attempt.java
@@ -1,21 +1,23 @@
 package saltlatch.policy;
 
 /**
- * One attempt of a request at an app server, from its start to its outcome. {@link AttemptTracker}
- * makes it and alone writes to it, but for {@code cancelled}, which belongs to
- * {@link ActionEmitter}. Times are in ticks.
+ * One attempt of a request at an app server, from its start to its outcome. Only
+ * {@link AttemptTracker} creates and modifies attempts, except for {@code cancelled}, which
+ * {@link ActionEmitter} sets. Times are in ticks.
  */
 final class Attempt {
   final ServerState server;
   final long startedAtTicks;
-  /** When the app server had last started, as known when the attempt did. */
+  /** The last start of the app server, as known when the attempt started. */
   final long serverStartedAtTicks;
-  /** How long the attempt was thought to take. */
+  /** The expected duration of the attempt. */
   final double expectedTicks;
-  /** The attempt's start, later by the time for which this node was stalled meanwhile. */
+  /** The attempt's start, moved forward by the time for which this node has been stalled since. */
   long measuredFromTicks;
   boolean cancelled;
-  /** Too long on an outlier: no longer counted as in flight by {@link LoadShedding}. */
+  /**
+   * The attempt took too long on an outlier; {@link LoadShedding} no longer counts it as in flight.
+   */
   boolean abandoned;
 
   Attempt(ServerState server, long now, double expectedTicks) {
--- a/src/main/java/saltlatch/policy/AttemptTracker.java
+++ b/src/main/java/saltlatch/policy/AttemptTracker.java
@@ -3,9 +3,9 @@
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 
 /**
- * Counts attempts in flight and hands what each shows to the rules that learn from it:
- * {@link OutlierDetection}, {@link LoadShedding}, {@link SlowStart}, {@link RequestClassStats}.
- * Owns {@link Attempt} and the numbers in flight of servers and customers. Times are in ticks.
+ * Counts attempts in flight and passes their outcomes to the rules that learn from them:
+ * {@link OutlierDetection}, {@link LoadShedding}, {@link SlowStart} and {@link RequestClassStats}.
+ * Owns {@link Attempt} and the in-flight counts of servers and customers. Times are in ticks.
  */
 final class AttemptTracker {
   private final ServerList servers;
@@ -23,7 +23,7 @@
     this.completions = completions;
   }
 
-  /** Starts an attempt at the server that is wanted for it. */
+  /** Starts an attempt at the server chosen for the request. */
   Attempt start(RequestState request, long now) {
     double units = request.arrival.estimatedUnits();
     Attempt attempt = new Attempt(request.nextServer, now, request.stats.expectedTicks(units));
@@ -38,7 +38,7 @@
     return attempt;
   }
 
-  /** The request's attempt in flight has ended. */
+  /** Ends the request's attempt in flight. */
   void end(RequestState request, AttemptOutcome outcome, long now) {
     Attempt attempt = request.attempt;
     request.attempt = null;
@@ -58,7 +58,7 @@
     recordExecution(request, attempt, outcome);
   }
 
-  /** Keeps the first attempt that may have been executed; {@link RetryPolicy} goes by it. */
+  /** Records the first attempt that may have been executed; {@link RetryPolicy} depends on it. */
   private static void recordExecution(RequestState request, Attempt attempt,
       AttemptOutcome outcome) {
     if (!outcome.neverExecuted() && !request.possiblyExecuted()) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Gives up counting an attempt that is stuck on an outlier; called at each housekeeping. */
+  /** Stops counting an attempt that is stuck on an outlier. Called at each housekeeping. */
   void abandonIfStuck(RequestState request, long now) {
     Attempt attempt = request.attempt;
     if (attempt == null || attempt.abandoned || request.streaming) {
@@ -79,7 +79,10 @@
     }
   }
 
-  /** This node was stalled: the time is taken out of what the attempt is measured by. */
+  /**
+   * Excludes the time for which this node was stalled from the measured duration of the request's
+   * attempt.
+   */
   void excludeStall(RequestState request, long stallTicks) {
     Attempt attempt = request.attempt;
     if (attempt != null) {
--- a/src/main/java/saltlatch/policy/AvailableUnits.java
+++ b/src/main/java/saltlatch/policy/AvailableUnits.java
@@ -4,32 +4,41 @@
 import saltlatch.api.Ticks;
 
 /**
- * How many units a customer's quota has left: a token bucket of the plan's rate and burst.
+ * Calculates how many units of a customer's quota are left, with a token bucket of the plan's rate
+ * and burst.
  *
  * <p>The bucket is scaled by the part of the quota that this node may use
- * ({@link CustomerQuota#shareInUse}). Times are ticks, amounts units, rates units a second.
+ * ({@link CustomerQuota#shareInUse}). Times are ticks, amounts are units, rates are units per
+ * second.
  *
- * <p>Guards against windows that differ from the bucket: judged by the window alone, a heavy
- * customer spends each window at its start, is rejected with capacity left until the window turns,
- * and finds a whole burst again there. The bucket fills evenly, so it has no such edge.
+ * <p>Guards against the effects of fixed windows: if only the window's count decided, a heavy
+ * customer would exhaust each window at its start, be rejected until the next window although the
+ * quota has refilled, and then get a full burst again. The bucket refills evenly and has no such
+ * step.
  */
 final class AvailableUnits {
-  /** Part of the burst at which an exhausted quota counts as filled again. */
+  /** Fraction of the burst from which on an exhausted quota counts as refilled. */
   private static final double REFILLED_BURST_FRACTION = 0.9;
 
-  /** What is used beyond a quota draws nothing from it, so the debt is bounded. */
+  /**
+   * The largest debt, in bursts. Usage beyond a quota takes nothing from the quota, so it must not
+   * create unlimited debt.
+   */
   private static final double MAX_DEBT_BURSTS = 0.6;
 
   private AvailableUnits() {}
 
-  /** Units of a token bucket now. */
+  /** Returns the units of a token bucket that held {@code heldUnits} this long ago. */
   static double refilled(double heldUnits, long elapsedTicks, double ratePerSecond,
       double capacityUnits) {
     return Math.min(capacityUnits,
         heldUnits + elapsedTicks * ratePerSecond / (double) Ticks.PER_SECOND);
   }
 
-  /** Fills the bucket up to now; a full enough one is not exhausted any more. */
+  /**
+   * Refills the customer's bucket up to now. If it is full enough, the quota is no longer
+   * exhausted.
+   */
   static void refill(CustomerQuota customer, long now) {
     double share = customer.shareInUse();
     GatewaySettings.QuotaPlan plan = customer.plan;
@@ -44,8 +53,8 @@
   /**
    * Charges what other nodes admitted.
    *
-   * @param usageFresh peers report all that they admit, so that no debt has to be held for what is
-   *                   not known
+   * @param usageFresh whether peers report all that they admit. If so, all of it is charged; if
+   *     not, the debt is limited.
    */
   static void chargePeerUsage(CustomerQuota customer, double units, boolean usageFresh) {
     double floorUnits = usageFresh ? 0 : -MAX_DEBT_BURSTS * customer.plan.burstUnits();
@@ -53,7 +62,7 @@
         customer.availableUnits - units);
   }
 
-  /** Sets the units of the whole quota, within its burst and the largest debt. */
+  /** Sets the available units of the full quota, limited to its burst and the largest debt. */
   static void setFullQuotaUnits(CustomerQuota customer, double units) {
     double burstUnits = customer.plan.burstUnits();
     customer.availableUnits = Math.min(burstUnits, Math.max(-MAX_DEBT_BURSTS * burstUnits, units));
--- a/src/main/java/saltlatch/policy/CapacityFromGossip.java
+++ b/src/main/java/saltlatch/policy/CapacityFromGossip.java
@@ -1,18 +1,19 @@
 package saltlatch.policy;
 
 /**
- * Whether a quota has capacity for a request, by what peers report. Decides while the counter is
- * not healthy and gossip is fresh.
+ * Decides by peers' reports whether a quota has capacity for a request. Used while the counter is
+ * unhealthy and gossip is fresh.
  *
- * <p>Inputs are the customer's available units, the rate at which others use them, and the units
- * that overdue peers may have used; all are units. A request is admitted if the units hold it and
- * what the others will have admitted by now, or, where any units are left, out of this node's part
- * of the refill.
+ * <p>Inputs are the customer's available units, the rate at which other nodes use them, and the
+ * units that overdue peers may have used; all amounts are units. A request is admitted if the
+ * available units cover both the request and what the other nodes are expected to have admitted
+ * since their reports. If they do not, but some are left, it is admitted out of this node's part of
+ * the refill.
  *
- * <p>Guards against a counter too small for a fleet of many nodes: shares of a quota split so many
- * ways hold less than one request, so that customers far within their quota are rejected. With all
- * usage known but the latest, no split is needed. Harms where the others use a quota in bursts
- * shorter than a gossip period.
+ * <p>Guards against a counter that is too small for a fleet of many nodes: if the quota were split
+ * between them, each share would hold less than one request, and customers far within their quota
+ * would be rejected. Since all but the latest usage is known, no split is needed. Does harm if
+ * other nodes use a quota in bursts shorter than a gossip period.
  */
 final class CapacityFromGossip {
   private final QuotaGossip gossip;
@@ -23,9 +24,12 @@
     this.unreportedPeerUsage = unreportedPeerUsage;
   }
 
-  /** Called with the customer's units refilled up to now and no share without counter in use. */
+  /**
+   * Returns whether the quota has capacity for the request. The customer's units must be refilled
+   * up to now, and no fallback share may be in use.
+   */
   boolean allows(CustomerQuota customer, double requestUnits, long now) {
-    refillAllowance(customer, now);
+    updateRefillAllowance(customer, now);
     double othersUnitsPerTick = PeerUsage.recentUnitsPerTick(customer, now);
     double unknownUnits = Math.max(othersUnitsPerTick * gossip.periodTicks(),
         unreportedPeerUsage.unreportedUnits(customer, othersUnitsPerTick, now));
@@ -33,7 +37,7 @@
         || (customer.availableUnits > 0 && customer.refillAllowance > 0);
   }
 
-  private static void refillAllowance(CustomerQuota customer, long now) {
+  private static void updateRefillAllowance(CustomerQuota customer, long now) {
     double burstUnits = customer.plan.burstUnits();
     double ratePerSecond = customer.plan.ratePerSecond() * customer.learnedShare;
     customer.refillAllowance = Math.max(-burstUnits,
--- a/src/main/java/saltlatch/policy/ClientRetryDetection.java
+++ b/src/main/java/saltlatch/policy/ClientRetryDetection.java
@@ -4,17 +4,17 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * Whether a request is a client's retry that comes too late for its latency objective. Inputs: the
- * retry mark where clients send one, else the timeout that is left against the usual one of the
- * request class; the time an attempt takes. Times are in ticks.
+ * Detects clients' retries that arrive too late to meet their latency objective. Inputs: the retry
+ * mark if clients send one, otherwise the request's timeout compared with the usual one of its
+ * request class; and the expected duration of an attempt. Times are in ticks.
  *
- * <p>Such a retry can't be answered in time any more. Guards against retries that take quota and
- * capacity from first attempts: while the customer's window is spent or the counter is unhealthy
- * {@link AdmissionControl} rejects them, and {@link LoadShedding} rejects them sooner. Harms nobody
- * in time, unless a client sends a wrong timeout.
+ * <p>Guards against late retries that take quota and capacity away from first attempts: while the
+ * customer's window is exhausted or the counter is unhealthy, {@link AdmissionControl} rejects
+ * them, and {@link LoadShedding} rejects them before other requests. Does no harm to requests that
+ * can meet their objective, unless a client sends a wrong timeout.
  */
 final class ClientRetryDetection {
-  /** Mean attempt times that a request needs left of its latency objective. */
+  /** Time that must be left of the latency objective, in expected durations of an attempt. */
   private static final double NEEDED_ATTEMPT_TIMES = 2;
 
   private final boolean clientsMarkRetries;
@@ -27,13 +27,19 @@
     longestClientTimeoutTicks = bounds.longestClientTimeoutTicks();
   }
 
-  /** Called once a request, at its arrival: it takes in the request's timeout too. */
+  /**
+   * Returns whether the request is a late retry. Must be called exactly once per request, at its
+   * arrival, because it also updates the usual timeout of the request class.
+   */
   boolean isLateRetry(GatewayEvent.RequestArrived arrival, RequestClassStats stats) {
-    boolean usual = stats.recordTimeout(arrival.clientTimeoutTicks(), clockResolutionTicks);
-    // A marked retry with the usual timeout doesn't say how long its client has waited.
-    long waitedTicks = usual ? longestClientTimeoutTicks : stats.requestClass.clientTimeoutTicks()
-        - arrival.clientTimeoutTicks() + arrival.ageTicks();
-    boolean retry = clientsMarkRetries ? arrival.retry() : !usual;
+    boolean hasUsualTimeout = stats.recordTimeout(arrival.clientTimeoutTicks(),
+        clockResolutionTicks);
+    // The usual timeout does not show how long the client of a marked retry has waited, so the
+    // longest timeout is assumed.
+    long waitedTicks = hasUsualTimeout ? longestClientTimeoutTicks
+        : stats.requestClass.clientTimeoutTicks() - arrival.clientTimeoutTicks()
+            + arrival.ageTicks();
+    boolean retry = clientsMarkRetries ? arrival.retry() : !hasUsualTimeout;
     return retry && waitedTicks
         + NEEDED_ATTEMPT_TIMES * stats.expectedTicks(arrival.estimatedUnits()) >= stats.requestClass
             .latencyObjectiveTicks();
--- a/src/main/java/saltlatch/policy/CompletionRate.java
+++ b/src/main/java/saltlatch/policy/CompletionRate.java
@@ -3,17 +3,17 @@
 import saltlatch.api.Ticks;
 
 /**
- * How many attempts succeed: a sum that decays over {@link #WINDOW_TICKS}. Owned by
- * {@link PolicyEngine}, which decays it at each housekeeping; written by {@link AttemptTracker},
- * read by {@link LoadShedding} and {@link OutlierDetection}.
+ * Counts the attempts that succeed, in a sum that decays over {@link #WINDOW_TICKS}. Owned by
+ * {@link PolicyEngine}, which decays it at each housekeeping; {@link AttemptTracker} writes it, and
+ * {@link LoadShedding} and {@link OutlierDetection} read it.
  */
 final class CompletionRate {
-  /** Over this time the sum decays, so over this time it is a rate. */
+  /** Time constant of the decay: the sum approximates the successes in this time. */
   static final double WINDOW_TICKS = 1 * Ticks.PER_SECOND;
 
   private double attempts;
 
-  /** Attempts that succeeded within the window, by the decaying sum. */
+  /** Returns the decayed number of attempts that succeeded within the window. */
   double attemptsInWindow() {
     return attempts;
   }
--- a/src/main/java/saltlatch/policy/CounterHealth.java
+++ b/src/main/java/saltlatch/policy/CounterHealth.java
@@ -4,32 +4,41 @@
 import saltlatch.api.Ticks;
 
 /**
- * Whether the counter answers, and when it may be called while it doesn't.
+ * Determines whether the counter answers, and when it may be called while it does not.
  *
- * <p>Two calls in a row without an answer (silent, refusing, overloaded or slow) start a backoff:
- * one call each backoff goes out, with the next request in time; the node's own share of the quota
- * decides the others. The backoff grows while answers are missing and shrinks with each answer,
- * until it is shorter than the clock's resolution: the counter is healthy again. Inputs: the
- * outcome of each call and the number of nodes. Times are in ticks.
+ * <p>Two consecutive calls without an answer (because the counter is silent, refuses calls, or is
+ * overloaded or slow) start a backoff: the node makes only one call per backoff period, for the
+ * next request, and its share of the quota decides the other requests. The backoff grows while
+ * answers are missing and shrinks with each answer; once it is shorter than the clock's resolution,
+ * the counter is healthy again. Inputs: the outcome of each call and the number of nodes. Times are
+ * in ticks.
  *
- * <p>Guards against requests that wait for a counter that is gone, and against nodes that keep an
- * overloaded counter overloaded by their calls. Harms a little where two calls are lost by chance.
+ * <p>Guards against requests that wait for an unavailable counter, and against calls that keep an
+ * overloaded counter overloaded. Does slight harm if two calls are lost by chance.
  */
 final class CounterHealth {
   private static final int MISSES_BEFORE_BACKOFF = 2;
   private static final double MIN_BACKOFF_TICKS = 10 * Ticks.PER_MILLISECOND;
-  /** Five calls a second find its return and are no load. */
+  /**
+   * At five calls per second, the node soon detects that the counter is back and causes no load.
+   */
   private static final double MAX_BACKOFF_TICKS = 200 * Ticks.PER_MILLISECOND;
   private static final double BACKOFF_GROWTH = 1.5;
-  /** The backoff grows at most once in this time, however many calls are missed. */
+  /** The backoff grows at most once in this time, regardless of the number of missed calls. */
   private static final long BACKOFF_GROWTH_PERIOD_TICKS = 100 * Ticks.PER_MILLISECOND;
-  /** Larger fleets stretch the backoff, so that all nodes together call no more than these do. */
-  private static final double NODES_WITHOUT_STRETCH = 20;
+  /**
+   * Largest fleet for which the backoff is not lengthened. In larger fleets it is, so that all
+   * nodes together do not make more calls than this many nodes would.
+   */
+  private static final double MAX_NODES_AT_BASE_BACKOFF = 20;
   /** Time constant with which the backoff shrinks while each of its calls is answered. */
   private static final double RECOVERY_BY_CALLS_TICKS = 330 * Ticks.PER_MILLISECOND;
-  /** The same where requests come less often than the backoff allows. */
+  /**
+   * Time constant with which the backoff shrinks if requests arrive less often than calls are
+   * allowed.
+   */
   private static final double RECOVERY_BY_TIME_TICKS = 1 * Ticks.PER_SECOND;
-  /** Longest time without a call that one answer vouches for. */
+  /** The longest time since the last reply that one answer may count as time of recovery. */
   private static final long MAX_RECOVERY_STEP_TICKS = 100 * Ticks.PER_MILLISECOND;
 
   private final boolean available;
@@ -47,12 +56,14 @@
     this.fleet = fleet;
   }
 
-  /** There is a counter and no backoff: each request may call it. */
+  /**
+   * Returns whether there is a counter and no backoff, so that each request may call the counter.
+   */
   boolean isHealthy() {
     return available && backoffTicks == 0;
   }
 
-  /** A backoff is in force; never true where there is no counter. */
+  /** Returns whether a backoff is in effect; always false without a counter. */
   boolean isBackingOff() {
     return backoffTicks > 0;
   }
@@ -61,53 +72,57 @@
     return consecutiveMisses == 0;
   }
 
-  /** Whether a call may go out for a request, healthy or as the backoff's one. */
+  /**
+   * Returns whether a request may call the counter now, because it is healthy or the backoff period
+   * is over.
+   */
   boolean mayCall(long now) {
     return available && now >= nextCallAtTicks;
   }
 
-  /** A request's call goes out. */
+  /** Records that a request calls the counter now. */
   void recordCall(long now) {
     nextCallAtTicks = now + (long) backoffTicks;
   }
 
-  /** Zero where there is none. */
+  /** Returns the length of the backoff; 0 if there is none. */
   double backoffTicks() {
     return backoffTicks;
   }
 
-  /** Ticks until a call may go out again. */
+  /** Returns the time until the next call is allowed. */
   long ticksUntilNextCall(long now) {
     return Math.max(0, nextCallAtTicks - now);
   }
 
-  /** A call has ended; true if that started the backoff or made it longer. */
+  /** Records the end of a call and returns whether it started or lengthened the backoff. */
   boolean recordReply(boolean answered, long now) {
     consecutiveMisses = answered ? 0 : consecutiveMisses + 1;
-    double stretch = Math.max(1, fleet.nodes() / NODES_WITHOUT_STRETCH);
-    boolean grows = false;
+    double fleetFactor = Math.max(1, fleet.nodes() / MAX_NODES_AT_BASE_BACKOFF);
+    boolean backoffGrew = false;
     if (answered) {
-      shrink(stretch, now);
+      shrink(fleetFactor, now);
     } else if ((consecutiveMisses >= MISSES_BEFORE_BACKOFF || backoffTicks > 0)
         && now >= nextGrowthAtTicks) {
           nextGrowthAtTicks = now + BACKOFF_GROWTH_PERIOD_TICKS;
-          backoffTicks = Math.min(MAX_BACKOFF_TICKS * stretch,
-              Math.max(MIN_BACKOFF_TICKS * stretch, backoffTicks * BACKOFF_GROWTH));
-          grows = true;
+          backoffTicks = Math.min(MAX_BACKOFF_TICKS * fleetFactor,
+              Math.max(MIN_BACKOFF_TICKS * fleetFactor, backoffTicks * BACKOFF_GROWTH));
+          backoffGrew = true;
         }
     lastReplyAtTicks = now;
-    return grows;
+    return backoffGrew;
   }
 
   /**
-   * Guards against a backoff that stays with a counter long healthy, because requests come less
-   * often than calls may: the time since the last reply counts too.
+   * Shortens the backoff after an answer. The time since the last reply counts as well: otherwise,
+   * if requests arrive less often than calls are allowed, the backoff would last long after the
+   * counter has recovered.
    */
-  private void shrink(double stretch, long now) {
+  private void shrink(double fleetFactor, long now) {
     long sinceReplyTicks = Math.min(MAX_RECOVERY_STEP_TICKS, now - lastReplyAtTicks);
     backoffTicks *= Math.exp(
         -Math.max(backoffTicks / RECOVERY_BY_CALLS_TICKS, sinceReplyTicks / RECOVERY_BY_TIME_TICKS)
-            / stretch);
+            / fleetFactor);
     backoffTicks = backoffTicks < clockResolutionTicks ? 0 : backoffTicks;
   }
 }
--- a/src/main/java/saltlatch/policy/CounterTotals.java
+++ b/src/main/java/saltlatch/policy/CounterTotals.java
@@ -1,35 +1,40 @@
 package saltlatch.policy;
 
 /**
- * What a window's total at the counter says of the units that other nodes charged.
+ * Derives the units that other nodes charged in a window from the window's total at the counter.
  *
- * <p>Inputs are the units that this node's call added and the total behind it, in units of one
- * window. Between two totals, whatever this node did not add was added by others.
+ * <p>Inputs are the units that a call of this node added and the total that it returned, both in
+ * units of one window. Between two totals, any increase that this node did not cause came from
+ * other nodes.
  *
- * <p>Three failures bend that, each guarded below: the counter loses counts, an add of this node
- * times out and was counted all the same, and much is admitted that no call carries before its
- * window turns.
+ * <p>Three failures distort this, and each is guarded against below: the counter loses its counts;
+ * an add of this node times out although it was counted; many units are admitted that no call
+ * reports before their window ends.
  */
 final class CounterTotals {
-  /** Totals come with seven digits; less than this is no difference. */
+  /** Totals are transferred with seven digits; a smaller difference is a rounding error. */
   static final double NEGLIGIBLE_UNITS = 0.01;
 
-  /** Step of the learned fraction: about twenty windows. */
+  /** Step by which the learned fraction changes per window; it averages about twenty windows. */
   private static final double COUNTED_FRACTION_STEP = 0.05;
 
   private double countedFraction = 1;
 
-  /** Part of this node's charges that calls carried before their window turned, 0 to 1. */
+  /**
+   * Returns the fraction, 0 to 1, of this node's charges that calls reported before their window
+   * ended.
+   */
   double countedFraction() {
     return countedFraction;
   }
 
   /**
-   * Takes in a total. {@link PeerUsage} charges the customer for the result.
+   * Applies a total to its window. {@link PeerUsage} charges the customer for the result.
    *
    * @param ownUnits   units that the answered call added
-   * @param totalUnits the count behind that call
-   * @param usageFresh peers report what is admitted uncounted, so that nothing has to be guessed
+   * @param totalUnits the count after that call
+   * @param usageFresh whether peers also report what they admit without counting it, so that it
+   *     need not be estimated
    */
   void apply(QuotaWindow window, double ownUnits, double totalUnits, boolean usageFresh) {
     window.ownConfirmedUnits += ownUnits;
@@ -37,9 +42,9 @@
     double othersUnits = totalUnits + window.lostUnits - window.lastTotalUnits - ownUnits;
     window.lastTotalUnits = totalUnits + window.lostUnits;
     double ownLateUnits = takeUnconfirmed(window, othersUnits);
-    // Guards against a counter so overloaded that much is admitted uncounted: by totals alone the
-    // customer looks emptier than it is. The others are taken to count as small a part as this
-    // node. Harms where they count more of theirs.
+    // Guards against a counter so overloaded that many units are admitted uncounted: by the totals
+    // alone, the customer would seem to have used less than it has. The other nodes are assumed to
+    // count the same fraction as this node; if they count more, the customer is overcharged.
     double fraction = usageFresh ? 1 : countedFraction;
     window.peerUnitsByCounter += Math.max(0, othersUnits - ownLateUnits) / fraction
         + Math.min(0, othersUnits);
@@ -47,9 +52,10 @@
   }
 
   /**
-   * Guards against lost counts (the counter was flushed or came back empty): they show as a total
-   * below what this node alone was confirmed. The last known total then stands for the rest of the
-   * window, and the difference is added to every later total. Harms nobody beyond the window.
+   * Guards against lost counts, when the counter was flushed or restarted empty: the total is then
+   * below the units that it has confirmed to this node alone. For the rest of the window, the last
+   * known total remains in effect, because the difference is added to every later total. Does no
+   * harm beyond the window.
    */
   private static void restoreLostUnits(QuotaWindow window, double ownUnits, double totalUnits) {
     if (totalUnits + NEGLIGIBLE_UNITS < window.ownConfirmedUnits) {
@@ -60,8 +66,8 @@
   }
 
   /**
-   * Guards against charging a customer twice for an add that timed out: it was charged when it
-   * timed out, and shows in a later total as if another node had added it.
+   * Guards against charging a customer twice for an add that timed out: it was charged at the
+   * timeout, and a later total includes it as if another node had added it.
    */
   private static double takeUnconfirmed(QuotaWindow window, double othersUnits) {
     double ownLateUnits = Math.min(window.unconfirmedUnits, Math.max(0, othersUnits));
@@ -69,13 +75,17 @@
     return ownLateUnits;
   }
 
-  /** Learns from a window that has turned while the counter answered; null: there was none. */
-  void learnCountedFraction(QuotaWindow turned) {
-    double chargedUnits = turned == null ? 0
-        : turned.ownConfirmedUnits + Math.max(0, turned.unsentUnits);
+  /**
+   * Updates the fraction from a window that has ended while the counter answered.
+   *
+   * @param endedWindow the window that ended, or null if there was none
+   */
+  void learnCountedFraction(QuotaWindow endedWindow) {
+    double chargedUnits = endedWindow == null ? 0
+        : endedWindow.ownConfirmedUnits + Math.max(0, endedWindow.unsentUnits);
     if (chargedUnits > NEGLIGIBLE_UNITS) {
       countedFraction += COUNTED_FRACTION_STEP
-          * (Math.max(0, turned.ownConfirmedUnits) / chargedUnits - countedFraction);
+          * (Math.max(0, endedWindow.ownConfirmedUnits) / chargedUnits - countedFraction);
     }
   }
 }
--- a/src/main/java/saltlatch/policy/CustomerQuota.java
+++ b/src/main/java/saltlatch/policy/CustomerQuota.java
@@ -3,17 +3,17 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * What this node knows of one customer's quota.
+ * The state of one customer's quota on this node.
  *
- * <p>{@link QuotaManager} creates it at the customer's first request and releases it once the
- * customer was idle for long; each group of fields names the rule that writes it. {@code
- * availableUnits} is shared: {@link AvailableUnits} refills and charges it, {@link
- * FallbackShare} and {@link PooledShare} rescale it to the part of the quota in use.
+ * <p>{@link QuotaManager} creates it at the customer's first request and releases it after the
+ * customer has been idle for a long time. The comment above each group of fields names the rule
+ * that writes them. {@code availableUnits} is shared: {@link AvailableUnits} refills and charges
+ * it, {@link FallbackShare} and {@link PooledShare} rescale it to the part of the quota in use.
  */
 final class CustomerQuota {
   final long id;
   final GatewaySettings.QuotaPlan plan;
-  /** The customer's requests reach {@code nodeCount} nodes from this one on. */
+  /** The first of the {@code nodeCount} consecutive nodes that receive the customer's requests. */
   final int firstNode;
   int nodeCount;
   long lastRequestAtTicks;
@@ -25,49 +25,49 @@
   // QuotaCharges: the learned reservation of each request class.
   QuantileReservation[] reservationsByClass;
 
-  // AvailableUnits: units left of the part of the quota that this node may use. QuotaManager and
-  // UnreportedPeerUsage take off what is admitted or presumed used.
+  // AvailableUnits: units left of the part of the quota that this node may use. QuotaManager
+  // subtracts admitted units, UnreportedPeerUsage those presumed to be used by peers.
   double availableUnits;
   long availableUnitsAtTicks;
   /**
-   * A window's count has reached the limit, and the quota has not filled again since. Set by
+   * A window's count has reached the limit, and the quota has not refilled since. Set by
    * AdmissionControl, cleared by AvailableUnits.
    */
   boolean exhausted;
 
   // FallbackShare
-  /** Units admitted since the share began; below 0 while no such share is in use. */
+  /** Units admitted since the fallback share began; negative while no fallback share is in use. */
   double admittedOnFallbackShare = -1;
-  /** Part of the quota that {@code availableUnits} stands for while the share is in use. */
+  /** Part of the quota that {@code availableUnits} represents while a fallback share is in use. */
   double fallbackShare;
-  /** Units taken off the share at its start and used by nobody. */
+  /** Units subtracted at the start of the fallback share that no request has used. */
   double startOffset;
 
   // PooledShare
-  /** Part of the quota that {@code availableUnits} stands for while no such share is in use. */
+  /** Part of the quota that {@code availableUnits} represents while no fallback share is in use. */
   double gossipShare = 1;
-  /** Units used by all nodes known while that part was below 1. */
+  /** Known usage of all nodes, in units, while {@code gossipShare} was below 1. */
   double usageDuringPartition;
   long lastCounterTotalAtTicks = GossipSchedule.NEVER_TICKS;
 
   // UnreportedPeerUsage
-  /** Units this node admitted while gossip of some peer was overdue. */
+  /** Units that this node admitted while the gossip of some peer was overdue. */
   double admittedWhilePeersOverdue;
   /** Units that unreachable peers are presumed to have used, until they report. */
   double presumedPeerUsage;
 
   // PeerUsage
-  /** Units used through other nodes lately; decays. */
+  /** Recent usage through other nodes, in units; decays. */
   double peerUsage;
   long peerUsageAtTicks;
-  /** Part of the customer's use that comes through this node. */
+  /** Part of the customer's usage that this node receives. */
   double learnedShare;
 
-  // CapacityFromGossip: units of the refill that this node may still use of a quota in short supply
+  // CapacityFromGossip: units of the refill that this node may use when few units are available.
   double refillAllowance;
   long refillAllowanceAtTicks;
 
-  // HardCeiling: this node's bucket.
+  // HardCeiling: this node's token bucket.
   double ceilingUnits;
   long ceilingUnitsAtTicks;
 
@@ -77,17 +77,20 @@
     this.firstNode = firstNode;
   }
 
-  /** Whether the counter does not answer for this customer, so that the node decides by a share. */
+  /**
+   * Returns whether this node decides by a fallback share, because neither the counter nor peers
+   * report the customer's usage.
+   */
   boolean isOnFallbackShare() {
     return admittedOnFallbackShare >= 0;
   }
 
-  /** Notes units of an admitted request, if the node decides by a share. */
+  /** Records the units of an admitted request if a fallback share is in use. */
   void recordAdmittedOnFallbackShare(double units) {
     admittedOnFallbackShare += isOnFallbackShare() ? units : 0;
   }
 
-  /** Part of the whole quota that {@code availableUnits} stands for. */
+  /** Returns the part of the full quota that {@code availableUnits} represents. */
   double shareInUse() {
     return isOnFallbackShare() ? fallbackShare : gossipShare;
   }
--- a/src/main/java/saltlatch/policy/EndpointWatch.java
+++ b/src/main/java/saltlatch/policy/EndpointWatch.java
@@ -5,13 +5,13 @@
 import saltlatch.api.Ticks;
 
 /**
- * When this node opens the watch of the endpoint list, where the deployment leaves that to it: at
- * the start, and a pause after it failed. The pause is drawn, so that nodes don't come back
- * together.
+ * Decides when this node opens the watch of the endpoint list, if the deployment leaves that to the
+ * policy: at the start, and after a failure. After a failure it waits for a random time, so that
+ * the nodes do not all reconnect at once.
  */
 final class EndpointWatch {
   private static final long RETRY_PAUSE_TICKS = 100 * Ticks.PER_MILLISECOND;
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NEVER_TICKS = Long.MAX_VALUE;
 
   private final boolean mustOpen;
   private final SplittableRandom random;
@@ -22,7 +22,7 @@
     this.random = random;
   }
 
-  /** The watch ended, or could not be opened. */
+  /** Records that the watch ended or could not be opened. */
   void recordFailure(long now) {
     openAtTicks = now + RETRY_PAUSE_TICKS + (long) (RETRY_PAUSE_TICKS * random.nextDouble());
   }
@@ -32,6 +32,6 @@
   }
 
   void recordOpened() {
-    openAtTicks = NEVER;
+    openAtTicks = NEVER_TICKS;
   }
 }
--- a/src/main/java/saltlatch/policy/FallbackShare.java
+++ b/src/main/java/saltlatch/policy/FallbackShare.java
@@ -4,36 +4,46 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * The part of a customer's quota that this node goes by while neither the counter nor peers report.
+ * Determines the part of a customer's quota that this node may use while neither the counter nor
+ * peers report usage.
  *
- * <p>Where nodes know each other by membership it is the node's share by lease
- * ({@link QuotaShares#ownShare}), which sums to at most one over all nodes as long as no share
- * falls below {@link #MIN_SHARE}: certain for customers of up to 25 nodes. Else it is the share
- * that {@link PeerUsage} has learned. While the share is in use, {@link AvailableUnits} refills
- * and bounds that part only. Amounts are units.
+ * <p>If membership is enabled, it is the share that this node's lease allows
+ * ({@link QuotaShares#ownShare}). These shares sum to at most one over all nodes unless
+ * {@link #MIN_SHARE} raises one of them, which cannot happen for customers of up to 25 nodes.
+ * Without membership, it is the share that {@link PeerUsage} has learned. While the fallback share
+ * is in use, {@link AvailableUnits} refills and limits only this part of the quota. Amounts are
+ * units.
  *
- * <p>The share ends with the next total of the counter or the next message of a peer. Then the
- * customer is charged what this node admitted; what others admitted on their shares shows in
- * totals, as far as it was counted in time, and the rest is extrapolated from this node's own.
- * Charging all of it by extrapolation too would reject requests with capacity left after an outage.
+ * <p>The fallback share ends with the next total of the counter or the next message of a peer. The
+ * customer is then charged for what this node admitted. What other nodes admitted on their shares
+ * appears in totals as far as it was counted in time; the rest is extrapolated from this node's own
+ * admissions. Extrapolating all of it would reject requests after an outage although capacity is
+ * left.
  */
 final class FallbackShare {
-  /** A share of nothing would divide by nothing when it ends. */
+  /** The smallest share; a share of 0 would cause a division by 0 when it ends. */
   static final double MIN_SHARE = 0.01;
 
-  /** Roots of the burst that chance adds to the use of many nodes: two standard deviations. */
-  private static final double CHANCE_BURST_ROOTS = 2;
+  /**
+   * Number of standard deviations, each the square root of the burst, by which the random usage of
+   * many nodes may exceed the burst.
+   */
+  private static final double BURST_STANDARD_DEVIATIONS = 2;
 
-  /** Chance of bursts so small that their root says little. */
-  private static final double CHANCE_UNITS = 2;
+  /**
+   * Units added to that, because the square root says little about the deviation of a small burst.
+   */
+  private static final double DEVIATION_MARGIN_UNITS = 2;
 
   private final boolean hasCounter;
   private final SplittableRandom random;
-  private QuotaShares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null: membership is disabled
 
   /**
-   * @param hasCounter whether the deployment has a counter at all
-   * @param random     the engine's generator
+   * Creates the rule.
+   *
+   * @param hasCounter whether the deployment has a counter
+   * @param random     the engine's random generator
    */
   FallbackShare(boolean hasCounter, SplittableRandom random) {
     this.hasCounter = hasCounter;
@@ -44,13 +54,13 @@
     shares = fleetShares;
   }
 
-  /** Picks the share; {@link #scale} puts it to use. */
+  /** Determines the share for its start; {@link #scale} then applies it to the available units. */
   void begin(CustomerQuota customer, long now) {
     customer.admittedOnFallbackShare = 0;
     customer.fallbackShare = shares == null ? customer.learnedShare : leaseShare(customer, now);
   }
 
-  /** Cuts the available units to the share that has begun. */
+  /** Reduces the available units to the share that has begun. */
   void scale(CustomerQuota customer, double requestUnits) {
     customer.availableUnits *= customer.fallbackShare;
     if (isBelowOneRequest(customer)) {
@@ -59,8 +69,9 @@
   }
 
   /**
-   * Follows the leases of a share in use. A smaller one keeps its part of what is left. Of a larger
-   * one only the refill grows: what other nodes have left is not known.
+   * Adjusts a share in use to this node's lease. If the share shrinks, the available units shrink
+   * in proportion. If it grows, only the refill grows, because it is not known what other nodes
+   * have left.
    */
   void updateShare(CustomerQuota customer, long now) {
     double share = leaseShare(customer, now);
@@ -71,13 +82,13 @@
   }
 
   /**
-   * Ends the share, if one is in use: the available units stand for the whole quota again.
+   * Ends the share, if one is in use: the available units represent the full quota again.
    *
-   * @param countedFraction part of what is admitted that totals show in time
+   * @param countedFraction fraction of the admitted units that totals include in time
    */
   void end(CustomerQuota customer, double countedFraction) {
     if (customer.isOnFallbackShare()) {
-      // The offset is no usage: divided by a small share it would become many bursts of debt.
+      // The offset is not usage: divided by a small share, it would become a debt of many bursts.
       customer.availableUnits = Math.min(customer.plan.burstUnits() * customer.fallbackShare,
           customer.availableUnits + customer.startOffset);
       customer.startOffset = 0;
@@ -94,18 +105,20 @@
   }
 
   /**
-   * Any available units above 0 admit a whole request. Guards, where there is no counter, against
-   * so many nodes that one request of each exceeds the quota and what chance adds to it.
+   * Returns whether the share is so small that one request of each node exceeds the quota and its
+   * random deviation. Any available units above 0 admit a request of any size, so that without a
+   * counter a large number of nodes would exceed the quota.
    */
   private boolean isBelowOneRequest(CustomerQuota customer) {
     double burstUnits = customer.plan.burstUnits();
-    double maxUnits = burstUnits + CHANCE_BURST_ROOTS * Math.sqrt(burstUnits) + CHANCE_UNITS;
+    double maxUnits = burstUnits + BURST_STANDARD_DEVIATIONS * Math.sqrt(burstUnits)
+        + DEVIATION_MARGIN_UNITS;
     return !hasCounter && customer.fallbackShare * maxUnits < 1;
   }
 
   /**
-   * Starts this node at a random place on the way to its next request, so that all nodes together
-   * admit what their shares hold.
+   * Subtracts a random part of one request from the available units, so that all nodes together
+   * admit what the sum of their shares allows.
    */
   private void offsetStart(CustomerQuota customer, double requestUnits) {
     customer.startOffset = requestUnits * random.nextDouble();
--- a/src/main/java/saltlatch/policy/FleetSize.java
+++ b/src/main/java/saltlatch/policy/FleetSize.java
@@ -3,12 +3,12 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * Nodes that a limit on what all nodes may do together is divided by: those of the settings, or
- * where nodes know each other as many as their membership says. Owned by {@link PolicyEngine}.
+ * The number of nodes by which limits on all nodes together are divided: that of the settings, or
+ * that of the membership view if membership is enabled. Owned by {@link PolicyEngine}.
  */
 final class FleetSize {
   private final int configuredNodes;
-  /** Null: nodes don't know each other. */
+  /** Null if membership is disabled. */
   private QuotaShares shares;
 
   FleetSize(int configuredNodes) {
@@ -19,7 +19,7 @@
     this.shares = shares;
   }
 
-  /** At least 1. */
+  /** Returns the number of nodes; at least 1. */
   int nodes() {
     return shares == null ? Math.max(1, configuredNodes) : shares.divisorNodeCount();
   }
--- a/src/main/java/saltlatch/policy/GossipSchedule.java
+++ b/src/main/java/saltlatch/policy/GossipSchedule.java
@@ -4,31 +4,32 @@
 import saltlatch.membership.QuotaShares;
 
 /**
- * When this node gossips, and for how long peers' gossip is fresh. Times are ticks.
+ * Determines when this node sends gossip, and how long the gossip of peers is fresh. Times are in
+ * ticks.
  *
- * <p>Gossip is active while the counter is not healthy and some periods longer, since peers may
- * still be without it. Messages go out once a period. Gossip is fresh if any peer was received from
- * lately.
+ * <p>Gossip is active while the counter is unhealthy and for some periods after that, because peers
+ * may still be unable to reach the counter. Messages are sent once per period. Gossip is fresh if a
+ * message of any peer arrived recently.
  *
- * <p>Guards against gossip that overloads its receivers where many nodes share customers: their
- * sockets would drop datagrams, which shows as peers that seem cut off. The period grows with the
- * number of nodes that may gossip to one, so that all together stay within a part of what a node
- * takes in. Harms by older reports in large fleets.
+ * <p>Guards against gossip that overloads its receivers if many nodes share customers: their
+ * sockets would drop datagrams, so that peers would appear to be unreachable. The period grows with
+ * the number of nodes that may send to one node, so that all together use only a fraction of the
+ * datagrams that a node can receive. Does harm in large fleets, where reports are older.
  */
 final class GossipSchedule {
-  /** A time before any other. */
+  /** A time before all others. */
   static final long NEVER_TICKS = Long.MIN_VALUE / 2;
 
-  /** Part of the datagrams that a node takes in which gossip may use. */
+  /** Fraction of the datagrams that a node can receive that gossip may use. */
   static final double MAX_INTAKE_FRACTION = 0.5;
 
-  /** Quotas refill less than a burst in this time. */
+  /** The shortest period; quotas refill by less than a burst in this time. */
   private static final double MIN_PERIOD_TICKS = Ticks.PER_SECOND;
 
-  /** Periods without any message after which peers' reports are stale. */
+  /** Number of periods without any message after which peers' reports are stale. */
   private static final double VALIDITY_PERIODS = 3;
 
-  /** Periods of gossip after the counter was last unhealthy. */
+  /** Number of periods for which gossip continues after the counter was last unhealthy. */
   private static final double LINGER_PERIODS = 5;
 
   private final int nodeCount;
@@ -37,9 +38,14 @@
   private long unhealthyAtTicks = NEVER_TICKS;
   private long receivedAtTicks = NEVER_TICKS;
   private long sentAtTicks = NEVER_TICKS;
-  private QuotaShares shares; // null: nodes do not know each other
+  private QuotaShares shares; // null: membership is disabled
 
-  /** @param intakePerSecond datagrams a second that a node takes in of its peers; 0: no gossip */
+  /**
+   * Creates a schedule that has sent and received no message.
+   *
+   * @param intakePerSecond datagrams per second that a node can receive from its peers; 0 for no
+   *     gossip
+   */
   GossipSchedule(int nodeCount, double intakePerSecond) {
     this.nodeCount = nodeCount;
     this.intakePerSecond = nodeCount > 1 ? intakePerSecond : 0;
@@ -53,19 +59,20 @@
     return intakePerSecond > 0;
   }
 
-  /** Notes over how many nodes a customer is spread. */
+  /** Records the number of nodes that receive a customer's requests. */
   void recordCustomerNodeCount(int nodes) {
     largestCustomerNodeCount = Math.max(largestCustomerNodeCount, nodes);
   }
 
-  /** Nodes of the widest customer's set. */
+  /** Returns the largest number of nodes that receive the requests of one customer. */
   int largestCustomerNodeCount() {
     return largestCustomerNodeCount;
   }
 
   /**
-   * Time between two rounds of messages. The nodes that share customers with this one are at most
-   * twice the widest set, and all may send at once.
+   * Returns the time between two rounds of messages. Each customer is spread over at most
+   * {@link #largestCustomerNodeCount} neighbouring nodes, so at most twice as many nodes share
+   * customers with this node, and all of them may send at once.
    */
   double periodTicks() {
     int nodes = shares == null ? nodeCount : shares.divisorNodeCount();
@@ -74,7 +81,10 @@
         senders * (double) Ticks.PER_SECOND / Math.max(1, MAX_INTAKE_FRACTION * intakePerSecond));
   }
 
-  /** How long a peer's message says which nodes it reaches, and that it is reachable itself. */
+  /**
+   * Returns how long a peer's message shows which nodes the peer reaches, and that it is reachable
+   * itself.
+   */
   long validityTicks() {
     return (long) (VALIDITY_PERIODS * periodTicks());
   }
@@ -83,7 +93,7 @@
     unhealthyAtTicks = now;
   }
 
-  /** Whether the counter is, or was lately, unhealthy. */
+  /** Returns whether the counter is unhealthy or was so recently. */
   boolean isActive(long now) {
     return isEnabled() && now - unhealthyAtTicks <= LINGER_PERIODS * periodTicks();
   }
@@ -92,12 +102,12 @@
     receivedAtTicks = now;
   }
 
-  /** Whether peers' reports are fresh enough to go by. */
+  /** Returns whether peers' reports are fresh enough to decide by. */
   boolean isFresh(long now) {
     return isActive(now) && now - receivedAtTicks <= VALIDITY_PERIODS * periodTicks();
   }
 
-  /** Whether a round of messages is due; the next one is then due a period later. */
+  /** Returns whether a round of messages is due. If so, the next one is due a period later. */
   boolean startRound(long now) {
     if (now - sentAtTicks < periodTicks()) {
       return false;
--- a/src/main/java/saltlatch/policy/GossipSelection.java
+++ b/src/main/java/saltlatch/policy/GossipSelection.java
@@ -7,11 +7,12 @@
 import saltlatch.api.GossipMessage.WindowUsage;
 
 /**
- * Which of this node's sums a peer gets: those of customers whose set of nodes holds the peer, the
- * latest change first, as many as a datagram takes.
+ * Selects which of this node's sums are sent to a peer: the sums of customers whose requests the
+ * peer also receives, the most recently changed first, limited to what fits in a datagram.
  *
- * <p>A sum is what this node admitted of a customer in a window so far, in units, not a step.
- * Guards against datagrams that are lost or overtake each other: the next sum makes up for it.
+ * <p>A sum is the total that this node has admitted of a customer in a window so far, in units, not
+ * an increment. Guards against datagrams that are lost or reordered: the next sum corrects for
+ * them.
  */
 final class GossipSelection {
   private record OwnUsage(WindowUsage usage, int firstNode, int nodeCount) {}
@@ -25,7 +26,7 @@
     this.nodeCount = nodeCount;
   }
 
-  /** Notes a sum that has changed since the last round of messages. */
+  /** Records a sum that has changed since the last round of messages. */
   void put(long counterName, WindowUsage usage, int firstNode, int customerNodeCount) {
     changedByWindow.remove(counterName);
     changedByWindow.put(counterName, new OwnUsage(usage, firstNode, customerNodeCount));
@@ -35,7 +36,7 @@
     changedByWindow.clear();
   }
 
-  /** The sums that concern a peer, the latest first. */
+  /** Returns the sums that concern a peer, the most recently changed first. */
   List<WindowUsage> forPeer(int peer, int maxEntries) {
     List<OwnUsage> changed = new ArrayList<>(changedByWindow.values());
     List<WindowUsage> selected = new ArrayList<>();
@@ -49,13 +50,14 @@
   }
 
   /**
-   * Whether a peer may share customers with this node, so that it gets a message without sums too:
-   * silence would look like a node that is cut off.
+   * Returns whether a peer may share customers with this node. Such a peer receives a message even
+   * if no sum concerns it, because without one this node would appear to be unreachable.
    *
-   * @param largestCustomerNodeCount nodes of the widest customer's set
+   * @param largestCustomerNodeCount the largest number of nodes that receive one customer's
+   *     requests
    */
   boolean mayShareCustomers(int peer, int largestCustomerNodeCount) {
-    int steps = Math.floorMod(peer - ownIndex, nodeCount);
-    return Math.min(steps, nodeCount - steps) < largestCustomerNodeCount;
+    int distance = Math.floorMod(peer - ownIndex, nodeCount);
+    return Math.min(distance, nodeCount - distance) < largestCustomerNodeCount;
   }
 }
--- a/src/main/java/saltlatch/policy/HardCeiling.java
+++ b/src/main/java/saltlatch/policy/HardCeiling.java
@@ -3,26 +3,31 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * The plan's hard ceiling: a token bucket on each node, of the ceiling's rate and burst divided by
- * the customer's nodes. It decides whether a request may be admitted, from local knowledge alone.
+ * Enforces the plan's hard ceiling with a token bucket on each node, with the ceiling's rate and
+ * burst divided by the number of the customer's nodes. Decides from local state alone whether a
+ * request may be admitted.
  *
- * <p>Times are ticks, amounts units of the estimate at arrival. The ceiling is a rule that must
- * hold whoever lives and whatever is lost, so it is not lent between nodes and asks no counter. It
- * harms a customer whose requests reach its nodes unevenly.
+ * <p>Times are in ticks, amounts are units of the estimate at arrival. The ceiling must hold
+ * whichever nodes are running and whatever messages are lost; therefore nodes do not lend parts of
+ * it to each other, and no counter is involved. Does harm to a customer whose requests are spread
+ * unevenly over its nodes.
  *
- * <p>Guards against a restart that forgives the ceiling: the bucket is empty at the start of the
- * instance, and a customer's bucket is kept until it is full. Otherwise a node that restarts often,
- * or an idle customer that is forgotten, would find a whole burst each time.
+ * <p>Guards against restarts that allow more than the ceiling: the bucket is empty when the
+ * instance starts, and a customer's bucket is kept until it is full. Otherwise a node that restarts
+ * often, or an idle customer that was released, would have a full burst each time.
  */
 final class HardCeiling {
   private HardCeiling() {}
 
-  /** An empty bucket as of the start of the instance. */
+  /** Starts with an empty bucket as of the start of the instance. */
   static void start(CustomerQuota customer, long instanceStartedAtTicks) {
     customer.ceilingUnitsAtTicks = instanceStartedAtTicks;
   }
 
-  /** Whether this node's bucket holds so many units now; true where the plan has no ceiling. */
+  /**
+   * Returns whether this node's bucket holds this many units now; always true if the plan has no
+   * ceiling.
+   */
   static boolean allows(CustomerQuota customer, double units, long now) {
     GatewaySettings.QuotaPlan plan = customer.plan;
     if (plan.ceilingPerSecond() <= 0) {
@@ -35,12 +40,14 @@
     return units <= customer.ceilingUnits;
   }
 
-  /** Takes the units of an admitted request out of the bucket. */
+  /** Takes the units of an admitted request from the bucket. */
   static void charge(CustomerQuota customer, double units) {
     customer.ceilingUnits -= units;
   }
 
-  /** Whether nothing of the ceiling is forgiven if the customer is forgotten now. */
+  /**
+   * Returns whether the customer can be released without allowing it more than the ceiling later.
+   */
   static boolean mayRelease(CustomerQuota customer, long now) {
     boolean full = allows(customer, 0, now)
         && customer.ceilingUnits >= customer.plan.ceilingBurstUnits() / customer.nodeCount;
--- a/src/main/java/saltlatch/policy/HousekeepingSchedule.java
+++ b/src/main/java/saltlatch/policy/HousekeepingSchedule.java
@@ -3,12 +3,13 @@
 import saltlatch.api.Ticks;
 
 /**
- * When the engine's housekeeping is due, and which timer for it has been asked of the host. The
- * timer shows the host's stalls too: {@link TimerStallDetection} compares it with the clock.
+ * Determines when the engine's housekeeping is due, and records which timer was requested of the
+ * host for it. {@link TimerStallDetection} compares this timer with the clock to detect stalls of
+ * the host. Times are in ticks.
  */
 final class HousekeepingSchedule {
   static final long PERIOD_TICKS = 100 * Ticks.PER_MILLISECOND;
-  /** Timers with an id below 0 are the housekeeping's; others are those of requests. */
+  /** Timers with a negative id belong to the housekeeping, all others to requests. */
   static final long TIMER_ID = -1;
 
   private long dueAtTicks;
@@ -18,7 +19,7 @@
     dueAtTicks = now + PERIOD_TICKS;
   }
 
-  /** It runs now; the next is due a period later. */
+  /** Records that the housekeeping runs now; the next one is due a period later. */
   void restart(long now) {
     dueAtTicks = now + PERIOD_TICKS;
   }
@@ -27,7 +28,7 @@
     return dueAtTicks;
   }
 
-  /** When the timer last asked for fires; 0: none was. */
+  /** Returns when the last requested timer fires; 0 if none was requested. */
   long timerAtTicks() {
     return timerAtTicks;
   }
--- a/src/main/java/saltlatch/policy/LoadShedding.java
+++ b/src/main/java/saltlatch/policy/LoadShedding.java
@@ -1,35 +1,43 @@
 package saltlatch.policy;
 
 /**
- * Whether a request is rejected because the app servers are under pressure. Inputs: attempts in
- * flight, attempts that succeed a second, the servers' number, the request's latency objective and
- * priority weight. Times are in ticks.
+ * Decides whether a request is rejected because the app servers are overloaded. Inputs: the
+ * attempts in flight, the rate at which attempts succeed, the number of servers, and the request's
+ * latency objective and priority weight. Times are in ticks.
  *
- * <p>By Little's law what is in flight over what completes a second is how long an attempt takes
- * now. If that is more than a part of the latency objective (or of what the client still waits, if
- * that is less), the request is rejected at once, one of low priority sooner, a late retry sooner
- * still. A few attempts for each warm server are always free; while attempts are quick, some more
- * are allowed, since requests meet by chance. Both are shares of what all nodes may do together.
+ * <p>By Little's law, the attempts in flight divided by the attempts completed per second are the
+ * current duration of an attempt. If that exceeds a fraction of the latency objective (or of the
+ * client's remaining timeout, if that is shorter), the request is rejected immediately. The
+ * fraction is smaller for requests of low priority and for late retries. A few attempts per warm
+ * server are always allowed; while attempts are fast, some more are allowed, because requests
+ * coincide by chance. Of both allowances, which apply to all nodes together, this node uses its
+ * share.
  *
- * <p>Guards against queues that outlast the latency objective: overload, dead or slow servers,
- * retry storms. Harms where servers answer in bursts.
+ * <p>Guards against queues that last longer than the latency objective, caused by overload, dead or
+ * slow servers, or retry storms. Does harm if servers answer in bursts.
  */
 final class LoadShedding {
-  /** Part of the latency objective that attempts may take on average. */
+  /** Fraction of the latency objective that attempts may take on average. */
   private static final double WAIT_OBJECTIVE_FRACTION = 0.3;
-  /** Part of the wait that late retries don't get. */
+  /** Fraction of the allowed wait that is withheld from late retries. */
   private static final double LATE_RETRY_RESERVE = 0.35;
-  /** Attempts in flight of all nodes for each warm server that are free of pressure. */
+  /**
+   * Attempts in flight, per warm server and over all nodes, that are allowed regardless of the
+   * load.
+   */
   private static final double FREE_ATTEMPTS_PER_SERVER = 3;
-  /** More attempts in flight of one node, while attempts are quick. */
+  /** Additional attempts in flight that one node allows while attempts are fast. */
   private static final double MAX_HEADROOM_ATTEMPTS = 4;
-  /** The same for each warm server, over all nodes. */
+  /** The same limit per warm server, over all nodes. */
   private static final double MAX_HEADROOM_ATTEMPTS_PER_SERVER = 2;
-  /** Waits that recent attempts take when nothing is left of the headroom. */
+  /**
+   * Duration of recent attempts, in multiples of the allowed wait, from which on there is no
+   * headroom.
+   */
   private static final double HEADROOM_END_WAITS = 2;
-  /** How much a request's priority stretches the wait. */
-  private static final double PRIORITY_STRETCH = 0.3;
-  /** Step of the mean priority: about 100 requests. */
+  /** The largest fraction by which a request's priority changes the allowed wait. */
+  private static final double MAX_PRIORITY_ADJUSTMENT = 0.3;
+  /** Step of the mean priority; it averages about 100 requests. */
   private static final double MEAN_PRIORITY_STEP = 0.01;
 
   private final FleetSize fleet;
@@ -44,38 +52,45 @@
     this.completions = completions;
   }
 
-  /** An attempt is in flight. */
+  /** Records that an attempt has started. */
   void recordStart() {
     inFlight++;
   }
 
-  /** An attempt has ended or is abandoned; called once an attempt. */
+  /** Records that an attempt has ended or was abandoned; must be called once per attempt. */
   void recordEnd() {
     inFlight--;
   }
 
-  /** Whether a request is rejected; takes its priority into the mean. */
+  /** Returns whether a request must be rejected; also includes its priority in the mean. */
   boolean isOverloaded(RequestState request, long now) {
-    double fraction = WAIT_OBJECTIVE_FRACTION * (request.lateRetry ? 1 - LATE_RETRY_RESERVE : 1)
-        * priorityStretch(request);
+    double waitFraction = WAIT_OBJECTIVE_FRACTION * (request.lateRetry ? 1 - LATE_RETRY_RESERVE : 1)
+        * priorityFactor(request);
     double freeAttempts = FREE_ATTEMPTS_PER_SERVER * servers.effectiveServers() / fleet.nodes();
-    double waitTicks = fraction
+    double waitTicks = waitFraction
         * Math.min(request.stats.requestClass.latencyObjectiveTicks(), request.deadlineTicks - now);
-    double completing = waitTicks * completions.attemptsInWindow() / CompletionRate.WINDOW_TICKS;
-    return inFlight >= Math.max(freeAttempts, completing) + headroom(request, waitTicks);
+    double completedInWait = waitTicks * completions.attemptsInWindow()
+        / CompletionRate.WINDOW_TICKS;
+    return inFlight >= Math.max(freeAttempts, completedInWait) + headroom(request, waitTicks);
   }
 
-  /** 1 for a request of mean priority. */
-  private double priorityStretch(RequestState request) {
+  /**
+   * Returns the factor by which the request's priority changes the allowed wait; 1 for the mean
+   * priority.
+   */
+  private double priorityFactor(RequestState request) {
     double priority = request.customer.plan.priorityWeight()
         * request.stats.requestClass.priorityWeight();
     meanPriority += (meanPriority == 0 ? 1 : MEAN_PRIORITY_STEP) * (priority - meanPriority);
     double aboveMean = meanPriority <= 0 ? 0
         : Math.max(-1, Math.min(1, (priority - meanPriority) / meanPriority));
-    return 1 + PRIORITY_STRETCH * aboveMean;
+    return 1 + MAX_PRIORITY_ADJUSTMENT * aboveMean;
   }
 
-  /** Shrinks to 0 as the request class's recent attempts take longer. */
+  /**
+   * Returns the additional attempts allowed; falls to 0 as the recent attempts of the request class
+   * take longer.
+   */
   private double headroom(RequestState request, double waitTicks) {
     double attempts = Math.min(MAX_HEADROOM_ATTEMPTS,
         MAX_HEADROOM_ATTEMPTS_PER_SERVER * servers.effectiveServers() / fleet.nodes());
--- a/src/main/java/saltlatch/policy/ObjectiveBounds.java
+++ b/src/main/java/saltlatch/policy/ObjectiveBounds.java
@@ -3,7 +3,7 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * The strictest and the longest that the settings' request classes ask for, in ticks.
+ * The shortest latency objective and the longest client timeout of all request classes, in ticks.
  *
  * @param shortestObjectiveTicks    the shortest latency objective
  * @param longestClientTimeoutTicks the longest time that a client waits for its answer
