--- a/src/test/java/saltlatch/policy/ClientRetryDetectionTest.java
+++ b/src/test/java/saltlatch/policy/ClientRetryDetectionTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.api.GatewaySettings;
 
-/** Clients wait 3 s, the objective is 1 s, an attempt is thought to take a quarter of it. */
+/**
+ * Uses clients that wait 3 s, a latency objective of 1 s and an expected attempt time of a quarter
+ * of the objective. Times are in ticks.
+ */
 class ClientRetryDetectionTest {
   private static final GatewaySettings.Limits LIMITS = PolicyFixtures.LIMITS;
 
@@ -17,50 +20,59 @@
     GatewaySettings.Limits limits = new GatewaySettings.Limits(false, true, 4, true, 10_000,
         clientsMarkRetries, LIMITS.warmUpTicks(), LIMITS.initialCapacity(),
         LIMITS.warmUpBudgetFactor(), LIMITS.warmUpWindowTicks());
-    GatewaySettings all = PolicyFixtures.SETTINGS;
-    GatewaySettings settings = new GatewaySettings(7, 2, 20, limits, all.counter(), all.peers(),
-        all.requestClasses(), all.quotaPlans());
+    GatewaySettings defaults = PolicyFixtures.SETTINGS;
+    GatewaySettings settings = new GatewaySettings(7, 2, 20, limits, defaults.counter(),
+        defaults.peers(), defaults.requestClasses(), defaults.quotaPlans());
     ClientRetryDetection detection = new ClientRetryDetection(settings,
         ObjectiveBounds.of(settings));
-    // Most requests come with the usual timeout.
+    // Makes 30,000 ticks the usual timeout: most requests have it.
     for (int i = 0; i < 5; i++) {
       detection.isLateRetry(PolicyFixtures.arrival(30_000, false), stats);
     }
     return detection.isLateRetry(PolicyFixtures.arrival(clientTimeoutTicks, retry), stats);
   }
 
-  /** A retry that comes 0.5 s after its first attempt needs another 0.5 s: too late. */
+  /**
+   * A retry that is sent 0.5 s after the first attempt needs two attempt times, another 0.5 s, so
+   * it misses the objective.
+   */
   @Test
-  void aMarkedRetryIsLateByTheTimeoutLeft() {
+  void markedRetryIsLateIfItsRemainingTimeoutIsTooShort() {
     assertTrue(isLate(true, 25_000, true));
     assertFalse(isLate(true, 25_001, true));
     assertFalse(isLate(true, 25_000, false));
   }
 
-  /** A marked retry with the full timeout hides how long its client has waited. */
+  /**
+   * The timeout of a marked retry with the usual timeout does not show how long its client has
+   * waited, so the retry is considered late.
+   */
   @Test
-  void aMarkedRetryWithTheUsualTimeoutIsLate() {
+  void markedRetryWithTheUsualTimeoutIsLate() {
     assertTrue(isLate(true, 30_000, true));
     assertFalse(isLate(true, 30_000, false));
   }
 
   @Test
-  void withoutMarksAnUnusualTimeoutShowsARetry() {
+  void withoutRetryMarksAnUnusualTimeoutIdentifiesARetry() {
     assertFalse(isLate(false, 30_000, false));
     assertTrue(isLate(false, 25_000, false));
     assertFalse(isLate(false, 29_000, false));
   }
 
-  /** Clients change their timeout: the new one becomes the usual one once it has the majority. */
+  /**
+   * When clients change their timeout, the new timeout becomes the usual one as soon as the
+   * majority of requests has it.
+   */
   @Test
-  void theUsualTimeoutFollowsTheMajority() {
+  void usualTimeoutFollowsTheMajority() {
     for (int i = 0; i < 20; i++) {
       stats.recordTimeout(30_000, 20);
     }
-    int unusual = 0;
+    int unusualTimeouts = 0;
     while (!stats.recordTimeout(20_000, 20)) {
-      unusual++;
+      unusualTimeouts++;
     }
-    assertEquals(20, unusual);
+    assertEquals(20, unusualTimeouts);
   }
 }
--- a/src/test/java/saltlatch/policy/CounterHealthTest.java
+++ b/src/test/java/saltlatch/policy/CounterHealthTest.java
@@ -8,18 +8,19 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.api.GatewaySettings;
 
+/** Tests when counter calls back off and when the backoff ends. Times are in ticks. */
 class CounterHealthTest {
   private static final long GROWTH_PERIOD_TICKS = 1_000;
 
-  private final CounterHealth health = health(2);
+  private final CounterHealth health = healthOf(2);
 
-  private static CounterHealth health(int nodes) {
+  private static CounterHealth healthOf(int nodes) {
     return new CounterHealth(PolicyFixtures.settings(nodes), new FleetSize(nodes));
   }
 
-  /** A single call is lost by chance: the counter stays healthy. */
+  /** A single lost call can happen by chance, so the counter remains healthy. */
   @Test
-  void oneMissIsNoBackoff() {
+  void singleMissStartsNoBackoff() {
     assertFalse(health.recordReply(false, 0));
     assertFalse(health.lastCallAnswered());
     assertTrue(health.isHealthy());
@@ -28,9 +29,9 @@
     assertTrue(health.isHealthy());
   }
 
-  /** Two misses in a row: one call each 10 ms goes out from then on. */
+  /** After two consecutive misses, one call is sent every 10 ms. */
   @Test
-  void twoMissesStartABackoff() {
+  void twoConsecutiveMissesStartABackoff() {
     health.recordReply(false, 0);
     assertTrue(health.recordReply(false, 0));
     assertFalse(health.isHealthy());
@@ -43,22 +44,25 @@
   }
 
   @Test
-  void backoffGrowsOnceAPeriodUpToItsMost() {
+  void backoffGrowsOncePerPeriodUpToItsMaximum() {
     health.recordReply(false, 0);
     health.recordReply(false, 0);
     assertFalse(health.recordReply(false, GROWTH_PERIOD_TICKS - 1));
     assertEquals(100, health.backoffTicks());
     assertTrue(health.recordReply(false, GROWTH_PERIOD_TICKS));
     assertEquals(150, health.backoffTicks());
-    for (int i = 2; i < 20; i++) {
-      health.recordReply(false, i * GROWTH_PERIOD_TICKS);
+    for (int period = 2; period < 20; period++) {
+      health.recordReply(false, period * GROWTH_PERIOD_TICKS);
     }
     assertEquals(2_000, health.backoffTicks());
   }
 
-  /** Requests come once a second: replies to the few calls end the backoff within seconds. */
+  /**
+   * With one request per second, calls are fewer than the backoff allows. Guards against a backoff
+   * that remains long after the counter has recovered: fewer than 30 replies must end it.
+   */
   @Test
-  void repliesEndTheBackoff() {
+  void repliesEndTheBackoffAtLowRequestRates() {
     health.recordReply(false, 0);
     health.recordReply(false, 0);
     int replies = 0;
@@ -70,24 +74,23 @@
     assertTrue(replies > 1 && replies < 30, replies + " replies");
   }
 
-  /** 200 nodes together call no more often than 20 do. */
+  /** A fleet of 200 nodes must not call more often than a fleet of 20. */
   @Test
-  void largeFleetsStretchTheBackoff() {
-    CounterHealth ofMany = health(200);
-    ofMany.recordReply(false, 0);
-    ofMany.recordReply(false, 0);
-    assertEquals(1_000, ofMany.backoffTicks());
+  void backoffIsLongerInLargeFleets() {
+    CounterHealth largeFleetHealth = healthOf(200);
+    largeFleetHealth.recordReply(false, 0);
+    largeFleetHealth.recordReply(false, 0);
+    assertEquals(1_000, largeFleetHealth.backoffTicks());
   }
 
   @Test
-  void withoutACounterNothingIsCalled() {
-    GatewaySettings with = PolicyFixtures.SETTINGS;
-    CounterHealth none = new CounterHealth(
-        new GatewaySettings(7, 2, 20, with.limits(),
-            new GatewaySettings.CounterSettings(false, false), with.peers(), List.of(), List.of()),
-        new FleetSize(2));
-    assertFalse(none.isHealthy());
-    assertFalse(none.isBackingOff());
-    assertFalse(none.mayCall(0));
+  void noCallsInADeploymentWithoutCounter() {
+    GatewaySettings withCounter = PolicyFixtures.SETTINGS;
+    CounterHealth withoutCounter = new CounterHealth(new GatewaySettings(7, 2, 20,
+        withCounter.limits(), new GatewaySettings.CounterSettings(false, false),
+        withCounter.peers(), List.of(), List.of()), new FleetSize(2));
+    assertFalse(withoutCounter.isHealthy());
+    assertFalse(withoutCounter.isBackingOff());
+    assertFalse(withoutCounter.mayCall(0));
   }
 }
--- a/src/test/java/saltlatch/policy/LoadSheddingTest.java
+++ b/src/test/java/saltlatch/policy/LoadSheddingTest.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Two warm servers; the latency objective is 1 s, of which attempts may take 0.3 on average. */
+/**
+ * Uses two warm servers and a latency objective of 1 s, of which attempts may take 0.3 on average.
+ * Times are in ticks.
+ */
 class LoadSheddingTest {
   private final CompletionRate completions = new CompletionRate();
   private final LoadShedding shedding = shedding(1);
@@ -18,14 +21,14 @@
     return new LoadShedding(new FleetSize(nodes), servers, completions);
   }
 
-  /** Attempts in flight from which on requests are rejected. */
-  private static int limit(LoadShedding shedding, RequestState request) {
+  /** Returns the number of attempts in flight at which requests start to be rejected. */
+  private static int inFlightLimit(LoadShedding shedding, RequestState request) {
     int inFlight = 0;
     while (!shedding.isOverloaded(request, 0)) {
       shedding.recordStart();
       inFlight++;
     }
-    for (int i = 0; i < inFlight; i++) {
+    for (int ended = 0; ended < inFlight; ended++) {
       shedding.recordEnd();
     }
     return inFlight;
@@ -37,60 +40,66 @@
     }
   }
 
-  /** 3 attempts a server are free, and while attempts are quick 2 more a server, at most 4. */
+  /**
+   * Three attempts per server are always allowed. While attempts are fast, two more per server are
+   * allowed, at most four in total.
+   */
   @Test
-  void aFewAttemptsAreFree() {
-    assertEquals(3 * 2 + 4, limit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
+  void someAttemptsAreAlwaysAllowed() {
+    assertEquals(3 * 2 + 4,
+        inFlightLimit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
   }
 
   /**
-   * 200 nodes share what two servers may hold: a node with one attempt in flight starts no other.
+   * 200 nodes share the attempts that two servers may have in flight, so a node that has one
+   * attempt in flight starts no other.
    */
   @Test
-  void nodesShareWhatIsFree() {
-    assertEquals(1, limit(shedding(200), PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
+  void nodesShareTheAllowedAttempts() {
+    assertEquals(1, inFlightLimit(shedding(200), PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
   }
 
-  /** 100 attempts complete a second: 30 in flight take 0.3 s each. */
+  /** When 100 attempts complete per second, 30 in flight take 0.3 s each. */
   @Test
-  void littlesLawBoundsTheWait() {
+  void attemptsInFlightAreLimitedByLittlesLaw() {
     complete(100);
-    assertEquals(30 + 4, limit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
+    assertEquals(30 + 4, inFlightLimit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT)));
   }
 
   @Test
-  void aClientWithLittleTimeIsRejectedSooner() {
+  void clientWithLittleTimeLeftIsRejectedAtLowerLoad() {
     complete(100);
     RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
     request.deadlineTicks = 5_000;
-    assertEquals(15 + 4, limit(shedding, request));
+    assertEquals(15 + 4, inFlightLimit(shedding, request));
   }
 
-  /** 0.65 of the wait: 19.5 attempts. */
+  /** Late retries get 0.65 of the wait, which corresponds to 19.5 attempts. */
   @Test
-  void aLateRetryIsRejectedSooner() {
+  void lateRetryIsRejectedAtLowerLoad() {
     complete(100);
     RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
     request.lateRetry = true;
-    assertEquals(20 + 4, limit(shedding, request));
+    assertEquals(20 + 4, inFlightLimit(shedding, request));
   }
 
-  /** Priority 0 among requests of mean priority 1: 0.7 of the wait. */
+  /** A request of priority 0 among requests of mean priority 1 gets 0.7 of the wait. */
   @Test
-  void lowPriorityIsRejectedSooner() {
+  void lowPriorityRequestIsRejectedAtLowerLoad() {
     complete(100);
     shedding.isOverloaded(PolicyFixtures.request(DecisionTrace.IDEMPOTENT, 1), 0);
-    assertEquals(21 + 4, limit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT, 0)));
+    assertEquals(21 + 4,
+        inFlightLimit(shedding, PolicyFixtures.request(DecisionTrace.IDEMPOTENT, 0)));
   }
 
-  /** Attempts take twice the wait: only what Little's law allows is left. */
+  /** Attempts take twice the allowed wait, so only the attempts allowed by Little's law remain. */
   @Test
   void slowAttemptsLeaveNoHeadroom() {
     complete(100);
     RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
-    for (int i = 0; i < 200; i++) {
+    for (int attempt = 0; attempt < 200; attempt++) {
       request.stats.recordAttempt(1, 6_001, false);
     }
-    assertEquals(30, limit(shedding, request));
+    assertEquals(30, inFlightLimit(shedding, request));
   }
 }
--- a/src/test/java/saltlatch/policy/PolicyFixtures.java
+++ b/src/test/java/saltlatch/policy/PolicyFixtures.java
@@ -7,7 +7,7 @@
 import saltlatch.api.GatewayEvent.EndpointUpdateKind;
 import saltlatch.api.GatewaySettings;
 
-/** Plain values for tests of single rules. Times are in ticks. */
+/** Settings, requests and endpoint lists for the tests of single rules. Times are in ticks. */
 final class PolicyFixtures {
   static final GatewaySettings SETTINGS = settings(2);
   static final GatewaySettings.Limits LIMITS = SETTINGS.limits();
@@ -18,7 +18,7 @@
     return DecisionTrace.settings(7, nodes, DecisionTrace.QUOTA, false, false);
   }
 
-  /** A request of one unit that arrives at 0, with a client timeout of 3 s. */
+  /** Returns a request of one unit that arrives at tick 0 with a client timeout of 3 s. */
   static RequestState request(GatewaySettings.RequestClass requestClass) {
     return request(requestClass, 1);
   }
@@ -45,7 +45,7 @@
     return new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.SNAPSHOT, List.of(endpoints));
   }
 
-  /** Servers 0 to count - 1, ready and warm. */
+  /** Returns a snapshot of the servers 0 to count - 1, all ready and warm. */
   static GatewayEvent.EndpointsUpdated readyServers(int count) {
     List<GatewayEvent.Endpoint> endpoints = new ArrayList<>();
     for (int id = 0; id < count; id++) {
--- a/src/test/java/saltlatch/policy/RetryAfterAdviceTest.java
+++ b/src/test/java/saltlatch/policy/RetryAfterAdviceTest.java
@@ -7,10 +7,13 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.api.GatewaySettings;
 
-/** A quota of 2 units a second and a burst of 6: a window lasts 3 s. Clients heed up to 1 s. */
+/**
+ * Uses a quota of 2 units per second with a burst of 6 units, so a window lasts 3 s. Clients
+ * respect a Retry-After of at most 1 s. Times are in ticks.
+ */
 class RetryAfterAdviceTest {
   private static final long WINDOW_TICKS = 30_000;
-  private static final long NOW = 5_000;
+  private static final long NOW_TICKS = 5_000;
 
   private final CounterHealth health = new CounterHealth(PolicyFixtures.SETTINGS, new FleetSize(2));
   private final RetryAfterAdvice advice = advice(PolicyFixtures.LIMITS);
@@ -26,31 +29,41 @@
     return request;
   }
 
-  /** All clients of a spent quota would come back in the instant of the turn. */
+  /**
+   * Guards against all clients of an exhausted quota retrying at the instant at which the next
+   * window starts.
+   */
   @Test
-  void spreadsClientsOverHalfAWindowAfterTheTurn() {
+  void spreadsRetriesOverHalfAWindowAfterTheNextWindowStarts() {
     RequestState request = request();
     request.awaitingCounter = true;
-    long first = advice.withoutQuota(request, NOW);
-    long second = advice.withoutQuota(request, NOW);
-    long turn = WINDOW_TICKS - NOW;
-    assertTrue(first >= turn && first < turn + WINDOW_TICKS / 2, "after " + first);
-    assertTrue(second >= turn && second < turn + WINDOW_TICKS / 2, "after " + second);
-    assertTrue(first != second);
+    long firstTicks = advice.withoutQuota(request, NOW_TICKS);
+    long secondTicks = advice.withoutQuota(request, NOW_TICKS);
+    long untilNextWindow = WINDOW_TICKS - NOW_TICKS;
+    long latest = untilNextWindow + WINDOW_TICKS / 2;
+    assertTrue(firstTicks >= untilNextWindow && firstTicks < latest,
+        "retry after " + firstTicks + " ticks");
+    assertTrue(secondTicks >= untilNextWindow && secondTicks < latest,
+        "retry after " + secondTicks + " ticks");
+    assertTrue(firstTicks != secondTicks);
   }
 
-  /** The counter is silent, so the quota may have room: the retry can still be in time. */
+  /**
+   * While the counter does not reply, the quota may still have capacity. A retry at the next
+   * counter call can still be answered in time.
+   */
   @Test
-  void advisesTheNextCounterCallWhileItBacksOff() {
-    health.recordReply(false, NOW);
-    health.recordReply(false, NOW);
-    health.recordCall(NOW);
-    long ticks = advice.withoutQuota(request(), NOW);
-    assertTrue(ticks >= 100 && ticks < 200, "after " + ticks);
+  void advisesNextCounterCallDuringBackoff() {
+    health.recordReply(false, NOW_TICKS);
+    health.recordReply(false, NOW_TICKS);
+    health.recordCall(NOW_TICKS);
+    long retryAfterTicks = advice.withoutQuota(request(), NOW_TICKS);
+    assertTrue(retryAfterTicks >= 100 && retryAfterTicks < 200,
+        "retry after " + retryAfterTicks + " ticks");
   }
 
   @Test
-  void staysWithinWhatClientsHeed() {
+  void limitsAdviceToTheMaximumThatClientsRespect() {
     assertEquals(10_000, advice.limited(10_001));
     assertEquals(500, advice.limited(500));
     assertEquals(0, advice.limited(-1));
@@ -58,9 +71,9 @@
   }
 
   @Test
-  void sendsNoneWhereTheDeploymentForbidsIt() {
-    GatewaySettings.Limits none = new GatewaySettings.Limits(false, true, 4, false, 10_000, true,
-        100_000, 0.2, 4, 10_000);
-    assertEquals(0, advice(none).limited(500));
+  void sendsNoRetryAfterIfTheDeploymentDisablesIt() {
+    GatewaySettings.Limits withoutRetryAfter = new GatewaySettings.Limits(false, true, 4, false,
+        10_000, true, 100_000, 0.2, 4, 10_000);
+    assertEquals(0, advice(withoutRetryAfter).limited(500));
   }
 }
--- a/src/test/java/saltlatch/policy/RetryPolicyTest.java
+++ b/src/test/java/saltlatch/policy/RetryPolicyTest.java
@@ -9,13 +9,16 @@
 import saltlatch.api.GatewaySettings.KeyScope;
 import saltlatch.api.GatewaySettings.RetrySafety;
 
-/** Keys are remembered for 2 s; four attempts of a request are allowed. */
+/**
+ * Uses servers that remember idempotency keys for 2 s, and at most four attempts per request. Times
+ * are in ticks.
+ */
 class RetryPolicyTest {
   private static final long KEY_TTL_TICKS = 20_000;
 
   private final RetryPolicy policy = new RetryPolicy(PolicyFixtures.LIMITS);
 
-  private static RequestState possiblyExecuted(GatewaySettings.RequestClass requestClass) {
+  private static RequestState possiblyExecutedRequest(GatewaySettings.RequestClass requestClass) {
     RequestState request = PolicyFixtures.request(requestClass);
     request.attemptCount = 1;
     request.possiblyExecutedAtTicks = 0;
@@ -30,7 +33,7 @@
     return server;
   }
 
-  private static GatewaySettings.RequestClass byKey(KeyScope scope) {
+  private static GatewaySettings.RequestClass idempotentByKey(KeyScope scope) {
     return new GatewaySettings.RequestClass(RetrySafety.IDEMPOTENT_BY_KEY, scope, KEY_TTL_TICKS,
         10_000, 30_000, 1);
   }
@@ -39,24 +42,30 @@
     return policy.mayRetry(request, AttemptOutcome.CONNECTION_LOST, now);
   }
 
-  /** A request that is executed twice does harm, unless it is idempotent. */
+  /**
+   * Guards against executing a request twice if it is not idempotent: it is retried only if no
+   * attempt can have been executed.
+   */
   @Test
-  void onlyIdempotentRequestsAreRepeated() {
-    assertTrue(mayRetry(possiblyExecuted(DecisionTrace.IDEMPOTENT), 100));
-    assertFalse(mayRetry(possiblyExecuted(DecisionTrace.NOT_IDEMPOTENT), 100));
+  void possiblyExecutedRequestIsRetriedOnlyIfIdempotent() {
+    assertTrue(mayRetry(possiblyExecutedRequest(DecisionTrace.IDEMPOTENT), 100));
+    assertFalse(mayRetry(possiblyExecutedRequest(DecisionTrace.NOT_IDEMPOTENT), 100));
     assertTrue(mayRetry(PolicyFixtures.request(DecisionTrace.NOT_IDEMPOTENT), 100));
   }
 
-  /** The key is forgotten before the new attempt's last byte is there: no retry. */
+  /**
+   * Guards against a retry that the server receives completely only after it has discarded the key:
+   * it would execute the request a second time. Sending is assumed to take 20 ms.
+   */
   @Test
-  void aKeyMustOutliveTheAttempt() {
-    RequestState request = possiblyExecuted(DecisionTrace.IDEMPOTENT_BY_KEY);
+  void keyMustBeRememberedUntilTheRetryIsReceived() {
+    RequestState request = possiblyExecutedRequest(DecisionTrace.IDEMPOTENT_BY_KEY);
     assertTrue(mayRetry(request, KEY_TTL_TICKS - 201));
     assertFalse(mayRetry(request, KEY_TTL_TICKS - 200));
   }
 
   @Test
-  void noRetryWithoutNeedOrRoom() {
+  void noRetryIfStreamingExhaustedLateOrNotSent() {
     RequestState streaming = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
     streaming.streaming = true;
     assertFalse(mayRetry(streaming, 100));
@@ -69,26 +78,31 @@
     assertFalse(policy.mayRetry(late, AttemptOutcome.NOT_SENT, 100));
   }
 
-  /** Servers outside the key's scope would execute the request anew. */
+  /** Servers outside the scope of the key would execute the request again. */
   @Test
-  void aRetryStaysWhereItsKeyIsRemembered() {
-    RequestState group = possiblyExecuted(byKey(KeyScope.GROUP));
-    assertTrue(RetryPolicy.sharesKeys(group, server(2, 1)));
-    assertFalse(RetryPolicy.sharesKeys(group, server(1, 2)));
-    RequestState zone = possiblyExecuted(byKey(KeyScope.ZONE));
-    assertTrue(RetryPolicy.sharesKeys(zone, server(1, 2)));
-    assertFalse(RetryPolicy.sharesKeys(zone, server(2, 1)));
-    assertTrue(RetryPolicy.sharesKeys(possiblyExecuted(byKey(KeyScope.ALL)), server(2, 2)));
-    assertTrue(RetryPolicy.sharesKeys(PolicyFixtures.request(byKey(KeyScope.GROUP)), server(2, 2)));
+  void retryStaysWithinTheScopeOfItsKey() {
+    RequestState groupScoped = possiblyExecutedRequest(idempotentByKey(KeyScope.GROUP));
+    assertTrue(RetryPolicy.sharesKeys(groupScoped, server(2, 1)));
+    assertFalse(RetryPolicy.sharesKeys(groupScoped, server(1, 2)));
+    RequestState zoneScoped = possiblyExecutedRequest(idempotentByKey(KeyScope.ZONE));
+    assertTrue(RetryPolicy.sharesKeys(zoneScoped, server(1, 2)));
+    assertFalse(RetryPolicy.sharesKeys(zoneScoped, server(2, 1)));
+    assertTrue(RetryPolicy.sharesKeys(possiblyExecutedRequest(idempotentByKey(KeyScope.ALL)),
+        server(2, 2)));
+    assertTrue(RetryPolicy.sharesKeys(PolicyFixtures.request(idempotentByKey(KeyScope.GROUP)),
+        server(2, 2)));
   }
 
-  /** A client that is rejected sends its request again, to any server. */
+  /**
+   * A rejected client sends its request again, possibly to another server. Rejection must therefore
+   * not cause a second execution.
+   */
   @Test
-  void rejectionIsSafeOnlyWhereAClientMayRepeat() {
-    assertTrue(RetryPolicy.isRejectSafe(possiblyExecuted(DecisionTrace.IDEMPOTENT)));
-    assertTrue(RetryPolicy.isRejectSafe(possiblyExecuted(byKey(KeyScope.ALL))));
-    assertFalse(RetryPolicy.isRejectSafe(possiblyExecuted(byKey(KeyScope.ZONE))));
-    assertFalse(RetryPolicy.isRejectSafe(possiblyExecuted(DecisionTrace.NOT_IDEMPOTENT)));
+  void rejectionIsSafeOnlyIfTheClientMayRetryOnAnyServer() {
+    assertTrue(RetryPolicy.isRejectSafe(possiblyExecutedRequest(DecisionTrace.IDEMPOTENT)));
+    assertTrue(RetryPolicy.isRejectSafe(possiblyExecutedRequest(idempotentByKey(KeyScope.ALL))));
+    assertFalse(RetryPolicy.isRejectSafe(possiblyExecutedRequest(idempotentByKey(KeyScope.ZONE))));
+    assertFalse(RetryPolicy.isRejectSafe(possiblyExecutedRequest(DecisionTrace.NOT_IDEMPOTENT)));
     RequestState inFlight = PolicyFixtures.request(DecisionTrace.NOT_IDEMPOTENT);
     assertTrue(RetryPolicy.isRejectSafe(inFlight));
     inFlight.attempt = new Attempt(server(1, 1), 0, 100);
--- a/src/test/java/saltlatch/policy/ServerListTest.java
+++ b/src/test/java/saltlatch/policy/ServerListTest.java
@@ -10,59 +10,62 @@
 import saltlatch.api.GatewayEvent.EndpointState;
 import saltlatch.api.GatewayEvent.EndpointUpdateKind;
 
+/** Tests which app servers are listed, kept and counted as endpoint lists arrive. */
 class ServerListTest {
   private final SplittableRandom random = new SplittableRandom(1);
   private final ServerList servers = new ServerList(new SlowStart(PolicyFixtures.LIMITS, random),
       new OutlierDetection(), random);
 
-  private List<Long> ids() {
+  private List<Long> serverIds() {
     List<Long> ids = new ArrayList<>();
     servers.forEach(server -> ids.add(server.id));
     return ids;
   }
 
   @Test
-  void aSnapshotRemovesWhatItDoesNotName() {
+  void snapshotRemovesUnlistedServers() {
     servers.update(PolicyFixtures.readyServers(3), 0);
     assertEquals(3, servers.readyServers());
     servers.update(PolicyFixtures.readyServers(2), 0);
-    assertEquals(List.of(0L, 1L), ids());
+    assertEquals(List.of(0L, 1L), serverIds());
     assertEquals(2, servers.readyServers());
   }
 
   @Test
-  void aDeltaKeepsTheOthers() {
+  void deltaKeepsUnlistedServers() {
     servers.update(PolicyFixtures.readyServers(2), 0);
     servers.update(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.DELTA,
         List.of(PolicyFixtures.endpoint(0, EndpointState.REMOVED, 1))), 0);
-    assertEquals(List.of(1L), ids());
+    assertEquals(List.of(1L), serverIds());
   }
 
-  /** A server drains with an attempt in flight: it is kept until the attempt has ended. */
+  /** A draining server is kept until its attempt in flight has ended. */
   @Test
-  void aDrainingServerIsKeptWhileAttemptsAreInFlight() {
+  void drainingServerIsKeptWhileAttemptsAreInFlight() {
     servers.update(PolicyFixtures.readyServers(1), 0);
     servers.forEach(server -> server.inFlight = 1);
     servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(0, EndpointState.DRAINING, 1)),
         0);
-    assertEquals(List.of(0L), ids());
+    assertEquals(List.of(0L), serverIds());
     assertEquals(0, servers.readyServers());
     servers.forEach(server -> {
       server.inFlight = 0;
       servers.releaseIfUnused(server);
     });
-    assertEquals(List.of(), ids());
+    assertEquals(List.of(), serverIds());
   }
 
-  /** A server that starts counts by its capacity: a fifth at first. */
+  /** A starting server is counted by its current capacity, which is initially a fifth. */
   @Test
-  void startingServersCountInPart() {
-    long startedAt = 1_000;
-    servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(0, EndpointState.READY, 1),
-        new GatewayEvent.Endpoint(1, startedAt, 0, 1, EndpointState.READY, 1, 0)), startedAt);
+  void startingServerCountsByItsCapacity() {
+    long startedAtTicks = 1_000;
+    servers.update(
+        PolicyFixtures.snapshot(PolicyFixtures.endpoint(0, EndpointState.READY, 1),
+            new GatewayEvent.Endpoint(1, startedAtTicks, 0, 1, EndpointState.READY, 1, 0)),
+        startedAtTicks);
     assertEquals(2, servers.readyServers());
     assertEquals(1.2, servers.effectiveServers(), 1e-9);
-    servers.recount(startedAt + 100_000);
+    servers.recount(startedAtTicks + 100_000);
     assertEquals(2, servers.effectiveServers());
   }
 }
--- a/src/test/java/saltlatch/policy/SlotMapTest.java
+++ b/src/test/java/saltlatch/policy/SlotMapTest.java
@@ -7,44 +7,48 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order in which items are visited, and the reuse of slots. */
 class SlotMapTest {
   private final SlotMap<String> map = new SlotMap<>();
 
-  private List<String> items() {
+  private List<String> itemsInVisitOrder() {
     List<String> items = new ArrayList<>();
     map.forEach(items::add);
     return items;
   }
 
-  /** The order of visits must not depend on ids: a replay would differ from its recording. */
+  /**
+   * Guards against a visit order that depends on ids: a replay would then differ from its
+   * recording.
+   */
   @Test
-  void visitsBySlotAndUsesReleasedSlotsAgain() {
+  void visitsInSlotOrderAndReusesReleasedSlots() {
     map.put(900, "a");
     map.put(5, "b");
     map.put(70, "c");
     map.release(5);
     assertNull(map.find(5));
-    assertEquals(List.of("a", "c"), items());
+    assertEquals(List.of("a", "c"), itemsInVisitOrder());
     map.put(1, "d");
-    assertEquals(List.of("a", "d", "c"), items());
+    assertEquals(List.of("a", "d", "c"), itemsInVisitOrder());
     assertEquals("d", map.find(1));
   }
 
   @Test
-  void replacesInPlace() {
+  void putReplacesAnItemInItsSlot() {
     map.put(1, "a");
     map.put(2, "b");
     map.put(1, "c");
-    assertEquals(List.of("c", "b"), items());
+    assertEquals(List.of("c", "b"), itemsInVisitOrder());
     map.release(3);
-    assertEquals(2, items().size());
+    assertEquals(2, itemsInVisitOrder().size());
   }
 
   @Test
-  void itemsMayBeReleasedWhileVisited() {
+  void itemsCanBeReleasedDuringAVisit() {
     map.put(1, "a");
     map.put(2, "b");
     map.forEach(item -> map.release(item.equals("a") ? 1 : 2));
-    assertEquals(List.of(), items());
+    assertEquals(List.of(), itemsInVisitOrder());
   }
 }
--- a/src/test/java/saltlatch/policy/TimerStallDetectionTest.java
+++ b/src/test/java/saltlatch/policy/TimerStallDetectionTest.java
@@ -6,35 +6,42 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests when an overdue timer shows that this node was stalled. Times are in ticks. */
 class TimerStallDetectionTest {
   private static final ObjectiveBounds BOUNDS = new ObjectiveBounds(10_000, 30_000);
 
   private final HousekeepingSchedule schedule = new HousekeepingSchedule(0);
   private final TimerStallDetection stalls = new TimerStallDetection(BOUNDS, schedule);
 
-  /** The timer for 100 ms is overdue by more than half of the objective: the node was stopped. */
+  /**
+   * The timer, set for 100 ms, is overdue by more than half of the latency objective of 1 s, so the
+   * node was stalled.
+   */
   @Test
-  void anOverdueTimerShowsAStall() {
+  void overdueTimerShowsAStall() {
     schedule.recordTimer();
     assertEquals(5_000, stalls.thresholdTicks());
     assertEquals(0, stalls.stallTicks(0, 6_000));
     assertEquals(6_001, stalls.stallTicks(0, 6_001));
   }
 
-  /** The node runs without its timer, which the host has yet to fire: no stall. */
+  /**
+   * Guards against reporting a stall while the node handles events and only the timer has not fired
+   * yet.
+   */
   @Test
-  void aNodeThatRunsIsNotStalled() {
+  void runningNodeWithoutTimerIsNotStalled() {
     schedule.recordTimer();
     assertEquals(0, stalls.stallTicks(4_000, 9_000));
   }
 
   @Test
-  void withoutATimerNothingIsOverdue() {
+  void noStallWithoutATimer() {
     assertEquals(0, stalls.stallTicks(0, 1_000_000));
   }
 
   @Test
-  void whatBeganBeforeTheStallSpansIt() {
+  void workStartedBeforeTheStallSpansIt() {
     assertFalse(stalls.spansStall(0));
     schedule.recordTimer();
     stalls.stallTicks(0, 7_000);
@@ -43,7 +50,7 @@
   }
 
   @Test
-  void shortObjectivesDontMakeStalls() {
+  void thresholdIsAtLeastTwoHousekeepingPeriods() {
     assertEquals(2_000,
         new TimerStallDetection(new ObjectiveBounds(100, 30_000), schedule).thresholdTicks());
   }
--- a/src/test/java/saltlatch/policy/WeightedRoundRobinLoadBalancerTest.java
+++ b/src/test/java/saltlatch/policy/WeightedRoundRobinLoadBalancerTest.java
@@ -11,6 +11,7 @@
 import saltlatch.api.GatewayEvent.AttemptOutcome;
 import saltlatch.api.GatewayEvent.EndpointState;
 
+/** Tests how attempts are distributed over the app servers. */
 class WeightedRoundRobinLoadBalancerTest {
   private final SplittableRandom random = new SplittableRandom(1);
   private final SlowStart slowStart = new SlowStart(PolicyFixtures.LIMITS, random);
@@ -23,7 +24,7 @@
     return balancer.choose(PolicyFixtures.request(DecisionTrace.IDEMPOTENT), 0);
   }
 
-  private List<Long> choices(int count) {
+  private List<Long> chooseRepeatedly(int count) {
     List<Long> chosen = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       chosen.add(choose().id);
@@ -31,42 +32,47 @@
     return chosen;
   }
 
-  private static long countOf(List<Long> chosen, long id) {
-    return chosen.stream().filter(each -> each == id).count();
+  private static long occurrencesOf(List<Long> chosen, long id) {
+    return chosen.stream().filter(chosenId -> chosenId == id).count();
   }
 
   @Test
-  void turnsFollowTheWeights() {
+  void attemptsAreProportionalToTheWeights() {
     servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(1, EndpointState.READY, 1),
         PolicyFixtures.endpoint(2, EndpointState.READY, 3)), 0);
-    List<Long> chosen = choices(400);
-    assertEquals(100, (float) countOf(chosen, 1), 1);
-    assertEquals(300, (float) countOf(chosen, 2), 1);
+    List<Long> chosen = chooseRepeatedly(400);
+    assertEquals(100, (float) occurrencesOf(chosen, 1), 1);
+    assertEquals(300, (float) occurrencesOf(chosen, 2), 1);
   }
 
-  /** One failure makes a server 11 / 3 times as slow: it gets the square of that less. */
+  /**
+   * One failure makes a server 11 / 3 times as slow. Its weight is divided by the square of that.
+   */
   @Test
-  void aSlowServerGetsLess() {
+  void slowServerGetsFewerAttempts() {
     servers.update(PolicyFixtures.readyServers(2), 0);
     servers.forEach(server -> {
       if (server.id == 0) {
         outliers.recordEnd(new Attempt(server, 0, 100), AttemptOutcome.SERVER_ERROR, 0);
       }
     });
-    double part = 1 / (1 + Math.pow(11 / 3.0, 2));
-    assertEquals(1_000 * part, (double) countOf(choices(1_000), 0), 2);
+    double expectedFraction = 1 / (1 + Math.pow(11 / 3.0, 2));
+    assertEquals(1_000 * expectedFraction, (double) occurrencesOf(chooseRepeatedly(1_000), 0), 2);
   }
 
-  /** A server pauses and holds all that is in flight: its turns go to the others. */
+  /**
+   * All attempts in flight are on a server that pauses. Guards against sending it more: the other
+   * servers get its turns.
+   */
   @Test
-  void aSaturatedServerGivesUpItsTurn() {
+  void saturatedServerGetsNoAttempts() {
     servers.update(PolicyFixtures.readyServers(3), 0);
     servers.forEach(server -> server.inFlight = server.id == 1 ? 10 : 0);
-    assertEquals(0, countOf(choices(30), 1));
+    assertEquals(0, occurrencesOf(chooseRepeatedly(30), 1));
   }
 
   @Test
-  void theSecondAttemptGoesElsewhere() {
+  void secondAttemptGoesToAnotherServer() {
     servers.update(PolicyFixtures.readyServers(2), 0);
     for (int i = 0; i < 10; i++) {
       RequestState request = PolicyFixtures.request(DecisionTrace.IDEMPOTENT);
@@ -77,7 +83,7 @@
   }
 
   @Test
-  void drainingServersGetNothing() {
+  void drainingServersGetNoAttempts() {
     servers.update(PolicyFixtures.snapshot(PolicyFixtures.endpoint(1, EndpointState.DRAINING, 1)),
         0);
     assertNull(choose());
