--- a/src/test/java/saltlatch/policy/DecisionTrace.java
+++ b/src/test/java/saltlatch/policy/DecisionTrace.java
@@ -22,8 +22,9 @@
 import saltlatch.wire.peer.GossipCodec;
 
 /**
- * Plays events into one engine and prints what it does, a line an action; compared with a kept
- * trace. Times of its lines are in ms, of its fields and parameters in ticks.
+ * Passes events to one engine and records each event and action as a line of text. Tests compare
+ * the lines with an expected trace. Times in the lines are in milliseconds; those of fields and
+ * parameters are in ticks.
  */
 final class DecisionTrace implements GatewayActions {
   static final GatewaySettings.QuotaPlan QUOTA = new GatewaySettings.QuotaPlan(2, 6, 0, 0, 0, 1);
@@ -37,14 +38,15 @@
 
   private final StringBuilder lines = new StringBuilder();
   private final List<long[]> timers = new ArrayList<>();
-  private final Set<Long> attempted = new HashSet<>();
-  private final ArrayDeque<Long> counterNames = new ArrayDeque<>();
+  private final Set<Long> attemptedRequests = new HashSet<>();
+  private final ArrayDeque<Long> pendingCounterCalls = new ArrayDeque<>();
   private PolicyEngine engine;
+  /** The current time. A trace starts at 60,000 ticks and prints them as 0 ms. */
   long now = 60_000;
   long clientTimeoutTicks = 30_000;
-  /** How long requests have lain unread. */
-  long ageTicks;
-  /** For stretches of a trace that show nothing new. */
+  /** How long each arriving request has waited unread. */
+  long unreadTicks;
+  /** Whether lines are omitted, for parts of a trace that are repetitive. */
   boolean muted;
 
   private static GatewaySettings.RequestClass requestClass(GatewaySettings.RetrySafety retrySafety,
@@ -78,55 +80,59 @@
 
   void start(GatewaySettings settings) {
     timers.clear();
-    counterNames.clear();
+    pendingCounterCalls.clear();
     engine = new PolicyEngine(now, settings, this);
   }
 
-  /** App servers as "id/keyGroup", with " starting" or " draining" behind; the whole list. */
-  void list(String... servers) {
-    List<GatewayEvent.Endpoint> entries = new ArrayList<>();
+  /**
+   * Replaces the endpoint list.
+   *
+   * @param servers app servers as "id/keyGroup", optionally followed by " starting" or " draining"
+   */
+  void updateServerList(String... servers) {
+    List<GatewayEvent.Endpoint> endpoints = new ArrayList<>();
     for (String server : servers) {
       String[] parts = server.split("[/ ]", 0);
       boolean marked = parts.length > 2;
-      entries.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
+      endpoints.add(new GatewayEvent.Endpoint(Long.parseLong(parts[0]),
           marked && parts[2].equals("starting") ? now : 0, 0, Integer.parseInt(parts[1]),
           marked && parts[2].equals("draining") ? EndpointState.DRAINING : EndpointState.READY, 1,
           0));
     }
-    say("listed " + String.join(", ", servers));
-    deliver(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, entries));
+    addLine("listed " + String.join(", ", servers));
+    deliver(new GatewayEvent.EndpointsUpdated(GatewayEvent.EndpointUpdateKind.SNAPSHOT, endpoints));
   }
 
-  void arrive(long requestId, int requestClass, double units) {
-    arrive(requestId, requestClass, units, false);
+  void requestArrives(long requestId, int requestClass, double units) {
+    requestArrives(requestId, requestClass, units, false);
   }
 
-  void arrive(long requestId, int requestClass, double units, boolean retry) {
-    say("request " + requestId + " of class " + requestClass + ", units " + units
+  void requestArrives(long requestId, int requestClass, double units, boolean retry) {
+    addLine("request " + requestId + " of class " + requestClass + ", units " + units
         + (retry ? ", a retry" : "")
         + (clientTimeoutTicks < 30_000 ? ", timeout " + clientTimeoutTicks / 10 : "")
-        + (ageTicks > 0 ? ", lay unread for " + ageTicks / 10 : ""));
+        + (unreadTicks > 0 ? ", lay unread for " + unreadTicks / 10 : ""));
     deliver(new GatewayEvent.RequestArrived(requestId, requestClass, 0, 9, clientTimeoutTicks,
-        units, 2, 0, retry, ageTicks));
+        units, 2, 0, retry, unreadTicks));
   }
 
-  void counterReplies(double total) {
-    say("counter total " + total);
-    if (!counterNames.isEmpty()) {
-      deliver(counterReply(total));
+  void counterReplies(double totalUnits) {
+    addLine("counter total " + totalUnits);
+    if (!pendingCounterCalls.isEmpty()) {
+      deliver(counterReply(totalUnits));
     }
   }
 
-  /** The reply to the oldest counter call in flight. */
-  GatewayEvent counterReply(double total) {
-    return new GatewayEvent.CounterReplied(counterNames.poll(), AttemptOutcome.SUCCEEDED, total,
-        10);
+  /** Returns the reply to the oldest counter call in flight, which it removes. */
+  GatewayEvent counterReply(double totalUnits) {
+    return new GatewayEvent.CounterReplied(pendingCounterCalls.poll(), AttemptOutcome.SUCCEEDED,
+        totalUnits, 10);
   }
 
   void counterFails(AttemptOutcome outcome) {
-    say("counter call " + outcome);
-    if (!counterNames.isEmpty()) {
-      deliver(new GatewayEvent.CounterReplied(counterNames.poll(), outcome, 0, 300));
+    addLine("counter call " + outcome);
+    if (!pendingCounterCalls.isEmpty()) {
+      deliver(new GatewayEvent.CounterReplied(pendingCounterCalls.poll(), outcome, 0, 300));
     }
   }
 
@@ -135,17 +141,17 @@
   }
 
   void endAttempt(long requestId, int attempt, AttemptOutcome outcome, double actualUnits) {
-    say("attempt " + attempt + " of request " + requestId + " " + outcome);
+    addLine("attempt " + attempt + " of request " + requestId + " " + outcome);
     deliver(new GatewayEvent.AttemptEnded(requestId, 0, attempt, outcome,
         outcome == AttemptOutcome.SUCCEEDED, 0, actualUnits, 0, List.of()));
   }
 
-  /** Hands events to the engine as those of one instant. */
+  /** Passes events to the engine that all occur at the current time. */
   void deliver(GatewayEvent... events) {
     engine.handle(now, List.of(events));
   }
 
-  /** Lets time pass, firing timers as they fall due. */
+  /** Advances the time and fires each timer when it is due. */
   void advance(long ticks) {
     long until = now + ticks;
     while (true) {
@@ -163,15 +169,17 @@
     now = until;
   }
 
-  void say(String line) {
-    if (!muted) lines.append(String.format(Locale.ROOT, "%7.1f %s%n", (now - 60_000) / 10.0, line));
+  void addLine(String line) {
+    if (!muted) {
+      lines.append(String.format(Locale.ROOT, "%7.1f %s%n", (now - 60_000) / 10.0, line));
+    }
   }
 
   /**
-   * Compares with the kept trace; -Dsaltlatch.record=true writes it anew, to be read before it is
-   * kept.
+   * Asserts that the recorded trace equals the expected one. With -Dsaltlatch.record=true it first
+   * replaces the file of the expected trace; review the changes before committing them.
    */
-  void matches(String name) throws IOException {
+  void assertMatchesFile(String name) throws IOException {
     String actual = lines.toString();
     if (Boolean.getBoolean("saltlatch.record")) {
       Files.writeString(Path.of("src/test/resources/traces", name + ".txt"), actual);
@@ -181,36 +189,37 @@
     }
   }
 
-  /** Whether an attempt of the request was ever started. */
+  /** Returns whether any attempt of the request was started, also while lines were omitted. */
   boolean wasAttempted(long requestId) {
-    return attempted.contains(requestId);
+    return attemptedRequests.contains(requestId);
   }
 
-  /** How often the trace holds a text, a regular expression. */
+  /** Returns how often a regular expression occurs in the recorded lines. */
   int occurrences(String pattern) {
     return lines.toString().split(pattern, -1).length - 1;
   }
 
   @Override
   public void startAttempt(long requestId, long serverId, long timeoutTicks) {
-    attempted.add(requestId);
-    say("  -> attempt of request " + requestId + " to " + serverId + " for " + timeoutTicks / 10.0);
+    attemptedRequests.add(requestId);
+    addLine(
+        "  -> attempt of request " + requestId + " to " + serverId + " for " + timeoutTicks / 10.0);
   }
 
   @Override
   public void reject(long requestId, long retryAfterTicks) {
-    say("  -> reject request " + requestId
+    addLine("  -> reject request " + requestId
         + (retryAfterTicks > 0 ? ", retry after " + retryAfterTicks / 10.0 : ""));
   }
 
   @Override
   public void fail(long requestId) {
-    say("  -> fail request " + requestId);
+    addLine("  -> fail request " + requestId);
   }
 
   @Override
   public void cancelAttempt(long requestId, int attempt) {
-    say("  -> cancel attempt " + attempt + " of request " + requestId);
+    addLine("  -> cancel attempt " + attempt + " of request " + requestId);
   }
 
   @Override
@@ -220,33 +229,33 @@
 
   @Override
   public void checkHealth(long serverId) {
-    say("  -> check health of " + serverId);
+    addLine("  -> check health of " + serverId);
   }
 
   @Override
   public void closeIdleConnections(long serverId) {
-    say("  -> close idle connections to " + serverId);
+    addLine("  -> close idle connections to " + serverId);
   }
 
   @Override
   public void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks) {
-    counterNames.add(counterName);
-    say(String.format(Locale.ROOT, "  -> counter call, window %d: %+.2f, ttl %.0f",
+    pendingCounterCalls.add(counterName);
+    addLine(String.format(Locale.ROOT, "  -> counter call, window %d: %+.2f, ttl %.0f",
         counterName & 0x7fffffffL, units, ttlTicks / 10.0));
   }
 
   @Override
   public void watchEndpoints(boolean on) {
-    say("  -> watch endpoints " + on);
+    addLine("  -> watch endpoints " + on);
   }
 
   @Override
   public void sendGossip(int peer, GossipMessage message) {
-    say("  -> gossip to " + peer + ", " + GossipCodec.encode(message).length + " bytes");
+    addLine("  -> gossip to " + peer + ", " + GossipCodec.encode(message).length + " bytes");
   }
 
   @Override
   public void log(String text) {
-    say("  -> log " + text);
+    addLine("  -> log " + text);
   }
 }
--- a/src/test/java/saltlatch/policy/PolicyEngineCounterTest.java
+++ b/src/test/java/saltlatch/policy/PolicyEngineCounterTest.java
@@ -9,8 +9,9 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * Quotas and the counter, through the whole engine. Each test prints a short trace of decisions;
- * the kept ones are in src/test/resources/traces, to be read. Times are in ticks.
+ * Tests the engine's decisions on quotas and counter calls. Each test records a short trace of
+ * decisions. The expected traces are readable text files in src/test/resources/traces. Times are in
+ * ticks.
  */
 class PolicyEngineCounterTest {
   private static final int IDEMPOTENT = 0;
@@ -18,257 +19,267 @@
   private final DecisionTrace trace = new DecisionTrace(
       DecisionTrace.settings(DecisionTrace.QUOTA, false, false));
 
-  /** Two requests whose counter calls get no reply: from then on there is a backoff. */
+  /** Starts a backoff: the counter calls of two requests get no reply. */
   private void startBackoff(double units) {
-    trace.arrive(1, IDEMPOTENT, units);
-    trace.arrive(2, IDEMPOTENT, units);
+    trace.requestArrives(1, IDEMPOTENT, units);
+    trace.requestArrives(2, IDEMPOTENT, units);
     trace.advance(300);
     trace.counterFails(AttemptOutcome.TIMED_OUT);
     trace.counterFails(AttemptOutcome.TIMED_OUT);
   }
 
   /**
-   * A request is admitted while the total is below the burst; at the burst the next is rejected and
-   * its reservation refunded.
+   * Requests are admitted while the counter's total is below the burst. When it has reached the
+   * burst, the next request is rejected and its reservation is refunded.
    */
   @Test
-  void admitsBelowBurst() throws IOException {
-    trace.list("11/1", "12/1");
-    trace.arrive(1, IDEMPOTENT, 3);
+  void admitsRequestsWhileTheTotalIsBelowTheBurst() throws IOException {
+    trace.updateServerList("11/1", "12/1");
+    trace.requestArrives(1, IDEMPOTENT, 3);
     trace.now += 20;
     trace.counterReplies(3);
-    trace.arrive(2, IDEMPOTENT, 3);
+    trace.requestArrives(2, IDEMPOTENT, 3);
     trace.now += 20;
     trace.counterReplies(8); // another node charged 2
-    trace.arrive(3, IDEMPOTENT, 3);
+    trace.requestArrives(3, IDEMPOTENT, 3);
     trace.now += 20;
     trace.counterReplies(11);
     trace.now += 20;
     trace.counterReplies(8);
     trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED);
     trace.endAttempt(2, 0, AttemptOutcome.SUCCEEDED);
-    trace.matches("ordinary-path");
+    trace.assertMatchesFile("ordinary-path");
   }
 
   /**
-   * Actual units come with the answer: the reservation starts from the estimate, is settled on the
-   * window that was charged, and learns.
+   * Actual units are reported with the answer. The reservation starts from the estimate, is settled
+   * in the window that was charged, and is adjusted for later requests.
    */
   @Test
-  void settlesAndLearnsReservation() throws IOException {
+  void settlesByActualUnitsAndLearnsTheReservation() throws IOException {
     trace.start(DecisionTrace.settings(DecisionTrace.QUOTA, true, false));
-    trace.list("11/1");
-    trace.arrive(1, IDEMPOTENT, 1);
+    trace.updateServerList("11/1");
+    trace.requestArrives(1, IDEMPOTENT, 1);
     trace.counterReplies(1);
     trace.endAttempt(1, 0, AttemptOutcome.SUCCEEDED, 3);
     trace.counterReplies(3);
-    trace.arrive(2, IDEMPOTENT, 1);
+    trace.requestArrives(2, IDEMPOTENT, 1);
     trace.counterReplies(9);
     trace.endAttempt(2, 0, AttemptOutcome.SUCCEEDED, 2);
-    trace.matches("settlement");
+    trace.assertMatchesFile("settlement");
   }
 
   /**
-   * The counter goes silent. Two misses start a backoff: this node's share decides, and one call
-   * each backoff tests the counter. Prompt replies end it.
+   * The counter stops replying. Two misses start a backoff: this node decides by its share of the
+   * quota, and one call per backoff interval tests the counter. Prompt replies end the backoff.
    */
   @Test
-  void backsOffSilentCounter() throws IOException {
-    trace.list("11/1", "12/1", "13/1", "14/1");
+  void backsOffWhileTheCounterDoesNotReply() throws IOException {
+    trace.updateServerList("11/1", "12/1", "13/1", "14/1");
     startBackoff(1);
-    for (int i = 3; i < 7; i++) {
+    for (int requestId = 3; requestId < 7; requestId++) {
       trace.advance(50);
-      trace.arrive(i, IDEMPOTENT, 1);
+      trace.requestArrives(requestId, IDEMPOTENT, 1);
     }
-    trace.say("the counter answers again");
-    for (int i = 7; i < 220; i++) {
-      trace.muted = i > 9 && i < 218;
+    trace.addLine("the counter answers again");
+    for (int requestId = 7; requestId < 220; requestId++) {
+      trace.muted = requestId > 9 && requestId < 218;
       trace.advance(100);
       trace.counterReplies(2);
-      trace.arrive(i, IDEMPOTENT, 0.01);
-      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.requestArrives(requestId, IDEMPOTENT, 0.01);
+      trace.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
     }
     trace.counterReplies(2);
-    trace.matches("silent-counter");
+    trace.assertMatchesFile("silent-counter");
   }
 
   /**
-   * What is admitted by a share is carried by the next call: it must not be charged a second time
-   * when a total shows it, nor hide the unit that another node charged.
+   * Units admitted by this node's share are added by the next counter call. Guards against charging
+   * them a second time when a total includes them, and against overlooking the unit that another
+   * node charged.
    */
   @Test
-  void backoffChargesOnce() throws IOException {
-    trace.list("11/1", "12/1", "13/1", "14/1");
+  void unitsAdmittedDuringBackoffAreChargedOnce() throws IOException {
+    trace.updateServerList("11/1", "12/1", "13/1", "14/1");
     startBackoff(0.01);
-    for (int i = 3; i < 24; i++) {
-      trace.muted = i > 4 && i < 23;
+    for (int requestId = 3; requestId < 24; requestId++) {
+      trace.muted = requestId > 4 && requestId < 23;
       trace.advance(4);
-      trace.arrive(i, IDEMPOTENT, 0.05);
-      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.requestArrives(requestId, IDEMPOTENT, 0.05);
+      trace.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
     }
     trace.advance(20);
-    trace.arrive(24, IDEMPOTENT, 0.05);
-    trace.counterReplies(3); // the backoff's call
-    trace.counterReplies(4); // what was admitted since, and one unit of another node
+    trace.requestArrives(24, IDEMPOTENT, 0.05);
+    trace.counterReplies(3); // reply to the call of the backoff interval
+    trace.counterReplies(4); // includes what was admitted since, and one unit of another node
     trace.advance(20);
-    trace.arrive(25, IDEMPOTENT, 1);
+    trace.requestArrives(25, IDEMPOTENT, 1);
     trace.counterReplies(5);
-    trace.matches("backoff-charges-once");
+    trace.assertMatchesFile("backoff-charges-once");
   }
 
   /**
-   * Requests come less often than the backoff lets calls out. It ends all the same, within three
-   * seconds of replies.
+   * Requests arrive less often than the backoff allows calls. Guards against a backoff that then
+   * never ends: it must end within three seconds of replies.
    */
   @Test
-  void backoffEndsAtFewRequests() {
-    trace.list("11/1", "12/1", "13/1", "14/1");
+  void backoffEndsAtLowRequestRates() {
+    trace.updateServerList("11/1", "12/1", "13/1", "14/1");
     startBackoff(0.01);
-    for (int i = 3; i < 70; i++) {
+    for (int requestId = 3; requestId < 70; requestId++) {
       trace.advance(400);
-      trace.arrive(i, IDEMPOTENT, 0.01);
-      trace.counterReplies(0.01 * i);
-      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.requestArrives(requestId, IDEMPOTENT, 0.01);
+      trace.counterReplies(0.01 * requestId);
+      trace.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
     }
-    int calls = trace.occurrences("-> counter call");
-    for (int i = 70; i < 73; i++) trace.arrive(i, IDEMPOTENT, 0.01);
-    assertEquals(3, trace.occurrences("-> counter call") - calls);
+    int callsBefore = trace.occurrences("-> counter call");
+    for (int requestId = 70; requestId < 73; requestId++) {
+      trace.requestArrives(requestId, IDEMPOTENT, 0.01);
+    }
+    assertEquals(3, trace.occurrences("-> counter call") - callsBefore);
   }
 
   /**
-   * A customer comes mostly through other nodes. When the counter goes silent, it has less than an
-   * even share here.
+   * Most requests of a customer arrive at other nodes. When the counter stops replying, the
+   * customer must get less than an even share at this node.
    */
   @Test
-  void learnsShareOfCustomer() throws IOException {
-    trace.list("11/1", "12/1", "13/1", "14/1");
+  void learnsItsShareOfACustomersUsage() throws IOException {
+    trace.updateServerList("11/1", "12/1", "13/1", "14/1");
     trace.muted = true;
-    for (int i = 1; i < 40; i++) {
+    for (int requestId = 1; requestId < 40; requestId++) {
       trace.advance(30_000);
-      trace.arrive(i, IDEMPOTENT, 0.1);
+      trace.requestArrives(requestId, IDEMPOTENT, 0.1);
       trace.counterReplies(3);
-      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
     }
     trace.advance(60_000);
     trace.muted = false;
-    for (int i = 40; i < 46; i++) trace.arrive(i, IDEMPOTENT, 1);
+    for (int requestId = 40; requestId < 46; requestId++) {
+      trace.requestArrives(requestId, IDEMPOTENT, 1);
+    }
     trace.advance(300);
-    for (int i = 40; i < 46; i++) {
+    for (int requestId = 40; requestId < 46; requestId++) {
       trace.counterFails(AttemptOutcome.TIMED_OUT);
-      trace.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+      trace.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
     }
-    trace.matches("learned-share");
+    trace.assertMatchesFile("learned-share");
   }
 
   /**
-   * A counter call that broke off may have counted, one that was turned down has not: only the
-   * latter is charged again.
+   * The counter may have counted a call whose connection was lost, but not a call that it rejected
+   * as busy. Only the units of the rejected call are charged again.
    */
   @Test
-  void unconfirmedCallMayHaveCounted() throws IOException {
-    trace.list("11/1", "12/1", "13/1", "14/1");
-    trace.arrive(1, IDEMPOTENT, 1);
+  void onlyUnitsOfARejectedCounterCallAreChargedAgain() throws IOException {
+    trace.updateServerList("11/1", "12/1", "13/1", "14/1");
+    trace.requestArrives(1, IDEMPOTENT, 1);
     trace.counterFails(AttemptOutcome.CONNECTION_LOST);
-    trace.arrive(2, IDEMPOTENT, 1);
+    trace.requestArrives(2, IDEMPOTENT, 1);
     trace.counterReplies(1);
-    trace.arrive(3, IDEMPOTENT, 1);
+    trace.requestArrives(3, IDEMPOTENT, 1);
     trace.counterFails(AttemptOutcome.SERVER_BUSY);
-    trace.arrive(4, IDEMPOTENT, 1);
+    trace.requestArrives(4, IDEMPOTENT, 1);
     trace.counterReplies(4);
-    trace.matches("unconfirmed-counter-call");
+    trace.assertMatchesFile("unconfirmed-counter-call");
   }
 
   /**
-   * 200 nodes must not keep an overloaded counter overloaded by their calls: each calls far less
-   * than one of two nodes does.
+   * Guards against 200 nodes whose test calls keep an overloaded counter overloaded: each must call
+   * far less often than a node of a fleet of two.
    */
   @Test
-  void manyNodesStretchBackoff() {
-    DecisionTrace many = new DecisionTrace(
+  void nodesOfLargeFleetsCallLessOftenDuringBackoff() {
+    DecisionTrace nodeOfLargeFleet = new DecisionTrace(
         DecisionTrace.settings(7, 200, DecisionTrace.QUOTA, false, false));
-    for (DecisionTrace node : List.of(trace, many)) {
-      node.list("11/1");
-      for (int i = 0; i < 200; i++) {
-        node.arrive(i, IDEMPOTENT, 0.01);
+    for (DecisionTrace node : List.of(trace, nodeOfLargeFleet)) {
+      node.updateServerList("11/1");
+      for (int requestId = 0; requestId < 200; requestId++) {
+        node.requestArrives(requestId, IDEMPOTENT, 0.01);
         node.advance(300);
         node.counterFails(AttemptOutcome.TIMED_OUT);
-        node.endAttempt(i, 0, AttemptOutcome.SUCCEEDED);
+        node.endAttempt(requestId, 0, AttemptOutcome.SUCCEEDED);
       }
     }
-    assertEquals(List.of(47, 12),
-        List.of(trace.occurrences("-> counter call"), many.occurrences("-> counter call")));
+    assertEquals(List.of(47, 12), List.of(trace.occurrences("-> counter call"),
+        nodeOfLargeFleet.occurrences("-> counter call")));
   }
 
-  /** The counter never replies: every request has one final answer in time all the same. */
+  /** If the counter never replies, every request still gets exactly one final answer in time. */
   @Test
-  void counterNeverReplies() throws IOException {
-    trace.list("11/1");
-    trace.arrive(1, IDEMPOTENT, 1);
+  void requestIsAnsweredInTimeIfTheCounterNeverReplies() throws IOException {
+    trace.updateServerList("11/1");
+    trace.requestArrives(1, IDEMPOTENT, 1);
     trace.advance(40_000);
-    trace.matches("counter-never-replies");
+    trace.assertMatchesFile("counter-never-replies");
   }
 
   /**
-   * The counter lost its counts: a total is below what this node alone had confirmed. The known
-   * floor decides for the rest of the window.
+   * The counter lost its counts: a total is less than the units that it confirmed to this node
+   * alone. Guards against admitting units again that are already used: for the rest of the window,
+   * the last known total is a lower bound for the decisions.
    */
   @Test
-  void counterLosesCounts() throws IOException {
-    trace.list("11/1");
-    trace.arrive(1, IDEMPOTENT, 3);
+  void lastKnownTotalDecidesAfterTheCounterLosesCounts() throws IOException {
+    trace.updateServerList("11/1");
+    trace.requestArrives(1, IDEMPOTENT, 3);
     trace.counterReplies(5);
-    trace.arrive(2, IDEMPOTENT, 1);
-    trace.counterReplies(1); // 5 was forgotten
-    trace.arrive(3, IDEMPOTENT, 1);
+    trace.requestArrives(2, IDEMPOTENT, 1);
+    trace.counterReplies(1); // the counter has lost the total of 5
+    trace.requestArrives(3, IDEMPOTENT, 1);
     trace.counterReplies(2);
-    trace.matches("counter-lost-counts");
+    trace.assertMatchesFile("counter-lost-counts");
   }
 
   /**
-   * The quota is spent, then the counter is silent: first attempts get the room there is, late
-   * retries of clients are rejected.
+   * The quota is exhausted, and later the counter stops replying. Guards against late retries of
+   * clients that use up capacity: first attempts get the remaining capacity, late retries are
+   * rejected.
    */
   @Test
-  void rejectsLateRetries() throws IOException {
-    trace.list("11/1", "12/1", "13/1");
-    trace.arrive(1, IDEMPOTENT, 6);
+  void rejectsLateRetriesInFavorOfFirstAttempts() throws IOException {
+    trace.updateServerList("11/1", "12/1", "13/1");
+    trace.requestArrives(1, IDEMPOTENT, 6);
     trace.counterReplies(6);
-    trace.arrive(2, IDEMPOTENT, 1);
+    trace.requestArrives(2, IDEMPOTENT, 1);
     trace.counterReplies(7);
     trace.counterReplies(6);
     trace.advance(10_000);
-    trace.arrive(3, IDEMPOTENT, 1, true);
+    trace.requestArrives(3, IDEMPOTENT, 1, true);
     trace.counterReplies(7);
     trace.counterReplies(6);
-    trace.arrive(4, IDEMPOTENT, 1);
+    trace.requestArrives(4, IDEMPOTENT, 1);
     trace.counterReplies(7);
-    trace.arrive(5, IDEMPOTENT, 0.1);
+    trace.requestArrives(5, IDEMPOTENT, 0.1);
     trace.counterFails(AttemptOutcome.TIMED_OUT);
-    trace.arrive(6, IDEMPOTENT, 0.1);
+    trace.requestArrives(6, IDEMPOTENT, 0.1);
     trace.counterFails(AttemptOutcome.TIMED_OUT); // the backoff starts here
-    trace.arrive(7, IDEMPOTENT, 0.1, true);
-    trace.arrive(8, IDEMPOTENT, 0.1);
-    trace.matches("client-retries");
+    trace.requestArrives(7, IDEMPOTENT, 0.1, true);
+    trace.requestArrives(8, IDEMPOTENT, 0.1);
+    trace.assertMatchesFile("client-retries");
   }
 
-  /** This node's part of the ceiling is empty at its start: a restart must not fill it. */
+  /**
+   * This node's part of the hard ceiling is empty when the node starts. Guards against a restart
+   * that refills it.
+   */
   @Test
-  void restartFillsNoCeiling() throws IOException {
+  void restartDoesNotRefillTheHardCeiling() throws IOException {
     GatewaySettings settings = DecisionTrace
         .settings(new GatewaySettings.QuotaPlan(20, 60, 0, 10, 20, 1), false, false);
     trace.start(settings);
-    trace.list("11/1");
-    trace.arrive(1, IDEMPOTENT, 4);
+    trace.updateServerList("11/1");
+    trace.requestArrives(1, IDEMPOTENT, 4);
     trace.counterReplies(4);
     trace.counterReplies(0);
     trace.advance(10_000);
-    trace.arrive(2, IDEMPOTENT, 4);
+    trace.requestArrives(2, IDEMPOTENT, 4);
     trace.counterReplies(4);
-    trace.say("restart");
+    trace.addLine("restart");
     trace.start(settings);
-    trace.list("11/1");
-    trace.arrive(3, IDEMPOTENT, 4);
+    trace.updateServerList("11/1");
+    trace.requestArrives(3, IDEMPOTENT, 4);
     trace.counterReplies(8);
-    trace.matches("ceiling-across-restart");
+    trace.assertMatchesFile("ceiling-across-restart");
   }
 }
