--- a/src/main/java/saltlatch/membership/Dissemination.java
+++ b/src/main/java/saltlatch/membership/Dissemination.java
@@ -10,13 +10,14 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * Which updates are piggybacked on a datagram: SWIM's infection-style dissemination.
+ * Selects the updates that are piggybacked on a datagram: SWIM's infection-style dissemination.
  *
- * <p>A change is sent {@link MembershipTimings#retransmitLimit} times, the least sent first.
- * Invariant: a member is pending if and only if it has sends left.
+ * <p>Each change is sent {@link MembershipTimings#retransmitLimit} times; the updates sent least
+ * often are sent first. Invariant: a member is pending if and only if it has sends remaining.
  *
- * <p>Guards against views that stay different because all copies of an update were lost: where a
- * peer's digest differs, the rest of the datagram is filled with pieces of the whole view, in turn.
+ * <p>Guards against views that stay different because every copy of an update was lost: if a peer's
+ * digest differs, the remaining space of each datagram to it is filled with members of the complete
+ * view, in rotation.
  */
 final class Dissemination {
   private final MembershipTimings timings;
@@ -37,7 +38,7 @@
     remainingSends = new int[table.size()];
   }
 
-  /** A member's state has changed: the update is to be sent. */
+  /** Schedules the update of a member whose state has changed. */
   void announce(int member) {
     if (remainingSends[member] == 0) {
       pending.add(member);
@@ -45,7 +46,7 @@
     remainingSends[member] = timings.retransmitLimit();
   }
 
-  /** A peer's datagram has carried its digest. */
+  /** Compares the digest received from a peer with the digest of this node's view. */
   void compareDigest(int peer, long digest) {
     if (digest == table.digest()) {
       peersWithOtherView.remove(peer);
@@ -55,8 +56,8 @@
   }
 
   /**
-   * The updates for a datagram to a peer. If the peer is held suspect or failed, that comes first,
-   * so that it can refute it at once.
+   * Returns the updates for a datagram to a peer. If this node considers the peer suspect or
+   * failed, that update is the first, so that the peer can refute it at once.
    */
   List<MemberUpdate> updatesFor(int peer) {
     List<MemberUpdate> updates = new ArrayList<>();
@@ -79,8 +80,9 @@
   }
 
   /**
-   * The least sent first. Among equals each node begins elsewhere: in a fleet that starts at once
-   * all nodes would otherwise send the same few updates.
+   * Sorts the pending members by remaining sends, the least sent first. Ties are ordered from a
+   * random member on: otherwise, if all nodes of a fleet start at the same time, all of them would
+   * send the same few updates.
    */
   private void sortPending() {
     int start = pending.size() > MembershipMessage.MAX_UPDATES ? random.nextInt(table.size()) : 0;
--- a/src/main/java/saltlatch/membership/FailureDetector.java
+++ b/src/main/java/saltlatch/membership/FailureDetector.java
@@ -7,15 +7,17 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * SWIM's failure detector: one probe a period, first direct, then by proxies, then a suspicion.
+ * SWIM's failure detector: one probe per period, first a direct probe, then indirect probes by
+ * proxies, then a suspicion.
  *
- * <p>Invariants: at most one probe is open; each live member is probed once a round, in an order
- * drawn anew, so that none waits for longer than two rounds; one probe in
- * {@link MembershipTimings#RECONNECT_PERIODS} goes to a member that is failed or unknown, whose
- * silence is no news. Times are ticks; a slow node's are longer ({@link LocalHealth}).
+ * <p>Invariants: at most one probe is open; each live member is probed once per round, in an order
+ * that is shuffled for each round, so that at most two rounds pass between two probes of a member;
+ * one probe in {@link MembershipTimings#RECONNECT_PERIODS} goes to a member that is failed or
+ * unknown, and changes nothing if it is not answered. Times are in ticks; on a slow node they are
+ * longer ({@link LocalHealth}).
  */
 final class FailureDetector {
-  /** Part of the period in which the target's own answer is waited for. */
+  /** Fraction of the period after which indirect probes are sent if no ack has arrived. */
   static final double DIRECT_TIMEOUT_FRACTION = 0.4;
 
   /** The open probe. */
@@ -26,7 +28,7 @@
     final long directTimeoutAtTicks;
     final long timeoutAtTicks;
     final boolean reconnecting;
-    boolean proxiesAsked;
+    boolean indirectProbesSent;
     int missingNacks;
 
     Probe(int sequenceNumber, int target, long sentAtTicks, long periodTicks,
@@ -48,12 +50,15 @@
   private final LocalHealth health;
   private final SplittableRandom random;
   private final ArrayDeque<Integer> round = new ArrayDeque<>();
-  private Probe probe; // null: none is open
+  private Probe probe; // null if no probe is open
   private int periods;
   private long nextPeriodAtTicks;
-  private long receivedAtTicks; // the last datagram of any member
+  private long lastReceivedAtTicks; // arrival of the last datagram from any member
 
-  /** The first period begins at a random time: a fleet started at once must not probe at once. */
+  /**
+   * Creates a detector whose first period begins at a random time, so that the nodes of a fleet
+   * that are started together do not all probe at the same time.
+   */
   FailureDetector(MembershipTimings timings, MemberTable table, MemberStateMachine stateMachine,
       MessageSender sender, QuotaLeases leases, LocalHealth health, SplittableRandom random,
       long now) {
@@ -67,51 +72,51 @@
     nextPeriodAtTicks = now + (long) (random.nextDouble() * timings.periodTicks());
   }
 
-  /** Asks proxies, or gives the open probe up, if it is time. */
+  /** Sends the indirect probes or ends the open probe if the respective timeout has passed. */
   void checkTimeouts(long now) {
-    if (probe != null && !probe.proxiesAsked && now >= probe.directTimeoutAtTicks) {
-      askProxies(now);
+    if (probe != null && !probe.indirectProbesSent && now >= probe.directTimeoutAtTicks) {
+      sendIndirectProbes(now);
     }
     if (probe != null && now >= probe.timeoutAtTicks) {
-      giveUp(now);
+      endUnansweredProbe(now);
     }
   }
 
-  private void askProxies(long now) {
-    probe.proxiesAsked = true;
+  private void sendIndirectProbes(long now) {
+    probe.indirectProbesSent = true;
     if (probe.reconnecting) {
       return;
     }
-    int asked = 0;
+    int sent = 0;
     for (int proxy : table.shuffledLivePeers(random)) {
-      if (asked == MembershipTimings.INDIRECT_PROBES) {
+      if (sent == MembershipTimings.INDIRECT_PROBES) {
         break;
       }
       if (proxy != probe.target && table.state(proxy) != State.SUSPECT) {
         sender.send(proxy, Kind.PING_REQUEST, probe.sequenceNumber, probe.target, now);
-        asked++;
+        sent++;
       }
     }
-    probe.missingNacks = asked;
+    probe.missingNacks = sent;
   }
 
-  private void giveUp(long now) {
+  private void endUnansweredProbe(long now) {
     Probe unanswered = probe;
     probe = null;
     if (unanswered.reconnecting) {
       return;
     }
-    // Guards against a node cut off that suspects all others: if neither a member nor a proxy sent
-    // anything, the fault may be this node's own. Lifeguard counts each missing nack; where most of
-    // a fleet dies at once that would slow every survivor down, though they reach each other, and
-    // failures would be seen too late.
-    if (now - receivedAtTicks > timings.absenceTicks()) {
+    // Guards against an isolated node that suspects all others: if no datagram arrived from any
+    // member or proxy, this node itself may be at fault. Lifeguard counts every missing nack. If
+    // most of a fleet dies at once, that would slow down all survivors although they reach each
+    // other, and failures would be detected too late.
+    if (now - lastReceivedAtTicks > timings.absenceTicks()) {
       health.degrade(Math.max(1, unanswered.missingNacks));
     }
     stateMachine.suspect(unanswered.target, now);
   }
 
-  /** Begins a period, and with it a probe unless one is still open, if it is time. */
+  /** Begins the next period if it is due, and sends its probe unless one is still open. */
   void startPeriodIfDue(long now) {
     if (now < nextPeriodAtTicks) {
       return;
@@ -119,21 +124,22 @@
     long periodTicks = timings.periodTicks() * (1 + health.multiplier());
     nextPeriodAtTicks = Math.max(nextPeriodAtTicks + periodTicks, now + periodTicks / 2);
     if (probe != null) {
-      return; // it began in a longer period, when this node was slower
+      return; // the open probe began when this node was slower and its period longer
     }
     periods++;
     List<Integer> unreachable = table.shuffledUnreachablePeers(random);
     boolean reconnecting = !unreachable.isEmpty()
         && (periods % MembershipTimings.RECONNECT_PERIODS == 0 || table.liveCount() <= 1);
-    int target = reconnecting ? unreachable.get(random.nextInt(unreachable.size())) : nextOfRound();
+    int target = reconnecting ? unreachable.get(random.nextInt(unreachable.size()))
+        : nextProbeTarget();
     if (target >= 0) {
       probe = new Probe(sender.nextSequenceNumber(), target, now, periodTicks, reconnecting);
       sender.send(target, Kind.PING, probe.sequenceNumber, target, now);
     }
   }
 
-  /** The next live member of the round, -1 if there is none. */
-  private int nextOfRound() {
+  /** Returns the next live member of the round, or -1 if no other member is live. */
+  private int nextProbeTarget() {
     for (int turn = 0; turn < 2; turn++) {
       while (!round.isEmpty()) {
         int next = round.poll();
@@ -146,12 +152,15 @@
     return -1;
   }
 
-  /** A datagram of a member has arrived, whatever it says. */
+  /** Records that a datagram of any kind has arrived from a member. */
   void received(long now) {
-    receivedAtTicks = now;
+    lastReceivedAtTicks = now;
   }
 
-  /** Ends the open probe if that is its answer; the target's own renews the leases. */
+  /**
+   * Ends the open probe if the ack answers it. Only an ack sent by the target itself renews the
+   * leases.
+   */
   void acknowledged(int from, MembershipMessage ack, long now) {
     if (probe == null || probe.sequenceNumber != ack.sequenceNumber()
         || (probe.target != from && probe.target != ack.target())) {
@@ -165,14 +174,20 @@
     health.improve();
   }
 
-  /** A proxy has no answer of the target, and thereby shows that this node is reachable. */
+  /**
+   * Records a proxy's nack: the proxy received no ack from the target, but its nack shows that this
+   * node is reachable.
+   */
   void notAcknowledged(MembershipMessage nack) {
     if (probe != null && probe.sequenceNumber == nack.sequenceNumber()) {
       probe.missingNacks = Math.max(0, probe.missingNacks - 1);
     }
   }
 
-  /** Begins anew after this node did not run: its open probe must blame nobody. */
+  /**
+   * Drops the open probe and begins a new period after this node did not run for a while. The probe
+   * must not raise a suspicion, since the ack may have arrived during the absence.
+   */
   void restart(long now) {
     probe = null;
     nextPeriodAtTicks = now;
--- a/src/main/java/saltlatch/membership/FleetView.java
+++ b/src/main/java/saltlatch/membership/FleetView.java
@@ -1,8 +1,8 @@
 package saltlatch.membership;
 
 /**
- * How much of the fleet this node sees. It is shown to operators and decides nothing: which part of
- * a quota the node may use follows from {@link QuotaLeases}.
+ * How much of the fleet this node considers live. It is only displayed to operators: which share of
+ * a quota the node may use is determined by {@link QuotaLeases}.
  */
 public enum FleetView {
   /** Every member that has not left is live. */
@@ -20,7 +20,7 @@
     this.infoName = infoName;
   }
 
-  /** The name of this view in INFO and in the history. */
+  /** Returns the name of this view in INFO and in the history. */
   public String infoName() {
     return infoName;
   }
--- a/src/main/java/saltlatch/membership/LeaseGrantor.java
+++ b/src/main/java/saltlatch/membership/LeaseGrantor.java
@@ -4,14 +4,17 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * Whether this node can vouch for a member: that it has not held it failed or left within a lease.
- * Members keep their surplus of quotas while enough others vouch for them ({@link QuotaLeases}).
+ * Decides whether this node grants a lease to a member, which requires that this node has not
+ * considered the member failed or left within {@link MembershipTimings#leaseExpiryTicks} (W).
+ * Members keep their surplus of quotas while enough others grant them leases
+ * ({@link QuotaLeases}).
  *
- * <p>Guards against a node that was restarted and has forgotten that it held a member failed: its
- * vouching would let that member keep a surplus which others have taken over, and the quota would
- * be used twice. A node that has not run for a lease therefore vouches only if all members are
- * known and began lately, since then nobody can have taken anything over. Harms a fleet in which a
- * member is missing: a restarted node's vouches count only after a lease.
+ * <p>Guards against a node that was restarted and has lost the record that it considered a member
+ * failed: with its lease that member would keep a surplus which others have taken over, and the
+ * quota would be used twice. A node that has run for W or less therefore grants leases only if all
+ * members are known and started at most half of W ago, since then no member can have taken over a
+ * surplus. Drawback: while a member of the fleet is missing, a restarted node grants no leases
+ * until it has run for W.
  */
 final class LeaseGrantor {
   private final MembershipTimings timings;
@@ -19,7 +22,7 @@
   private final long startedAtTicks;
   private final long firstIncarnationSeconds;
 
-  /** @param firstIncarnation of this process: the second in which it started */
+  /** @param firstIncarnation first incarnation of this process: its start time in seconds */
   LeaseGrantor(MembershipTimings timings, MemberTable table, long startedAtTicks,
       long firstIncarnation) {
     this.timings = timings;
@@ -33,10 +36,10 @@
         || now - table.unavailableAtTicks(member) <= timings.leaseExpiryTicks()) {
       return false;
     }
-    return now - startedAtTicks > timings.leaseExpiryTicks() || allStartedLately(now);
+    return now - startedAtTicks > timings.leaseExpiryTicks() || allMembersStartedRecently(now);
   }
 
-  private boolean allStartedLately(long now) {
+  private boolean allMembersStartedRecently(long now) {
     long nowSeconds = firstIncarnationSeconds + (now - startedAtTicks) / Ticks.PER_SECOND;
     long maxAgeSeconds = timings.leaseExpiryTicks() / 2 / Ticks.PER_SECOND;
     for (int member = 0; member < table.size(); member++) {
--- a/src/main/java/saltlatch/membership/LocalHealth.java
+++ b/src/main/java/saltlatch/membership/LocalHealth.java
@@ -1,18 +1,21 @@
 package saltlatch.membership;
 
 /**
- * Lifeguard's local health multiplier: how slow this node has been of late, from 0. Its periods and
- * timeouts are so many times longer, plus one.
+ * Lifeguard's local health multiplier: how slow this node has recently been, 0 for a node that is
+ * not slow. Its periods and timeouts are longer by the factor of the multiplier plus one.
  *
- * <p>Guards against a starved node that blames others for its own delay: live members would be
- * suspected all over the fleet. It shows as answers that come after the timeout.
+ * <p>Guards against a node that gets too little CPU time and attributes its own delay to others: it
+ * would spread suspicions of live members through the fleet. The symptom is acks that are processed
+ * after the timeout.
  */
 final class LocalHealth {
-  /** The bound of Lifeguard's evaluation. */
+  /** Maximum that the evaluation in the Lifeguard paper uses. */
   private static final int MAX_MULTIPLIER = 8;
 
-  /** After an absence a node probes at a third of its pace, at half after one answered probe,
-   * at full pace after two. */
+  /**
+   * After an absence a node probes at a third of its normal rate, after one answered probe at half,
+   * after two at the full rate.
+   */
   private static final int MULTIPLIER_AFTER_ABSENCE = 2;
 
   private int multiplier;
--- a/src/main/java/saltlatch/membership/MemberStateMachine.java
+++ b/src/main/java/saltlatch/membership/MemberStateMachine.java
@@ -4,14 +4,14 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * The transitions of members' states. The one writer of {@link MemberTable} and of the suspicion
- * timers.
+ * Applies the transitions of members' states. It is the only writer of {@link MemberTable} and of
+ * the suspicion timers.
  *
- * <p>Invariants: a state changes only by what the member says itself, by what others say of it
+ * <p>Invariants: a state changes only by an update from the member itself or from another member
  * ({@link #apply}), by an unanswered probe ({@link #suspect}) or by a suspicion that expires; a
  * lower incarnation never overrides a higher one; this node is always alive in its own table until
- * it leaves. Every change is announced to the other members, ends the leases that rest on an equal
- * view if the digest changed, and goes to the output.
+ * it leaves. Every change is disseminated to the other members, invalidates the records of equal
+ * views if the digest changed, and is reported to the output.
  */
 final class MemberStateMachine {
   private final MemberTable table;
@@ -31,17 +31,17 @@
     this.output = output;
   }
 
-  /** This process begins, alive in its first incarnation. */
+  /** Marks this node alive in the first incarnation of its process. */
   void join(long incarnation, long now) {
     set(table.ownIndex(), State.ALIVE, incarnation, now);
   }
 
-  /** This process ends as planned. */
+  /** Marks this node as left, for a planned shutdown. */
   void leave(long now) {
     set(table.ownIndex(), State.LEFT, table.ownIncarnation(), now);
   }
 
-  /** Takes in an update about a member of the table. */
+  /** Applies an update about a member of the table. */
   void apply(MemberUpdate update, long now) {
     if (update.member() == table.ownIndex()) {
       refute(update, now);
@@ -57,21 +57,22 @@
   }
 
   /**
-   * SWIM's refutation: a higher incarnation overrides a suspicion of this node. An update of an
-   * incarnation that this process never had is one of a former process under the same number.
+   * SWIM's refutation: this node takes a higher incarnation, which overrides a suspicion of it. An
+   * update with an incarnation that this process never had is about an earlier process with the
+   * same member index, and is overridden in the same way.
    */
   private void refute(MemberUpdate update, long now) {
-    boolean wrong = update.state() != State.ALIVE && update.state() != State.UNKNOWN;
+    boolean claimsUnavailable = update.state() != State.ALIVE && update.state() != State.UNKNOWN;
     if (update.incarnation() > table.ownIncarnation()
-        || (wrong && update.incarnation() == table.ownIncarnation())) {
+        || (claimsUnavailable && update.incarnation() == table.ownIncarnation())) {
       set(table.ownIndex(), State.ALIVE, update.incarnation() + 1, now);
-      if (wrong) {
-        health.degrade(1); // it was too slow to be seen
+      if (claimsUnavailable) {
+        health.degrade(1); // this node was too slow to answer probes
       }
     }
   }
 
-  /** A probe of this node was not answered. */
+  /** Raises or confirms a suspicion after the member did not answer this node's probe. */
   void suspect(int member, long now) {
     if (table.state(member) == State.ALIVE) {
       startSuspicion(member, table.incarnation(member), table.ownIndex(), now);
@@ -85,7 +86,7 @@
     set(member, State.SUSPECT, incarnation, now);
   }
 
-  /** Holds those failed whose suspicion has expired. */
+  /** Marks the members failed whose suspicion has expired. */
   void expireSuspicions(long now) {
     for (int member = 0; member < table.size(); member++) {
       if (table.state(member) == State.SUSPECT && suspicions[member].hasExpired(now)) {
@@ -94,7 +95,10 @@
     }
   }
 
-  /** Restarts every suspicion: this node did not run, and others' silence may be its own. */
+  /**
+   * Restarts every suspicion after this node did not run for a while: it may have missed messages
+   * that refute them.
+   */
   void restartSuspicions(long now) {
     for (int member = 0; member < table.size(); member++) {
       if (table.state(member) == State.SUSPECT) {
--- a/src/main/java/saltlatch/membership/MemberTable.java
+++ b/src/main/java/saltlatch/membership/MemberTable.java
@@ -8,11 +8,11 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * The state and incarnation in which this node holds each member, and the digest of all.
+ * This node's view of the fleet: each member's state and incarnation, and a digest of them.
  *
- * <p>Invariants: the members are those of the configuration, by number; a member's incarnation
- * never falls; within an incarnation a state is overridden only by a later one of {@link State};
- * the version grows with every change. {@link MemberStateMachine} alone writes it.
+ * <p>Invariants: the members are the ones of the configuration, by index; a member's incarnation
+ * never decreases; within an incarnation a state is overridden only by a later constant of
+ * {@link State}; every change increases the version. Only {@link MemberStateMachine} writes it.
  */
 final class MemberTable {
   private static final long NEVER_TICKS = Long.MIN_VALUE / 2;
@@ -20,7 +20,7 @@
   private final int ownIndex;
   private final State[] states;
   private final long[] incarnations;
-  private final long[] unavailableAtTicks; // when it was last held failed or left
+  private final long[] unavailableAtTicks; // by member: when it was last FAILED or LEFT
   private long digest;
   private long version;
 
@@ -57,12 +57,15 @@
     return incarnations[member];
   }
 
-  /** When it was last held failed or left, in ticks. */
+  /**
+   * Returns when the member's state was last FAILED or LEFT, in ticks. The time is recorded when
+   * another state replaces one of these two.
+   */
   long unavailableAtTicks(int member) {
     return unavailableAtTicks[member];
   }
 
-  /** Alive or suspect. */
+  /** Returns whether the member is alive or suspect. */
   boolean isLive(int member) {
     return states[member] == State.ALIVE || states[member] == State.SUSPECT;
   }
@@ -77,8 +80,8 @@
 
   int countInState(State state) {
     int count = 0;
-    for (State held : states) {
-      count += held == state ? 1 : 0;
+    for (State memberState : states) {
+      count += memberState == state ? 1 : 0;
     }
     return count;
   }
@@ -91,7 +94,10 @@
     return digest;
   }
 
-  /** Whether an update raises a member's incarnation, or its state within its incarnation. */
+  /**
+   * Returns whether an update has a higher incarnation than the member's entry, or the same
+   * incarnation and a later state.
+   */
   boolean isOverriddenBy(MemberUpdate update) {
     int member = update.member();
     if (update.state() == State.UNKNOWN) {
@@ -104,15 +110,15 @@
         && update.state().compareTo(states[member]) > 0;
   }
 
-  /** Whether an update suspects a member in the incarnation in which it is suspected already. */
+  /** Returns whether an update suspects a member that is already suspect in this incarnation. */
   boolean isSameSuspicion(MemberUpdate update) {
     return update.state() == State.SUSPECT && states[update.member()] == State.SUSPECT
         && update.incarnation() == incarnations[update.member()];
   }
 
-  /** Sets a member's state; true if the digest has changed. */
+  /** Sets a member's state, and returns whether the digest has changed. */
   boolean set(int member, State state, long incarnation, long now) {
-    long before = digest;
+    long previousDigest = digest;
     digest -= digestOf(member);
     if (states[member] == State.FAILED || states[member] == State.LEFT) {
       unavailableAtTicks[member] = now;
@@ -121,14 +127,14 @@
     incarnations[member] = incarnation;
     digest += digestOf(member);
     version++;
-    return digest != before;
+    return digest != previousDigest;
   }
 
   /**
-   * Two views are the same where they hold the same members live, and the others failed or left in
-   * the same incarnations. Guards against views that never agree: a large fleet on a lossy network
-   * always has some suspicion or refutation on its way, so neither suspicions nor the incarnations
-   * of live members count.
+   * Returns the member's part of the digest. Two views are equal if the same members are live and
+   * the others are failed or left in the same incarnations. Suspicions and the incarnations of live
+   * members are excluded: in a large fleet on a lossy network some suspicion or refutation is
+   * always being disseminated, and the views would never be equal.
    */
   private long digestOf(int member) {
     if (states[member] == State.UNKNOWN) {
@@ -141,12 +147,12 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** The other members that are live, in random order. */
+  /** Returns the other members that are live, in random order. */
   List<Integer> shuffledLivePeers(SplittableRandom random) {
     return shuffledPeers(true, random);
   }
 
-  /** The other members that are failed or unknown, in random order. */
+  /** Returns the other members that are failed or unknown, in random order. */
   List<Integer> shuffledUnreachablePeers(SplittableRandom random) {
     return shuffledPeers(false, random);
   }
--- a/src/main/java/saltlatch/membership/Membership.java
+++ b/src/main/java/saltlatch/membership/Membership.java
@@ -10,26 +10,30 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * One node's membership in the fleet: SWIM with the Lifeguard extensions, after the published
- * papers; docs/member-design.md has the reasons for what differs.
+ * One node's membership in the fleet, by the published SWIM and Lifeguard protocols;
+ * docs/member-design.md gives the reason for each difference from the papers.
  *
- * <p>Joins the parts: {@link MemberStateMachine} changes members' states, {@link FailureDetector}
- * probes them, {@link ProxyProbes} probes for others, {@link Dissemination} spreads changes and
- * {@link QuotaLeases} says which part of quotas may be used.
+ * <p>Connects the parts: {@link MemberStateMachine} changes members' states,
+ * {@link FailureDetector} probes them, {@link ProxyProbes} probes on behalf of others,
+ * {@link Dissemination} disseminates changes and {@link QuotaLeases} determines which share of
+ * quotas may be used.
  *
- * <p>Invariants: no I/O and no clock, one caller, one seeded generator, so that equal inputs give
- * equal outputs; what it holds is bounded by the fleet's size. Times are ticks.
+ * <p>Invariants: no I/O, no clock, a single caller and a single seeded random generator, so that
+ * equal inputs produce equal outputs; memory is bounded by the fleet's size. Times are in ticks.
  */
 public final class Membership {
-  /** Where datagrams and changes go; called on the caller's thread from within its calls. */
+  /**
+   * Receives datagrams to send and state changes. It is called synchronously, on the thread that
+   * calls this membership.
+   */
   public interface Output {
-    /** Sends a datagram to a member; it may be lost. */
+    /** Sends a datagram to a member. Delivery is not guaranteed. */
     void send(int receiver, MembershipMessage message);
 
     /**
-     * This node holds a member to be in another state.
+     * Reports that a member's state or incarnation has changed in this node's view.
      *
-     * @param version of this node's view, with the change
+     * @param version version of this node's view after the change
      */
     void stateChanged(int member, State state, long incarnation, long version);
   }
@@ -45,20 +49,21 @@
   private final ProxyProbes proxyProbes;
   private final FailureDetector failureDetector;
   private boolean leaving;
-  private long tickedAtTicks;
+  private long lastTickAtTicks;
   private long now;
 
   /**
-   * Starts as a member that knows no other.
+   * Creates a member to which all other members are unknown.
    *
-   * @param incarnation above any that this number had before: the second of the process' start
-   * @param seed        of the generator
+   * @param incarnation start time of the process in seconds, which is higher than any incarnation
+   *                    that this member index had before
+   * @param seed        seed of the random generator
    */
   public Membership(MembershipTimings timings, int ownIndex, long incarnation, long seed, long now,
       Output output) {
     this.timings = timings;
     this.now = now;
-    tickedAtTicks = now;
+    lastTickAtTicks = now;
     random = new SplittableRandom(seed);
     table = new MemberTable(ownIndex, timings.memberCount());
     leases = new QuotaLeases(timings);
@@ -76,50 +81,53 @@
     stateMachine.join(incarnation, now);
   }
 
-  /** The state in which this node holds a member. */
+  /** Returns a member's state in this node's view. */
   public State state(int member) {
     return table.state(member);
   }
 
-  /** The latest incarnation of a member that this node knows. */
+  /** Returns a member's incarnation in this node's view. */
   public long incarnation(int member) {
     return table.incarnation(member);
   }
 
-  /** Members that are alive or suspect, this one among them. */
+  /** Returns the number of members that are alive or suspect, this node included. */
   public int liveCount() {
     return table.liveCount();
   }
 
-  /** Members held in a state. */
+  /** Returns the number of members in a state. */
   public int countInState(State state) {
     return table.countInState(state);
   }
 
-  /** Grows with every change of this node's view. */
+  /** Returns the version of this node's view, which every change increases. */
   public long version() {
     return table.version();
   }
 
   /**
-   * Equal where two nodes hold the same members live, and the others failed or left in the same
-   * incarnations.
+   * Returns the digest of this node's view. It is equal on two nodes if the same members are live
+   * and the others are failed or left in the same incarnations.
    */
   public long digest() {
     return table.digest();
   }
 
-  /** Lifeguard's local health multiplier: 0 for a node that is not slow. */
+  /** Returns Lifeguard's local health multiplier, 0 for a node that is not slow. */
   public int localHealthMultiplier() {
     return health.multiplier();
   }
 
-  /** How much of the fleet this node sees. */
+  /** Returns how much of the fleet this node considers live. */
   public FleetView fleetView() {
     return FleetView.of(table.liveCount(), table.countInState(State.LEFT), table.size());
   }
 
-  /** What the policy is to know: who is live, and until when which shares may be used. */
+  /**
+   * Returns the event for the policy: which members are live, and until when this node may use its
+   * surplus and the surplus that it takes over.
+   */
   public MembershipChanged membershipEvent() {
     long failedTakeoverUntil = leases.takeoverUntilTicks(now, timings.leaseExpiryTicks());
     boolean failedTakenOver = now < failedTakeoverUntil;
@@ -130,7 +138,8 @@
     long leaseUntil = leaving ? 0 : leases.leaseUntilTicks();
     long takeoverUntil = leaving ? 0
         : failedTakenOver ? failedTakeoverUntil : leases.takeoverUntilTicks(now, 0);
-    // A minority divides by all members: those that it does not see may do what it does.
+    // A minority divides by the number of all members, because the members that it does not reach
+    // may still be serving clients.
     boolean majority = 2 * table.liveCount() > table.size();
     return new MembershipChanged(states, leaseUntil, takeoverUntil,
         majority ? table.liveCount() : table.size());
@@ -145,7 +154,10 @@
     return takenOver ? MemberState.TAKEN_OVER : MemberState.UNREACHABLE;
   }
 
-  /** A planned end: sent to as many members as one update is sent to. Later calls do nothing. */
+  /**
+   * Leaves the fleet for a planned shutdown. The update is sent to as many random members as the
+   * retransmit limit allows. Later calls have no effect.
+   */
   public void leave() {
     if (leaving) {
       return;
@@ -158,16 +170,19 @@
     }
   }
 
-  /** Lets time pass; to be called every {@link MembershipTimings#tickIntervalTicks}. */
+  /**
+   * Runs all actions that are due; the host calls it every
+   * {@link MembershipTimings#tickIntervalTicks}.
+   */
   public void tick(long now) {
     this.now = now;
-    long sinceTick = now - tickedAtTicks;
-    if (sinceTick > timings.absenceTicks()) {
+    long sinceLastTick = now - lastTickAtTicks;
+    if (sinceLastTick > timings.absenceTicks()) {
       resumeAfterAbsence();
-    } else if (sinceTick > FailureDetector.DIRECT_TIMEOUT_FRACTION * timings.periodTicks()) {
-      health.degrade(1); // starved: answers may have come and lie unread
+    } else if (sinceLastTick > FailureDetector.DIRECT_TIMEOUT_FRACTION * timings.periodTicks()) {
+      health.degrade(1); // the tick is late: acks may have arrived but not been read
     }
-    tickedAtTicks = now;
+    lastTickAtTicks = now;
     if (leaving) {
       return;
     }
@@ -178,9 +193,10 @@
   }
 
   /**
-   * Guards against a node that was stopped and blames others on waking: their silence was its own.
-   * It shows as failures of live members right after a pause. Open probes blame nobody, every
-   * suspicion begins anew, and the node trusts itself less for a while.
+   * Guards against a node that was paused and then suspects others although it was itself the one
+   * that did not run. The symptom is failures of live members right after a pause. Open probes are
+   * dropped without raising suspicions, every suspicion restarts, and the local health multiplier
+   * is raised until probes are answered again.
    */
   private void resumeAfterAbsence() {
     proxyProbes.clear();
@@ -189,7 +205,10 @@
     stateMachine.restartSuspicions(now);
   }
 
-  /** Takes in a datagram of a member; one of a stranger or to a node that leaves is dropped. */
+  /**
+   * Processes a datagram from another member. It is dropped if the sender is not a member of the
+   * configuration, or if this node is leaving.
+   */
   public void receive(long now, int from, MembershipMessage message) {
     if (!table.contains(from) || from == table.ownIndex() || leaving) {
       return;
@@ -203,10 +222,10 @@
       }
     }
     dissemination.compareDigest(from, message.digest());
-    answer(from, message);
+    handle(from, message);
   }
 
-  private void answer(int from, MembershipMessage message) {
+  private void handle(int from, MembershipMessage message) {
     switch (message.kind()) {
       case PING -> sender.send(from, Kind.ACK, message.sequenceNumber(), table.ownIndex(), now);
       case PING_REQUEST -> proxyProbes.start(from, message, now);
--- a/src/main/java/saltlatch/membership/MembershipMessage.java
+++ b/src/main/java/saltlatch/membership/MembershipMessage.java
@@ -3,30 +3,31 @@
 import java.util.List;
 
 /**
- * A datagram between two members, with updates about others piggybacked on it.
+ * A datagram between two members, with piggybacked updates about members.
  *
- * @param sequenceNumber     of the probe; an answer repeats it
- * @param target             the member that the probe is about
- * @param incarnation        the sender's
- * @param digest             of the sender's whole view ({@link Membership#digest}): two that differ
- *                           notice it
- * @param grantsLeaseToReceiver the sender has not held the receiver failed or left for a lease
- * @param updates            at most {@link #MAX_UPDATES}
+ * @param sequenceNumber     number of the probe, which its answers repeat
+ * @param target             the member that is probed
+ * @param incarnation        the sender's incarnation
+ * @param digest             digest of the sender's view ({@link Membership#digest}), by which the
+ *                           receiver detects that the two views differ
+ * @param grantsLeaseToReceiver whether the sender grants a lease to the receiver, that is, has not
+ *                           considered it failed or left within a lease
+ * @param updates            at most {@link #MAX_UPDATES} updates
  */
 public record MembershipMessage(Kind kind, int sequenceNumber, int target, long incarnation,
     long digest, boolean grantsLeaseToReceiver, List<MemberUpdate> updates) {
-  /** Updates that a datagram of 256 bytes holds. */
+  /** Number of updates that fit into a datagram of 256 bytes. */
   public static final int MAX_UPDATES = 24;
 
-  /** What a message asks or answers. Codecs write the order of these constants. */
+  /** The kind of a message. Codecs write its {@link #code}. */
   public enum Kind {
     /** A direct probe. */
     PING(0),
-    /** The answer to a probe, by its target or by the proxy that probed it. */
+    /** Acknowledges a probe; sent by its target, or by the proxy that probed the target. */
     ACK(1),
-    /** Asks the receiver to probe the target for the sender: an indirect probe. */
+    /** Requests an indirect probe: the receiver probes the target on behalf of the sender. */
     PING_REQUEST(2),
-    /** The proxy has no answer of the target. */
+    /** Reports that the proxy has not received an ack from the target. */
     NACK(3);
 
     private final int code;
@@ -35,12 +36,12 @@
       this.code = code;
     }
 
-    /** The number that stands for it in datagrams and digests. */
+    /** Returns the number that encodes this constant in datagrams and digests. */
     public int code() {
       return code;
     }
 
-    /** Null for a number that stands for none. */
+    /** Returns the constant that a number encodes, or null if there is none. */
     public static Kind ofCode(int code) {
       for (Kind each : values()) {
         if (each.code == code) {
@@ -51,9 +52,7 @@
     }
   }
 
-  /**
-   * What a member is held to be. A later constant overrides an earlier one of the same incarnation.
-   */
+  /** A member's state. Within an incarnation a later constant overrides an earlier one. */
   public enum State {
     UNKNOWN(0),
     ALIVE(1),
@@ -67,12 +66,12 @@
       this.code = code;
     }
 
-    /** The number that stands for it in datagrams and digests. */
+    /** Returns the number that encodes this constant in datagrams and digests. */
     public int code() {
       return code;
     }
 
-    /** Null for a number that stands for none. */
+    /** Returns the constant that a number encodes, or null if there is none. */
     public static State ofCode(int code) {
       for (State each : values()) {
         if (each.code == code) {
@@ -86,7 +85,7 @@
   /**
    * A member's state in one of its incarnations.
    *
-   * @param reporter of a suspicion: who raised it; else the member itself
+   * @param reporter the member that raised the suspicion; for other states the member itself
    */
   public record MemberUpdate(int member, State state, long incarnation, int reporter) {}
 }
--- a/src/main/java/saltlatch/membership/MessageSender.java
+++ b/src/main/java/saltlatch/membership/MessageSender.java
@@ -3,31 +3,32 @@
 import saltlatch.membership.MembershipMessage.Kind;
 
 /**
- * Fills in what every datagram of this node carries besides its question or answer: incarnation,
- * digest, whether it vouches for the receiver, and piggybacked updates.
+ * Sends this node's messages, and adds to each one the sender's incarnation and digest, whether it
+ * grants a lease to the receiver, and piggybacked updates.
  */
 final class MessageSender {
   private final MemberTable table;
   private final Dissemination dissemination;
-  private final LeaseGrantor vouching;
+  private final LeaseGrantor leaseGrantor;
   private final Membership.Output output;
-  private int sequenceNumber;
+  private int lastSequenceNumber;
 
-  MessageSender(MemberTable table, Dissemination dissemination, LeaseGrantor vouching,
+  MessageSender(MemberTable table, Dissemination dissemination, LeaseGrantor leaseGrantor,
       Membership.Output output) {
     this.table = table;
     this.dissemination = dissemination;
-    this.vouching = vouching;
+    this.leaseGrantor = leaseGrantor;
     this.output = output;
   }
 
-  /** The number of a new probe of this node, for itself or as a proxy. */
+  /** Returns the sequence number of a new probe that this node sends for itself or as a proxy. */
   int nextSequenceNumber() {
-    return ++sequenceNumber;
+    return ++lastSequenceNumber;
   }
 
-  void send(int receiver, Kind kind, int number, int target, long now) {
-    output.send(receiver, new MembershipMessage(kind, number, target, table.ownIncarnation(),
-        table.digest(), vouching.grantsLeaseTo(receiver, now), dissemination.updatesFor(receiver)));
+  void send(int receiver, Kind kind, int sequenceNumber, int target, long now) {
+    output.send(receiver,
+        new MembershipMessage(kind, sequenceNumber, target, table.ownIncarnation(), table.digest(),
+            leaseGrantor.grantsLeaseTo(receiver, now), dissemination.updatesFor(receiver)));
   }
 }
--- a/src/main/java/saltlatch/membership/ProxyProbes.java
+++ b/src/main/java/saltlatch/membership/ProxyProbes.java
@@ -6,13 +6,18 @@
 import saltlatch.membership.MembershipMessage.Kind;
 
 /**
- * Probes that this node sends as another member's proxy (SWIM's ping request), with Lifeguard's
- * nack: the requester learns in time that the target does not answer, and that the proxy does.
+ * Indirect probes: probes that this node sends as another member's proxy (SWIM's ping request),
+ * with Lifeguard's nack. The nack reaches the requester before its probe times out, and shows that
+ * the target has not answered but the proxy can be reached.
  *
- * <p>Invariant: at most as many at once as the fleet has members; one more is not served.
+ * <p>Invariant: the number of open probes is at most the number of members; requests beyond that
+ * are dropped.
  */
 final class ProxyProbes {
-  /** Part of the period, from the requester's first probe, after which a proxy sends its nack. */
+  /**
+   * Fraction of the period after which a proxy sends its nack, counted from the requester's direct
+   * probe.
+   */
   private static final double NACK_FRACTION = 0.7;
 
   private record ProxyProbe(int requester, int sequenceNumber, int target, long nackAtTicks) {}
@@ -20,7 +25,7 @@
   private final MembershipTimings timings;
   private final MemberTable table;
   private final MessageSender sender;
-  // by this node's own sequence number
+  // by the sequence number of this node's probe
   private final Map<Integer, ProxyProbe> probes = new TreeMap<>();
 
   ProxyProbes(MembershipTimings timings, MemberTable table, MessageSender sender) {
@@ -29,21 +34,21 @@
     this.sender = sender;
   }
 
-  /** A member asks for a probe of another one. */
+  /** Probes the target of a member's request. */
   void start(int requester, MembershipMessage request, long now) {
     int target = request.target();
     if (!table.contains(target) || target == table.ownIndex() || probes.size() >= table.size()) {
       return;
     }
-    int ownNumber = sender.nextSequenceNumber();
+    int ownSequenceNumber = sender.nextSequenceNumber();
     long nackAfterTicks = (long) ((NACK_FRACTION - FailureDetector.DIRECT_TIMEOUT_FRACTION)
         * timings.periodTicks());
-    probes.put(ownNumber,
+    probes.put(ownSequenceNumber,
         new ProxyProbe(requester, request.sequenceNumber(), target, now + nackAfterTicks));
-    sender.send(target, Kind.PING, ownNumber, target, now);
+    sender.send(target, Kind.PING, ownSequenceNumber, target, now);
   }
 
-  /** Passes a target's ack on to its requester. */
+  /** Forwards a target's ack to the requester. */
   void acknowledged(int from, MembershipMessage ack, long now) {
     ProxyProbe probe = probes.remove(ack.sequenceNumber());
     if (probe != null && probe.target == from) {
@@ -53,17 +58,20 @@
 
   /** Sends the nacks that are due. */
   void sendNacks(long now) {
-    Iterator<ProxyProbe> remaining = probes.values().iterator();
-    while (remaining.hasNext()) {
-      ProxyProbe probe = remaining.next();
+    Iterator<ProxyProbe> iterator = probes.values().iterator();
+    while (iterator.hasNext()) {
+      ProxyProbe probe = iterator.next();
       if (now >= probe.nackAtTicks) {
-        remaining.remove();
+        iterator.remove();
         sender.send(probe.requester, Kind.NACK, probe.sequenceNumber, probe.target, now);
       }
     }
   }
 
-  /** This node did not run: its proxies' words would come too late. */
+  /**
+   * Drops the open probes after this node did not run for a while: their acks and nacks would reach
+   * the requesters too late.
+   */
   void clear() {
     probes.clear();
   }
--- a/src/main/java/saltlatch/membership/QuotaLeases.java
+++ b/src/main/java/saltlatch/membership/QuotaLeases.java
@@ -3,24 +3,27 @@
 import java.util.Arrays;
 
 /**
- * For how long this node may use its whole share of quotas, and what others left of theirs.
+ * Computes how long this node may use its full share of quotas, and how long it may use the surplus
+ * that it takes over from others.
  *
- * <p>Both rest on direct answers to this node's own probes, counted by its own clock from the
- * sending of the probe. It keeps its surplus while at least half of the members (itself among them)
- * vouched for it within a lease. It takes over others' surplus while more than half answered within
- * a lease with this node's own view of the fleet; of failed members only once they did so for a
- * lease without a gap. Times are ticks.
+ * <p>Both depend on direct acks of this node's probes, and count from the sending of the probe by
+ * this node's clock. The node keeps its surplus while at least half of the members, itself
+ * included, have granted it a lease that has not expired. It takes over others' surplus while more
+ * than half of the members, itself included, have answered within a lease with a view equal to its
+ * own; the surplus of failed members only after they have done so without a gap for
+ * {@link MembershipTimings#leaseExpiryTicks} (W). Times are in ticks.
  *
- * <p>Guards against a quota used twice during a split: the side of a dead member's peers would take
- * its share over while it lives on the other side. Any half and any majority share a member, and
- * that member cannot have said both (docs/member-design.md has the proof). Harms a fleet of which
- * half is dead: the rest cannot distinguish that from a split, and gives its surplus up.
+ * <p>Guards against a quota that is used twice during a partition: the members on one side would
+ * take over the surplus of a member that they consider failed while it still runs on the other
+ * side. Any half and any majority of the members have a member in common, and that member cannot
+ * have given both answers (docs/member-design.md has the proof). Drawback: if half of a fleet is
+ * dead, the other half cannot distinguish that from a partition, and gives up its surplus.
  */
 final class QuotaLeases {
   private static final long NO_EQUAL_VIEW = -1;
 
   private final MembershipTimings timings;
-  // all by member
+  // each by member
   private final long[] grantedUntilTicks;
   private final long[] equalViewSinceTicks;
   private final long[] equalViewProbeSentAtTicks;
@@ -33,17 +36,17 @@
     viewChanged();
   }
 
-  /** This node's own view has changed: nobody has shared the new one yet. */
+  /** Clears the records of equal views after this node's view has changed. */
   void viewChanged() {
     Arrays.fill(equalViewSinceTicks, NO_EQUAL_VIEW);
   }
 
   /**
-   * Takes in a direct answer.
+   * Records a direct ack of a probe.
    *
-   * @param sentAt    when the probe was sent
-   * @param grantsLease   the member has not held this node failed or left for a lease
-   * @param equalView its view is this node's
+   * @param sentAt      when the probe was sent
+   * @param grantsLease whether the member grants a lease to this node
+   * @param equalView   whether the member's view equals this node's
    */
   void recordAnswer(long now, int member, long sentAt, boolean grantsLease, boolean equalView) {
     if (grantsLease) {
@@ -61,34 +64,35 @@
     equalViewProbeSentAtTicks[member] = sentAt;
   }
 
-  /** Until when this node keeps its surplus if nothing more is received. */
+  /** Returns until when this node keeps its surplus if no further ack is received. */
   long leaseUntilTicks() {
-    return untilSoMany(grantedUntilTicks.clone(), (timings.memberCount() + 1) / 2 - 1);
+    return quorumUntil(grantedUntilTicks.clone(), (timings.memberCount() + 1) / 2 - 1);
   }
 
   /**
-   * Until when this node takes over surplus if nothing more is received; 0: not at all.
+   * Returns until when this node may use the surplus of others if no further ack is received, or 0
+   * if it may not use it.
    *
-   * @param minEqualTicks how long a majority must have shared this node's view: 0 for the surplus
-   *                      of members that left, W for that of failed ones
+   * @param minEqualTicks how long the views of a majority must have been equal to this node's: 0
+   *                      for the surplus of members that left, W for the surplus of failed members
    */
   long takeoverUntilTicks(long now, long minEqualTicks) {
-    long[] until = new long[timings.memberCount()];
-    for (int member = 0; member < until.length; member++) {
+    long[] untilTicks = new long[timings.memberCount()];
+    for (int member = 0; member < untilTicks.length; member++) {
       if (equalViewSinceTicks[member] != NO_EQUAL_VIEW
           && now - equalViewSinceTicks[member] >= minEqualTicks) {
-        until[member] = equalViewProbeSentAtTicks[member] + timings.leaseTicks();
+        untilTicks[member] = equalViewProbeSentAtTicks[member] + timings.leaseTicks();
       }
     }
-    return untilSoMany(until, timings.memberCount() / 2);
+    return quorumUntil(untilTicks, timings.memberCount() / 2);
   }
 
-  /** Until when at least so many of the members' times run. */
-  private static long untilSoMany(long[] until, int members) {
-    if (members <= 0) {
+  /** Returns until when at least the given number of members' times have not passed. */
+  private static long quorumUntil(long[] untilTicks, int quorum) {
+    if (quorum <= 0) {
       return Long.MAX_VALUE;
     }
-    Arrays.sort(until);
-    return until[until.length - members];
+    Arrays.sort(untilTicks);
+    return untilTicks[untilTicks.length - quorum];
   }
 }
--- a/src/main/java/saltlatch/membership/QuotaShares.java
+++ b/src/main/java/saltlatch/membership/QuotaShares.java
@@ -6,30 +6,35 @@
 import saltlatch.api.GossipMessage;
 
 /**
- * Which part of a quota this node may use while the counter is silent.
+ * Computes which share of a quota this node may use while the counter does not answer.
  *
- * <p>A customer's quota is divided evenly by its set of nodes: {@code setWidth} members from {@code
- * firstNode} on, whoever lives. Of an even share a fixed part is the floor, which no other member
- * ever uses; the rest is the surplus, which a member gives up by its own clock when its lease runs
- * out, and which others take over only later ({@link QuotaLeases}). Where nodes gossip, those that
- * reach exactly each other form a pool and use the sum of their shares.
+ * <p>A customer's quota is divided evenly among its set of nodes: {@code setWidth} members starting
+ * at {@code firstNode}, whether they are live or not. A fixed part of each even share is the floor,
+ * which no other member ever uses. The rest is the surplus, which a member gives up by its own
+ * clock when its lease expires, and which others take over only after that ({@link QuotaLeases}).
+ * If nodes gossip, the nodes whose sets of reachable nodes are equal form a pool and use the sum of
+ * their shares.
  *
- * <p>Invariant: the parts of a quota in use by all nodes never sum above one, but for the time that
- * a pool takes to notice a split. Shares are parts of a quota, 0 to 1; times are ticks. No I/O and
- * no clock; the policy's one thread calls it. docs/member-design.md has the proof.
+ * <p>Invariant: the shares of a quota that all nodes use never sum to more than 1, except during
+ * the time that a pool needs to detect a partition; docs/member-design.md has the proof. Shares are
+ * fractions of a quota from 0 to 1; times are in ticks. No I/O and no clock; only the policy's
+ * thread calls it.
  */
 public final class QuotaShares {
-  /** A node cut off serves a little, and a dead one strands no more than that. */
+  /**
+   * Fraction of an even share that is its floor: an isolated node can still serve some requests,
+   * and a dead node leaves no more than this fraction of its share unused.
+   */
   static final double FLOOR_FRACTION = 0.25;
 
   private final int ownIndex;
   private final int memberCount;
   // by member
-  private final long[] receivedAtTicks; // of its last gossip; 0: none came
-  private final GossipMessage.Reachability[] reachability; // what it said last; null: nothing
+  private final long[] receivedAtTicks; // arrival of its last gossip, 0 before the first
+  private final GossipMessage.Reachability[] reachability; // from its last gossip, null if none
   private MembershipChanged view;
 
-  /** Shares of a fleet; {@link #update} must come before any other call. */
+  /** Creates the shares of a node; {@link #update} must be called before any other method. */
   public QuotaShares(int ownIndex, int memberCount) {
     this.ownIndex = ownIndex;
     this.memberCount = memberCount;
@@ -37,17 +42,17 @@
     reachability = new GossipMessage.Reachability[memberCount];
   }
 
-  /** Takes in what membership knows of the fleet. */
+  /** Updates the shares by membership's current view of the fleet. */
   public void update(MembershipChanged event) {
     view = event;
   }
 
-  /** Nodes by which what all may do together is divided. */
+  /** Returns the number of nodes by which a limit for the complete fleet is divided. */
   public int divisorNodeCount() {
     return view.nodeCount();
   }
 
-  /** Whether a member is live, so that gossip may reach it. */
+  /** Returns whether a member is live, so that gossip can reach it. */
   public boolean isLive(int member) {
     return view.states().get(member) == MemberState.LIVE;
   }
@@ -60,7 +65,10 @@
     return holdsLease(now) && now < view.takeoverUntilTicks();
   }
 
-  /** This node's own part of a customer's quota; 0 if it isn't of the customer's set. */
+  /**
+   * Returns this node's own share of a customer's quota, or 0 if the node is not in the customer's
+   * set.
+   */
   public double ownShare(long now, int firstNode, int setWidth) {
     if (!inSet(ownIndex, firstNode, setWidth)) {
       return 0;
@@ -77,16 +85,19 @@
     return Math.floorMod(member - firstNode, memberCount) < setWidth;
   }
 
-  private int memberOfSet(int firstNode, int place) {
-    return (firstNode + place) % memberCount;
+  private int memberAt(int firstNode, int position) {
+    return (firstNode + position) % memberCount;
   }
 
-  /** What each live member of the set takes over of those that are gone, in even shares. */
+  /**
+   * Returns the surplus that each live member of the set takes over from the members that are taken
+   * over, in units of an even share.
+   */
   private double takenSurplus(int firstNode, int setWidth) {
     int live = 0;
     int takenOver = 0;
-    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
-      MemberState state = view.states().get(memberOfSet(firstNode, place));
+    for (int position = 0; position < Math.min(setWidth, memberCount); position++) {
+      MemberState state = view.states().get(memberAt(firstNode, position));
       live += state == MemberState.LIVE ? 1 : 0;
       takenOver += state == MemberState.TAKEN_OVER ? 1 : 0;
     }
@@ -94,16 +105,17 @@
   }
 
   /**
-   * Takes in a peer's gossip.
+   * Records the gossip of a peer.
    *
-   * @param sent null from a version of the software that does not say whom it reaches
+   * @param sent the nodes that the peer reaches, or null from a software version that does not send
+   *             them
    */
   public void recordGossip(long now, int sender, GossipMessage.Reachability sent) {
     receivedAtTicks[sender] = now;
     reachability[sender] = sent;
   }
 
-  /** This node and those whose gossip came lately. */
+  /** Returns this node and the nodes whose last gossip is not older than the validity. */
   private BitSet reachableNodes(long now, long validityTicks) {
     BitSet reachable = new BitSet(memberCount);
     reachable.set(ownIndex);
@@ -116,9 +128,10 @@
   }
 
   /**
-   * What this node's gossip says of whom it reaches; null in a fleet too large for that.
+   * Returns the reachability that this node's gossip carries, or null if the fleet has more than
+   * {@link GossipMessage#MAX_NODES_WITH_REACHABILITY} members.
    *
-   * @param validityTicks for how long a peer's gossip shows that it is reachable
+   * @param validityTicks how long a peer counts as reachable after its gossip
    */
   public GossipMessage.Reachability reachability(long now, long validityTicks) {
     return memberCount > GossipMessage.MAX_NODES_WITH_REACHABILITY ? null
@@ -127,11 +140,13 @@
   }
 
   /**
-   * The part of a quota that this node's pool may use: the sum of the shares of those members of
-   * the set that reach exactly each other; at least this node's own.
+   * Returns the share of a quota that this node's pool may use: the sum of the shares of the
+   * members of the set that reach each other and no others of the set, and at least this node's own
+   * share.
    *
-   * <p>Guards against a share lent to two sides of a split: equal sets of reachable nodes are a
-   * partition, so a member that bridges the sides belongs to neither pool.
+   * <p>Guards against a share that both sides of a network partition use: nodes with equal sets of
+   * reachable nodes form disjoint pools, so a member that bridges the two sides belongs to the pool
+   * of neither side.
    */
   public double pooledShare(long now, long validityTicks, int firstNode, int setWidth) {
     if (!inSet(ownIndex, firstNode, setWidth)) {
@@ -140,8 +155,8 @@
     BitSet reachable = reachableNodes(now, validityTicks);
     double surplus = holdsTakeover(now) ? takenSurplus(firstNode, setWidth) : 0;
     double sum = share(holdsLease(now), surplus, setWidth);
-    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
-      int member = memberOfSet(firstNode, place);
+    for (int position = 0; position < Math.min(setWidth, memberCount); position++) {
+      int member = memberAt(firstNode, position);
       GossipMessage.Reachability sent = reachability[member];
       if (member != ownIndex && reachable.get(member) && sent != null
           && equalInSet(reachable, sent.reachableNodes(), firstNode, setWidth)) {
@@ -151,10 +166,10 @@
     return Math.min(1, sum);
   }
 
-  private boolean equalInSet(BitSet some, BitSet others, int firstNode, int setWidth) {
-    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
-      int member = memberOfSet(firstNode, place);
-      if (some.get(member) != others.get(member)) {
+  private boolean equalInSet(BitSet first, BitSet second, int firstNode, int setWidth) {
+    for (int position = 0; position < Math.min(setWidth, memberCount); position++) {
+      int member = memberAt(firstNode, position);
+      if (first.get(member) != second.get(member)) {
         return false;
       }
     }
@@ -162,16 +177,17 @@
   }
 
   /**
-   * Members of the set that still count as reachable, but whose last gossip is overdue.
+   * Returns the number of members of the set that count as reachable but whose last gossip is
+   * overdue.
    *
    * @param overdueTicks  age above which gossip is overdue
-   * @param validityTicks age above which the member does not count as reachable any more
+   * @param validityTicks age above which the member no longer counts as reachable
    */
   public int overdueNodeCount(long now, long overdueTicks, long validityTicks, int firstNode,
       int setWidth) {
     int overdue = 0;
-    for (int place = 0; place < Math.min(setWidth, memberCount); place++) {
-      int member = memberOfSet(firstNode, place);
+    for (int position = 0; position < Math.min(setWidth, memberCount); position++) {
+      int member = memberAt(firstNode, position);
       long ageTicks = now - receivedAtTicks[member];
       boolean received = member != ownIndex && receivedAtTicks[member] > 0;
       overdue += received && ageTicks > overdueTicks && ageTicks <= validityTicks ? 1 : 0;
--- a/src/main/java/saltlatch/membership/SuspicionTimer.java
+++ b/src/main/java/saltlatch/membership/SuspicionTimer.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * How long one member stays suspect before it is held failed, by Lifeguard: each further member
- * that suspects it shortens the time.
+ * Measures how long a member stays suspect before it is considered failed. As in Lifeguard, each
+ * further member that suspects it shortens the time.
  *
- * <p>Invariants: a reporter counts once, so that one suspicion that comes by many ways is not taken
- * for many; the time never grows but by {@link #restart}. Times are ticks.
+ * <p>Invariants: each reporter counts once, so that a suspicion that arrives on several paths does
+ * not count several times; only {@link #restart} lengthens the time. Times are in ticks.
  */
 final class SuspicionTimer {
   private final MembershipTimings timings;
-  private final List<Integer> reporters = new ArrayList<>(); // the first one raised it
+  private final List<Integer> reporters = new ArrayList<>(); // the first raised the suspicion
   private long startedAtTicks;
   private long expiresAtTicks;
 
@@ -20,7 +20,7 @@
     this.timings = timings;
   }
 
-  /** Starts a suspicion that nobody has confirmed. */
+  /** Starts a suspicion without confirmations. */
   void start(int reporter, long now) {
     reporters.clear();
     reporters.add(reporter);
@@ -28,17 +28,19 @@
     expiresAtTicks = now + timings.suspicionTicks(0);
   }
 
-  /** Takes in that a member suspects it too. */
+  /** Records that another member has raised the same suspicion. */
   void confirm(int reporter, long now) {
     if (reporters.size() > MembershipTimings.MAX_CONFIRMATIONS || reporters.contains(reporter)) {
       return;
     }
     reporters.add(reporter);
-    long lengthTicks = timings.suspicionTicks(reporters.size() - 1);
-    expiresAtTicks = Math.max(now, startedAtTicks + lengthTicks);
+    long durationTicks = timings.suspicionTicks(reporters.size() - 1);
+    expiresAtTicks = Math.max(now, startedAtTicks + durationTicks);
   }
 
-  /** Counts from now on: this node did not run meanwhile, and may have missed a refutation. */
+  /**
+   * Restarts the time after this node did not run for a while and may have missed a refutation.
+   */
   void restart(long now) {
     startedAtTicks = now;
     expiresAtTicks = now + timings.suspicionTicks(reporters.size());
@@ -48,7 +50,7 @@
     return now >= expiresAtTicks;
   }
 
-  /** Who raised the suspicion. */
+  /** Returns the member that raised the suspicion. */
   int reporter() {
     return reporters.get(0);
   }
--- a/src/main/java/saltlatch/membership/package-info.java
+++ b/src/main/java/saltlatch/membership/package-info.java
@@ -1,20 +1,22 @@
 /**
- * Fleet membership of the edge nodes: which of them are live (SWIM with the Lifeguard extensions),
- * and which part of a quota each may use while the counter is silent (leases and shares).
+ * Fleet membership of the edge nodes: which nodes are live (SWIM with the Lifeguard extensions),
+ * and which share of a quota each node may use while the counter does not answer (leases and
+ * shares).
  *
- * <p>A state machine apart from I/O: datagrams and ticks go in, datagrams and changes come out. No
- * class here reads a clock, opens a socket or starts a thread. It may import {@code saltlatch.api}
- * only. Times are {@link saltlatch.api.Ticks ticks} unless a name says otherwise.
+ * <p>The package is a state machine without I/O: its inputs are datagrams and ticks, its outputs
+ * datagrams and state changes. No class reads a clock, opens a socket or starts a thread. The
+ * package may import {@code saltlatch.api} only. Times are {@link saltlatch.api.Ticks ticks} unless
+ * a name gives another unit.
  *
- * <p>Wired in only where the configuration's {@code membership} key is set: {@code
+ * <p>It is used only if the configuration's {@code membership} key is set. {@code
  * saltlatch.node.MembershipAdapter} then runs one {@link saltlatch.membership.Membership} on the
- * node's event loop, sends its datagrams by {@code saltlatch.wire.peer.MembershipCodec}, and hands
- * its {@code MembershipChanged} events to the policy, which keeps a {@link
+ * node's event loop, encodes its datagrams with {@code saltlatch.wire.peer.MembershipCodec}, and
+ * passes its {@code MembershipChanged} events to the policy, which holds a {@link
  * saltlatch.membership.QuotaShares}. Without the key none of these classes is loaded, and shares
- * are learned. Not wired in: members are fixed by the configuration, so that none can join or be
- * replaced while a node runs; the {@link saltlatch.membership.FleetView} decides nothing. The lab's
- * capacity pages use {@link saltlatch.membership.MembershipTimings} without a fleet.
+ * are learned. Members are fixed by the configuration: none can join or be replaced while a node
+ * runs. {@link saltlatch.membership.FleetView} has no effect on decisions. The lab's capacity pages
+ * use {@link saltlatch.membership.MembershipTimings} without a fleet.
  *
- * <p>Owner of each object is its one caller, on that caller's thread.
+ * <p>Each object is owned by its single caller and used only on that caller's thread.
  */
 package saltlatch.membership;
