--- a/src/test/java/saltlatch/membership/Fleet.java
+++ b/src/test/java/saltlatch/membership/Fleet.java
@@ -8,188 +8,232 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
+import java.util.function.BooleanSupplier;
 import saltlatch.membership.MembershipMessage.State;
 import saltlatch.wire.peer.MembershipCodec;
 
 /**
- * A fleet of members in virtual time over a network with loss, delay and cuts; every datagram goes
- * through its form.
+ * Simulates a fleet of members in virtual time, on a network with loss, delay and partitions. Every
+ * datagram is encoded and decoded.
  */
 final class Fleet {
   static final long SECOND = 10_000;
-  private static final long TICK = 500; // 50 ms, as a node's housekeeping
-  private static final double REORDER = 300; // up to 30 ms on the way, drawn for each datagram
+  private static final long TICK_INTERVAL = 500; // 50 ms, as in a node
+  private static final double MAX_DELAY = 300; // 30 ms; the random delays reorder datagrams
+  private static final int MAX_DATAGRAM_BYTES = 256;
 
-  private record Step(long at, long order, Runnable then) {}
+  private record Event(long at, long order, Runnable action) {}
 
-  final MembershipTimings terms;
+  final MembershipTimings timings;
   final Membership[] members;
   final QuotaShares[] shares;
-  double mostShared; // the sum of shares of one quota in use over all processes, at its highest
-  double leastShared = 9;
+  double maxTotalShare; // maximum over time of the sum of all processes' shares of one quota
+  double minTotalShare = 9;
   final boolean[] dead;
   final boolean[] paused;
-  final double[] drift; // how fast a member's clock runs
+  final double[] clockRates; // by member: speed of its clock, 1 for an exact one
   final StringBuilder history = new StringBuilder();
-  // "observer>member": when it was last held failed
+  // "observer>member": when the observer last marked the member failed
   final Map<String, Long> failedAt = new HashMap<>();
   long now;
-  long sent;
+  long sentCount;
   int falseFailures;
-  int burst; // the most datagrams sent between two ticks, of all members together
-  private int lately;
-  double loss;
-  BiPredicate<Integer, Integer> reach = (a, b) -> true;
-  private final List<ArrayDeque<Runnable>> queues = new ArrayList<>();
-  private final PriorityQueue<Step> steps = new PriorityQueue<>(
+  int maxSentPerTick; // by all members together
+  private int sentThisTick;
+  double lossRate;
+  BiPredicate<Integer, Integer> canReach = (sender, receiver) -> true;
+  private final List<ArrayDeque<Runnable>> queuesOfPaused = new ArrayList<>();
+  private final PriorityQueue<Event> events = new PriorityQueue<>(
       (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final long seed;
-  private long order;
+  private long nextOrder;
 
-  Fleet(int n, long seed) {
+  Fleet(int memberCount, long seed) {
     this.seed = seed;
-    chance = new SplittableRandom(seed);
-    terms = MembershipTimings.of(n, 60);
-    members = new Membership[n];
-    shares = new QuotaShares[n];
-    dead = new boolean[n];
-    paused = new boolean[n];
-    drift = new double[n];
-    for (int i = 0; i < n; i++) {
-      drift[i] = 1 + 0.02 * (chance.nextDouble() - 0.5); // 1 in 100 to either side
-      queues.add(new ArrayDeque<>());
-      start(i);
+    random = new SplittableRandom(seed);
+    timings = MembershipTimings.of(memberCount, 60);
+    members = new Membership[memberCount];
+    shares = new QuotaShares[memberCount];
+    dead = new boolean[memberCount];
+    paused = new boolean[memberCount];
+    clockRates = new double[memberCount];
+    for (int member = 0; member < memberCount; member++) {
+      clockRates[member] = 1 + 0.02 * (random.nextDouble() - 0.5); // drift of at most 1 %
+      queuesOfPaused.add(new ArrayDeque<>());
+      start(member);
     }
   }
 
-  /** Starts it; again with a higher incarnation, the second of its start. */
-  void start(int i) {
-    dead[i] = false;
-    Membership[] self = new Membership[1];
-    self[0] = members[i] = new Membership(terms, i, 1 + now / SECOND, seed * 1000 + i, clock(i),
-        new Membership.Output() {
+  /** Starts or restarts a member. Its incarnation is the second of its start, so it increases. */
+  void start(int self) {
+    dead[self] = false;
+    Membership membership = new Membership(timings, self, 1 + now / SECOND, seed * 1000 + self,
+        clock(self), new Membership.Output() {
           @Override
-          public void send(int to, MembershipMessage m) {
-            byte[] bytes = MembershipCodec.encode(m);
-            if (bytes.length > 256) throw new IllegalStateException(bytes.length + " bytes");
-            sent++;
-            burst = Math.max(burst, ++lately);
-            if (chance.nextDouble() < loss) return;
-            long at = now + 1 + (long) (REORDER * chance.nextDouble());
-            after(at, () -> {
-              if (!dead[to] && reach.test(i, to)) run(to, () -> {
-                members[to].receive(clock(to), i, MembershipCodec.decode(bytes));
-                shares[to].update(members[to].membershipEvent());
+          public void send(int receiver, MembershipMessage message) {
+            byte[] datagram = MembershipCodec.encode(message);
+            if (datagram.length > MAX_DATAGRAM_BYTES) {
+              throw new IllegalStateException("datagram of " + datagram.length + " bytes, limit "
+                  + MAX_DATAGRAM_BYTES + " bytes");
+            }
+            sentCount++;
+            maxSentPerTick = Math.max(maxSentPerTick, ++sentThisTick);
+            if (random.nextDouble() < lossRate) return;
+            long arrivesAt = now + 1 + (long) (MAX_DELAY * random.nextDouble());
+            schedule(arrivesAt, () -> {
+              if (!dead[receiver] && canReach.test(self, receiver)) runOrQueue(receiver, () -> {
+                members[receiver].receive(clock(receiver), self, MembershipCodec.decode(datagram));
+                shares[receiver].update(members[receiver].membershipEvent());
               });
             });
           }
 
           @Override
-          public void stateChanged(int member, State state, long inc, long version) {
-            history.append(now).append(' ').append(i).append(' ').append(member).append(state)
-                .append(inc).append('\n');
+          public void stateChanged(int member, State state, long incarnation, long version) {
+            history.append(now).append(' ').append(self).append(' ').append(member).append(state)
+                .append(incarnation).append('\n');
             if (state != State.FAILED) return;
-            failedAt.put(i + ">" + member, now);
-            if (!dead[member] && !paused[member] && reach.test(i, member) && reach.test(member, i))
+            failedAt.put(self + ">" + member, now);
+            if (!dead[member] && !paused[member] && canReach.test(self, member)
+                && canReach.test(member, self)) {
               falseFailures++;
+            }
           }
         });
-    shares[i] = new QuotaShares(i, terms.memberCount());
-    shares[i].update(self[0].membershipEvent());
-    tick(i, self[0]);
+    members[self] = membership;
+    shares[self] = new QuotaShares(self, timings.memberCount());
+    shares[self].update(membership.membershipEvent());
+    scheduleTick(self, membership);
   }
 
   /**
-   * What all processes together may use of a quota of so many nodes; one that is stopped counts as
-   * if it decided now.
+   * Returns the sum of the shares that all processes may use of a quota with the given set of
+   * nodes. A paused process counts with the share that it would compute now.
    */
-  double shared(int first, int width) {
+  double totalShare(int firstNode, int setWidth) {
     double sum = 0;
-    for (int i = 0; i < members.length; i++)
-      if (!dead[i]) sum += shares[i].ownShare(clock(i), first, width);
+    for (int member = 0; member < members.length; member++) {
+      if (!dead[member]) {
+        sum += shares[member].ownShare(clock(member), firstNode, setWidth);
+      }
+    }
     return sum;
   }
 
-  private void look() {
-    for (int width : new int[] {members.length, 3}) {
-      double sum = shared(members.length / 2, width);
-      mostShared = Math.max(mostShared, sum);
-      if (width > 3) leastShared = Math.min(leastShared, sum);
+  private void recordTotalShares() {
+    for (int setWidth : new int[] {members.length, 3}) {
+      double sum = totalShare(members.length / 2, setWidth);
+      maxTotalShare = Math.max(maxTotalShare, sum);
+      if (setWidth > 3) {
+        minTotalShare = Math.min(minTotalShare, sum);
+      }
     }
   }
 
-  private long clock(int i) {
-    return (long) (now * drift[i]);
+  private long clock(int member) {
+    return (long) (now * clockRates[member]);
   }
 
-  private void tick(int i, Membership self) {
-    after(now + TICK, () -> {
-      if (dead[i] || members[i] != self) return;
-      if (!paused[i]) self.tick(clock(i));
-      if (!paused[i]) shares[i].update(self.membershipEvent());
-      tick(i, self);
+  private void scheduleTick(int member, Membership membership) {
+    schedule(now + TICK_INTERVAL, () -> {
+      if (dead[member] || members[member] != membership) {
+        return;
+      }
+      if (!paused[member]) {
+        membership.tick(clock(member));
+      }
+      if (!paused[member]) {
+        shares[member].update(membership.membershipEvent());
+      }
+      scheduleTick(member, membership);
     });
   }
 
-  private void after(long at, Runnable then) {
-    steps.add(new Step(at, order++, then));
+  private void schedule(long at, Runnable action) {
+    events.add(new Event(at, nextOrder++, action));
   }
 
-  private void run(int i, Runnable what) {
-    if (paused[i]) queues.get(i).add(what);
-    else what.run();
+  private void runOrQueue(int member, Runnable action) {
+    if (paused[member]) {
+      queuesOfPaused.get(member).add(action);
+    } else {
+      action.run();
+    }
   }
 
-  /** Continued: its clock is seen first, then what had queued at its socket. */
-  void resume(int i) {
-    paused[i] = false;
-    members[i].tick(clock(i));
-    for (Runnable r = queues.get(i).poll(); r != null; r = queues.get(i).poll()) r.run();
+  /**
+   * Resumes a paused member. It ticks first and only then receives the datagrams queued at its
+   * socket.
+   */
+  void resume(int member) {
+    paused[member] = false;
+    members[member].tick(clock(member));
+    ArrayDeque<Runnable> queue = queuesOfPaused.get(member);
+    for (Runnable action = queue.poll(); action != null; action = queue.poll()) {
+      action.run();
+    }
   }
 
-  void pass(long time) {
-    long until = now + time;
-    while (!steps.isEmpty() && steps.peek().at <= until) {
-      Step s = steps.poll();
-      boolean later = now / TICK != s.at / TICK;
-      now = s.at;
-      if (later) {
-        look();
-        lately = 0;
+  /** Advances the virtual time and runs the events that are due. */
+  void advance(long duration) {
+    long until = now + duration;
+    while (!events.isEmpty() && events.peek().at <= until) {
+      Event event = events.poll();
+      boolean inLaterTick = now / TICK_INTERVAL != event.at / TICK_INTERVAL;
+      now = event.at;
+      if (inLaterTick) {
+        recordTotalShares();
+        sentThisTick = 0;
       }
-      s.then.run();
+      event.action.run();
     }
     now = until;
   }
 
-  /** Time until the condition holds, looked at each 100 ms; -1: not within {@code most}. */
-  long until(java.util.function.BooleanSupplier holds, long most) {
-    long from = now;
-    while (!holds.getAsBoolean()) {
-      if (now - from >= most) return -1;
-      pass(1_000);
+  /**
+   * Advances the time until the condition holds, which is checked every 100 ms. Returns the time
+   * that this took, or -1 if the condition did not hold within {@code timeout}.
+   */
+  long awaitCondition(BooleanSupplier condition, long timeout) {
+    long startedAt = now;
+    while (!condition.getAsBoolean()) {
+      if (now - startedAt >= timeout) {
+        return -1;
+      }
+      advance(1_000);
     }
-    return now - from;
+    return now - startedAt;
   }
 
-  boolean allSee(int member, State state) {
-    for (int i = 0; i < members.length; i++) {
-      if (i != member && !dead[i] && !paused[i] && members[i].state(member) != state) return false;
+  /** Returns whether all other running members have the member in the given state. */
+  boolean allOthersSee(int member, State state) {
+    for (int observer = 0; observer < members.length; observer++) {
+      if (observer != member && !dead[observer] && !paused[observer]
+          && members[observer].state(member) != state) {
+        return false;
+      }
     }
     return true;
   }
 
-  /** All running members hold the same view, with exactly the running ones alive. */
-  boolean agree() {
-    int live = 0;
-    for (boolean d : dead) live += d ? 0 : 1;
+  /** Returns whether all running members have equal views with exactly the running ones live. */
+  boolean viewsAgree() {
+    int runningCount = 0;
+    for (boolean isDead : dead) {
+      runningCount += isDead ? 0 : 1;
+    }
     long digest = 0;
     boolean first = true;
-    for (int i = 0; i < members.length; i++) {
-      if (dead[i]) continue;
-      if (members[i].liveCount() != live || (!first && members[i].digest() != digest)) return false;
-      digest = members[i].digest();
+    for (int member = 0; member < members.length; member++) {
+      if (dead[member]) {
+        continue;
+      }
+      if (members[member].liveCount() != runningCount
+          || (!first && members[member].digest() != digest)) {
+        return false;
+      }
+      digest = members[member].digest();
       first = false;
     }
     return true;
--- a/src/test/java/saltlatch/membership/MembershipMeasure.java
+++ b/src/test/java/saltlatch/membership/MembershipMeasure.java
@@ -9,78 +9,85 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * The long measurements behind docs/member-design.md, out of CI: mvn test -Dtest=MembershipMeasure
- * -Dsaltlatch.measure=true.
+ * Long-running measurements for docs/member-design.md, which CI does not run. Run them with: mvn
+ * test -Dtest=MembershipMeasure -Dsaltlatch.measure=true.
  */
 @EnabledIfSystemProperty(named = "saltlatch.measure", matches = "true")
 class MembershipMeasure {
   @Test
-  void statedTimes() {
-    for (int n : new int[] {5, 20, 100, 1000}) {
-      int runs = n < 1000 ? 20 : 2;
-      double[] failed = new double[runs];
-      double[] equal = new double[runs];
-      double cost = 0;
-      MembershipTimings terms = MembershipTimings.of(n, 60);
+  void documentedBoundsHold() {
+    for (int memberCount : new int[] {5, 20, 100, 1000}) {
+      int runs = memberCount < 1000 ? 20 : 2;
+      double[] failureTimes = new double[runs];
+      double[] convergenceTimes = new double[runs];
+      double sentPerSecond = 0;
+      MembershipTimings timings = MembershipTimings.of(memberCount, 60);
       for (int seed = 0; seed < runs; seed++) {
-        Fleet f = new Fleet(n, seed);
-        f.loss = 0.1;
-        assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
-        long before = f.sent;
-        f.pass(10 * Fleet.SECOND);
-        cost += (f.sent - before) / 10.0 / n / runs;
-        f.dead[n / 2] = true;
-        failed[seed] = f.until(() -> f.allSee(n / 2, State.FAILED), terms.failureDetectionTicks());
-        f.reach = (a, b) -> a < n / 3 == b < n / 3;
-        f.pass(20 * Fleet.SECOND);
-        f.reach = (a, b) -> true;
-        equal[seed] = f.until(f::agree, terms.convergenceTicks());
-        assertTrue(failed[seed] >= 0 && equal[seed] >= 0, n + " members, seed " + seed);
+        Fleet fleet = new Fleet(memberCount, seed);
+        fleet.lossRate = 0.1;
+        assertTrue(fleet.awaitCondition(fleet::viewsAgree, fleet.timings.convergenceTicks()) >= 0);
+        long sentBefore = fleet.sentCount;
+        fleet.advance(10 * Fleet.SECOND);
+        sentPerSecond += (fleet.sentCount - sentBefore) / 10.0 / memberCount / runs;
+        fleet.dead[memberCount / 2] = true;
+        failureTimes[seed] = fleet.awaitCondition(
+            () -> fleet.allOthersSee(memberCount / 2, State.FAILED),
+            timings.failureDetectionTicks());
+        fleet.canReach = (sender,
+            receiver) -> sender < memberCount / 3 == receiver < memberCount / 3;
+        fleet.advance(20 * Fleet.SECOND);
+        fleet.canReach = (sender, receiver) -> true;
+        convergenceTimes[seed] = fleet.awaitCondition(fleet::viewsAgree,
+            timings.convergenceTicks());
+        assertTrue(failureTimes[seed] >= 0 && convergenceTimes[seed] >= 0,
+            memberCount + " members, seed " + seed);
       }
-      print(n, "T1", failed, terms.failureDetectionTicks());
-      print(n, "T3", equal, terms.convergenceTicks());
+      print(memberCount, "T1", failureTimes, timings.failureDetectionTicks());
+      print(memberCount, "T3", convergenceTimes, timings.convergenceTicks());
       System.out.printf(Locale.ROOT,
-          "MEASURED %d members: %.2f datagrams a second each sent, %.1f stated%n", n, cost,
-          terms.datagramsPerSecond());
+          "MEASURED %d members: %.2f datagrams a second each sent, %.1f stated%n", memberCount,
+          sentPerSecond, timings.datagramsPerSecond());
     }
   }
 
-  /** A thousand that start at once, knowing nobody, all know each other. */
+  /** Measures the time until all views agree if up to 1000 members start at the same time. */
   @Test
-  void allStartAtOnce() {
-    for (int n : new int[] {100, 300, 1000}) {
-      Fleet f = new Fleet(n, 3);
-      f.loss = 0.1;
-      long took = f.until(f::agree, 3 * f.terms.convergenceTicks());
-      System.out.printf(Locale.ROOT, "MEASURED %d members from nothing: %.1f s, T3 %.1f s%n", n,
-          (double) took / Fleet.SECOND, (double) f.terms.convergenceTicks() / Fleet.SECOND);
+  void measureSimultaneousStart() {
+    for (int memberCount : new int[] {100, 300, 1000}) {
+      Fleet fleet = new Fleet(memberCount, 3);
+      fleet.lossRate = 0.1;
+      long duration = fleet.awaitCondition(fleet::viewsAgree, 3 * fleet.timings.convergenceTicks());
+      System.out.printf(Locale.ROOT, "MEASURED %d members from nothing: %.1f s, T3 %.1f s%n",
+          memberCount, (double) duration / Fleet.SECOND,
+          (double) fleet.timings.convergenceTicks() / Fleet.SECOND);
     }
   }
 
   @Test
-  void falseVerdicts() {
-    for (double loss : new double[] {0.1, 0.3}) {
-      int wrong = 0;
+  void measureFalseFailures() {
+    for (double lossRate : new double[] {0.1, 0.3}) {
+      int falseFailures = 0;
       for (int seed = 0; seed < 5; seed++) {
-        Fleet f = new Fleet(20, seed);
-        f.until(f::agree, f.terms.convergenceTicks());
-        f.loss = loss;
-        f.pass(600 * Fleet.SECOND);
-        wrong += f.falseFailures;
-        f.loss = 0;
-        assertTrue(f.until(f::agree, f.terms.convergenceTicks()) >= 0);
+        Fleet fleet = new Fleet(20, seed);
+        fleet.awaitCondition(fleet::viewsAgree, fleet.timings.convergenceTicks());
+        fleet.lossRate = lossRate;
+        fleet.advance(600 * Fleet.SECOND);
+        falseFailures += fleet.falseFailures;
+        fleet.lossRate = 0;
+        assertTrue(fleet.awaitCondition(fleet::viewsAgree, fleet.timings.convergenceTicks()) >= 0);
       }
       System.out.printf(Locale.ROOT,
-          "MEASURED loss %.1f: %d false verdicts in 5 x 10 minutes of 20 members%n", loss, wrong);
-      assertTrue(loss > 0.1 || wrong == 0);
+          "MEASURED loss %.1f: %d false verdicts in 5 x 10 minutes of 20 members%n", lossRate,
+          falseFailures);
+      assertTrue(lossRate > 0.1 || falseFailures == 0);
     }
   }
 
-  private static void print(int n, String what, double[] times, long stated) {
+  private static void print(int memberCount, String boundName, double[] times, long bound) {
     Arrays.sort(times);
     System.out.printf(Locale.ROOT,
-        "MEASURED %d members, %s: p50 %.1f s, max %.1f s of %d; stated %.1f s%n", n, what,
-        times[times.length / 2] / Fleet.SECOND, times[times.length - 1] / Fleet.SECOND,
-        times.length, (double) stated / Fleet.SECOND);
+        "MEASURED %d members, %s: p50 %.1f s, max %.1f s of %d; stated %.1f s%n", memberCount,
+        boundName, times[times.length / 2] / Fleet.SECOND, times[times.length - 1] / Fleet.SECOND,
+        times.length, (double) bound / Fleet.SECOND);
   }
 }
