--- a/src/main/java/saltlatch/settings/InvalidSettingException.java
+++ b/src/main/java/saltlatch/settings/InvalidSettingException.java
@@ -1,24 +1,33 @@
 package saltlatch.settings;
 
 /**
- * A configuration or settings text that can't be used. The message names the key and what is
- * expected of its value.
+ * Thrown for an invalid configuration or settings text. The message names the key, the expected
+ * value and the value found.
  */
 public final class InvalidSettingException extends IllegalArgumentException {
   private static final long serialVersionUID = 1;
+  private static final int MAX_QUOTED_CHARS = 80;
 
-  /** A problem that is not about one key's presence or type. */
+  /** Creates an exception for a problem other than a missing key or a wrong type. */
   public InvalidSettingException(String message) {
     super(message);
   }
 
-  /** A key that must be there is not. */
+  /** Returns an exception for a required key that is missing. */
   public static InvalidSettingException missing(String key) {
-    return new InvalidSettingException(key + " is missing");
+    return new InvalidSettingException("required key " + key + " is missing");
   }
 
-  /** A key's value is not of the expected type, which is named as in "number" or "list". */
-  public static InvalidSettingException wrongType(String key, String expectedType) {
-    return new InvalidSettingException(key + " is no " + expectedType);
+  /**
+   * Returns an exception for a value of the wrong type.
+   *
+   * @param expectedType names the type, for example "number" or "list"
+   * @param found        the value as JSON text; the message quotes at most 80 characters of it
+   */
+  public static InvalidSettingException wrongType(String key, String expectedType, String found) {
+    String quoted = found.length() <= MAX_QUOTED_CHARS ? found
+        : found.substring(0, MAX_QUOTED_CHARS) + "...";
+    return new InvalidSettingException(
+        key + ": expected type: " + expectedType + ", found: " + quoted);
   }
 }
--- a/src/main/java/saltlatch/settings/JsonSection.java
+++ b/src/main/java/saltlatch/settings/JsonSection.java
@@ -9,9 +9,9 @@
 import saltlatch.api.Ticks;
 
 /**
- * One object of a JSON text with typed access to its keys. Every failure is an
- * {@link InvalidSettingException} that names the key. Immutable as long as nobody changes the JSON
- * behind it.
+ * A JSON object with typed access to its keys. For a value of the wrong type, accessors throw an
+ * {@link InvalidSettingException} that names the key. Immutable as long as the underlying JSON
+ * object is not modified.
  */
 public final class JsonSection {
   private final JsonObject json;
@@ -21,73 +21,79 @@
   }
 
   /**
-   * Parses a text that is one object.
+   * Parses a text that consists of one JSON object.
    *
-   * @throws RuntimeException from the parser, if the text is not
+   * @throws RuntimeException from the parser, if the text is anything else
    */
   public static JsonSection parse(String text) {
     return new JsonSection(JsonParser.parseString(text).getAsJsonObject());
   }
 
-  /** Whether the key is there, be its value null. */
+  /** Returns whether the key is present, even if its value is null. */
   public boolean has(String key) {
     return json.has(key);
   }
 
-  /** Whether the key is there with a value other than null. */
+  /** Returns whether the key is present with a value other than null. */
   public boolean hasValue(String key) {
     return json.has(key) && !json.get(key).isJsonNull();
   }
 
-  /** An object within this one; an empty one if the key is not there. */
+  /** Returns the object under the key, or an empty one if the key is absent. */
   public JsonSection section(String key) {
     return json.has(key) ? new JsonSection(required(key, "object", JsonElement::getAsJsonObject))
         : new JsonSection(new JsonObject());
   }
 
-  /** A number; 0 if the key is not there or null. */
+  /** Returns the number under the key, or 0 if the key is absent or its value is null. */
   public double number(String key) {
     return hasValue(key) ? required(key, "number", JsonElement::getAsDouble) : 0;
   }
 
-  /** A number; {@code absent} if the key is not there. */
-  public double numberOr(String key, double absent) {
-    return has(key) ? required(key, "number", JsonElement::getAsDouble) : absent;
+  /** Returns the number under the key, or {@code defaultValue} if the key is absent. */
+  public double numberOr(String key, double defaultValue) {
+    return has(key) ? required(key, "number", JsonElement::getAsDouble) : defaultValue;
   }
 
-  /** A time that the text gives in milliseconds, in whole ticks; 0 if it is not there or null. */
+  /**
+   * Converts a duration given in milliseconds to whole ticks; returns 0 if the key is absent or its
+   * value is null.
+   */
   public long ticks(String key) {
     return Ticks.ofMillis(number(key));
   }
 
-  /** A boolean; false if the key is not there. */
+  /** Returns the boolean under the key, or false if the key is absent. */
   public boolean flag(String key) {
     return json.has(key) && required(key, "boolean", JsonElement::getAsBoolean);
   }
 
-  /** A text; empty if the key is not there. */
+  /** Returns the string under the key, or an empty one if the key is absent. */
   public String text(String key) {
     return json.has(key) ? required(key, "word", JsonElement::getAsString) : "";
   }
 
-  /** A whole number that must be there. */
+  /** Returns the integer under a required key. */
   public int requiredInt(String key) {
     return required(key, "number", JsonElement::getAsInt);
   }
 
-  /** A list of objects that must be there. */
+  /** Returns the list of objects under a required key. */
   public List<JsonSection> requiredSections(String key) {
     return required(key, "list of objects",
         list -> map(list, entry -> new JsonSection(entry.getAsJsonObject())));
   }
 
-  /** A list of texts; empty if the key is not there. */
+  /** Returns the list of strings under the key, or an empty one if the key is absent. */
   public List<String> texts(String key) {
     return json.has(key) ? required(key, "list", list -> map(list, JsonElement::getAsString))
         : List.of();
   }
 
-  /** The names of a list of objects, each under its key "name"; empty if it is not there. */
+  /**
+   * Returns the value of "name" of each object in the list under the key; empty if the key is
+   * absent.
+   */
   public List<String> namesOf(String key) {
     if (!json.has(key)) return List.of();
     return required(key, "list", list -> map(list, entry -> new JsonSection(entry.getAsJsonObject())
@@ -95,23 +101,24 @@
   }
 
   private static <T> List<T> map(JsonElement list, Function<JsonElement, T> decode) {
-    List<T> all = new ArrayList<>();
-    list.getAsJsonArray().forEach(entry -> all.add(decode.apply(entry)));
-    return all;
+    List<T> decoded = new ArrayList<>();
+    list.getAsJsonArray().forEach(entry -> decoded.add(decode.apply(entry)));
+    return decoded;
   }
 
   /**
-   * What must be there.
+   * Returns the decoded value of a required key.
    *
-   * @param expectedType what the failure's message calls the value, as in "number"
+   * @param expectedType the type's name in the error message, for example "number"
    * @param decode       throws a {@link RuntimeException} for a value of another type
+   * @throws InvalidSettingException if the key is absent or its value has another type
    */
   public <T> T required(String key, String expectedType, Function<JsonElement, T> decode) {
     if (!json.has(key)) throw InvalidSettingException.missing(key);
     try {
       return decode.apply(json.get(key));
     } catch (RuntimeException e) {
-      throw InvalidSettingException.wrongType(key, expectedType);
+      throw InvalidSettingException.wrongType(key, expectedType, json.get(key).toString());
     }
   }
 }
--- a/src/main/java/saltlatch/settings/SettingsReader.java
+++ b/src/main/java/saltlatch/settings/SettingsReader.java
@@ -8,36 +8,39 @@
 import saltlatch.api.Ticks;
 
 /**
- * Maps the settings' keys to the field's terms; the only class that knows them. The settings stand
- * in the simulator's first message and in a node's configuration. Unknown keys are skipped.
+ * Maps the keys of the settings to the names that the code uses; only this class contains the keys.
+ * The settings are part of the simulator's first message and of a node's configuration. Unknown
+ * keys are ignored.
  */
 public final class SettingsReader {
   private SettingsReader() {}
 
   /**
-   * Reads what the policy needs from a text.
+   * Reads the policy's settings from a text.
    *
-   * @throws RuntimeException for a text that is no JSON object, {@link InvalidSettingException} for
-   *     a key whose value can't be used
+   * @param seed seed of the policy's random draws
+   * @throws RuntimeException if the text is not a JSON object; {@link InvalidSettingException} if a
+   *     key is missing or its value is invalid
    */
   public static GatewaySettings read(String text, long seed) {
     return read(JsonSection.parse(text), seed);
   }
 
   /**
-   * Reads what the policy needs.
+   * Reads the policy's settings.
    *
-   * @throws InvalidSettingException for a key whose value can't be used
+   * @param seed seed of the policy's random draws
+   * @throws InvalidSettingException if a key is missing or its value is invalid
    */
   public static GatewaySettings read(JsonSection settings, long seed) {
     List<GatewaySettings.RequestClass> requestClasses = new ArrayList<>();
-    for (JsonSection each : settings.requiredSections("categories")) {
-      requestClasses.add(requestClass(each));
+    for (JsonSection section : settings.requiredSections("categories")) {
+      requestClasses.add(requestClass(section));
     }
     List<GatewaySettings.QuotaPlan> quotaPlans = new ArrayList<>();
     if (settings.has("contracts")) {
-      for (JsonSection each : settings.requiredSections("contracts")) {
-        quotaPlans.add(quotaPlan(each));
+      for (JsonSection section : settings.requiredSections("contracts")) {
+        quotaPlans.add(quotaPlan(section));
       }
     }
     return new GatewaySettings(seed, (int) settings.number("peersTotal"), settings.ticks("quantum"),
@@ -45,9 +48,9 @@
   }
 
   /**
-   * Reads what a host with sockets needs.
+   * Reads the settings that only a host with sockets needs.
    *
-   * @throws InvalidSettingException for a key whose value can't be used
+   * @throws InvalidSettingException if a key's value is invalid
    */
   public static HostSettings readHostSettings(JsonSection settings) {
     JsonSection limits = settings.section("limits");
@@ -59,10 +62,10 @@
         settings.namesOf("contracts"), settings.texts("azs"), settings.texts("machineTypes"));
   }
 
-  private static GatewaySettings.RequestClass requestClass(JsonSection from) {
-    return new GatewaySettings.RequestClass(retrySafety(from.text("effect")),
-        keyScope(from.text("keyScope")), from.ticks("window"), from.ticks("aim"),
-        from.ticks("deadline"), from.number("importance"));
+  private static GatewaySettings.RequestClass requestClass(JsonSection section) {
+    return new GatewaySettings.RequestClass(retrySafety(section.text("effect")),
+        keyScope(section.text("keyScope")), section.ticks("window"), section.ticks("aim"),
+        section.ticks("deadline"), section.number("importance"));
   }
 
   private static RetrySafety retrySafety(String text) {
@@ -81,10 +84,10 @@
     };
   }
 
-  private static GatewaySettings.QuotaPlan quotaPlan(JsonSection from) {
-    return new GatewaySettings.QuotaPlan(from.number("refill"), from.number("peakUnits"),
-        (int) from.number("parallel"), from.number("capRate"), from.number("hardBurst"),
-        from.number("pays"));
+  private static GatewaySettings.QuotaPlan quotaPlan(JsonSection section) {
+    return new GatewaySettings.QuotaPlan(section.number("refill"), section.number("peakUnits"),
+        (int) section.number("parallel"), section.number("capRate"), section.number("hardBurst"),
+        section.number("pays"));
   }
 
   private static GatewaySettings.Limits limits(JsonSection settings) {
@@ -109,7 +112,8 @@
         settings.section("fees").number("peer"));
   }
 
-  private static long nearestTicks(JsonSection from, String key) {
-    return Math.round(from.numberOr(key, 0) * Ticks.PER_MILLISECOND);
+  /** Converts milliseconds to ticks, rounded to the nearest tick; 0 if the key is absent. */
+  private static long nearestTicks(JsonSection section, String key) {
+    return Math.round(section.numberOr(key, 0) * Ticks.PER_MILLISECOND);
   }
 }
--- a/src/main/java/saltlatch/settings/package-info.java
+++ b/src/main/java/saltlatch/settings/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Decodes the settings of a deployment into typed, immutable values and maps their keys to the
- * field's terms, in {@link saltlatch.settings.SettingsReader} alone.
+ * Decodes the settings of a deployment into typed, immutable values. Only {@link
+ * saltlatch.settings.SettingsReader} maps the keys of the settings to the names that the code uses.
  *
- * <p>Imports {@code api} and the JSON parser. Called by a node's configuration reader and by the
- * simulator's host, once at the start and at each reload, from any thread.
+ * <p>Imports {@code api} and the JSON parser. Called by a node's configuration reader at the start
+ * and at each reload, and by the simulator's host for each instance, from any thread.
  */
 package saltlatch.settings;
