--- a/src/main/java/saltlatch/state/ConnectionPool.java
+++ b/src/main/java/saltlatch/state/ConnectionPool.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The idle connections to one app server. The one used last is taken first, so that connections
- * that are not needed grow old and can be closed. Owned by the event loop; times are ticks.
+ * The idle connections to one app server, reused in last-in, first-out order, so that surplus
+ * connections stay idle until they can be closed. Owned by the event loop; times are in ticks.
  *
  * @param <C> the type of a connection, compared by identity
  */
@@ -17,8 +17,8 @@
   private final ArrayDeque<Idle<C>> idle = new ArrayDeque<>();
 
   /**
-   * Takes the connection used last among those that have been idle since {@code atOrBeforeTicks} or
-   * longer; null if there is none.
+   * Removes and returns the most recently used connection that became idle at or before {@code
+   * atOrBeforeTicks}; null if there is none.
    */
   public C takeIdleSince(long atOrBeforeTicks) {
     for (Iterator<Idle<C>> latestFirst = idle.descendingIterator(); latestFirst.hasNext();) {
@@ -30,17 +30,20 @@
     return null;
   }
 
-  /** Takes in a connection that is idle from now on. */
+  /** Adds a connection that has just become idle. */
   public void put(C connection, long nowTicks) {
     idle.addLast(new Idle<>(connection, nowTicks));
   }
 
-  /** Removes a connection, as when it has closed; does nothing if it is not idle. */
+  /** Removes a connection, for example after it closed; has no effect if it is not idle. */
   public void remove(C connection) {
     idle.removeIf(entry -> entry.connection() == connection);
   }
 
-  /** Removes and returns the connections idle since before {@code beforeTicks}, oldest first. */
+  /**
+   * Removes and returns the connections that became idle before {@code beforeTicks}, the longest
+   * idle first.
+   */
   public List<C> removeIdleBefore(long beforeTicks) {
     List<C> removed = new ArrayList<>();
     while (!idle.isEmpty() && idle.peekFirst().sinceTicks() < beforeTicks) {
@@ -49,7 +52,10 @@
     return removed;
   }
 
-  /** Since when the oldest one is idle, in ticks; {@link Long#MAX_VALUE} if none is. */
+  /**
+   * Returns when the longest idle connection became idle, in ticks; {@link Long#MAX_VALUE} if there
+   * is none.
+   */
   public long oldestIdleSinceTicks() {
     return idle.isEmpty() ? Long.MAX_VALUE : idle.peekFirst().sinceTicks();
   }
--- a/src/main/java/saltlatch/state/NameIdTable.java
+++ b/src/main/java/saltlatch/state/NameIdTable.java
@@ -7,36 +7,39 @@
 import java.util.function.IntConsumer;
 
 /**
- * Assigns small numbers to names, always the lowest one that is free, and frees a number once its
- * name is released. Owned by the event loop.
+ * Assigns each name the lowest free number, from 0. A number becomes free when it is released.
+ * Owned by the event loop.
  */
 public final class NameIdTable {
   private final Map<String, Integer> numbers = new HashMap<>();
-  private final List<String> names = new ArrayList<>(); // by number; null: free
-  private int lowestFree; // no number below it is free
+  private final List<String> names = new ArrayList<>(); // by number; null if the number is free
+  private int lowestFree; // all numbers below are in use
 
-  /** Starts with no names. */
+  /** Creates an empty table. */
   public NameIdTable() {}
 
-  /** Starts with these names, numbered in their order; a repeated one keeps its first number. */
-  public NameIdTable(List<String> known) {
-    known.forEach(this::assign);
+  /**
+   * Creates a table of these names, numbered in their order; a repeated name keeps its first
+   * number.
+   */
+  public NameIdTable(List<String> initialNames) {
+    initialNames.forEach(this::assign);
   }
 
-  /** The number of a name; below 0 if it has none. */
+  /** Returns the number of a name, or -1 if it has none. */
   public int find(String name) {
     return numbers.getOrDefault(name, -1);
   }
 
-  /** The name that has this number, or null. */
+  /** Returns the name that has this number, or null if the number is free. */
   public String name(int number) {
     return number >= 0 && number < names.size() ? names.get(number) : null;
   }
 
-  /** The number of a name, which gets one if it has none. */
+  /** Returns the number of a name, and assigns one first if it has none. */
   public int assign(String name) {
-    Integer known = numbers.get(name);
-    if (known != null) return known;
+    Integer assigned = numbers.get(name);
+    if (assigned != null) return assigned;
     while (lowestFree < names.size() && names.get(lowestFree) != null) lowestFree++;
     if (lowestFree == names.size()) names.add(null);
     names.set(lowestFree, name);
@@ -44,7 +47,7 @@
     return lowestFree;
   }
 
-  /** How many names have a number. */
+  /** Returns the number of names in the table. */
   public int size() {
     return numbers.size();
   }
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Frees a number that is in use. */
+  /** Removes the name of a number, which must be in use, and frees the number. */
   public void release(int number) {
     numbers.remove(names.get(number));
     names.set(number, null);
--- a/src/main/java/saltlatch/state/NodeMetrics.java
+++ b/src/main/java/saltlatch/state/NodeMetrics.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Counts what the node has received, sent and answered since its start, for the command INFO. Owned
- * by the node's event loop, which alone adds; other threads may read a text that lags behind.
+ * The node's metrics since its start, returned by the command INFO. Only the node's event loop
+ * updates them; other threads that read them may get values that are not up to date.
  */
 public final class NodeMetrics {
-  /** One thing that is counted, with the name of its line in INFO. The order is INFO's. */
+  /** A metric and its name in INFO. INFO lists the metrics in the order of the constants. */
   public enum Metric {
     CLIENT_CONNECTIONS_ACCEPTED("clients_accepted"),
     CLIENT_CONNECTIONS_OVER_LIMIT("clients_over_limit"),
@@ -64,24 +64,24 @@
 
   private final Map<Metric, Count> counts = new EnumMap<>(Metric.class);
 
-  /** All metrics at zero. */
+  /** Creates metrics that are all zero. */
   public NodeMetrics() {
     for (Metric metric : Metric.values()) {
       counts.put(metric, new Count());
     }
   }
 
-  /** Adds one; called on the event loop. */
+  /** Increments a metric by 1; called on the event loop. */
   public void add(Metric metric) {
     add(metric, 1);
   }
 
-  /** Adds an amount; called on the event loop. */
+  /** Increments a metric by an amount; called on the event loop. */
   public void add(Metric metric, long amount) {
     counts.get(metric).value += amount;
   }
 
-  /** A {@code name=value} line for each metric in the order of INFO, zeros included. */
+  /** Returns a {@code name=value} line for each metric in the order of INFO, including zeros. */
   public String infoText() {
     StringBuilder text = new StringBuilder();
     counts.forEach((metric, count) -> text.append(metric.infoName).append('=').append(count.value)
--- a/src/main/java/saltlatch/state/RequestContext.java
+++ b/src/main/java/saltlatch/state/RequestContext.java
@@ -1,25 +1,32 @@
 package saltlatch.state;
 
 /**
- * One request in flight, from its last byte to its final response and the end of its attempts: the
- * only thing that the client side and the app server side of the node share. The first final
- * response wins; later ones are dropped. Owned by the event loop.
+ * A request in flight, from the receipt of its last byte until it has its final response and all
+ * its attempts have ended. It is the only state that the client side and the app server side of the
+ * node share. The first final response is sent; later ones are dropped. Owned by the event loop.
  */
 public final class RequestContext {
-  /** Where the final response goes. Called on the event loop, once for each request. */
+  /**
+   * Receives the final response. One of its response methods is called, on the event loop, at most
+   * once for each request.
+   */
   public interface ResponseSink {
-    /** Sends the app server's value. */
+    /** Sends the value that the app server returned. */
     void succeed(byte[] value);
 
-    /** Rejects the request; a retry is harmless, best after {@code retryAfterMs} (0: no advice). */
+    /**
+     * Rejects the request, which was not executed, so that a retry is safe.
+     *
+     * @param retryAfterMs how long the client should wait before a retry; 0 for no advice
+     */
     void reject(long retryAfterMs);
 
-    /** Fails the request; it may have been executed. */
+    /** Fails the request, which may have been executed. */
     void fail();
 
     /**
-     * How long ago the operating system received the last bytes of this connection; 0 if that is
-     * not known.
+     * Returns how long ago, in ticks, the operating system received the last bytes of this
+     * connection; 0 if unknown.
      */
     long readDelayTicks();
   }
@@ -37,37 +44,37 @@
     this.client = client;
   }
 
-  /** The number that this node gave the request on arrival. */
+  /** Returns the number that this node assigned to the request on arrival. */
   public long requestId() {
     return requestId;
   }
 
-  /** The client's command. */
+  /** Returns the request as decoded from the client's command. */
   public ClientRequest request() {
     return request;
   }
 
-  /** Whether the request has its final response, or nobody waits for one any more. */
+  /** Returns whether the request has its final response or its client has disconnected. */
   public boolean isFinished() {
     return finished;
   }
 
-  /** Final response: the app server's value. */
+  /** Sends the app server's value as the final response. */
   public void succeed(byte[] value) {
     if (finish()) client.succeed(value);
   }
 
-  /** Final response: rejected, with a wait advised unless it is 0. */
+  /** Rejects the request; a {@code retryAfterMs} of 0 gives the client no advice when to retry. */
   public void reject(long retryAfterMs) {
     if (finish()) client.reject(retryAfterMs);
   }
 
-  /** Final response: failed. */
+  /** Fails the request, which may have been executed. */
   public void fail() {
     if (finish()) client.fail();
   }
 
-  /** The client closed its connection: nobody waits for a response any more. */
+  /** Records that the client closed its connection: no final response is sent any more. */
   public void clientDisconnected() {
     finished = true;
   }
@@ -78,7 +85,7 @@
     return first;
   }
 
-  /** Returns the number of the attempt that begins. */
+  /** Starts an attempt and returns its number, from 0. */
   int startAttempt() {
     attemptsInFlight++;
     return attempts++;
@@ -88,7 +95,7 @@
     attemptsInFlight--;
   }
 
-  /** Whether it is finished with no attempt in flight. */
+  /** Returns whether the request is finished and has no attempt in flight. */
   boolean isComplete() {
     return finished && attemptsInFlight == 0;
   }
--- a/src/test/java/saltlatch/state/NodeMetricsTest.java
+++ b/src/test/java/saltlatch/state/NodeMetricsTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names that the command INFO gives: dashboards and the bench read them, so a constant that is
- * renamed must not rename its line.
+ * Guards the names of the metrics in the reply to INFO, which dashboards and the benchmark read:
+ * renaming a constant must not change its line.
  */
 class NodeMetricsTest {
   private static final List<String> INFO_NAMES = List.of("clients_accepted", "clients_over_limit",
@@ -22,14 +22,14 @@
       "exceptions");
 
   @Test
-  void infoNamesInOrder() {
+  void infoListsMetricNamesInOrder() {
     List<String> names = new NodeMetrics().infoText().lines().map(line -> line.split("=", 0)[0])
         .toList();
     assertEquals(INFO_NAMES, names);
   }
 
   @Test
-  void eachMetricCountsOnItsOwnLine() {
+  void eachMetricHasItsOwnInfoLine() {
     NodeMetrics metrics = new NodeMetrics();
     NodeMetrics.Metric[] all = NodeMetrics.Metric.values();
     for (int i = 0; i < all.length; i++) metrics.add(all[i], 100 + i);
--- a/src/test/java/saltlatch/state/TimerQueueTest.java
+++ b/src/test/java/saltlatch/state/TimerQueueTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Order, cancelling and renewal of timers, on times that the test gives. */
+/** Tests the order, cancellation and renewal of timers at given times. */
 class TimerQueueTest {
   private final TimerQueue timers = new TimerQueue();
   private final List<String> ran = new ArrayList<>();
 
   @Test
-  void runsInOrderOfTimeThenOfCreation() {
+  void runsTimersByDueTimeThenByCreation() {
     timers.add(20, () -> ran.add("late"));
     timers.add(10, () -> ran.add("first"));
     timers.add(10, () -> ran.add("second"));
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void cancelledTimersNeitherRunNorCount() {
+  void cancelledTimerNeitherRunsNorIsReportedAsDue() {
     TimerQueue.Timer timer = timers.add(10, () -> ran.add("cancelled"));
     timer.cancel();
     assertEquals(Long.MAX_VALUE, timers.nextDueTicks());
@@ -31,9 +31,9 @@
     assertEquals(List.of(), ran);
   }
 
-  /** A timer that renews itself for now must not hold the loop. */
+  /** Guards against a timer that re-adds itself without delay and so blocks the event loop. */
   @Test
-  void whatAnActionAddsWaitsForTheNextCall() {
+  void timerAddedByAnActionRunsInTheNextCall() {
     timers.add(10, () -> timers.add(10, () -> ran.add("renewed")));
     timers.runDue(10);
     assertEquals(List.of(), ran);
