--- a/src/main/java/saltlatch/simhost/MalformedFrameException.java
+++ b/src/main/java/saltlatch/simhost/MalformedFrameException.java
@@ -1,6 +1,8 @@
 package saltlatch.simhost;
 
-/** A frame of the simulator that can't be read; the message says which part of it and why. */
+/**
+ * Thrown for a frame that can't be decoded. The message names the part, the limit and the value.
+ */
 final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/saltlatch/simhost/ReplyFrame.java
+++ b/src/main/java/saltlatch/simhost/ReplyFrame.java
@@ -12,12 +12,13 @@
 import saltlatch.wire.peer.GossipCodec;
 
 /**
- * The frame of actions that answers a frame of events: records of a fixed size in the order of the
- * actions, and a tail for what has no fixed size. Little-endian, times in milliseconds as doubles.
- * Offsets are those of the socket protocol's page. Used again for each frame, by the host's thread.
+ * Encodes the frame of actions that replies to a frame of events: records of a fixed size in the
+ * order of the actions, and a tail with variable-size data. Numbers are little-endian, times are
+ * doubles in milliseconds. The offsets in this class are those of the socket protocol's
+ * documentation. The host's thread reuses one instance for all frames.
  */
 final class ReplyFrame {
-  /** Codes of records, in the order of the protocol's page. */
+  // Codes of the records, in the order of the protocol's documentation.
   private static final int CLOSE_IDLE_CONNECTIONS = 256;
   private static final int CRASH = 258;
   private static final int START_ATTEMPT = 259;
@@ -33,21 +34,21 @@
 
   private static final int RECORD_BYTES = 24;
   private static final int INITIAL_RECORDS = 256;
-  private static final int INSTANCE_AT = 2;
-  private static final int BODY_AT = 4;
+  private static final int INSTANCE_OFFSET = 2;
+  private static final int BODY_OFFSET = 4;
 
   private ByteBuffer records = ByteBuffer.allocate(RECORD_BYTES * INITIAL_RECORDS)
       .order(ByteOrder.LITTLE_ENDIAN);
   private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
   private int recordCount;
 
-  /** Begins the next frame. */
+  /** Removes all records and the tail, so that the next frame can be built. */
   void clear() {
     tail.reset();
     recordCount = 0;
   }
 
-  /** Writes the frame with its length in front. */
+  /** Writes the frame, preceded by its length in bytes. */
   void write(OutputStream out) throws IOException {
     int recordsBytes = recordCount * RECORD_BYTES;
     ByteBuffer header = ByteBuffer.allocate(2 * Integer.BYTES).order(ByteOrder.LITTLE_ENDIAN);
@@ -57,27 +58,27 @@
     tail.writeTo(out);
   }
 
-  /** Reports that an instance's policy has thrown an exception. */
+  /** Adds a record that reports that an instance's policy threw an exception. */
   void addCrash(int instance, String text) {
-    attach(addRecord(CRASH, instance), text.getBytes(StandardCharsets.UTF_8));
+    appendToTail(addRecord(CRASH, instance), text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** What writes an instance's actions into this frame. */
+  /** Returns an encoder that adds an instance's actions to this frame. */
   GatewayActions actionsOf(int instance) {
     return new ActionEncoder(instance);
   }
 
   /**
-   * Adds a record of zeros, and returns the place of its body. To be called before {@code records}
-   * is read, which it may replace by a larger one.
+   * Adds a record with a body of zeros and returns the body's offset. This method may replace
+   * {@code records} by a larger buffer, so callers must call it before they read that field.
    */
   private int addRecord(int code, int instance) {
-    int at = recordCount++ * RECORD_BYTES;
-    if (at + RECORD_BYTES > records.capacity()) grow(at);
-    for (int i = 0; i < RECORD_BYTES; i += Long.BYTES) records.putLong(at + i, 0);
-    records.putShort(at, (short) code);
-    records.putShort(at + INSTANCE_AT, (short) instance);
-    return at + BODY_AT;
+    int offset = recordCount++ * RECORD_BYTES;
+    if (offset + RECORD_BYTES > records.capacity()) grow(offset);
+    for (int i = 0; i < RECORD_BYTES; i += Long.BYTES) records.putLong(offset + i, 0);
+    records.putShort(offset, (short) code);
+    records.putShort(offset + INSTANCE_OFFSET, (short) instance);
+    return offset + BODY_OFFSET;
   }
 
   private void grow(int usedBytes) {
@@ -86,13 +87,13 @@
     records = larger;
   }
 
-  /** Puts bytes into the tail, and their place and number into a record. */
-  private void attach(int at, byte[] bytes) {
-    records.putInt(at, tail.size()).putInt(at + Integer.BYTES, bytes.length);
+  /** Appends bytes to the tail, and writes their offset and length into a record. */
+  private void appendToTail(int offset, byte[] bytes) {
+    records.putInt(offset, tail.size()).putInt(offset + Integer.BYTES, bytes.length);
     tail.writeBytes(bytes);
   }
 
-  /** One instance's actions, written as the policy takes them. */
+  /** Encodes the actions of an instance in the order in which the policy takes them. */
   private final class ActionEncoder implements GatewayActions {
     private final int instance;
 
@@ -106,75 +107,75 @@
 
     @Override
     public void startAttempt(long requestId, long serverId, long timeoutTicks) {
-      int at = add(START_ATTEMPT);
-      records.putInt(at, (int) requestId);
-      records.putDouble(at + 4, Ticks.toMillis(timeoutTicks));
-      records.putInt(at + 12, (int) serverId);
+      int offset = add(START_ATTEMPT);
+      records.putInt(offset, (int) requestId);
+      records.putDouble(offset + 4, Ticks.toMillis(timeoutTicks));
+      records.putInt(offset + 12, (int) serverId);
     }
 
     @Override
     public void reject(long requestId, long retryAfterTicks) {
-      int at = add(REJECT);
-      records.putInt(at, (int) requestId);
-      records.putDouble(at + 4, Ticks.toMillis(retryAfterTicks));
+      int offset = add(REJECT);
+      records.putInt(offset, (int) requestId);
+      records.putDouble(offset + 4, Ticks.toMillis(retryAfterTicks));
     }
 
     @Override
     public void fail(long requestId) {
-      int at = add(FAIL);
-      records.putInt(at, (int) requestId);
+      int offset = add(FAIL);
+      records.putInt(offset, (int) requestId);
     }
 
     @Override
     public void cancelAttempt(long requestId, int attempt) {
-      int at = add(CANCEL_ATTEMPT);
-      records.putInt(at, (int) requestId);
-      records.put(at + 4, (byte) attempt);
+      int offset = add(CANCEL_ATTEMPT);
+      records.putInt(offset, (int) requestId);
+      records.put(offset + 4, (byte) attempt);
     }
 
     @Override
     public void setTimer(long dueTicks, long timerId) {
-      int at = add(SET_TIMER);
-      records.putDouble(at, Ticks.toMillis(dueTicks));
-      records.putLong(at + 8, timerId);
+      int offset = add(SET_TIMER);
+      records.putDouble(offset, Ticks.toMillis(dueTicks));
+      records.putLong(offset + 8, timerId);
     }
 
     @Override
     public void checkHealth(long serverId) {
-      int at = add(CHECK_HEALTH);
-      records.putInt(at, (int) serverId);
+      int offset = add(CHECK_HEALTH);
+      records.putInt(offset, (int) serverId);
     }
 
     @Override
     public void closeIdleConnections(long serverId) {
-      int at = add(CLOSE_IDLE_CONNECTIONS);
-      records.putInt(at, (int) serverId);
+      int offset = add(CLOSE_IDLE_CONNECTIONS);
+      records.putInt(offset, (int) serverId);
     }
 
     @Override
     public void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks) {
-      int at = add(ADD_TO_COUNTER);
-      records.putLong(at, counterName);
-      records.putFloat(at + 8, (float) units);
-      records.putDouble(at + 12, Ticks.toMillis(ttlTicks));
+      int offset = add(ADD_TO_COUNTER);
+      records.putLong(offset, counterName);
+      records.putFloat(offset + 8, (float) units);
+      records.putDouble(offset + 12, Ticks.toMillis(ttlTicks));
     }
 
     @Override
     public void watchEndpoints(boolean on) {
-      int at = add(WATCH_ENDPOINTS);
-      records.put(at, (byte) (on ? 1 : 0));
+      int offset = add(WATCH_ENDPOINTS);
+      records.put(offset, (byte) (on ? 1 : 0));
     }
 
     @Override
     public void sendGossip(int peer, GossipMessage message) {
-      int at = add(SEND_GOSSIP);
-      records.putShort(at, (short) peer);
-      attach(at + 2, GossipCodec.encode(message));
+      int offset = add(SEND_GOSSIP);
+      records.putShort(offset, (short) peer);
+      appendToTail(offset + 2, GossipCodec.encode(message));
     }
 
     @Override
     public void log(String text) {
-      attach(add(LOG), text.getBytes(StandardCharsets.UTF_8));
+      appendToTail(add(LOG), text.getBytes(StandardCharsets.UTF_8));
     }
   }
 }
--- a/src/main/java/saltlatch/simhost/SimulatorHost.java
+++ b/src/main/java/saltlatch/simhost/SimulatorHost.java
@@ -17,84 +17,94 @@
 import saltlatch.settings.SettingsReader;
 
 /**
- * Hosts instances of the policy for the simulator: a frame of events in, a frame of actions out. It
- * decides nothing. Runs on the one thread that calls {@link #run}, which owns everything here.
+ * Hosts instances of the policy for the simulator: reads frames of events, passes the events to the
+ * instances and replies to each frame with a frame of the actions that they take. Makes no
+ * decisions. Runs on the thread that calls {@link #run}, which owns all its state.
  */
 public final class SimulatorHost {
   private static final int BUFFER_BYTES = 1 << 16;
-  private static final int LENGTH_REST_BYTES = 3; // behind the first byte of a frame's length
-  /** The longest array that the JVM gives. */
+  private static final int REMAINING_LENGTH_BYTES = 3; // of a frame's length, after its first byte
+  /** The largest array size that the JVM supports. */
   private static final int MAX_FRAME_BYTES = Integer.MAX_VALUE - 8;
-  private static final int OK = 0;
-  private static final int MALFORMED_FRAME = 2;
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_MALFORMED_FRAME = 2;
 
   private final GatewayPolicy.Factory factory;
   private final Map<Integer, GatewayPolicy> policies = new HashMap<>(); // by instance
   private final ReplyFrame reply = new ReplyFrame();
 
-  /** {@code factory} makes each instance's policy when the simulator attaches it. */
+  /**
+   * Creates a host without instances.
+   *
+   * @param factory creates an instance's policy when the simulator attaches the instance
+   */
   public SimulatorHost(GatewayPolicy.Factory factory) {
     this.factory = factory;
   }
 
   /**
-   * Answers frames until the input ends.
+   * Replies to frames until the end of the input.
    *
-   * @return the exit code: 0 at the input's end, 2 for a malformed frame, which {@code err} names
-   * @throws IOException if input or output fail
+   * @return the exit code: 0 at the end of the input, 2 after a malformed frame, which is reported
+   *     on {@code err}
+   * @throws IOException if the input can't be read or the output can't be written
    */
   public int run(InputStream rawIn, OutputStream rawOut, PrintStream err) throws IOException {
     InputStream in = new BufferedInputStream(rawIn, BUFFER_BYTES);
     OutputStream out = new BufferedOutputStream(rawOut, BUFFER_BYTES);
     try {
       for (byte[] body = readFrame(in); body != null; body = readFrame(in)) {
-        answer(new RequestFrame(body), out);
+        answerFrame(new RequestFrame(body), out);
       }
-      return OK;
+      return EXIT_OK;
     } catch (MalformedFrameException e) {
       err.println("saltlatch simhost: malformed frame: " + e.getMessage());
-      return MALFORMED_FRAME;
+      return EXIT_MALFORMED_FRAME;
     }
   }
 
-  /** A frame without its length; null at the input's end. */
+  /** Returns the next frame without its length field; null at the end of the input. */
   private static byte[] readFrame(InputStream in) throws IOException, MalformedFrameException {
-    int first = in.read();
-    if (first < 0) return null;
-    byte[] rest = in.readNBytes(LENGTH_REST_BYTES);
-    if (rest.length < LENGTH_REST_BYTES) {
-      throw new MalformedFrameException("input ends inside a length");
+    int firstByte = in.read();
+    if (firstByte < 0) return null;
+    byte[] remaining = in.readNBytes(REMAINING_LENGTH_BYTES);
+    if (remaining.length < REMAINING_LENGTH_BYTES) {
+      throw new MalformedFrameException("input ends after " + (1 + remaining.length) + " of "
+          + Integer.BYTES + " bytes of a frame's length");
     }
-    long size = first | (rest[0] & 255L) << 8 | (rest[1] & 255L) << 16 | (rest[2] & 255L) << 24;
+    long size = firstByte | (remaining[0] & 255L) << 8 | (remaining[1] & 255L) << 16
+        | (remaining[2] & 255L) << 24;
     if (size < RequestFrame.HEADER_BYTES || size > MAX_FRAME_BYTES) {
-      throw new MalformedFrameException("a frame cannot have " + size + " bytes");
+      throw new MalformedFrameException("expected a frame length from " + RequestFrame.HEADER_BYTES
+          + " to " + MAX_FRAME_BYTES + " bytes, found " + size);
     }
     byte[] body = in.readNBytes((int) size);
     if (body.length < size) {
-      throw new MalformedFrameException("input ends inside a frame of " + size + " bytes");
+      throw new MalformedFrameException(
+          "input ends after " + body.length + " of " + size + " bytes of a frame");
     }
     return body;
   }
 
-  private void answer(RequestFrame frame, OutputStream out)
+  private void answerFrame(RequestFrame frame, OutputStream out)
       throws MalformedFrameException, IOException {
     reply.clear();
     long nowTicks = frame.nowTicks();
     Map<Integer, List<GatewayEvent>> batches = new LinkedHashMap<>(); // by instance
     for (int record = 0; record < frame.recordCount(); record++) {
-      take(frame, record, batches);
+      acceptRecord(frame, record, batches);
     }
     batches.forEach((instance, events) -> deliver(nowTicks, instance, events));
     reply.write(out);
     out.flush();
   }
 
-  private void take(RequestFrame frame, int record, Map<Integer, List<GatewayEvent>> batches)
-      throws MalformedFrameException {
+  private void acceptRecord(RequestFrame frame, int record,
+      Map<Integer, List<GatewayEvent>> batches) throws MalformedFrameException {
     int instance = frame.instance(record);
     int code = frame.code(record);
     if (code == RequestFrame.ATTACH || code == RequestFrame.DETACH) {
-      // What came before still goes to the instance that ends here.
+      // The instance that ends here still receives the events that precede this record.
       deliver(frame.nowTicks(), instance, batches.remove(instance));
       policies.remove(instance);
       if (code == RequestFrame.ATTACH) attach(frame, record);
@@ -111,7 +121,7 @@
     try {
       settings = SettingsReader.read(text, frame.attachSeed(record));
     } catch (RuntimeException e) {
-      throw new MalformedFrameException("settings: " + e);
+      throw new MalformedFrameException("settings of instance " + instance + ": " + e);
     }
     policies.put(instance, factory.create(frame.nowTicks(), settings, reply.actionsOf(instance)));
   }
--- a/src/test/java/saltlatch/simhost/SimulatorHostTest.java
+++ b/src/test/java/saltlatch/simhost/SimulatorHostTest.java
@@ -20,10 +20,10 @@
 import saltlatch.api.GossipMessage;
 import saltlatch.policy.PolicyEngine;
 
-/** Bytes in and out of the adapter, with a module that does one of everything. */
+/** Tests the simulator host's bytes in and out with policies that take every kind of action. */
 class SimulatorHostTest {
-  /** What an instance is handed, an event a line. */
-  private static final String EVENTS = """
+  /** The events that an instance receives, one on each line. */
+  private static final String EXPECTED_EVENTS = """
       IDEMPOTENT_BY_KEY 10000
       RequestArrived[requestId=1564119492, requestClass=0, plan=0, \
       customer=-7930773538597631388, \
@@ -41,8 +41,8 @@
       CounterReplied[counterName=9041552, outcome=TIMED_OUT, total=38.0, elapsedTicks=20]
       """;
 
-  /** Frames of the actions of {@link #act}, in hexadecimal. */
-  private static final String[] ACTIONS = {"21010000 0b000000",
+  /** The frame of the actions that {@link #takeEveryAction} takes, in hexadecimal. */
+  private static final String[] EXPECTED_REPLY = {"21010000 0b000000",
       "0301 0300 c4913a5d 0000000000005440 074a1203 00000000",
       "0401 0300 192b6f0e 0000000000406f40 0000000000000000",
       "0601 0300 c4913a5d 00000000000000000000000000000000",
@@ -57,51 +57,58 @@
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-  private final StringBuilder told = new StringBuilder();
+  private final StringBuilder received = new StringBuilder();
 
-  private static final String SITE = "{\"peersTotal\":2,\"quantum\":2.0,\"unknown\":{\"x\":[1]},\"categories\":[{"
-      + "\"effect\":\"deduplicated\",\"keyScope\":\"cell\",\"window\":8000,\"aim\":1000,\"deadline\":4000}],"
+  private static final String SETTINGS = "{\"peersTotal\":2,\"quantum\":2.0,"
+      + "\"unknown\":{\"x\":[1]},"
+      + "\"categories\":[{\"effect\":\"deduplicated\",\"keyScope\":\"cell\","
+      + "\"window\":8000,\"aim\":1000,\"deadline\":4000}],"
       + "\"limits\":{\"sendCap\":4},\"familyInfo\":{\"counter\":true,\"countLimit\":30}}";
 
-  private int run(byte[] in, GatewayPolicy.Factory maker) throws IOException {
-    return new SimulatorHost(maker).run(new ByteArrayInputStream(in), out, new PrintStream(err));
+  private int run(byte[] in, GatewayPolicy.Factory factory) throws IOException {
+    return new SimulatorHost(factory).run(new ByteArrayInputStream(in), out, new PrintStream(err));
   }
 
   private static byte[] frame(double ms, byte[] tail, byte[]... records) {
-    ByteBuffer b = ByteBuffer.allocate(16 + 48 * records.length + tail.length)
+    ByteBuffer frame = ByteBuffer.allocate(16 + 48 * records.length + tail.length)
         .order(ByteOrder.LITTLE_ENDIAN);
-    b.putInt(12 + 48 * records.length + tail.length).putDouble(ms).putInt(records.length);
-    for (byte[] r : records) {
-      b.put(r, 0, r.length).position(b.position() + 48 - r.length);
+    frame.putInt(12 + 48 * records.length + tail.length).putDouble(ms).putInt(records.length);
+    for (byte[] record : records) {
+      frame.put(record, 0, record.length).position(frame.position() + 48 - record.length);
     }
-    return b.put(tail).array();
+    return frame.put(tail).array();
   }
 
   private static byte[] hex(String text) {
     return HexFormat.of().parseHex(text.replace(" ", ""));
   }
 
-  private static byte[] attach(int length) {
-    ByteBuffer b = ByteBuffer.allocate(20).order(ByteOrder.LITTLE_ENDIAN);
-    return b.putShort((short) 256).putShort((short) 3).putLong(5).putInt(0).putInt(length).array();
+  private static byte[] attachRecord(int settingsBytes) {
+    ByteBuffer record = ByteBuffer.allocate(20).order(ByteOrder.LITTLE_ENDIAN);
+    return record.putShort((short) 256).putShort((short) 3).putLong(5).putInt(0)
+        .putInt(settingsBytes).array();
   }
 
-  private static byte[] site() {
-    return SITE.getBytes(StandardCharsets.UTF_8);
+  private static byte[] settingsBytes() {
+    return SETTINGS.getBytes(StandardCharsets.UTF_8);
   }
 
   @Test
-  void emptyBatchAndEnd() throws IOException {
+  void emptyFrameGetsAnEmptyReply() throws IOException {
     assertEquals(0, run(frame(227.0625, new byte[0]), PolicyEngine::new));
     assertEquals("0400000000000000", HexFormat.of().formatHex(out.toByteArray()));
   }
 
-  /** A reply that outgrows its buffer at any kind of action is whole. */
+  /**
+   * Guards against a truncated reply. The buffer holds 256 records at first and must grow before an
+   * action of any kind is written to the 257th one.
+   */
   @Test
-  void longReply() throws IOException {
-    run(frame(1000, site(), attach(site().length), hex("0601 0300 4d00000000000000")),
-        (now, site, to) -> (at, events) -> {
-          for (int i = 0; i < 257; i++) to.fail(i);
+  void replyLargerThanItsBufferIsComplete() throws IOException {
+    run(frame(1000, settingsBytes(), attachRecord(settingsBytes().length),
+        hex("0601 0300 4d00000000000000")),
+        (startTicks, settings, actions) -> (nowTicks, events) -> {
+          for (int requestId = 0; requestId < 257; requestId++) actions.fail(requestId);
         });
     ByteBuffer reply = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
     assertEquals(257, reply.getInt(4));
@@ -109,54 +116,59 @@
   }
 
   @Test
-  void everyEventAndAction() throws IOException {
-    byte[][] records = {attach(site().length), hex(
-        "0201 0300 c4913a5d 0000 0000000000006e40 00004040 00 640ad2557c3bf091 0200 00000040 0000803f"),
+  void everyEventIsDecodedAndEveryActionEncoded() throws IOException {
+    byte[][] records = {attachRecord(settingsBytes().length),
+        hex("0201 0300 c4913a5d 0000 0000000000006e40 00004040 00 640ad2557c3bf091 "
+            + "0200 00000040 0000803f"),
         hex("0301 0300 c4913a5d 0000000000802240 074a1203 01"),
         hex("0401 0300 c4913a5d 01 5600 074a1203 00 0300 0000000000803240 02 01 0000803f"),
         hex("0501 0300 192b6f0e"), hex("0601 0300 4d00000000000000"),
         hex("0701 0300 0000000000000840 f211902c 04"),
-        hex("0801 0300 0200 " + le(site().length) + " 01000000"),
+        hex("0801 0300 0200 " + littleEndianHex(settingsBytes().length) + " 01000000"),
         hex("0a01 0300 90f6890000000000 03 00001842 0000000000000040")};
-    byte[] tail = Arrays.copyOf(site(), site().length + 1);
-    tail[site().length] = 0x51; // a datagram of no sums
-    int code = run(frame(1000, tail, records), (now, site, to) -> (at, events) -> {
-      told.append(site.requestClasses().get(0).retrySafety()).append(' ').append(at).append('\n');
-      events.forEach(
-          e -> told.append(e instanceof GatewayEvent.GossipReceived h ? "heard " + h.sender() : e)
-              .append('\n'));
-      act(to);
-    });
+    byte[] tail = Arrays.copyOf(settingsBytes(), settingsBytes().length + 1);
+    tail[settingsBytes().length] = 0x51; // a gossip message without usage
+    int exitCode = run(frame(1000, tail, records),
+        (startTicks, settings, actions) -> (nowTicks, events) -> {
+          received.append(settings.requestClasses().get(0).retrySafety()).append(' ')
+              .append(nowTicks).append('\n');
+          events
+              .forEach(event -> received.append(event instanceof GatewayEvent.GossipReceived gossip
+                  ? "heard " + gossip.sender() : event).append('\n'));
+          takeEveryAction(actions);
+        });
     assertEquals("", err.toString(StandardCharsets.UTF_8));
-    assertEquals(0, code);
-    assertEquals(EVENTS, told.toString());
-    String all = String.join("", ACTIONS).replace(" ", "");
-    all = String.format("%08x", Integer.reverseBytes(all.length() / 2 - 4)) + all.substring(8);
-    assertEquals(all, HexFormat.of().formatHex(out.toByteArray()));
+    assertEquals(0, exitCode);
+    assertEquals(EXPECTED_EVENTS, received.toString());
+    String expectedReply = String.join("", EXPECTED_REPLY).replace(" ", "");
+    int replyBytes = expectedReply.length() / 2 - 4;
+    expectedReply = littleEndianHex(replyBytes) + expectedReply.substring(8);
+    assertEquals(expectedReply, HexFormat.of().formatHex(out.toByteArray()));
   }
 
-  private static String le(int n) {
-    return String.format("%08x", Integer.reverseBytes(n));
+  private static String littleEndianHex(int number) {
+    return String.format("%08x", Integer.reverseBytes(number));
   }
 
-  private static void act(GatewayActions to) {
-    to.startAttempt(0x5d3a91c4L, 0x03124a07L, 800);
-    to.reject(0x0e6f2b19L, 2500);
-    to.fail(0x5d3a91c4L);
-    to.cancelAttempt(0x5d3a91c4L, 2);
-    to.setTimer(84000, 77);
-    to.checkHealth(0x2c9011f2L);
-    to.closeIdleConnections(0x2c9011f2L);
-    to.addToCounter(9041552, 4, 30000, 0);
-    to.watchEndpoints(true);
-    to.sendGossip(-1, new GossipMessage(List.of(), null));
-    to.log("why");
+  private static void takeEveryAction(GatewayActions actions) {
+    actions.startAttempt(0x5d3a91c4L, 0x03124a07L, 800);
+    actions.reject(0x0e6f2b19L, 2500);
+    actions.fail(0x5d3a91c4L);
+    actions.cancelAttempt(0x5d3a91c4L, 2);
+    actions.setTimer(84000, 77);
+    actions.checkHealth(0x2c9011f2L);
+    actions.closeIdleConnections(0x2c9011f2L);
+    actions.addToCounter(9041552, 4, 30000, 0);
+    actions.watchEndpoints(true);
+    actions.sendGossip(-1, new GossipMessage(List.of(), null));
+    actions.log("why");
   }
 
   @Test
-  void moduleFailureIsACrash() throws IOException {
-    byte[] in = frame(1000, site(), attach(site().length), hex("0601 0300 4d00000000000000"));
-    assertEquals(0, run(in, (now, site, to) -> (at, events) -> {
+  void exceptionOfThePolicyIsReportedAsACrash() throws IOException {
+    byte[] in = frame(1000, settingsBytes(), attachRecord(settingsBytes().length),
+        hex("0601 0300 4d00000000000000"));
+    assertEquals(0, run(in, (startTicks, settings, actions) -> (nowTicks, events) -> {
       throw new IllegalStateException("no such turn");
     }));
     assertEquals((byte) 2, out.toByteArray()[8]);
@@ -164,28 +176,32 @@
   }
 
   @Test
-  void malformedFrames() throws IOException {
+  void malformedFramesEndTheProcessWithExitCode2() throws IOException {
     assertEquals(2, run(hex("0b000000 0000000000000000000000"), PolicyEngine::new));
     assertEquals(2, run(frame(1, new byte[0], hex("ff01 0300")), PolicyEngine::new));
-    assertEquals(2, run(frame(1, new byte[0], attach(9)), PolicyEngine::new));
+    assertEquals(2, run(frame(1, new byte[0], attachRecord(9)), PolicyEngine::new));
     assertEquals(2,
-        run(frame(1, "{x}".getBytes(StandardCharsets.UTF_8), attach(3)), PolicyEngine::new));
+        run(frame(1, "{x}".getBytes(StandardCharsets.UTF_8), attachRecord(3)), PolicyEngine::new));
     assertEquals(2,
-        run(frame(1, "{}".getBytes(StandardCharsets.UTF_8), attach(2)), PolicyEngine::new));
+        run(frame(1, "{}".getBytes(StandardCharsets.UTF_8), attachRecord(2)), PolicyEngine::new));
     assertEquals(0, out.size());
     assertEquals(5, err.toString(StandardCharsets.UTF_8).lines()
-        .filter(l -> l.startsWith("saltlatch simhost: malformed")).count());
+        .filter(line -> line.startsWith("saltlatch simhost: malformed")).count());
   }
 
-  /** Stopped and attached again in one batch: what was told before the stop is forgotten. */
+  /**
+   * Guards against events that reach the wrong instance: an instance is detached and attached again
+   * in one frame, and the new instance must not receive the events before the detach record.
+   */
   @Test
-  void restartInOneBatch() throws IOException {
-    byte[] in = frame(1000, site(), attach(site().length), hex("0901 0300"), attach(site().length),
-        hex("0601 0300 4d00000000000000"), hex("0501 0400 192b6f0e"));
-    assertEquals(0, run(in, (now, site, to) -> {
-      told.append("start ");
-      return (at, events) -> told.append(events.size());
+  void instanceAttachedAgainInOneFrameReceivesOnlyLaterEvents() throws IOException {
+    byte[] in = frame(1000, settingsBytes(), attachRecord(settingsBytes().length), hex("0901 0300"),
+        attachRecord(settingsBytes().length), hex("0601 0300 4d00000000000000"),
+        hex("0501 0400 192b6f0e"));
+    assertEquals(0, run(in, (startTicks, settings, actions) -> {
+      received.append("start ");
+      return (nowTicks, events) -> received.append(events.size());
     }));
-    assertEquals("start start 1", told.toString());
+    assertEquals("start start 1", received.toString());
   }
 }
