--- a/src/main/java/saltlatch/history/HistoryWriter.java
+++ b/src/main/java/saltlatch/history/HistoryWriter.java
@@ -11,11 +11,12 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What one process did, an event of JSON a line. Each line is handed to the operating system before
- * the next thing is done, so that what was written before SIGKILL is there. Beside the log and
- * apart from its backend: SLF4J key-value events on logback's JSON encoder, whose classes are
- * loaded only where a history is kept. {@code mono_ns} is the machine's monotonic clock,
- * which all processes on it share. Thread-safe.
+ * Writes the history of a process: a JSON line for each event. {@link #add} passes each line to the
+ * operating system before it returns, so that lines written before a SIGKILL are not lost.
+ *
+ * <p>The history is separate from the log and from its backend. It uses SLF4J key-value events and
+ * logback's JSON encoder, whose classes are loaded only if a history is written. {@code mono_ns} is
+ * the machine's monotonic clock, which all processes on the machine share. Thread-safe.
  */
 public final class HistoryWriter implements AutoCloseable {
   private final LoggerContext context = new LoggerContext();
@@ -24,20 +25,21 @@
   private final String incarnation;
 
   /**
-   * Appends to {@code DIRECTORY/NAME.jsonl}; a process started again under its name goes on in the
-   * same file.
+   * Opens {@code DIRECTORY/NAME.jsonl} for appending; a process that is restarted under its name
+   * appends to the same file.
    *
-   * @param incarnation distinguishes this process from others of the name
+   * @param incarnation distinguishes this process from other processes of the same name
    * @throws IllegalArgumentException if the file can't be written
    */
   public HistoryWriter(Path directory, String name, String incarnation) {
     this.name = name;
     this.incarnation = incarnation;
-    // A context of one's own has no adapter, and appends nothing without.
+    // A new logger context has no MDC adapter, and without one it appends no events.
     context.setMDCAdapter(new LogbackMDCAdapter());
     FileAppender<ILoggingEvent> file = fileAppender(directory.resolve(name + ".jsonl"));
     if (!file.isStarted()) {
-      throw new IllegalArgumentException("history: can't write in " + directory);
+      throw new IllegalArgumentException(
+          "history: can't write file " + name + ".jsonl in directory " + directory);
     }
     log.setLevel(Level.INFO);
     log.setAdditive(false);
@@ -56,24 +58,29 @@
     return file;
   }
 
-  /** Timestamp, message and the event's own fields; nothing else. */
+  /** Returns an encoder that writes only the timestamp, the message and the event's fields. */
   private JsonEncoder encoder() {
-    JsonEncoder json = new JsonEncoder();
-    json.setContext(context);
-    json.setWithSequenceNumber(false);
-    json.setWithNanoseconds(false);
-    json.setWithLevel(false);
-    json.setWithThreadName(false);
-    json.setWithLoggerName(false);
-    json.setWithContext(false);
-    json.setWithMDC(false);
-    json.setWithThrowable(false);
-    json.setWithArguments(false);
-    json.start();
-    return json;
+    JsonEncoder encoder = new JsonEncoder();
+    encoder.setContext(context);
+    encoder.setWithSequenceNumber(false);
+    encoder.setWithNanoseconds(false);
+    encoder.setWithLevel(false);
+    encoder.setWithThreadName(false);
+    encoder.setWithLoggerName(false);
+    encoder.setWithContext(false);
+    encoder.setWithMDC(false);
+    encoder.setWithThrowable(false);
+    encoder.setWithArguments(false);
+    encoder.start();
+    return encoder;
   }
 
-  /** Writes one event; {@code fields} are names and values in turn. */
+  /**
+   * Writes an event.
+   *
+   * @param kind   the event's message
+   * @param fields names and values, alternating
+   */
   public void add(String kind, Object... fields) {
     LoggingEventBuilder event = log.atInfo().addKeyValue("name", name)
         .addKeyValue("inc", incarnation).addKeyValue("mono_ns", System.nanoTime());
@@ -83,7 +90,7 @@
     event.log(kind);
   }
 
-  /** Closes the file; what is added afterwards is lost. */
+  /** Closes the file; events added afterwards are dropped. */
   @Override
   public void close() {
     context.stop();
