--- a/src/main/java/saltlatch/configuration/ActivationCoordinator.java
+++ b/src/main/java/saltlatch/configuration/ActivationCoordinator.java
@@ -6,12 +6,13 @@
 import java.util.TreeMap;
 
 /**
- * Decides in the quorum's leader, from the nodes' renewals, when the proposed version is activated
- * or rejected, and for which nodes it waits. Its state is not replicated. No I/O.
+ * Decides, in the quorum's leader and from the nodes' renewals, when the proposed version is
+ * activated or rejected, and for which nodes the activation waits. Its state is not replicated.
+ * Does no I/O.
  *
- * <p>Invariant: a version is activated only once every node that may hold a lease has prepared it.
- * A new leader has received no renewals yet, so it activates nothing before every lease that its
- * predecessor may have granted has run out.
+ * <p>Invariant: a version is activated only after every node that may hold a lease has prepared it.
+ * A new leader has not received any renewals, so it activates no version before all leases that its
+ * predecessor may have granted have expired.
  *
  * <p>Owned by one thread; times are ticks of the leader's clock.
  */
@@ -23,34 +24,35 @@
   }
 
   /**
-   * A node as the leader knows it.
+   * The status of a node according to its last renewal.
    *
-   * @param active         the version it acts on
-   * @param prepared       the proposed version it could act on
-   * @param reason         why it rejects the proposed version, or null
-   * @param renewalAgeTicks since its last renewal
-   * @param live           whether it may still hold a lease
+   * @param node            the node's name
+   * @param active          the version that the node acts on
+   * @param prepared        the proposed version that the node has prepared
+   * @param reason          why the node rejects the proposed version; null if it does not
+   * @param renewalAgeTicks the time since the last renewal
+   * @param live            whether the node may still hold a lease
    */
   public record NodeStatus(String node, ConfigurationVersion active, ConfigurationVersion prepared,
       String reason, long renewalAgeTicks, boolean live) {}
 
   private final LeaseTimings timings;
-  private final Map<String, ReceivedRenewal> renewals = new TreeMap<>(); // the last, by node
+  private final Map<String, ReceivedRenewal> renewals = new TreeMap<>(); // last one of each node
   private long leaderSinceTicks;
 
-  /** Leads from now on. */
+  /** Creates a coordinator for a leader whose term starts now. */
   public ActivationCoordinator(LeaseTimings timings, long nowTicks) {
     this.timings = timings;
     leaderSinceTicks = nowTicks;
   }
 
-  /** Leads anew from now on; what it received in an earlier term is forgotten. */
+  /** Starts a new term as leader; discards the renewals received in an earlier term. */
   public void becameLeader(long nowTicks) {
     renewals.clear();
     leaderSinceTicks = nowTicks;
   }
 
-  /** Takes in a node's renewal. */
+  /** Stores a node's renewal, which replaces the previous one. */
   public void renewalReceived(long nowTicks, LeaseRenewal renewal) {
     renewals.put(renewal.node(), new ReceivedRenewal(renewal, nowTicks));
   }
@@ -60,8 +62,9 @@
   }
 
   /**
-   * The nodes for which the activation waits: those that may hold a lease and have not prepared the
-   * proposed version, and all other members where it waits for all.
+   * Returns the nodes for which the activation waits: each node that may hold a lease and has not
+   * prepared the proposed version, and, if the activation waits for all members, each member that
+   * has not prepared it.
    *
    * @param active null before the first activation
    */
@@ -82,13 +85,14 @@
 
   private static boolean waitsForAllMembers(SharedConfiguration active,
       SharedConfiguration proposed) {
-    // A new epoch lifts the locks by which nodes without a lease go on deciding.
+    // A new epoch ends the locks, on which nodes without a lease rely when they continue to accept
+    // requests.
     return active.leaseExpiryPolicy() == SharedConfiguration.LeaseExpiryPolicy.DELAY_ACTIVATION
         || proposed.version().epoch() > active.version().epoch();
   }
 
   /**
-   * The operation that is due on the proposed version; null while it waits.
+   * Returns the operation to apply to the proposed version; null while the activation waits.
    *
    * @param active   null before the first activation
    * @param proposed null if there is none
@@ -103,14 +107,15 @@
             renewal.reason());
       }
     }
-    // Guards against a new leader that takes nodes that have not renewed yet for dead: one of them
-    // may hold a lease of the term before and would act on the older version beside the newer one.
+    // A node that has not renewed its lease in this term may still hold one of the previous term.
+    // If a new leader ignored it, the node would act on the older version while others act on the
+    // newer one.
     if (nowTicks - leaderSinceTicks <= timings.leaseExpiryTicks()) return null;
     return blockingNodes(nowTicks, active, proposed).isEmpty()
         ? new ConfigurationRegister.Operation.Activate(proposed.version()) : null;
   }
 
-  /** Every node that has renewed in this term, by name. */
+  /** Returns the status of each node that has renewed its lease in this term, sorted by name. */
   public List<NodeStatus> nodeStatuses(long nowTicks) {
     List<NodeStatus> statuses = new ArrayList<>();
     renewals.forEach((node, received) -> {
--- a/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationConflicts.java
@@ -8,31 +8,32 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * What an older version allows and a newer one forbids: the parts on which two nodes must not act
- * at once, one on each version. What the newer version only allows besides overlaps harmlessly.
- * docs/rules-design.md has the table.
+ * The parts of a configuration in which a newer version forbids what an older one allows. Two nodes
+ * must not act on these parts at the same time, one on each version. A newer version that allows
+ * more causes no conflict. docs/rules-design.md lists the changes that conflict.
  *
- * @param quotaPlans     names of the plans whose quota, cap or ceiling allows less
- * @param requestClasses names of the classes that may be retried less freely
- * @param servers        names of the app servers that are excluded anew
- * @param customers      those blocked anew, and those exempt no longer
- * @param fewerAttempts  whether a request may have fewer attempts
+ * @param quotaPlans     names of the plans whose quota, concurrency limit or ceiling is lower
+ * @param requestClasses names of the classes whose retries are more restricted
+ * @param servers        names of the app servers that only the newer version excludes
+ * @param customers      customers that only the newer version blocks, or only the older one exempts
+ * @param fewerAttempts  whether the newer version allows fewer attempts of a request
  */
 public record ConfigurationConflicts(Set<String> quotaPlans, Set<String> requestClasses,
     Set<String> servers, Set<Long> customers, boolean fewerAttempts) {
 
-  /** What the newer version forbids of the older one. */
+  /** Returns the parts in which the newer version forbids what the older one allows. */
   public static ConfigurationConflicts between(SharedConfiguration older,
       SharedConfiguration newer) {
     return new ConfigurationConflicts(
         tightened(older.quotaPlans(), newer.quotaPlans(), ConfigurationConflicts::isQuotaTighter),
         tightened(older.requestClasses(), newer.requestClasses(),
             ConfigurationConflicts::isRetryTighter),
-        without(newer.excludedServers(), older.excludedServers()), changedCustomers(older, newer),
+        difference(newer.excludedServers(), older.excludedServers()),
+        changedCustomers(older, newer),
         newer.limits().maxAttempts() < older.limits().maxAttempts());
   }
 
-  /** Names of the older entries that are gone or tighter in the newer ones. */
+  /** Returns the names of the older entries that the newer ones lack or tighten. */
   private static <T> Set<String> tightened(Map<String, T> older, Map<String, T> newer,
       BiPredicate<T, T> isTighter) {
     Set<String> names = new TreeSet<>();
@@ -43,7 +44,9 @@
     return names;
   }
 
-  /** Whether a quota, cap or ceiling allows less; 0 stands for none at all. */
+  /**
+   * Returns whether a quota, concurrency limit or ceiling is lower; 0 means that it is unlimited.
+   */
   private static boolean isQuotaTighter(GatewaySettings.QuotaPlan older,
       GatewaySettings.QuotaPlan newer) {
     return isLimitTighter(older.ratePerSecond(), newer.ratePerSecond())
@@ -65,8 +68,8 @@
   }
 
   /**
-   * Whether a class may be retried less freely, or its idempotency keys are remembered for a
-   * shorter time or in a smaller group.
+   * Returns whether retries of a class are more restricted, or its idempotency keys are stored for
+   * a shorter time or shared by a smaller group of app servers.
    */
   private static boolean isRetryTighter(GatewaySettings.RequestClass older,
       GatewaySettings.RequestClass newer) {
@@ -76,27 +79,28 @@
   }
 
   private static Set<Long> changedCustomers(SharedConfiguration older, SharedConfiguration newer) {
-    Set<Long> customers = without(newer.blockedCustomers(), older.blockedCustomers());
-    customers.addAll(without(older.exemptCustomers(), newer.exemptCustomers()));
+    Set<Long> customers = difference(newer.blockedCustomers(), older.blockedCustomers());
+    customers.addAll(difference(older.exemptCustomers(), newer.exemptCustomers()));
     return customers;
   }
 
-  private static <T extends Comparable<T>> Set<T> without(SortedSet<T> all, SortedSet<T> excluded) {
-    Set<T> rest = new TreeSet<>(all);
-    rest.removeAll(excluded);
-    return rest;
+  private static <T extends Comparable<T>> Set<T> difference(SortedSet<T> minuend,
+      SortedSet<T> subtrahend) {
+    Set<T> difference = new TreeSet<>(minuend);
+    difference.removeAll(subtrahend);
+    return difference;
   }
 
   /**
-   * Whether a decision on such a request by the older version may break the newer one. App servers
-   * are not regarded: they are looked up one by one in {@link #servers}.
+   * Returns whether a decision on such a request by the older version may violate the newer one.
+   * Ignores excluded app servers, which the caller looks up individually in {@link #servers}.
    */
   public boolean affects(String quotaPlan, String requestClass, long customer) {
     return fewerAttempts || quotaPlans.contains(quotaPlan) || requestClasses.contains(requestClass)
         || customers.contains(customer);
   }
 
-  /** The keys of all that conflicts, as {@link SharedConfiguration#lockedKeys} names them. */
+  /** Returns the keys of all conflicting parts, as in {@link SharedConfiguration#lockedKeys}. */
   public Set<String> keys() {
     Set<String> keys = new TreeSet<>();
     quotaPlans.forEach(name -> keys.add(ConfigurationKeys.quotaPlan(name)));
--- a/src/main/java/saltlatch/configuration/ConfigurationFollower.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationFollower.java
@@ -4,26 +4,30 @@
 import java.util.SplittableRandom;
 
 /**
- * An edge node's side of the shared configuration: which version it acts on, which it has prepared,
- * and until when it holds a lease. The quorum's responses and ticks of the clock go in, renewals
- * and activations come out; no I/O.
+ * An edge node's side of the shared configuration: which version the node acts on, which version it
+ * has prepared, and until when it holds a lease. Its inputs are the quorum's responses and clock
+ * ticks, its outputs are renewals and activations. Does no I/O.
  *
- * <p>Invariants: the active version never goes back; a lease is counted from when the node sent the
- * renewal that confirmed the version, so that neither a slow response nor a pause of the node's own
- * makes an old version last.
+ * <p>Invariants: the active version is never replaced by an older one; a lease is counted from when
+ * the node sent the renewal that confirmed the version, so that neither a slow response nor a pause
+ * of the node extends the time for which it acts on an old version.
  *
  * <p>Owned by the node's event loop; times are ticks of the node's clock.
  */
 public class ConfigurationFollower {
-  /** What the follower asks of its node. */
+  /** The actions that the follower requests from its node. */
   public interface Actions {
-    /** Sends a renewal to any server of the quorum; the number comes back with the response. */
+    /**
+     * Sends a renewal to any server of the quorum.
+     *
+     * @param number identifies the renewal; to be passed to {@link #responseReceived}
+     */
     void renew(long number, LeaseRenewal renewal);
 
     /**
-     * Acts on this version from now on.
+     * Notifies the node that it acts on this version from now on.
      *
-     * @param conflicts what it forbids of the version before; null for the first one
+     * @param conflicts the conflicts with the previous version; null for the first version
      */
     void activated(SharedConfiguration configuration, ConfigurationConflicts conflicts);
   }
@@ -31,9 +35,9 @@
   /** The node's own check of a proposed configuration against its live state. */
   public interface LocalCheck {
     /**
-     * What speaks against the proposed configuration, with its key; null if nothing does.
+     * Returns why the node can't act on the proposed configuration, with the key; null if it can.
      *
-     * @param active null before the first one
+     * @param active null before the first activation
      */
     String objectionTo(SharedConfiguration active, SharedConfiguration proposed);
   }
@@ -45,21 +49,21 @@
   private final SplittableRandom random;
   private final LocalCheck localCheck;
   private final Actions actions;
-  private SharedConfiguration active; // null: none yet
-  private SharedConfiguration prepared; // null: none
-  private ConfigurationVersion rejected; // null: none
+  private SharedConfiguration active; // null before the first activation
+  private SharedConfiguration prepared; // null if there is none
+  private ConfigurationVersion rejected; // null if there is none
   private String rejectionReason;
   private long renewalNumber; // of the last renewal sent
-  private long sentAtTicks = NEVER_TICKS; // of the renewal without a response; NEVER_TICKS: none
+  private long pendingSentAtTicks = NEVER_TICKS; // NEVER_TICKS if no renewal awaits a response
   private long leaseUntilTicks = NEVER_TICKS;
   private long nextRenewalAtTicks;
 
   /**
-   * Begins without a lease; the first renewal is due at once.
+   * Creates a follower without a lease, whose first renewal is due immediately.
    *
    * @param lastActive the last active version that the node stored, or null; the node holds no
    *     lease on it before the quorum confirms it
-   * @param seed       of the renewals' jitter
+   * @param seed       seed of the renewals' jitter
    */
   public ConfigurationFollower(String node, LeaseTimings timings, SharedConfiguration lastActive,
       long seed, long nowTicks, LocalCheck localCheck, Actions actions) {
@@ -72,28 +76,29 @@
     nextRenewalAtTicks = nowTicks;
   }
 
-  /** The version that the node acts on; null before the first one. */
+  /** Returns the version that the node acts on; null before the first activation. */
   public SharedConfiguration active() {
     return active;
   }
 
   /**
-   * Whether the active version is still the quorum's, as far as a lease can say. To be asked
-   * before each batch of decisions.
+   * Returns whether the node holds a lease on its active version, which means that it may act on
+   * the version without a check for conflicts. Callers check this before each batch of decisions.
    */
   public boolean holdsLease(long nowTicks) {
     return active != null && nowTicks < leaseUntilTicks;
   }
 
-  /** When the lease ends; in the far past before the first one. */
+  /** Returns when the lease expires; a time in the far past before the first lease. */
   public long leaseUntilTicks() {
     return leaseUntilTicks;
   }
 
   /**
-   * Without a lease: whether a decision on such a request may break a version that has become
-   * active meanwhile. Where activation waits for this node, only what it has prepared can have
-   * become active; else any version of this epoch, which may forbid all but what is locked.
+   * Returns, for a node without a lease, whether a decision on such a request may violate a version
+   * that has become active in the meantime. If activation waits for this node, only the version
+   * that it has prepared can have become active. Otherwise any later version of this epoch can
+   * have, and it may tighten every key that is not locked.
    */
   public boolean mayConflict(String quotaPlan, String requestClass, long customer) {
     if (active == null) return true;
@@ -102,7 +107,10 @@
     return !active.isLocked(quotaPlan, requestClass);
   }
 
-  /** Without a lease: whether this app server may have been excluded meanwhile. */
+  /**
+   * Returns, for a node without a lease, whether this app server may have been excluded in the
+   * meantime.
+   */
   public boolean mayBeExcluded(String server) {
     if (active == null) return true;
     if (doesActivationWaitForThisNode())
@@ -111,8 +119,8 @@
   }
 
   /**
-   * Whether nothing becomes active without this node: neither the successor of the active version
-   * nor that of the prepared one.
+   * Returns whether no version can become active before this node has prepared it: neither the
+   * successor of the active version nor the successor of the prepared one.
    */
   private boolean doesActivationWaitForThisNode() {
     return successorWaitsForThisNode(active)
@@ -129,16 +137,16 @@
     return ConfigurationConflicts.between(active, prepared);
   }
 
-  /** When {@link #tick} is due next. */
+  /** Returns when {@link #tick} is due next. */
   public long nextRenewalAtTicks() {
     return nextRenewalAtTicks;
   }
 
-  /** Sends the renewal that is due, if one is. */
+  /** Sends a renewal if one is due. */
   public void tick(long nowTicks) {
     if (nowTicks < nextRenewalAtTicks) return;
     nextRenewalAtTicks = timings.nextRenewalAtTicks(nowTicks, random.nextDouble());
-    sentAtTicks = nowTicks;
+    pendingSentAtTicks = nowTicks;
     actions.renew(++renewalNumber,
         new LeaseRenewal(node, versionOf(active), versionOf(prepared), rejected, rejectionReason));
   }
@@ -148,15 +156,17 @@
   }
 
   /**
-   * Takes in the response to the renewal of that number. A late one, and one of a server whose
-   * state is older than the node's, change nothing.
+   * Processes the response to a renewal. Ignores a response that arrives after the next renewal was
+   * sent, and one from a server whose state is older than the node's.
+   *
+   * @param number the number of the renewal
    */
   public void responseReceived(long nowTicks, long number, LeaseResponse response) {
-    if (number != renewalNumber || sentAtTicks == NEVER_TICKS) return;
-    long renewalSentAtTicks = sentAtTicks;
-    sentAtTicks = NEVER_TICKS;
-    // Guards against a server that was set back to an old state: its version is older than the
-    // node's, and to confirm that would take the node back.
+    if (number != renewalNumber || pendingSentAtTicks == NEVER_TICKS) return;
+    long renewalSentAtTicks = pendingSentAtTicks;
+    pendingSentAtTicks = NEVER_TICKS;
+    // A server that was restored to an old state may report an older version than the node's. The
+    // node must not return to that version.
     if (versionOf(active).isAfter(response.activeVersion())) return;
     if (response.activeVersion().isAfter(versionOf(active))) {
       SharedConfiguration successor = successor(response);
@@ -165,11 +175,14 @@
     }
     leaseUntilTicks = Math.max(leaseUntilTicks,
         leaseStartTicks(renewalSentAtTicks, nowTicks) + timings.leaseTicks());
-    if (response.proposed() == null) forgetProposal();
+    if (response.proposed() == null) discardProposal();
     else prepare(nowTicks, response.proposed());
   }
 
-  /** The configuration that has become active; null where its text comes with a later response. */
+  /**
+   * Returns the configuration that has become active; null if neither the node nor this response
+   * has it, in which case a later response contains it.
+   */
   private SharedConfiguration successor(LeaseResponse response) {
     boolean isPrepared = prepared != null && prepared.version().equals(response.activeVersion());
     SharedConfiguration successor = isPrepared ? prepared : response.active();
@@ -186,16 +199,17 @@
   }
 
   /**
-   * From when a lease counts. Guards against a response that was long on its way: the quorum may
-   * have activated another version since, and a lease counted from its receipt would outlast what
-   * {@link LeaseTimings#maxConflictTicks} states.
+   * Returns the start of a lease: the time at which the renewal was sent. While a slow response was
+   * in transit, the quorum may have activated another version. If the lease were counted from the
+   * response's receipt, the node could act on a conflicting version for longer than {@link
+   * LeaseTimings#maxConflictTicks}.
    */
   long leaseStartTicks(long renewalSentAtTicks, long receivedAtTicks) {
     return renewalSentAtTicks;
   }
 
-  /** The proposed version was withdrawn, or has become active. */
-  private void forgetProposal() {
+  /** Discards the proposed version, which has been withdrawn or has become active. */
+  private void discardProposal() {
     prepared = null;
     rejected = null;
     rejectionReason = null;
@@ -211,6 +225,6 @@
         : String.join("; ", faults);
     prepared = rejectionReason == null ? proposed : null;
     rejected = rejectionReason == null ? null : version;
-    nextRenewalAtTicks = nowTicks; // the leader waits for this node's verdict
+    nextRenewalAtTicks = nowTicks; // the leader waits for the result of this check
   }
 }
--- a/src/main/java/saltlatch/configuration/ConfigurationKeys.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationKeys.java
@@ -1,8 +1,8 @@
 package saltlatch.configuration;
 
 /**
- * The keys by which locks, faults and rejections name a part of a shared configuration. Operators
- * read and write them, so they keep the words of the configuration's text.
+ * The keys that identify a part of a shared configuration in locks, faults and rejections.
+ * Operators read and write these keys, so they are the same as in the configuration's text.
  */
 final class ConfigurationKeys {
   static final String QUOTA_PLANS = "plans";
--- a/src/main/java/saltlatch/configuration/ConfigurationRegister.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationRegister.java
@@ -6,52 +6,53 @@
 import java.util.TreeSet;
 
 /**
- * The state machine that the quorum replicates: which version is active, which is proposed, and
- * what became of the others. Deterministic and without I/O, so that the same operations in the same
- * order give the same state at every server and after every start.
+ * The state machine that the quorum replicates: which version is active, which is proposed, and the
+ * outcomes of earlier proposals. It is deterministic and does no I/O, so that the same operations
+ * in the same order lead to the same state at each server and after each restart.
  *
- * <p>Invariants: versions only grow; at most one version is proposed at a time; a version becomes
- * active only from being proposed; within an epoch no active version tightens a key that an earlier
- * active one locked.
+ * <p>Invariants: each assigned version is newer than all before it; at most one version is proposed
+ * at a time; only a proposed version can become active; within an epoch, no active version tightens
+ * a key that an earlier active version locked.
  *
  * <p>Owned by the thread that applies the replicated log.
  */
 public final class ConfigurationRegister {
-  private static final int MAX_OUTCOMES = 64; // kept for people to read
+  private static final int MAX_OUTCOMES = 64; // kept for operators
 
   /** An entry of the replicated log. */
   public sealed interface Operation {
     /**
      * Proposes a configuration.
      *
-     * @param base          the newest version that its author knew
-     * @param configuration its epoch counts, its number is assigned anew
+     * @param base          the newest version on which the proposal is based
+     * @param configuration the proposal; the register keeps its epoch and assigns its number
      */
     record Propose(ConfigurationVersion base,
         SharedConfiguration configuration) implements Operation {}
 
-    /** Makes the proposed version the active one. */
+    /** Activates the proposed version. */
     record Activate(ConfigurationVersion version) implements Operation {}
 
-    /** Withdraws the proposed version, since {@code node} can't act on it. */
+    /** Withdraws the proposed version because {@code node} can't act on it. */
     record Reject(ConfigurationVersion version, String node, String reason) implements Operation {}
   }
 
   /**
-   * What became of a version.
+   * The outcome of a proposal.
    *
-   * @param activated whether it became active, or was rejected
-   * @param reason    in words, of a rejection with the node's name
+   * @param version   the proposed version
+   * @param activated true if it became active, false if it was rejected
+   * @param reason    a description; for a rejection, it begins with the node's name
    */
   public record Outcome(ConfigurationVersion version, boolean activated, String reason) {}
 
   /**
-   * The whole state, for snapshots.
+   * A copy of the complete state.
    *
-   * @param active   null before the first activation
-   * @param proposed null if none waits
+   * @param active   the active configuration; null before the first activation
+   * @param proposed the configuration that waits for activation; null if there is none
    * @param newest   the last version assigned
-   * @param outcomes the last ones, oldest first
+   * @param outcomes the last outcomes, at most 64, oldest first
    */
   public record Snapshot(SharedConfiguration active, SharedConfiguration proposed,
       ConfigurationVersion newest, List<Outcome> outcomes) {}
@@ -61,12 +62,12 @@
   private ConfigurationVersion newest = ConfigurationVersion.NONE;
   private final List<Outcome> outcomes = new ArrayList<>();
 
-  /** A copy of the whole state. */
+  /** Returns a copy of the complete state. */
   public Snapshot snapshot() {
     return new Snapshot(active, proposed, newest, List.copyOf(outcomes));
   }
 
-  /** Takes the state of a snapshot in place of its own. */
+  /** Replaces the state by that of a snapshot. */
   public void restore(Snapshot snapshot) {
     active = snapshot.active;
     proposed = snapshot.proposed;
@@ -75,22 +76,22 @@
     outcomes.addAll(snapshot.outcomes);
   }
 
-  /** The active configuration; null before the first activation. */
+  /** Returns the active configuration; null before the first activation. */
   public SharedConfiguration active() {
     return active;
   }
 
-  /** The configuration that waits for activation; null if there is none. */
+  /** Returns the configuration that waits for activation; null if there is none. */
   public SharedConfiguration proposed() {
     return proposed;
   }
 
-  /** The last version assigned, whatever became of it. */
+  /** Returns the last version assigned, whether it is proposed, active or rejected. */
   public ConfigurationVersion newest() {
     return newest;
   }
 
-  /** Applies one entry of the log. */
+  /** Applies an entry of the replicated log. */
   public OperationResult apply(Operation operation) {
     if (operation instanceof Operation.Propose propose) return propose(propose);
     if (operation instanceof Operation.Activate activate) return activate(activate.version());
@@ -99,7 +100,7 @@
 
   private OperationResult propose(Operation.Propose proposal) {
     ConfigurationVersion base = proposal.base();
-    // Guards against a proposal made without knowledge of a later one, which it would undo.
+    // A proposal that is not based on the newest version could undo that version's changes.
     if (!base.equals(newest))
       return OperationResult.refused("made for " + base + ", the newest is " + newest);
     if (proposed != null) return OperationResult.refused(proposed.version() + " is still offered");
@@ -109,9 +110,9 @@
     SharedConfiguration successor = proposal.configuration().withVersion(nextVersion(epoch));
     List<String> faults = successor.faults();
     if (!faults.isEmpty()) return OperationResult.refused(String.join("; ", faults));
-    Set<String> broken = brokenLocks(successor);
-    if (!broken.isEmpty())
-      return OperationResult.refused("pinned in epoch " + epoch + ": " + String.join(", ", broken));
+    Set<String> violated = violatedLocks(successor);
+    if (!violated.isEmpty()) return OperationResult
+        .refused("pinned in epoch " + epoch + ": " + String.join(", ", violated));
     newest = successor.version();
     proposed = successor;
     return OperationResult.proposed(newest);
@@ -121,25 +122,28 @@
     return new ConfigurationVersion(epoch, epoch == newest.epoch() ? newest.number() + 1 : 1);
   }
 
-  /** The locked keys of the active version that the successor tightens in the same epoch. */
-  private Set<String> brokenLocks(SharedConfiguration successor) {
+  /**
+   * Returns the locked keys of the active version that the successor tightens; none if the
+   * successor is of another epoch.
+   */
+  private Set<String> violatedLocks(SharedConfiguration successor) {
     if (active == null || successor.version().epoch() != active.version().epoch()) return Set.of();
-    Set<String> broken = new TreeSet<>(ConfigurationConflicts.between(active, successor).keys());
-    broken.retainAll(active.lockedKeys());
-    return broken;
+    Set<String> violated = new TreeSet<>(ConfigurationConflicts.between(active, successor).keys());
+    violated.retainAll(active.lockedKeys());
+    return violated;
   }
 
   private OperationResult activate(ConfigurationVersion version) {
     if (!isProposed(version)) return OperationResult.stale(version);
     active = proposed;
-    close(new Outcome(version, true, "in force"));
+    closeProposal(new Outcome(version, true, "in force"));
     return OperationResult.activated(version);
   }
 
   private OperationResult reject(Operation.Reject rejection) {
     ConfigurationVersion version = rejection.version();
     if (!isProposed(version)) return OperationResult.stale(version);
-    close(new Outcome(version, false, rejection.node() + ": " + rejection.reason()));
+    closeProposal(new Outcome(version, false, rejection.node() + ": " + rejection.reason()));
     return OperationResult.rejected(version);
   }
 
@@ -147,7 +151,7 @@
     return proposed != null && proposed.version().equals(version);
   }
 
-  private void close(Outcome outcome) {
+  private void closeProposal(Outcome outcome) {
     proposed = null;
     outcomes.add(outcome);
     if (outcomes.size() > MAX_OUTCOMES) outcomes.remove(0);
--- a/src/main/java/saltlatch/configuration/ConfigurationValidator.java
+++ b/src/main/java/saltlatch/configuration/ConfigurationValidator.java
@@ -5,8 +5,9 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * Checks a configuration by itself, without regard to others. A fault begins with the key at which
- * it stands; operators read it, so it keeps the words of the configuration's text.
+ * Validates a configuration on its own, without comparing it to other versions. Each fault begins
+ * with the key that it concerns. Operators read the faults, so they use the keys and words of the
+ * configuration's text.
  */
 final class ConfigurationValidator {
   private static final long FIRST_EPOCH = 1;
@@ -36,7 +37,7 @@
 
   private void checkQuotaPlan(String name, GatewaySettings.QuotaPlan plan) {
     String key = ConfigurationKeys.quotaPlan(name);
-    // a rate that is no number fails the first comparison, and is a fault
+    // These comparisons are negated so that NaN is a fault as well.
     if (!(plan.ratePerSecond() >= 0) || (plan.ratePerSecond() > 0 && !(plan.burstUnits() > 0)))
       add(key, "a rate wants a burst above 0");
     if (plan.ceilingPerSecond() < 0 || plan.ceilingBurstUnits() < 0 || plan.maxConcurrent() < 0)
--- a/src/main/java/saltlatch/configuration/LeaseResponse.java
+++ b/src/main/java/saltlatch/configuration/LeaseResponse.java
@@ -1,10 +1,12 @@
 package saltlatch.configuration;
 
 /**
- * The quorum's answer to a {@link LeaseRenewal}, as of one moment after the renewal was sent.
+ * The quorum's response to a {@link LeaseRenewal}: its state at one point in time after the renewal
+ * was sent.
  *
- * @param activeVersion the active version, {@link ConfigurationVersion#NONE} before the first
- * @param active        its configuration; null where the node has it already
+ * @param activeVersion the active version; {@link ConfigurationVersion#NONE} before the first
+ *     activation
+ * @param active        the configuration of that version; null if the node already has it
  * @param proposed      the configuration that waits for activation; null if there is none
  */
 public record LeaseResponse(ConfigurationVersion activeVersion, SharedConfiguration active,
--- a/src/main/java/saltlatch/configuration/OperationResult.java
+++ b/src/main/java/saltlatch/configuration/OperationResult.java
@@ -1,23 +1,23 @@
 package saltlatch.configuration;
 
 /**
- * What became of an operation on the {@link ConfigurationRegister}.
+ * The result of an operation on the {@link ConfigurationRegister}.
  *
- * @param status      how it ended
- * @param description the same for people: the version concerned, or the reason
+ * @param status      the result's kind
+ * @param description the result in words for operators: the version concerned, or the reason
  */
 public record OperationResult(Status status, String description) {
-  /** How an operation ended. */
+  /** The kinds of results. */
   public enum Status {
-    /** The configuration is proposed under a new version. */
+    /** The configuration was proposed under a new version. */
     PROPOSED,
-    /** The proposed version is active. */
+    /** The proposed version became active. */
     ACTIVATED,
-    /** The proposed version is withdrawn. */
+    /** The proposed version was withdrawn. */
     REJECTED,
-    /** The proposal is not taken, and nothing has changed. */
+    /** The proposal is invalid; the state is unchanged. */
     REFUSED,
-    /** The operation concerns a version that is no longer proposed, and nothing has changed. */
+    /** The operation is for a version that is not proposed; the state is unchanged. */
     STALE
   }
 
--- a/src/main/java/saltlatch/configuration/SharedConfiguration.java
+++ b/src/main/java/saltlatch/configuration/SharedConfiguration.java
@@ -8,20 +8,21 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * Everything that the edge nodes must agree on, in one version. Maps and sets are sorted, so that
- * equal configurations have one text and one hash.
+ * A version of the configuration that all edge nodes share. Maps and sets are sorted, so that equal
+ * configurations have the same text and the same hash.
  *
- * @param version          which configuration this is
- * @param quotaPlans       quotas by the plan's name
- * @param requestClasses   classes of requests by name
- * @param limits           what the deployment allows
- * @param excludedServers  app servers, by name, that get no requests
- * @param blockedCustomers customers whose requests are rejected
- * @param exemptCustomers  customers that no quota binds
- * @param members          names of the nodes that activation waits for, where it waits
- * @param lockedKeys       keys that no later version of the same epoch may tighten; {@link
- *     ConfigurationKeys} has them
- * @param leaseExpiryPolicy     what a node does whose lease on this version has run out
+ * @param version           the version of this configuration
+ * @param quotaPlans        quota plans by name
+ * @param requestClasses    request classes by name
+ * @param limits            limits of the deployment
+ * @param excludedServers   names of the app servers that receive no requests
+ * @param blockedCustomers  customers whose requests are rejected
+ * @param exemptCustomers   customers to whom no quota applies
+ * @param members           names of the nodes for which the activation of a successor waits, if the
+ *     policy is to delay activation or the successor has a newer epoch
+ * @param lockedKeys        keys, from {@link ConfigurationKeys}, that no later version of the same
+ *     epoch may tighten
+ * @param leaseExpiryPolicy what happens after a node's lease on this version has expired
  */
 public record SharedConfiguration(ConfigurationVersion version,
     Map<String, GatewaySettings.QuotaPlan> quotaPlans,
@@ -31,22 +32,25 @@
     LeaseExpiryPolicy leaseExpiryPolicy) {
 
   /**
-   * Limits of the whole deployment.
+   * The limits of a deployment.
    *
-   * @param maxAttempts        attempts of one request at most
-   * @param maxRetryAfterTicks the longest Retry-After that clients get
+   * @param maxAttempts        the largest number of attempts of a request
+   * @param maxRetryAfterTicks the longest Retry-After that clients receive
    */
   public record Limits(int maxAttempts, long maxRetryAfterTicks) {}
 
-  /** What happens while a later version may have become active unknown to a node. */
+  /**
+   * What happens while a node has no lease, so that a later version may have become active without
+   * the node having been notified.
+   */
   public enum LeaseExpiryPolicy {
     /** The node rejects the requests that the later version may forbid. */
     REJECT_REQUESTS,
-    /** No later version is activated before every member has prepared it. */
+    /** No later version is activated before all members have prepared it. */
     DELAY_ACTIVATION
   }
 
-  /** Copies maps and sets into sorted ones. */
+  /** Copies all maps and sets into sorted ones. */
   public SharedConfiguration {
     quotaPlans = new TreeMap<>(quotaPlans);
     requestClasses = new TreeMap<>(requestClasses);
@@ -57,7 +61,10 @@
     lockedKeys = new TreeSet<>(lockedKeys);
   }
 
-  /** Whether no later version of this epoch forbids what this one allows of such requests. */
+  /**
+   * Returns whether the locks ensure that each later version of this epoch allows at least what
+   * this one allows for such requests.
+   */
   public boolean isLocked(String quotaPlan, String requestClass) {
     return lockedKeys.contains(ConfigurationKeys.quotaPlan(quotaPlan))
         && lockedKeys.contains(ConfigurationKeys.requestClass(requestClass))
@@ -65,18 +72,21 @@
         && lockedKeys.contains(ConfigurationKeys.MAX_ATTEMPTS);
   }
 
-  /** Whether no later version of this epoch excludes further app servers. */
+  /**
+   * Returns whether the locks ensure that no later version of this epoch excludes additional app
+   * servers.
+   */
   public boolean areServersLocked() {
     return lockedKeys.contains(ConfigurationKeys.EXCLUDED_SERVERS);
   }
 
-  /** The same configuration under another version. */
+  /** Returns a copy of this configuration with another version. */
   public SharedConfiguration withVersion(ConfigurationVersion other) {
     return new SharedConfiguration(other, quotaPlans, requestClasses, limits, excludedServers,
         blockedCustomers, exemptCustomers, members, lockedKeys, leaseExpiryPolicy);
   }
 
-  /** What is wrong with this configuration by itself, each with its key; empty if nothing is. */
+  /** Returns the faults of this configuration, each with its key; empty if it is valid. */
   public List<String> faults() {
     return ConfigurationValidator.faults(this);
   }
--- a/src/test/java/saltlatch/configuration/ActivationCoordinatorTest.java
+++ b/src/test/java/saltlatch/configuration/ActivationCoordinatorTest.java
@@ -6,15 +6,17 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
+/** Tests the rejection of a proposed version. */
 class ActivationCoordinatorTest {
   private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
 
   /**
-   * One node can't act on the proposed version: its quota is below what the node has reserved. The
-   * version is rejected, and the last good one stays active everywhere.
+   * Guards against the activation of a version on which a node can't act: the version's quota is
+   * below the units that the node has reserved. The version must be rejected with the node's
+   * reason, and the active version, here none, must not change.
    */
   @Test
-  void oneObjectionIsEnough() {
+  void versionThatOneNodeRejectsIsNotActivated() {
     ConfigurationRegister register = new ConfigurationRegister();
     ActivationCoordinator coordinator = new ActivationCoordinator(TIMINGS, 0);
     register.apply(new ConfigurationRegister.Operation.Propose(ConfigurationVersion.NONE,
@@ -25,8 +27,9 @@
         new LeaseRenewal("n0", ConfigurationVersion.NONE, version, null, null));
     coordinator.renewalReceived(nowTicks, new LeaseRenewal("n1", ConfigurationVersion.NONE,
         ConfigurationVersion.NONE, version, "plans.plan: 60 units are reserved"));
-    OperationResult result = register
-        .apply(coordinator.nextOperation(nowTicks, null, register.proposed()));
+    ConfigurationRegister.Operation operation = coordinator.nextOperation(nowTicks, null,
+        register.proposed());
+    OperationResult result = register.apply(operation);
     assertEquals(OperationResult.Status.REJECTED, result.status());
     assertEquals("rejected 1.1", result.description());
     assertEquals(null, register.active());
--- a/src/test/java/saltlatch/configuration/ConfigurationConflictsTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationConflictsTest.java
@@ -7,10 +7,14 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
+/** Tests the comparison of two versions. */
 class ConfigurationConflictsTest {
-  /** All parts that a newer version may tighten, by their keys. */
+  /**
+   * Guards against a tightened part that is not detected as a conflict: the newer version tightens
+   * each part that can conflict.
+   */
   @Test
-  void keysOfConflicts() {
+  void tightenedPartsAreReportedByTheirKeys() {
     SharedConfiguration older = Configurations.withRate(5, LeaseExpiryPolicy.REJECT_REQUESTS);
     older.exemptCustomers().add(3L);
     SharedConfiguration newer = new SharedConfiguration(older.version(),
--- a/src/test/java/saltlatch/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationFollowerTest.java
@@ -10,6 +10,7 @@
 import saltlatch.api.Ticks;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
+/** Tests a node's lease after stale responses. */
 class ConfigurationFollowerTest {
   private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
 
@@ -32,12 +33,12 @@
   }
 
   /**
-   * A server of the quorum was set back to an old state and answers with an older version; another
-   * response comes late, after the next renewal was sent. Neither extends the node's lease, nor
-   * takes it back.
+   * Guards against stale responses that extend the node's lease or return it to an older version.
+   * One response comes from a server of the quorum that was restored to an old state and reports an
+   * older version. The other one arrives after the next renewal was sent.
    */
   @Test
-  void oldResponsesConfirmNothing() {
+  void staleResponsesNeitherExtendTheLeaseNorReplaceTheVersion() {
     SharedConfiguration second = version(2, 5);
     follower.tick(0);
     follower.responseReceived(100, renewalNumbers.get(0),
--- a/src/test/java/saltlatch/configuration/ConfigurationModelTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationModelTest.java
@@ -15,18 +15,19 @@
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
 /**
- * The shared configuration as a model in virtual time: nodes with drifting clocks, pauses and
- * partitions, and one register of versions.
+ * Tests the shared configuration with a model in virtual time: nodes with drifting clocks, pauses
+ * and network partitions, and one register of versions.
  */
 class ConfigurationModelTest {
   private static final LeaseTimings TIMINGS = new LeaseTimings(LeaseTimings.DEFAULT_RENEWAL_TICKS);
 
   /**
-   * Nodes, a register that answers as of one moment between renewal and response, and a request at
-   * every node each 50 ms. A model has up to five nodes, of which three are members.
+   * A model of up to 5 nodes, of which 3 are members, and a register. The register's response to a
+   * renewal is its state at one point in time between the renewal and the response. Each node
+   * receives a request every 50 ms.
    */
   private static final class Model {
-    private record Step(long atTicks, long order, Runnable task) {}
+    private record ScheduledTask(long atTicks, long order, Runnable task) {}
 
     private static final long TURN_TICKS = 50 * Ticks.PER_MILLISECOND;
 
@@ -39,14 +40,16 @@
     final double[] clockRate;
     final List<SharedConfiguration> activated = new ArrayList<>();
     final List<Long> activatedAtTicks = new ArrayList<>();
-    final PriorityQueue<Step> steps = new PriorityQueue<>((a, b) -> a.atTicks != b.atTicks
-        ? Long.compare(a.atTicks, b.atTicks) : Long.compare(a.order, b.order));
+    final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>(
+        (a, b) -> a.atTicks != b.atTicks ? Long.compare(a.atTicks, b.atTicks)
+            : Long.compare(a.order, b.order));
     long nowTicks;
     long nextOrder;
-    long longestConflictTicks; // acting on a version that another, active one conflicts with
-    long decided;
-    long rejectedWithoutLease;
-    double maxDelayTicks = Ticks.PER_SECOND; // of a message
+    // longest time for which a node acted on a version after a conflicting one became active
+    long longestConflictTicks;
+    long decidedRequests;
+    long requestsRejectedWithoutLease;
+    double maxDelayTicks = Ticks.PER_SECOND; // longest delay of a message
 
     Model(int nodes, long seed, boolean leaseFromReceipt) {
       random = new SplittableRandom(seed);
@@ -57,7 +60,7 @@
         clockRate[node] = 1 + 0.02 * (random.nextDouble() - 0.5);
         followers.add(follower(node, seed + node, leaseFromReceipt));
       }
-      turn();
+      runTurn();
     }
 
     ConfigurationFollower follower(int node, long seed, boolean leaseFromReceipt) {
@@ -112,13 +115,13 @@
     }
 
     void after(long ticks, Runnable task) {
-      steps.add(new Step(nowTicks + ticks, nextOrder++, task));
+      scheduledTasks.add(new ScheduledTask(nowTicks + ticks, nextOrder++, task));
     }
 
-    void turn() {
+    void runTurn() {
       for (int node = 0; node < followers.size(); node++) {
         if (paused[node]) continue;
-        decide(node); // a resumed node decides what had queued before it sends or receives
+        decide(node); // a resumed node decides queued requests before it sends or receives
         followers.get(node).tick(clockTicks(node));
       }
       ConfigurationRegister.Operation operation = coordinator.nextOperation(nowTicks,
@@ -130,36 +133,37 @@
           activatedAtTicks.add(nowTicks);
         }
       }
-      after(TURN_TICKS, this::turn);
+      after(TURN_TICKS, this::runTurn);
     }
 
     void decide(int node) {
       ConfigurationFollower follower = followers.get(node);
       if (follower.active() == null) return;
       if (!follower.holdsLease(clockTicks(node)) && follower.mayConflict("plan", "read", 7)) {
-        rejectedWithoutLease++;
+        requestsRejectedWithoutLease++;
         return;
       }
-      decided++;
-      noteConflict(follower.active());
+      decidedRequests++;
+      recordConflict(follower.active());
     }
 
-    void noteConflict(SharedConfiguration used) {
-      for (int i = 0; i < activated.size(); i++) {
-        SharedConfiguration later = activated.get(i);
+    void recordConflict(SharedConfiguration used) {
+      for (int index = 0; index < activated.size(); index++) {
+        SharedConfiguration later = activated.get(index);
         if (!later.version().isAfter(used.version())) continue;
         if (!ConfigurationConflicts.between(used, later).affects("plan", "read", 7)) continue;
-        longestConflictTicks = Math.max(longestConflictTicks, nowTicks - activatedAtTicks.get(i));
+        longestConflictTicks = Math.max(longestConflictTicks,
+            nowTicks - activatedAtTicks.get(index));
         break;
       }
     }
 
     void run(long ticks) {
       long untilTicks = nowTicks + ticks;
-      while (!steps.isEmpty() && steps.peek().atTicks <= untilTicks) {
-        Step step = steps.poll();
-        nowTicks = step.atTicks;
-        step.task.run();
+      while (!scheduledTasks.isEmpty() && scheduledTasks.peek().atTicks <= untilTicks) {
+        ScheduledTask next = scheduledTasks.poll();
+        nowTicks = next.atTicks;
+        next.task.run();
       }
       nowTicks = untilTicks;
     }
@@ -170,7 +174,10 @@
     }
   }
 
-  /** Versions every 2 s under pauses, partitions and slow messages. */
+  /**
+   * Runs a model in which a version is proposed every 2 s, under pauses, partitions and slow
+   * messages.
+   */
   private static Model run(int seed, boolean leaseFromReceipt) {
     SplittableRandom random = new SplittableRandom(seed);
     int nodes = 2 + random.nextInt(4);
@@ -178,7 +185,7 @@
     if (random.nextInt(3) == 0) model.maxDelayTicks = 4 * Ticks.PER_SECOND;
     LeaseExpiryPolicy leaseExpiryPolicy = random.nextInt(4) == 0
         ? LeaseExpiryPolicy.DELAY_ACTIVATION : LeaseExpiryPolicy.REJECT_REQUESTS;
-    for (int i = 0; i < 20; i++) {
+    for (int proposal = 0; proposal < 20; proposal++) {
       model.propose(Configurations.withRate(1 + random.nextInt(9), leaseExpiryPolicy));
       int node = random.nextInt(nodes);
       switch (random.nextInt(4)) {
@@ -191,32 +198,37 @@
     return model;
   }
 
+  /**
+   * Guards against nodes that act on conflicting versions for longer than {@link
+   * LeaseTimings#maxConflictTicks} under pauses, partitions, clock drift and slow messages.
+   */
   @Property(tries = 200, seed = "51")
-  void noConflictOutlastsTheStatedTime(@ForAll @IntRange(max = 1_000_000) int seed) {
+  void noConflictLastsLongerThanMaxConflictTicks(@ForAll @IntRange(max = 1_000_000) int seed) {
     Model model = run(seed, false);
     assertTrue(model.longestConflictTicks <= TIMINGS.maxConflictTicks(),
-        model.longestConflictTicks / Ticks.PER_MILLISECOND + " ms, stated "
-            + TIMINGS.maxConflictTicks() / Ticks.PER_MILLISECOND);
+        "expected conflicts of at most " + TIMINGS.maxConflictTicks() / Ticks.PER_MILLISECOND
+            + " ms, found " + model.longestConflictTicks / Ticks.PER_MILLISECOND + " ms");
   }
 
   /**
-   * A follower that counts its lease from the receipt of a response acts too long on an old version
-   * when the response was slow. This fault is planted, and the schedules must find it.
+   * Checks that the model detects a fault: a follower that counts its lease from the receipt of a
+   * response acts on an old version for too long after a slow response.
    */
   @Test
-  void leaseCountedFromReceiptIsFound() {
-    int found = 0;
+  void modelDetectsLeasesCountedFromTheReceipt() {
+    int detections = 0;
     for (int seed = 0; seed < 300; seed++)
-      found += run(seed, true).longestConflictTicks > TIMINGS.maxConflictTicks() ? 1 : 0;
-    assertTrue(found > 0, "no schedule of 300 found it");
+      detections += run(seed, true).longestConflictTicks > TIMINGS.maxConflictTicks() ? 1 : 0;
+    assertTrue(detections > 0, "expected a conflict longer than "
+        + TIMINGS.maxConflictTicks() / Ticks.PER_MILLISECOND + " ms, found none in 300 runs");
   }
 
   /**
-   * Without faults a version is active at all nodes within a few renewals, and no node rejects
-   * requests for want of a lease.
+   * Guards against slow activation: without faults, a version must be active at all nodes within
+   * 5 s of its proposal, and no node may reject requests because it has no lease.
    */
   @Test
-  void versionBecomesActiveEverywhere() {
+  void withoutFaultsAVersionBecomesActiveAtAllNodes() {
     Model model = new Model(5, 3, false);
     model.maxDelayTicks = 500;
     model.propose(Configurations.withRate(5, LeaseExpiryPolicy.REJECT_REQUESTS));
@@ -225,20 +237,22 @@
         .propose(Configurations.withRate(3, LeaseExpiryPolicy.REJECT_REQUESTS));
     assertEquals(OperationResult.Status.PROPOSED, result.status());
     assertEquals("offered 1.2", result.description());
-    long rejectedBefore = model.rejectedWithoutLease;
+    long rejectedBefore = model.requestsRejectedWithoutLease;
     model.run(5 * Ticks.PER_SECOND);
     for (ConfigurationFollower follower : model.followers)
       assertEquals(new ConfigurationVersion(1, 2), follower.active().version());
-    assertEquals(rejectedBefore, model.rejectedWithoutLease);
-    assertTrue(model.longestConflictTicks <= TIMINGS.maxConflictTicks() && model.decided > 100);
+    assertEquals(rejectedBefore, model.requestsRejectedWithoutLease);
+    assertTrue(
+        model.longestConflictTicks <= TIMINGS.maxConflictTicks() && model.decidedRequests > 100);
   }
 
   /**
-   * A node is cut off. It holds up a version whose activation waits for it, and the coordinator
-   * names it; a version that lets it reject requests is activated without it.
+   * Guards against both wrong reactions to a partitioned node. With DELAY_ACTIVATION, the
+   * activation must wait for the node, and the coordinator must report it as blocking. With
+   * REJECT_REQUESTS, the version is activated without the node, which rejects requests.
    */
   @Test
-  void partitionedNode() {
+  void partitionedNodeBlocksActivationOrRejectsRequests() {
     for (LeaseExpiryPolicy leaseExpiryPolicy : LeaseExpiryPolicy.values()) {
       Model model = new Model(3, 4, false);
       model.maxDelayTicks = 500;
@@ -247,13 +261,14 @@
       model.partitioned[1] = true;
       model.propose(Configurations.withRate(3, leaseExpiryPolicy));
       model.run(30 * Ticks.PER_SECOND);
-      boolean waits = leaseExpiryPolicy == LeaseExpiryPolicy.DELAY_ACTIVATION;
+      boolean delaysActivation = leaseExpiryPolicy == LeaseExpiryPolicy.DELAY_ACTIVATION;
       ConfigurationRegister register = model.register;
-      assertEquals(new ConfigurationVersion(1, waits ? 1 : 2), register.active().version());
-      assertEquals(waits ? List.of("n1") : List.of(), waits
+      assertEquals(new ConfigurationVersion(1, delaysActivation ? 1 : 2),
+          register.active().version());
+      assertEquals(delaysActivation ? List.of("n1") : List.of(), delaysActivation
           ? model.coordinator.blockingNodes(model.nowTicks, register.active(), register.proposed())
           : List.of());
-      assertEquals(waits, model.rejectedWithoutLease == 0);
+      assertEquals(delaysActivation, model.requestsRejectedWithoutLease == 0);
     }
   }
 }
--- a/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
+++ b/src/test/java/saltlatch/configuration/ConfigurationRegisterTest.java
@@ -12,6 +12,7 @@
 import saltlatch.configuration.OperationResult.Status;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
+/** Tests the results of operations on the register. */
 class ConfigurationRegisterTest {
   private final ConfigurationRegister register = new ConfigurationRegister();
 
@@ -23,31 +24,32 @@
     assertEquals(new OperationResult(status, description), register.apply(operation));
   }
 
-  private void assertResultBegins(Status status, String begin, Operation operation) {
+  private void assertResultStartsWith(Status status, String prefix, Operation operation) {
     OperationResult result = register.apply(operation);
     assertEquals(status, result.status());
-    assertTrue(result.description().startsWith(begin), result.description());
+    assertTrue(result.description().startsWith(prefix), result.description());
   }
 
   /**
-   * An old version sent again, a proposal made without knowledge of the newest one, a second
-   * proposal at once, a locked key that is tightened and an epoch that is over: each is refused
-   * with its reason, and changes nothing.
+   * Guards against operations that would return the register to an older state: the activation of a
+   * version that is already active, a proposal that is not based on the newest version, a second
+   * proposal while one waits, a tightened locked key and an older epoch. Each must be refused with
+   * its reason and must not change the active version.
    */
   @Test
-  void neverGoesBack() {
+  void staleAndConflictingOperationsAreRefused() {
     assertResult(Status.PROPOSED, "offered 1.1",
         new Operation.Propose(ConfigurationVersion.NONE, withRate(5, "plans.plan")));
-    assertResultBegins(Status.REFUSED, "refused: made for",
+    assertResultStartsWith(Status.REFUSED, "refused: made for",
         new Operation.Propose(ConfigurationVersion.NONE, withRate(6)));
     assertResult(Status.REFUSED, "refused: 1.1 is still offered",
         new Operation.Propose(register.newest(), withRate(6)));
     ConfigurationVersion first = new ConfigurationVersion(1, 1);
     assertResult(Status.ACTIVATED, "in force 1.1", new Operation.Activate(first));
-    assertResultBegins(Status.STALE, "old:", new Operation.Activate(first));
+    assertResultStartsWith(Status.STALE, "old:", new Operation.Activate(first));
     assertResult(Status.REFUSED, "refused: pinned in epoch 1: plans.plan",
         new Operation.Propose(register.newest(), withRate(4)));
-    assertResultBegins(Status.REFUSED, "refused: epoch 0 is over", new Operation.Propose(
+    assertResultStartsWith(Status.REFUSED, "refused: epoch 0 is over", new Operation.Propose(
         register.newest(), withRate(0).withVersion(new ConfigurationVersion(0, 0))));
     assertResult(Status.PROPOSED, "offered 2.1", new Operation.Propose(register.newest(),
         withRate(4).withVersion(new ConfigurationVersion(2, 0))));
@@ -59,41 +61,44 @@
     assertEquals(register.snapshot(), restored.snapshot());
   }
 
-  /** What the register says of each proposal that is wrong by itself, word for word. */
+  /** Checks the exact text of the refusal of invalid proposals, which operators read. */
   @Test
-  void faultsOfAProposal() {
+  void refusalNamesAllFaultsOfAProposal() {
     assertResult(Status.REFUSED,
         "refused: plans.plan: a rate wants a burst above 0; limits.sendCap: at least 1; "
             + "barred and exempt: customer 7; version: epochs begin with 1",
-        new Operation.Propose(ConfigurationVersion.NONE, faulty()));
-    SharedConfiguration good = withRate(5);
+        new Operation.Propose(ConfigurationVersion.NONE, invalidConfiguration()));
+    SharedConfiguration valid = withRate(5);
     assertResult(Status.REFUSED, "refused: plans: none; frontends: none",
         new Operation.Propose(ConfigurationVersion.NONE,
-            new SharedConfiguration(good.version(), Map.of(), Map.of(), good.limits(),
-                good.excludedServers(), good.blockedCustomers(), good.exemptCustomers(),
-                good.members(), good.lockedKeys(), good.leaseExpiryPolicy())));
+            new SharedConfiguration(valid.version(), Map.of(), Map.of(), valid.limits(),
+                valid.excludedServers(), valid.blockedCustomers(), valid.exemptCustomers(),
+                valid.members(), valid.lockedKeys(), valid.leaseExpiryPolicy())));
   }
 
-  /** A class whose requests are idempotent by a key that no app server remembers. */
+  /**
+   * Guards against a request class whose requests are idempotent by key although app servers store
+   * the keys for no time, so that retries would be executed twice.
+   */
   @Test
-  void keyWithoutTimeToLive() {
-    SharedConfiguration good = withRate(5);
+  void idempotencyKeyWithoutTimeToLiveIsRefused() {
+    SharedConfiguration valid = withRate(5);
     RequestClass read = new RequestClass(RetrySafety.IDEMPOTENT_BY_KEY, KeyScope.ALL, 0, 1, 0, 1);
-    good.requestClasses().put("read", read);
+    valid.requestClasses().put("read", read);
     assertResult(Status.REFUSED,
         "refused: frontends.read: target above 0, timeout no less; "
             + "frontends.read: uniqued wants remembered",
-        new Operation.Propose(ConfigurationVersion.NONE, good));
+        new Operation.Propose(ConfigurationVersion.NONE, valid));
   }
 
-  private static SharedConfiguration faulty() {
-    SharedConfiguration good = withRate(-1).withVersion(new ConfigurationVersion(0, 0));
-    SharedConfiguration faulty = new SharedConfiguration(good.version(), good.quotaPlans(),
-        good.requestClasses(), new SharedConfiguration.Limits(0, 0), good.excludedServers(),
-        good.blockedCustomers(), good.exemptCustomers(), good.members(), good.lockedKeys(),
-        good.leaseExpiryPolicy());
-    faulty.blockedCustomers().add(7L);
-    faulty.exemptCustomers().add(7L);
-    return faulty;
+  private static SharedConfiguration invalidConfiguration() {
+    SharedConfiguration base = withRate(-1).withVersion(new ConfigurationVersion(0, 0));
+    SharedConfiguration invalid = new SharedConfiguration(base.version(), base.quotaPlans(),
+        base.requestClasses(), new SharedConfiguration.Limits(0, 0), base.excludedServers(),
+        base.blockedCustomers(), base.exemptCustomers(), base.members(), base.lockedKeys(),
+        base.leaseExpiryPolicy());
+    invalid.blockedCustomers().add(7L);
+    invalid.exemptCustomers().add(7L);
+    return invalid;
   }
 }
--- a/src/test/java/saltlatch/configuration/Configurations.java
+++ b/src/test/java/saltlatch/configuration/Configurations.java
@@ -9,7 +9,7 @@
 import saltlatch.api.GatewaySettings.RetrySafety;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 
-/** Configurations for tests: one plan, one request class, the members n0 to n2. */
+/** Creates configurations with one quota plan, one request class and the members n0 to n2. */
 final class Configurations {
   private Configurations() {}
 
