--- a/src/main/java/saltlatch/node/ActionExecutor.java
+++ b/src/main/java/saltlatch/node/ActionExecutor.java
@@ -15,8 +15,9 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Does what the policy wants, on this node's partners. An action for a request that is over has no
- * effect. Called by the policy while it handles a batch, on the event loop.
+ * Executes the policy's actions through the outbound clients, the timers and the final
+ * responses. An action for a request that is no longer in flight has no effect. The policy calls
+ * these methods on the event loop while it handles a batch.
  */
 final class ActionExecutor implements GatewayActions {
   private static final Logger LOG = LoggerFactory.getLogger(ActionExecutor.class);
@@ -29,7 +30,7 @@
   private final AttemptListener attempts;
   private final NodeMetrics metrics;
   private final NodeHistory history;
-  private OutboundClients partners;
+  private OutboundClients outboundClients;
 
   ActionExecutor(long healthCheckTimeoutTicks, Scheduler scheduler, InFlightRequests requests,
       FinalResponses responses, EventBatcher events, AttemptListener attempts, NodeMetrics metrics,
@@ -44,9 +45,9 @@
     this.history = history;
   }
 
-  /** Sets the partners, before the policy is created. */
-  void start(OutboundClients with) {
-    partners = with;
+  /** Sets the outbound clients; called before the policy is created. */
+  void start(OutboundClients clients) {
+    outboundClients = clients;
   }
 
   @Override
@@ -55,13 +56,15 @@
     if (request == null) return;
     int server = (int) serverId;
     int attempt = requests.startAttempt(request);
-    history.attemptStarted(request, partners.directory().serverName(server), attempt, timeoutTicks);
+    history.attemptStarted(request, outboundClients.directory().serverName(server), attempt,
+        timeoutTicks);
     try {
-      partners.appServers().startAttempt(request, attempt, server, timeoutTicks);
+      outboundClients.appServers().startAttempt(request, attempt, server, timeoutTicks);
     } catch (RuntimeException e) {
-      // Guards against a fault of this side that stops the policy half-way through what it wants of
-      // other requests. It shows as an attempt that was never sent.
-      LOG.error("attempt_start_failed server={}", partners.directory().serverName(server), e);
+      // An exception that reached the policy would stop it before its actions for other requests.
+      // The policy receives the end of an attempt that was never sent instead.
+      LOG.error("attempt_start_failed server={}", outboundClients.directory().serverName(server),
+          e);
       metrics.add(Metric.EXCEPTIONS);
       attempts.attemptEnded(request, attempt, server,
           AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE), 0);
@@ -87,7 +90,7 @@
   @Override
   public void cancelAttempt(long requestId, int attempt) {
     RequestContext request = requests.find(requestId);
-    if (request != null) partners.appServers().cancelAttempt(request, attempt);
+    if (request != null) outboundClients.appServers().cancelAttempt(request, attempt);
   }
 
   @Override
@@ -97,33 +100,34 @@
 
   @Override
   public void checkHealth(long serverId) {
-    partners.appServers().checkHealth((int) serverId, healthCheckTimeoutTicks);
+    outboundClients.appServers().checkHealth((int) serverId, healthCheckTimeoutTicks);
   }
 
   @Override
   public void closeIdleConnections(long serverId) {
-    partners.appServers().closeIdleConnections((int) serverId);
+    outboundClients.appServers().closeIdleConnections((int) serverId);
   }
 
   @Override
   public void addToCounter(long counterName, double units, long ttlTicks, long timeoutTicks) {
-    if (partners.counter() == null) {
+    if (outboundClients.counter() == null) {
       events.add(
           new GatewayEvent.CounterReplied(counterName, GatewayEvent.AttemptOutcome.NOT_SENT, 0, 0));
     } else {
-      partners.counter().add(counterName, units, ttlTicks, timeoutTicks);
+      outboundClients.counter().add(counterName, units, ttlTicks, timeoutTicks);
     }
   }
 
   @Override
   public void watchEndpoints(boolean on) {
-    if (on) partners.discovery().openWatch();
-    else partners.discovery().closeWatch();
+    if (on) outboundClients.discovery().openWatch();
+    else outboundClients.discovery().closeWatch();
   }
 
   @Override
   public void sendGossip(int peer, GossipMessage message) {
-    if (partners.peers() != null) partners.peers().send(peer, GossipCodec.encode(message));
+    if (outboundClients.peers() != null)
+      outboundClients.peers().send(peer, GossipCodec.encode(message));
   }
 
   @Override
--- a/src/main/java/saltlatch/node/AttemptListener.java
+++ b/src/main/java/saltlatch/node/AttemptListener.java
@@ -11,8 +11,8 @@
 import saltlatch.wire.transport.CallResult;
 
 /**
- * Makes events of what app servers answer to attempts and health checks, and passes on a value to
- * the client at once. Called by the app server client, on the event loop.
+ * Converts the results of attempts and health checks into events, and sends an app server's value
+ * to the client immediately. The app server client calls it on the event loop.
  */
 final class AttemptListener implements AppServerClient.Listener {
   private final List<String> loadReportFields;
@@ -31,9 +31,9 @@
     this.history = history;
   }
 
-  /** Sets the directory of app servers, before the first attempt. */
-  void start(EndpointDirectory of) {
-    directory = of;
+  /** Sets the directory of app servers; called before the first attempt. */
+  void start(EndpointDirectory endpointDirectory) {
+    directory = endpointDirectory;
   }
 
   @Override
@@ -61,6 +61,7 @@
     directory.releaseUnused();
   }
 
+  /** Returns the configured fields of the load report, or an empty list if none was sent. */
   private List<Double> loadReport(AppServerReply reply) {
     if (reply.loadReport().isEmpty()) return List.of();
     List<Double> values = new ArrayList<>();
--- a/src/main/java/saltlatch/node/ClientRequestHandler.java
+++ b/src/main/java/saltlatch/node/ClientRequestHandler.java
@@ -12,8 +12,9 @@
 import saltlatch.wire.client.ClientListener;
 
 /**
- * Makes events of what clients do: requests that arrive, connections that close. Responds itself
- * only to what the policy must not see. Called by the client listener, on the event loop.
+ * Converts requests and disconnects of clients into events. Sends a response without the policy
+ * only to a request that is invalid or exceeds the memory limit, which the policy must not receive.
+ * The client listener calls it on the event loop.
  */
 final class ClientRequestHandler implements ClientListener.Handler {
   private final NameIdTable requestClasses;
@@ -49,9 +50,8 @@
     int requestClass = requestClasses.find(request.requestClass());
     int plan = quotaPlans.find(request.plan());
     metrics.add(Metric.REQUESTS);
-    // The id's check guards against a stranger who reuses the id of a request in flight: an app
-    // server would take it for an attempt of that request, and answer with what is not the
-    // stranger's.
+    // A request with the ID of another request in flight fails: an app server would treat it as an
+    // attempt of that request and would return that request's value to the wrong client.
     if (!validator.isValid(request, requestClass, plan) || requests.containsId(request.id())) {
       metrics.add(Metric.REQUESTS_INVALID);
       client.fail();
--- a/src/main/java/saltlatch/node/EventBatcher.java
+++ b/src/main/java/saltlatch/node/EventBatcher.java
@@ -10,19 +10,19 @@
 import saltlatch.state.NodeMetrics.Metric;
 
 /**
- * Hands events to the policy: what one turn of the event loop brings goes in one batch, in the
- * order of arrival. A request of a client that closed in the same turn thus comes together with the
- * close, and is not forwarded for nobody.
+ * Passes events to the policy, with all events of one event loop iteration in one batch in the
+ * order of their arrival. If a client sends a request and closes its connection within one
+ * iteration, the policy receives both together and does not forward a request without a client.
  *
- * <p>The policy's one caller; owned by the event loop.
+ * <p>All events reach the policy through this class. Owned by the event loop.
  */
 final class EventBatcher {
-  /** What follows a batch. Called on the event loop. */
+  /** Receives the result of each batch, on the event loop. */
   interface Listener {
-    /** The policy threw an exception at these events, and may have handled some of them. */
+    /** The policy threw an exception while it handled these events; some may have been handled. */
     void batchFailed(List<GatewayEvent> events);
 
-    /** The batch is over, be it handled or failed. */
+    /** The batch is finished, whether or not the policy failed. */
     void batchFinished();
   }
 
@@ -44,12 +44,12 @@
     this.listener = listener;
   }
 
-  /** Sets the policy, before the first batch. */
-  void start(GatewayPolicy to) {
-    policy = to;
+  /** Sets the policy; called before the first batch. */
+  void start(GatewayPolicy gatewayPolicy) {
+    policy = gatewayPolicy;
   }
 
-  /** Adds an event to the batch of this turn. */
+  /** Adds an event to the batch of this event loop iteration. */
   void add(GatewayEvent event) {
     batch.add(event);
     if (scheduled) return;
@@ -57,20 +57,20 @@
     scheduler.afterCurrentIteration(this::flush);
   }
 
-  /** Whether a batch is waiting for the end of this turn. */
+  /** Returns whether a batch is scheduled for the end of this event loop iteration. */
   boolean isScheduled() {
     return scheduled;
   }
 
   /**
-   * Asks the policy whether an attempt whose connection has just come up may still be written,
-   * after all that has happened meanwhile.
+   * Returns whether the policy still permits an attempt whose connection has just been established;
+   * events since the attempt was requested may have made it obsolete.
    */
   boolean mayStartAttempt(long requestId, int attempt) {
     return policy.mayStartAttempt(scheduler.now(), requestId, attempt);
   }
 
-  /** Hands over the batch now; does nothing if it is empty. */
+  /** Passes the batch to the policy now, unless it is empty. */
   void flush() {
     scheduled = false;
     if (batch.isEmpty()) return;
@@ -80,7 +80,7 @@
     try {
       policy.handle(scheduler.now(), events);
     } catch (RuntimeException e) {
-      // Guards against a fault of the policy that ends the process: it costs the batch's requests.
+      // A fault of the policy fails the requests of this batch instead of ending the process.
       LOG.error("policy_failed events={}", events.size(), e);
       metrics.add(Metric.EXCEPTIONS);
       listener.batchFailed(events);
--- a/src/main/java/saltlatch/node/EventLoopScheduler.java
+++ b/src/main/java/saltlatch/node/EventLoopScheduler.java
@@ -7,9 +7,9 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * The event loop's clock and timers. All timers of the node share one timer of the loop, set for
- * the earliest that is not cancelled, so that cancelled ones do not wake the loop. Owned by the
- * event loop, which calls everything here.
+ * The event loop's clock and timers. All timers of the node share one Vert.x timer, which is set to
+ * the earliest timer that is not cancelled, so that cancelled timers do not wake the event loop.
+ * Owned by the event loop; all methods are called on it.
  */
 final class EventLoopScheduler implements Scheduler {
   private static final long NOT_ARMED = Long.MAX_VALUE;
@@ -20,10 +20,10 @@
   private final NodeClock clock = new NodeClock();
   private final TimerQueue timers = new TimerQueue();
   private long wakeUpTicks = NOT_ARMED;
-  private long loopTimerId;
+  private long vertxTimerId;
   private boolean stopped;
 
-  /** {@code beforeTimers} runs each time the loop's timer fires, in front of what is due. */
+  /** Creates the scheduler; {@code beforeTimers} runs before the due timers at each wake-up. */
   EventLoopScheduler(Vertx vertx, Context loop, Runnable beforeTimers) {
     this.vertx = vertx;
     this.loop = loop;
@@ -43,31 +43,32 @@
   }
 
   /**
-   * Runs {@code action} behind all that this turn of the loop brings. Closes are reported by tasks
-   * of their own behind what was read in the turn: a second hop is behind these too.
+   * Runs {@code action} after all events of this event loop iteration. Closed connections are
+   * reported in separate tasks after the data read in the iteration, so {@code action} is queued
+   * twice to run after those tasks as well.
    */
   @Override
   public void afterCurrentIteration(Runnable action) {
     loop.runOnContext(first -> loop.runOnContext(second -> action.run()));
   }
 
-  /** For when the loop's timer is set, in ticks; {@link Long#MAX_VALUE} if it is not. */
+  /** Returns when the Vert.x timer is due, in ticks, or {@link Long#MAX_VALUE} if it is not set. */
   long wakeUpTicks() {
     return wakeUpTicks;
   }
 
-  /** Sets the loop's timer for the earliest timer, which may have been cancelled meanwhile. */
+  /** Sets the Vert.x timer to the earliest timer that is not cancelled. */
   void updateWakeUp() {
     if (stopped) return;
     long nextDueTicks = timers.nextDueTicks();
     if (nextDueTicks == wakeUpTicks) return;
-    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
+    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(vertxTimerId);
     wakeUpTicks = nextDueTicks;
     if (nextDueTicks == NOT_ARMED) return;
-    loopTimerId = vertx.setTimer(delayMs(nextDueTicks), id -> fire());
+    vertxTimerId = vertx.setTimer(delayMs(nextDueTicks), id -> fire());
   }
 
-  /** Rounded up: a loop that wakes too early would have to sleep again. */
+  /** Rounds up, since an early wake-up would need a second timer. */
   private long delayMs(long dueTicks) {
     long delayTicks = dueTicks - clock.nowTicks();
     return Math.max(1, (delayTicks + Ticks.PER_MILLISECOND - 1) / Ticks.PER_MILLISECOND);
@@ -80,9 +81,9 @@
     updateWakeUp();
   }
 
-  /** Ends all timers, where the loop itself lives on. */
+  /** Stops all timers while the event loop keeps running. */
   void stop() {
     stopped = true;
-    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(loopTimerId);
+    if (wakeUpTicks != NOT_ARMED) vertx.cancelTimer(vertxTimerId);
   }
 }
--- a/src/main/java/saltlatch/node/FinalResponses.java
+++ b/src/main/java/saltlatch/node/FinalResponses.java
@@ -5,8 +5,8 @@
 import saltlatch.state.RequestContext;
 
 /**
- * Gives each request its one final response, and records it. What comes for a request that has one
- * already has no effect. Owned by the event loop.
+ * Sends each request exactly one final response and records it in the history. A second response to
+ * the same request has no effect. Owned by the event loop.
  */
 final class FinalResponses {
   private final NodeHistory history;
@@ -15,25 +15,25 @@
     this.history = history;
   }
 
-  /** The app server's value. */
+  /** Sends the app server's value. */
   void succeed(RequestContext request, byte[] value) {
     record(request, FinalOutcome.SUCCEEDED);
     request.succeed(value);
   }
 
-  /** Rejected; {@code retryAfterTicks}: the advised wait, 0 for none. */
+  /** Rejects the request; {@code retryAfterTicks} is the advised wait, or 0 for no advice. */
   void reject(RequestContext request, long retryAfterTicks) {
     record(request, FinalOutcome.REJECTED);
     request.reject(retryAfterTicks / Ticks.PER_MILLISECOND);
   }
 
-  /** Failed: it may have been executed. */
+  /** Fails the request, which an app server may have executed. */
   void fail(RequestContext request) {
     record(request, FinalOutcome.FAILED);
     request.fail();
   }
 
-  /** Its client has closed the connection: there is nobody to respond to. */
+  /** Finishes the request without a response, since its client has closed the connection. */
   void clientDisconnected(RequestContext request) {
     record(request, FinalOutcome.CLIENT_DISCONNECTED);
     request.clientDisconnected();
--- a/src/main/java/saltlatch/node/RequestValidator.java
+++ b/src/main/java/saltlatch/node/RequestValidator.java
@@ -5,9 +5,9 @@
 import saltlatch.state.ClientRequest;
 
 /**
- * Whether the settings know a request as it came. Guards against a stranger who charges a customer
- * a huge amount or names nodes that are not there: the customer's own requests would be rejected
- * for it. What is not valid fails before the policy or the counter see it. Immutable.
+ * Checks a request against the settings. An invalid request fails before it reaches the policy or
+ * the counter. Otherwise anyone could charge a customer a huge number of units or name nonexistent
+ * nodes, and the customer's legitimate requests would be rejected. Immutable.
  */
 final class RequestValidator {
   private final GatewaySettings settings;
@@ -18,19 +18,19 @@
     this.maxUnits = maxUnits;
   }
 
-  /** {@code requestClass} and {@code plan}: the numbers of its names, below 0 if not known. */
+  /** Returns whether it is valid; {@code requestClass} and {@code plan} are negative if unknown. */
   boolean isValid(ClientRequest request, int requestClass, int plan) {
     if (requestClass < 0 || plan < 0) return false;
-    return request.units() <= maxUnits && isKnownNodeSet(request)
-        && isOfClass(request, settings.requestClasses().get(requestClass).retrySafety());
+    return request.units() <= maxUnits && isExistingNodeSet(request)
+        && matchesRetrySafety(request, settings.requestClasses().get(requestClass).retrySafety());
   }
 
-  private boolean isKnownNodeSet(ClientRequest request) {
+  private boolean isExistingNodeSet(ClientRequest request) {
     return request.nodeCount() <= settings.nodeCount()
         && request.firstNode() < Math.max(1, settings.nodeCount());
   }
 
-  private static boolean isOfClass(ClientRequest request, RetrySafety retrySafety) {
+  private static boolean matchesRetrySafety(ClientRequest request, RetrySafety retrySafety) {
     return request.query() == (retrySafety == RetrySafety.IDEMPOTENT)
         && (request.hasIdempotencyKey() || retrySafety != RetrySafety.IDEMPOTENT_BY_KEY);
   }
--- a/src/main/java/saltlatch/node/StallDetector.java
+++ b/src/main/java/saltlatch/node/StallDetector.java
@@ -7,23 +7,23 @@
 import saltlatch.state.RequestContext;
 
 /**
- * Notices that the event loop did not run: the process was stopped, or its core was taken away.
- * Shows as a timer that is overdue by more than the policy's threshold. Requests read right after a
- * stall may have waited unread through all of it, with clients that have given up since; their age
- * lets the policy drop them first. The policy judges its own absence by its own timer
- * (TimerStallDetection), since on the simulator it has no event loop.
+ * Detects that the event loop did not run because the process was stopped or lost its core. A
+ * stall shows as a timer that is overdue by more than the policy's threshold. Requests read right
+ * after a stall may have waited unread during all of it, and their clients may have timed out; the
+ * age of these requests lets the policy drop them first. The policy detects its stalls separately
+ * with a timer (TimerStallDetection), since in the simulator it has no event loop.
  *
- * <p>{@link #check()} has to run before anything read meanwhile is handed on: then a stall is known
- * before the first request that it delayed. Owned by the event loop.
+ * <p>{@link #check()} must run before data read after a stall is processed, so that the stall is
+ * recorded before the first request that it delayed. Owned by the event loop.
  */
 final class StallDetector {
   private final LongSupplier clockTicks;
-  private final LongSupplier timerDueTicks; // Long.MAX_VALUE: no timer is set
+  private final LongSupplier timerDueTicks; // Long.MAX_VALUE if no timer is set
   private final LongSupplier thresholdTicks;
   private final NodeMetrics metrics;
   private final NodeHistory history;
-  private long lastSeenTicks; // the loop was running then
-  private long resumedTicks; // end of the last stall; 0: there was none
+  private long lastCheckTicks; // when the event loop last ran a check
+  private long resumedTicks; // end of the last stall; 0 if there was none
   private long stallTicks; // length of the last stall
 
   StallDetector(LongSupplier clockTicks, LongSupplier timerDueTicks, LongSupplier thresholdTicks,
@@ -35,25 +35,25 @@
     this.history = history;
   }
 
-  /** The loop runs from now on. */
+  /** Starts the detection; a stall before this call is not detected. */
   void start() {
-    lastSeenTicks = clockTicks.getAsLong();
+    lastCheckTicks = clockTicks.getAsLong();
   }
 
-  /** Looks whether the loop has just resumed after a stall. */
+  /** Checks whether the event loop has just resumed after a stall. */
   void check() {
     long nowTicks = clockTicks.getAsLong();
     long dueTicks = timerDueTicks.getAsLong();
     if (dueTicks != Long.MAX_VALUE
-        && nowTicks - Math.max(dueTicks, lastSeenTicks) > thresholdTicks.getAsLong()) {
-      resumed(nowTicks);
+        && nowTicks - Math.max(dueTicks, lastCheckTicks) > thresholdTicks.getAsLong()) {
+      recordStall(nowTicks);
     }
-    lastSeenTicks = nowTicks;
+    lastCheckTicks = nowTicks;
   }
 
-  private void resumed(long nowTicks) {
+  private void recordStall(long nowTicks) {
     resumedTicks = nowTicks;
-    stallTicks = nowTicks - lastSeenTicks;
+    stallTicks = nowTicks - lastCheckTicks;
     long stallMs = stallTicks / Ticks.PER_MILLISECOND;
     metrics.add(Metric.STALLS);
     metrics.add(Metric.STALLED_MS, stallMs);
@@ -61,8 +61,9 @@
   }
 
   /**
-   * For how long a command that is read now has lain unread, in ticks. The system is asked only
-   * for as long after a stall as the stall took; 0 at other times.
+   * Returns for how many ticks a command that is read now has waited unread. The operating system
+   * is queried only until the time since the stall exceeds the stall's length; the result is 0 at
+   * all other times.
    */
   long readDelayTicks(RequestContext.ResponseSink client) {
     long sinceResumedTicks = clockTicks.getAsLong() - resumedTicks;
