--- a/src/main/java/saltlatch/node/EndpointDirectory.java
+++ b/src/main/java/saltlatch/node/EndpointDirectory.java
@@ -12,17 +12,18 @@
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * The app servers that discovery has named, by the small numbers that the policy knows them by. One
- * that is off the list keeps its number until no connection of it is in use any more: else a late
- * answer would count for the app server that got the number next. Owned by the event loop.
+ * Maps the app servers of the endpoint list to the small server IDs that the policy uses. An app
+ * server that was removed from the list keeps its ID until none of its connections is in use;
+ * otherwise a late reply would be attributed to the app server that receives the ID next. Owned by
+ * the event loop.
  */
 final class EndpointDirectory {
   private final AppServerClient appServers;
   private final NameIdTable zones;
   private final NameIdTable machineTypes;
   private final NameIdTable names = new NameIdTable();
-  private final List<GatewayEvent.Endpoint> latest = new ArrayList<>(); // by number
-  private final Set<Integer> removed = new LinkedHashSet<>(); // off the list, with a number
+  private final List<GatewayEvent.Endpoint> endpoints = new ArrayList<>(); // by ID
+  private final Set<Integer> removedIds = new LinkedHashSet<>(); // IDs not yet released
 
   EndpointDirectory(AppServerClient appServers, NameIdTable zones, NameIdTable machineTypes) {
     this.appServers = appServers;
@@ -30,83 +31,84 @@
     this.machineTypes = machineTypes;
   }
 
-  /** The name that has this number, or null. */
+  /** Returns the name of the app server with this ID, or null if the ID is not assigned. */
   String serverName(int serverId) {
     return names.name(serverId);
   }
 
-  /** One above the highest number assigned so far. */
+  /** Returns the highest ID assigned so far, plus one. */
   int serverIdLimit() {
-    return latest.size();
+    return endpoints.size();
   }
 
-  /** Names that have a number, those off the list too. */
+  /** Returns how many IDs are assigned, including those of removed app servers. */
   int assignedCount() {
     return names.size();
   }
 
-  /** Whether the app server with this number is on the list. */
+  /** Returns whether the app server with this ID is on the list. */
   boolean isListed(int serverId) {
-    return names.name(serverId) != null && !removed.contains(serverId);
+    return names.name(serverId) != null && !removedIds.contains(serverId);
   }
 
-  /** App servers now listed. */
+  /** Returns how many app servers are on the list. */
   int listedCount() {
-    return names.size() - removed.size();
+    return names.size() - removedIds.size();
   }
 
-  /** Takes in a list or change as a whole, and returns the policy's event for it. */
+  /** Applies a complete list or change, and returns the event for the policy. */
   GatewayEvent.EndpointsUpdated update(EndpointList list, GatewayEvent.EndpointUpdateKind kind) {
-    List<GatewayEvent.Endpoint> endpoints = new ArrayList<>();
-    Set<Integer> named = new LinkedHashSet<>();
+    List<GatewayEvent.Endpoint> updated = new ArrayList<>();
+    Set<Integer> listedIds = new LinkedHashSet<>();
     for (EndpointList.Entry entry : list.entries()) {
       GatewayEvent.Endpoint endpoint = update(entry);
-      endpoints.add(endpoint);
-      named.add((int) endpoint.serverId());
+      updated.add(endpoint);
+      listedIds.add((int) endpoint.serverId());
     }
     if (list.snapshot()) {
       names.forEachNumber(serverId -> {
-        if (!named.contains(serverId)) removed.add(serverId);
+        if (!listedIds.contains(serverId)) removedIds.add(serverId);
       });
     }
-    return new GatewayEvent.EndpointsUpdated(kind, endpoints);
+    return new GatewayEvent.EndpointsUpdated(kind, updated);
   }
 
-  /** Takes in one entry, and returns the policy's form of it. */
+  /** Applies one entry, and returns the endpoint for the policy. */
   GatewayEvent.Endpoint update(EndpointList.Entry entry) {
     int serverId = names.assign(entry.name());
     if (entry.address() != null) appServers.setAddress(serverId, entry.address());
-    if (entry.state() == GatewayEvent.EndpointState.REMOVED) removed.add(serverId);
-    else removed.remove(serverId);
+    if (entry.state() == GatewayEvent.EndpointState.REMOVED) removedIds.add(serverId);
+    else removedIds.remove(serverId);
     GatewayEvent.Endpoint endpoint = new GatewayEvent.Endpoint(serverId,
         entry.startedAtMs() * Ticks.PER_MILLISECOND, Math.max(0, zones.find(entry.zone())),
         entry.keyGroup(), entry.state(), entry.weight(),
         Math.max(0, machineTypes.find(entry.machineType())));
-    while (latest.size() <= serverId) latest.add(null);
-    latest.set(serverId, endpoint);
+    while (endpoints.size() <= serverId) endpoints.add(null);
+    endpoints.set(serverId, endpoint);
     return endpoint;
   }
 
-  /** Takes one off the list that a snapshot does not name, and returns the policy's form of it. */
+  /** Removes an app server that a snapshot omits, and returns the endpoint for the policy. */
   GatewayEvent.Endpoint remove(int serverId) {
-    removed.add(serverId);
-    GatewayEvent.Endpoint last = latest.get(serverId);
-    return new GatewayEvent.Endpoint(serverId, last.startedAtTicks(), last.zone(), last.keyGroup(),
-        GatewayEvent.EndpointState.REMOVED, last.weight(), last.machineType());
+    removedIds.add(serverId);
+    GatewayEvent.Endpoint previous = endpoints.get(serverId);
+    return new GatewayEvent.Endpoint(serverId, previous.startedAtTicks(), previous.zone(),
+        previous.keyGroup(), GatewayEvent.EndpointState.REMOVED, previous.weight(),
+        previous.machineType());
   }
 
   /**
-   * Frees the numbers of app servers that are off the list and no longer in use, as many at a time
-   * as a list's slice has entries.
+   * Releases the IDs of removed app servers that are no longer in use, at most
+   * {@link EndpointListApplier#MAX_ENTRIES_PER_SLICE} per call.
    */
   void releaseUnused() {
-    Iterator<Integer> candidates = removed.iterator();
+    Iterator<Integer> candidates = removedIds.iterator();
     int released = 0;
     while (released < EndpointListApplier.MAX_ENTRIES_PER_SLICE && candidates.hasNext()) {
       int serverId = candidates.next();
       if (!appServers.remove(serverId)) continue;
       names.release(serverId);
-      latest.set(serverId, null);
+      endpoints.set(serverId, null);
       candidates.remove();
       released++;
     }
--- a/src/main/java/saltlatch/node/EndpointListListener.java
+++ b/src/main/java/saltlatch/node/EndpointListListener.java
@@ -10,9 +10,9 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Has endpoint lists applied as they come from discovery, renews the watch where that is the host's
- * task, and reports each list's index once the policy has all of it. Called by the discovery
- * client, on the event loop.
+ * Passes endpoint lists from discovery to the {@link EndpointListApplier}, reopens the watch unless
+ * the policy does so, and reports the index of each list once the policy has received all of it.
+ * The discovery client calls it on the event loop.
  */
 final class EndpointListListener implements DiscoveryClient.Listener {
   private final EndpointDirectory directory;
@@ -20,10 +20,10 @@
   private final EndpointListApplier applier;
   private final boolean policyOpensWatch;
   private final LongConsumer onApplied;
-  private final List<Long> indicesInBatch = new ArrayList<>(); // of the lists that it completes
+  private final List<Long> indicesInBatch = new ArrayList<>(); // of lists that it completes
   private DiscoveryClient discovery;
 
-  /** {@code onApplied} gets the index of each list that the policy has been handed whole. */
+  /** {@code onApplied} receives the index of each list that is completely applied. */
   EndpointListListener(NodeConfiguration configuration, EndpointDirectory directory,
       Scheduler scheduler, EventBatcher events, LongConsumer onApplied) {
     this.directory = directory;
@@ -33,14 +33,14 @@
     policyOpensWatch = configuration.settings().limits().mustOpenWatch();
   }
 
-  /** Sets the client, and hands the list known before the start to the policy. */
+  /** Sets the discovery client, and passes the cached endpoint list to the policy. */
   void start(DiscoveryClient client, EndpointList cached) {
     discovery = client;
     indicesInBatch.add(cached.index());
     events.add(directory.update(cached, EndpointUpdateKind.CACHED_SNAPSHOT));
   }
 
-  /** Opens the watch once the node serves, unless the policy does that. */
+  /** Opens the watch, unless the policy does so; called once the node serves clients. */
   void openWatch() {
     if (!policyOpensWatch) discovery.openWatch();
   }
@@ -50,7 +50,7 @@
     applier.apply(list, () -> {
       applied.run();
       indicesInBatch.add(list.index());
-      if (!events.isScheduled()) reportApplied(); // its last slice changed nothing for the policy
+      if (!events.isScheduled()) reportApplied(); // the last slice produced no event
     });
   }
 
@@ -63,13 +63,13 @@
     }
   }
 
-  /** The batch is over: its lists are applied. */
+  /** Reports the lists that the batch completed; called once the policy has handled the batch. */
   void reportApplied() {
     indicesInBatch.forEach(onApplied::accept);
     indicesInBatch.clear();
   }
 
-  /** The policy failed on the batch: its lists do not count as applied. */
+  /** Drops the batch's list indices, since the policy failed to handle the batch. */
   void discardBatch() {
     indicesInBatch.clear();
   }
