--- a/src/main/java/saltlatch/node/EdgeNode.java
+++ b/src/main/java/saltlatch/node/EdgeNode.java
@@ -18,8 +18,9 @@
 import saltlatch.wire.client.ClientListener;
 
 /**
- * One edge node: its event loop, its listener for clients and its runtime; starts, reloads and
- * stops them. Callable from any thread; what it does runs on the node's event loop.
+ * One edge node, which consists of an event loop, a listener for clients and a runtime. Starts,
+ * reloads and stops them. Its methods can be called from any thread; except for the getters, they
+ * run their work on the node's event loop.
  */
 final class EdgeNode {
   private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
@@ -31,11 +32,11 @@
   private final NodeHistory history;
   private final NodeRuntime runtime;
   private final ClientListener listener;
-  // done once there is what a reload changes
+  // completed once the outbound clients exist, since a reload changes their addresses
   private final Promise<Void> runtimeStarted = Promise.promise();
-  private boolean stopping; // owned by the event loop
+  private boolean stopping; // accessed only on the event loop
 
-  /** Builds the node; it neither listens nor connects yet. */
+  /** Creates the node without listening or connecting. */
   EdgeNode(NodeConfiguration configuration) {
     this.configuration = configuration;
     vertx = SingleLoopTransport.applyTo(Vertx.builder()).with(options()).build();
@@ -52,7 +53,7 @@
   private static VertxOptions options() {
     FileSystemOptions files = new FileSystemOptions().setFileCachingEnabled(false)
         .setClassPathResolvingEnabled(false);
-    return new VertxOptions().setPreferNativeTransport(true) // NIO's timers spin for half a ms each
+    return new VertxOptions().setPreferNativeTransport(true) // NIO busy-waits 0.5 ms for each timer
         .setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
         .setBlockedThreadCheckInterval(TimeUnit.HOURS.toMillis(1)).setFileSystemOptions(files);
   }
@@ -65,14 +66,14 @@
   }
 
   /**
-   * Starts the node; done once it answers clients. Fails if it can't listen, if the policy can't be
-   * created, or if {@link #stop()} came first.
+   * Starts the node. The future completes once the node serves clients, and fails if the node can't
+   * listen, if the policy can't be created, or if {@link #stop()} was called before.
    */
   Future<Void> start(GatewayPolicy.Factory factory) {
     Promise<Void> started = Promise.promise();
     loop.runOnContext(v -> {
       try {
-        if (stopping) throw new IllegalStateException("stopped before it was ready");
+        if (stopping) throw new IllegalStateException("stop() was called before the node started");
         runtime.start(factory);
         runtimeStarted.complete();
       } catch (RuntimeException | OutOfMemoryError e) {
@@ -86,7 +87,7 @@
   }
 
   private void serve(Promise<Void> started) {
-    if (stopping) return; // it never was ready: nobody counts on it
+    if (stopping) return; // the node was never ready, so no client depends on it
     listener.markReady();
     LOG.info("{} serves on {}", configuration.name(), configuration.addresses().listen());
     history.ready();
@@ -95,8 +96,8 @@
   }
 
   /**
-   * Reads the configuration again at each SIGHUP; one that can't be used leaves all as it is. One
-   * that comes before the runtime has started waits for it.
+   * Reads the configuration again after each SIGHUP. An invalid configuration changes nothing; a
+   * valid one that is read before the runtime has started is applied after the start.
    */
   void reloadOn(ReloadSignal signal, Path path) {
     signal.onReload(() -> loop.runOnContext(v -> reload(path)));
@@ -107,10 +108,11 @@
         .onFailure(e -> {
           metrics.add(Metric.RELOADS_FAILED);
           LOG.warn("configuration_rejected path={} kept=old error={}", path, e.toString());
-        }).onSuccess(renewed -> runtimeStarted.future().onSuccess(v -> runtime.reload(renewed)));
+        }).onSuccess(newConfiguration -> runtimeStarted.future()
+            .onSuccess(v -> runtime.reload(newConfiguration)));
   }
 
-  /** Ends the node as after SIGTERM; done once its event loop is closed. */
+  /** Stops the node as after SIGTERM; the future completes once the event loop is closed. */
   Future<Void> stop() {
     Promise<Void> done = Promise.promise();
     loop.runOnContext(v -> {
@@ -121,12 +123,15 @@
     return done.future().compose(v -> vertx.close());
   }
 
-  /** The port on which it listens for clients. */
+  /** Returns the port on which the node listens for clients. */
   int port() {
     return listener.port();
   }
 
-  /** Its metrics as INFO gives them; right only on its event loop, or once that is closed. */
+  /**
+   * Returns the metrics in the format of INFO. The values are reliable only on the event loop, or
+   * once the loop is closed.
+   */
   String infoText() {
     return runtime.infoText();
   }
--- a/src/main/java/saltlatch/node/EmbeddedNode.java
+++ b/src/main/java/saltlatch/node/EmbeddedNode.java
@@ -6,8 +6,8 @@
 import saltlatch.api.GatewayPolicy;
 
 /**
- * An edge node within another program (the laboratory): no signals and no shutdown hook; it ends by
- * {@link #stop()}. Callable from any thread.
+ * An edge node inside another program, the laboratory. It installs no signal handlers and no
+ * shutdown hook, and stops only through {@link #stop()}. Its methods can be called from any thread.
  */
 public final class EmbeddedNode {
   private final EdgeNode node;
@@ -17,8 +17,8 @@
   }
 
   /**
-   * Starts a node of the configuration's JSON text; done once it serves, failed for a text that
-   * can't be used or if it can't listen.
+   * Starts a node with the given JSON configuration. The future completes once the node serves
+   * clients, and fails if the configuration is invalid or the node can't listen.
    */
   public static Future<EmbeddedNode> start(GatewayPolicy.Factory factory, String json) {
     EdgeNode node;
@@ -30,19 +30,19 @@
     return node.start(factory).map(v -> new EmbeddedNode(node));
   }
 
-  /** The port on which it listens for clients. */
+  /** Returns the port on which the node listens for clients. */
   public int port() {
     return node.port();
   }
 
-  /** Its metrics, a {@code name=value} line each, as {@code INFO} gives them. */
+  /** Returns the metrics in the format of {@code INFO}, with one {@code name=value} line each. */
   public Future<String> infoText() {
     Promise<String> text = Promise.promise();
     node.loop().runOnContext(v -> text.complete(node.infoText()));
     return text.future();
   }
 
-  /** CPU time in ns that its event loop's thread has used, from the JVM's thread accounting. */
+  /** Returns the CPU time of the event loop's thread in ns, as measured by the JVM. */
   public Future<Long> loopCpuNanos() {
     Promise<Long> nanos = Promise.promise();
     node.loop().runOnContext(
@@ -50,7 +50,7 @@
     return nanos.future();
   }
 
-  /** Drains and ends as after SIGTERM; done once its event loop is closed. */
+  /** Drains and stops the node as after SIGTERM; completes once the event loop is closed. */
   public Future<Void> stop() {
     return node.stop();
   }
--- a/src/main/java/saltlatch/node/GracefulShutdown.java
+++ b/src/main/java/saltlatch/node/GracefulShutdown.java
@@ -7,25 +7,26 @@
 import saltlatch.wire.client.ClientListener;
 
 /**
- * The planned end of a node: it goes on serving for as long as SIGKILL leaves time, or until all
- * clients have closed their connections. Guards against clients that have no other node until this
- * one is up again: what they request meanwhile would fail. Then connections end as they fall idle;
- * at last what is still in flight fails, since SIGKILL would lose it, and what still comes is
- * rejected, so that each connection ends with all read that has come.
+ * The planned shutdown of a node in three phases. First the node serves normally for as long as the
+ * time until SIGKILL permits, or until all clients have closed their connections; otherwise
+ * requests would fail for clients that have no other node until this one has restarted. Then each
+ * connection is closed after its next reply. Finally requests in flight fail, since SIGKILL would
+ * lose them, and new requests are rejected, so that all received data is read before a connection
+ * is closed.
  *
  * <p>Runs on the event loop.
  */
 final class GracefulShutdown {
-  /** New connections keep coming for up to 0.4 s after SIGTERM; 0.1 s of margin. */
+  /** Clients open new connections for up to 0.4 s after SIGTERM; 0.1 s is margin. */
   private static final long MIN_SERVING_MS = 500;
   private static final long CHECK_INTERVAL_MS = 20;
-  /** SIGKILL comes no sooner than the longest client timeout, of which this counts at most. */
+  /** SIGKILL is sent no sooner than the longest client timeout, counted up to this limit. */
   private static final long MAX_CLIENT_TIMEOUT_MS = 3_000;
-  /** What SIGKILL leaves on top of the client timeout. */
+  /** Time from the end of the client timeout to SIGKILL. */
   private static final long KILL_MARGIN_MS = 700;
-  /** Kept of that margin for the JVM's own end on part of a core. */
+  /** Part of that margin reserved for the JVM's exit, which may get only part of a core. */
   private static final long JVM_EXIT_MS = 400;
-  /** SIGKILL comes no later: there is no use in waiting longer. */
+  /** SIGKILL is sent by then at the latest, so a longer wait has no use. */
   static final long MAX_DURATION_MS = MAX_CLIENT_TIMEOUT_MS + KILL_MARGIN_MS;
 
   private final Vertx vertx;
@@ -44,30 +45,32 @@
   }
 
   /**
-   * When what happens, in ms after SIGTERM.
+   * The start of each shutdown phase, in ms after SIGTERM.
    *
-   * @param drainStartMs from then on a connection ends behind its last reply, and one that has
-   *     nothing to be answered stays until {@code rejectStartMs}; the longest latency objective is
-   *     left then, for what is in flight
-   * @param rejectStartMs    what comes is rejected from then on, and what is in flight fails
+   * @param drainStartMs  when connections start to close after their next reply; one without a
+   *     pending reply stays open until {@code rejectStartMs}. The interval between the two is the
+   *     longest latency objective, or less if {@code MIN_SERVING_MS} delays the first, so that
+   *     requests in flight can finish.
+   * @param rejectStartMs when new requests start to be rejected, and requests in flight fail
    */
   record Schedule(long drainStartMs, long rejectStartMs) {
     static Schedule of(GatewaySettings settings) {
       long clientTimeoutTicks = 0;
       long latencyObjectiveTicks = 0;
-      for (GatewaySettings.RequestClass each : settings.requestClasses()) {
-        clientTimeoutTicks = Math.max(clientTimeoutTicks, each.clientTimeoutTicks());
-        latencyObjectiveTicks = Math.max(latencyObjectiveTicks, each.latencyObjectiveTicks());
+      for (GatewaySettings.RequestClass requestClass : settings.requestClasses()) {
+        clientTimeoutTicks = Math.max(clientTimeoutTicks, requestClass.clientTimeoutTicks());
+        latencyObjectiveTicks = Math.max(latencyObjectiveTicks,
+            requestClass.latencyObjectiveTicks());
       }
-      long lastMs = Math.min(MAX_CLIENT_TIMEOUT_MS, clientTimeoutTicks / Ticks.PER_MILLISECOND)
-          + KILL_MARGIN_MS - JVM_EXIT_MS;
+      long latestRejectMs = Math.min(MAX_CLIENT_TIMEOUT_MS,
+          clientTimeoutTicks / Ticks.PER_MILLISECOND) + KILL_MARGIN_MS - JVM_EXIT_MS;
       long drainStartMs = Math.max(MIN_SERVING_MS,
-          lastMs - latencyObjectiveTicks / Ticks.PER_MILLISECOND);
-      return new Schedule(drainStartMs, Math.max(drainStartMs + CHECK_INTERVAL_MS, lastMs));
+          latestRejectMs - latencyObjectiveTicks / Ticks.PER_MILLISECOND);
+      return new Schedule(drainStartMs, Math.max(drainStartMs + CHECK_INTERVAL_MS, latestRejectMs));
     }
   }
 
-  /** Begins; completes the promise once no client is connected any more. */
+  /** Starts the shutdown; completes the promise once no client is connected. */
   void start() {
     vertx.setTimer(schedule.drainStartMs(), t -> listener.closeConnectionsAfterReply());
     vertx.setTimer(schedule.rejectStartMs(), t -> rejectAll());
@@ -80,11 +83,11 @@
   }
 
   private void check(long periodicTimer) {
-    // also those that came since the last check
+    // includes connections opened since the last check
     if (listener.isRejecting()) listener.closeIdleConnections();
     if (listener.openConnections() > 0) return;
     vertx.cancelTimer(periodicTimer);
-    rejectAll(); // what comes while all is being closed is not forwarded
+    rejectAll(); // requests that arrive during the close must not be forwarded
     done.complete();
   }
 }
--- a/src/main/java/saltlatch/node/HollowNode.java
+++ b/src/main/java/saltlatch/node/HollowNode.java
@@ -8,11 +8,12 @@
 import saltlatch.state.NodeMetrics;
 
 /**
- * A hollow node: the control part of one edge node without its data path, for the laboratory. It
- * runs the classes that {@code serve} runs (discovery's watch, the directory, connections to app
- * servers, membership where enabled, the policy) but no listener for clients. Many of them share
- * one {@link Vertx}, each on its own context. The datagram socket, where there is one, closes with
- * that context (a deployed verticle's) or with the {@link Vertx}. Callable from any thread.
+ * A hollow node: the control plane of one edge node without the listener for clients, for the
+ * laboratory. It runs the same classes as {@code serve}: discovery's watch, the endpoint directory,
+ * connections to app servers, membership if enabled, and the policy. Many hollow nodes share one
+ * {@link Vertx}, each with a separate context. The datagram socket, if any, is closed together with
+ * that context (of a deployed verticle) or with the {@link Vertx}. The methods can be called from
+ * any thread.
  */
 public final class HollowNode {
   private final Context loop;
@@ -21,14 +22,14 @@
   private volatile int listedServerCount;
   private volatile LongConsumer onListApplied = index -> {};
 
-  /** Neither starts nor connects anything; {@code loop}: the event loop that it is to live on. */
+  /** Creates the node without starting it; {@code loop} is the event loop that it runs on. */
   public HollowNode(Vertx vertx, Context loop, NodeConfiguration configuration) {
     this.loop = loop;
     runtime = new NodeRuntime(vertx, loop, configuration, new NodeMetrics(), NodeHistory.NO_OP);
     runtime.onListApplied(this::listApplied);
   }
 
-  /** Starts the policy on the list last known, and follows discovery; returns at once. */
+  /** Starts the policy with the cached endpoint list, and opens the watch; returns at once. */
   public void start(GatewayPolicy.Factory factory) {
     loop.runOnContext(v -> {
       runtime.start(factory);
@@ -36,14 +37,14 @@
     });
   }
 
-  /** Ends the watch and all timers; returns at once. A stopped node isn't started again. */
+  /** Stops the watch and all timers; returns at once. A stopped node can't be restarted. */
   public void stop() {
     loop.runOnContext(v -> runtime.stop());
   }
 
   /**
-   * Its metrics, a {@code name=value} line each, as INFO gives them. Waits for its loop, so it must
-   * not be called on another event loop.
+   * Returns the metrics in the format of INFO, with one {@code name=value} line each. Waits for the
+   * node's event loop, so it must not be called on another event loop.
    */
   public String infoText() {
     if (Vertx.currentContext() == loop) return runtime.infoText();
@@ -52,19 +53,19 @@
     return text.join();
   }
 
-  /** The index of the newest list or change that the policy has whole; below 0: none yet. */
+  /** Returns the index of the newest completely applied list or change; negative if none. */
   public long listIndex() {
     return listIndex;
   }
 
-  /** App servers listed as of {@link #listIndex()}. */
+  /** Returns how many app servers are listed as of {@link #listIndex()}. */
   public int listedServerCount() {
     return listedServerCount;
   }
 
   /**
-   * Sets what is called on its loop with the index of each list or change once the policy has it
-   * whole; before the start.
+   * Sets the action that receives the index of each completely applied list or change, on the
+   * node's event loop. Must be called before the start.
    */
   public void onListApplied(LongConsumer action) {
     onListApplied = action;
--- a/src/main/java/saltlatch/node/NodeRuntime.java
+++ b/src/main/java/saltlatch/node/NodeRuntime.java
@@ -21,9 +21,10 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Joins one policy with its partners on one event loop: builds the parts, starts them in order, and
- * ends them. Apart from the constructor everything here runs on that event loop, which owns all
- * parts; none of them is thread-safe. Decides nothing.
+ * Connects one policy to clients, app servers, the counter, discovery and peers on one event loop:
+ * creates the components, starts them in order and stops them. Except for the constructor, the
+ * getters and {@link #onListApplied}, all methods run on that event loop, which owns the
+ * components; none of them is thread-safe. Contains no policy logic.
  */
 final class NodeRuntime implements EventBatcher.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(NodeRuntime.class);
@@ -42,12 +43,12 @@
   private final PeerMessageListener peerMessages;
   private LongConsumer onListApplied = index -> {};
   private EndpointListListener endpointLists;
-  private OutboundClients partners; // null: not started
+  private OutboundClients outboundClients; // null until the start
   private GatewayPolicy policy;
-  // null: not enabled, and none of membership's classes are loaded
+  // null if not enabled; the classes of membership are not loaded then
   private MembershipAdapter membership;
 
-  /** Neither starts nor connects anything; {@code loop}: the event loop that it is to run on. */
+  /** Creates the components without starting them; {@code loop} is the event loop to run on. */
   NodeRuntime(Vertx vertx, Context loop, NodeConfiguration configuration, NodeMetrics metrics,
       NodeHistory history) {
     this.vertx = vertx;
@@ -78,22 +79,22 @@
     return policy.stallThresholdTicks();
   }
 
-  /** Sets what gets the index of each endpoint list or change that the policy has whole. */
+  /** Sets the action that receives the index of each completely applied list or change. */
   void onListApplied(LongConsumer action) {
     onListApplied = action;
   }
 
-  /** What takes the clients' requests. */
+  /** Returns the handler of the clients' requests. */
   ClientRequestHandler clientRequestHandler() {
     return clientRequests;
   }
 
-  /** The event loop's clock and timers. */
+  /** Returns the event loop's clock and timers. */
   Scheduler scheduler() {
     return scheduler;
   }
 
-  /** Starts the policy on the endpoint list last known; connections open as they are needed. */
+  /** Starts the policy with the cached endpoint list; connections are opened on demand. */
   void start(GatewayPolicy.Factory factory) {
     stalls.start();
     HostSettings settings = configuration.hostSettings();
@@ -105,12 +106,12 @@
     attempts.start(directory);
     endpointLists = new EndpointListListener(configuration, directory, scheduler, events,
         index -> onListApplied.accept(index));
-    partners = new OutboundClients(appServers, directory, counterClient(), discoveryClient(),
+    outboundClients = new OutboundClients(appServers, directory, counterClient(), discoveryClient(),
         peerSocket());
-    actions.start(partners);
+    actions.start(outboundClients);
     policy = factory.create(scheduler.now(), configuration.settings(), actions);
     events.start(policy);
-    endpointLists.start(partners.discovery(), configuration.cachedEndpoints());
+    endpointLists.start(outboundClients.discovery(), configuration.cachedEndpoints());
     if (configuration.membershipEnabled()) startMembership();
   }
 
@@ -135,58 +136,59 @@
   }
 
   private void startMembership() {
-    membership = new MembershipAdapter(scheduler, partners.peers(), history, configuration,
+    membership = new MembershipAdapter(scheduler, outboundClients.peers(), history, configuration,
         events::add);
     peerMessages.start(membership);
   }
 
-  /** Opens the watch of the endpoint list, once the node serves; the policy may do so itself. */
+  /** Opens the watch of the endpoint list, unless the policy does so; called once it serves. */
   void openWatch() {
     endpointLists.openWatch();
   }
 
-  /** App servers now listed. */
+  /** Returns how many app servers are listed. */
   int listedServerCount() {
-    return partners.directory().listedCount();
+    return outboundClients.directory().listedCount();
   }
 
   /**
-   * Takes over the addresses of discovery and the counter from a configuration that was read anew.
-   * The rest holds from the start.
+   * Applies the addresses of discovery and the counter from a reloaded configuration. All other
+   * values stay as they were at the start.
    */
-  void reload(NodeConfiguration renewed) {
+  void reload(NodeConfiguration newConfiguration) {
     metrics.add(Metric.RELOADS);
-    NodeConfiguration.Addresses addresses = renewed.addresses();
+    NodeConfiguration.Addresses addresses = newConfiguration.addresses();
     LOG.info("configuration_reloaded discovery={} counter={}", addresses.discovery(),
         addresses.counter());
     history.reloaded();
-    partners.discovery().changeAddress(addresses.discovery());
-    if (partners.counter() != null && addresses.counter() != null) {
-      partners.counter().changeAddress(addresses.counter());
+    outboundClients.discovery().changeAddress(addresses.discovery());
+    if (outboundClients.counter() != null && addresses.counter() != null) {
+      outboundClients.counter().changeAddress(addresses.counter());
     }
   }
 
-  /** A planned end is near: no more lists are followed, and the peers learn of it. */
+  /** Closes the watch and notifies the peers, before a planned shutdown. */
   void leaveFleet() {
-    if (partners != null) partners.discovery().closeWatch();
+    if (outboundClients != null) outboundClients.discovery().closeWatch();
     if (membership != null) membership.leave();
   }
 
-  /** Ends the watch and all timers, where the event loop lives on with other nodes. */
+  /** Stops the watch and all timers while the event loop keeps running for other nodes. */
   void stop() {
     leaveFleet();
     scheduler.stop();
   }
 
-  /** The text of INFO: a {@code name=value} line for each figure. */
+  /** Returns the text of INFO, with one {@code name=value} line for each metric. */
   String infoText() {
-    String own = metrics.infoText() + "held=" + requests.size() + "\n";
-    return membership == null ? own : own + membership.infoText(policy.gossipValidityTicks());
+    String ownMetrics = metrics.infoText() + "held=" + requests.size() + "\n";
+    if (membership == null) return ownMetrics;
+    return ownMetrics + membership.infoText(policy.gossipValidityTicks());
   }
 
   @Override
-  public void batchFailed(List<GatewayEvent> failed) {
-    failed.forEach(this::failRequestOf);
+  public void batchFailed(List<GatewayEvent> failedEvents) {
+    failedEvents.forEach(this::abortRequestOf);
     endpointLists.discardBatch();
   }
 
@@ -195,13 +197,13 @@
     endpointLists.reportApplied();
   }
 
-  /** Fails the request that the policy failed on, and reports it to the policy as gone. */
-  private void failRequestOf(GatewayEvent event) {
+  /** Fails an event's request if it is unfinished, and reports its client as disconnected. */
+  private void abortRequestOf(GatewayEvent event) {
     RequestContext request = requests.find(requestIdOf(event));
     if (request != null && !request.isFinished()) clientRequests.abort(request);
   }
 
-  /** The request that an event is about, or below 0; the policy's timers bear requests' numbers. */
+  /** Returns the event's request ID, or -1; the policy uses request IDs as timer IDs. */
   private static long requestIdOf(GatewayEvent event) {
     if (event instanceof GatewayEvent.RequestArrived arrived) return arrived.requestId();
     if (event instanceof GatewayEvent.AttemptEnded ended) return ended.requestId();
--- a/src/main/java/saltlatch/node/ReloadSignal.java
+++ b/src/main/java/saltlatch/node/ReloadSignal.java
@@ -3,17 +3,17 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP, which asks for the configuration to be read again. Guards against a signal that comes
- * while the process starts: unhandled it would end the process; handled before there is a node to
- * take it, it would be lost, and the node would stay on the old configuration. So the signal is
- * handled first of all, and kept until the node takes it. Thread-safe: signals come on a thread of
- * the JVM's own.
+ * Handles SIGHUP, which requests a reload of the configuration. Without a handler, a signal during
+ * the start would terminate the process; if it were handled before the node exists and then
+ * dropped, the node would keep the old configuration. Therefore the handler is installed first, and
+ * a signal stays pending until the node registers its reload action. Thread-safe, since the JVM
+ * delivers signals on a separate thread.
  */
 final class ReloadSignal {
-  private Runnable reload; // null: no node takes it yet
+  private Runnable reload; // null until the node registers it
   private boolean pending;
 
-  /** Handles SIGHUP from now on. */
+  /** Installs the signal handler. */
   ReloadSignal() {
     // The JDK has no public API for signals.
     Signal.handle(new Signal("HUP"), signal -> received());
@@ -24,12 +24,12 @@
     else reload.run();
   }
 
-  /** Whether a signal has come that nobody has taken yet. */
+  /** Returns whether a signal was received before a reload action was registered. */
   synchronized boolean isPending() {
     return pending;
   }
 
-  /** Runs {@code action} at each signal, and now if one has come before. */
+  /** Registers the action that runs at each signal, and runs it now if one is pending. */
   synchronized void onReload(Runnable action) {
     reload = action;
     if (pending) action.run();
--- a/src/main/java/saltlatch/node/ServeProcess.java
+++ b/src/main/java/saltlatch/node/ServeProcess.java
@@ -13,9 +13,9 @@
 import saltlatch.state.HeapExhaustion;
 
 /**
- * The process of {@code serve}: one edge node with its signals. SIGHUP reads the configuration
- * again, SIGTERM ends the node in order. Runs on the main thread until the node serves; the end
- * runs on the JVM's shutdown hook.
+ * The process of the {@code serve} command: one edge node with its signal handlers. SIGHUP reloads
+ * the configuration, SIGTERM shuts the node down gracefully. The start runs on the main thread, the
+ * shutdown on the thread of the JVM's shutdown hook.
  */
 public final class ServeProcess {
   private static final Logger LOG = LoggerFactory.getLogger(ServeProcess.class);
@@ -32,8 +32,8 @@
   /**
    * Starts a node with the configuration at {@code path}.
    *
-   * @return 0 once the node serves; 2 for a configuration that can't be used or does not fit into
-   *     the heap; 3 if the node can't start. A line on {@code err} says what went wrong.
+   * @return 0 once the node serves clients; 2 if the configuration is invalid or does not fit into
+   *     the heap; 3 if the node can't start. On failure a line on {@code err} names the cause.
    */
   public static int run(GatewayPolicy.Factory factory, String path, PrintStream err) {
     ReloadSignal reloadSignal = new ReloadSignal();
@@ -47,7 +47,7 @@
       return BAD_CONFIGURATION;
     }
     node.reloadOn(reloadSignal, Path.of(path));
-    // Before the node is ready: whoever sees it ready may end it in the same instant.
+    // Added before the node is ready, since SIGTERM may arrive immediately after.
     Runtime.getRuntime().addShutdownHook(new Thread(new ServeProcess(node)::terminate));
     try {
       node.start(factory).toCompletionStage().toCompletableFuture().get();
@@ -59,7 +59,7 @@
     return OK;
   }
 
-  /** On SIGTERM. */
+  /** Shuts the node down; runs after SIGTERM. */
   private void terminate() {
     LOG.info("shutdown_started");
     node.history().stopping();
--- a/src/main/java/saltlatch/node/SingleLoopTransport.java
+++ b/src/main/java/saltlatch/node/SingleLoopTransport.java
@@ -7,9 +7,10 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Has connections accepted on the node's one event loop. Guards against an accepting thread of its
- * own that takes in connections while the event loop is busy, up to the last descriptor: it shows
- * as a node that can't connect to any partner, while nobody has decided yet which clients stay.
+ * A transport that accepts connections on the node's only event loop. By default a separate thread
+ * accepts connections, also while the event loop is busy. It could use up all file descriptors
+ * before the node applies its limit of client connections, and the node could no longer connect to
+ * app servers, the counter or discovery.
  */
 final class SingleLoopTransport implements Transport {
   private static final class SharedLoopEpoll extends EpollTransport {
@@ -27,7 +28,7 @@
 
   private SingleLoopTransport() {}
 
-  /** Sets it where the system has epoll; elsewhere the library's own choice stays. */
+  /** Configures this transport if epoll is available; otherwise Vert.x selects the transport. */
   static VertxBuilder applyTo(VertxBuilder builder) {
     SingleLoopTransport transport = new SingleLoopTransport();
     return transport.available() ? builder.withTransport(transport) : builder;
