--- a/src/main/java/saltlatch/node/MembershipAdapter.java
+++ b/src/main/java/saltlatch/node/MembershipAdapter.java
@@ -19,9 +19,9 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Runs the membership protocol on this node's datagrams and clock, and hands the policy, the log
- * and the history what changes. Exists only where the configuration enables membership; decides
- * nothing. Owned by the event loop.
+ * Connects the membership protocol to this node's datagrams and clock, and reports its changes to
+ * the policy, the log and the history. It contains no protocol logic, and is created only if the
+ * configuration enables membership. Owned by the event loop.
  */
 final class MembershipAdapter implements Membership.Output {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipAdapter.class);
@@ -32,12 +32,12 @@
   private final Consumer<GatewayEvent> events;
   private final MembershipTimings timings;
   private final Membership membership;
-  private final QuotaShares shares; // follows the policy's, for the history
-  private MembershipChanged reported; // to the policy, last
+  private final QuotaShares shares; // computes the same shares as the policy, for the history
+  private MembershipChanged reported; // last event sent to the policy
   private FleetView fleetView;
   private QuotaShareLevel shareLevel;
 
-  /** Joins the fleet; {@code events} takes what the policy is to know. */
+  /** Joins the fleet; {@code events} receives the events for the policy. */
   MembershipAdapter(Scheduler scheduler, PeerSocket peers, NodeHistory history,
       NodeConfiguration configuration, Consumer<GatewayEvent> events) {
     this.scheduler = scheduler;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Takes in a peer's datagram; one of another form is dropped. The protocol sees the clock first:
-   * a node that was stalled has to know it before it believes what it reads.
+   * Passes a peer's datagram to the protocol, or drops it if it is malformed. The protocol's tick
+   * runs first, so that a node that was stalled detects the stall before it handles the message.
    */
   void received(int sender, byte[] datagram) {
     MembershipMessage message = MembershipCodec.decode(datagram);
@@ -73,7 +73,7 @@
     reportChanges();
   }
 
-  /** A planned end: this node leaves the fleet and gives up all but the floor of its share. */
+  /** Leaves the fleet before a planned shutdown; this node keeps only the floor of its share. */
   void leave() {
     membership.leave();
     reportChanges();
@@ -91,6 +91,7 @@
     reportFleetView(membership.fleetView());
   }
 
+  /** Returns the quota share level that the leases permit now. */
   private QuotaShareLevel level(MembershipChanged current) {
     if (scheduler.now() < current.takeoverUntilTicks()
         && current.states().contains(MemberState.TAKEN_OVER)) {
@@ -104,14 +105,14 @@
     boolean levelChanged = level != shareLevel;
     shareLevel = level;
     if (levelChanged) LOG.info("quota_share level={}", MembershipInfo.levelName(level));
-    if (levelChanged || membersChanged) history.quotaShareChanged(level, shareFigures());
+    if (levelChanged || membersChanged) history.quotaShareChanged(level, shareValues());
   }
 
-  private QuotaShareValues shareFigures() {
+  private QuotaShareValues shareValues() {
     int members = timings.memberCount();
     return new QuotaShareValues(shares.ownShare(scheduler.now(), 0, members), 1.0 / members,
-        shares.ownShare(Long.MAX_VALUE, 0, members), leftMs(reported.leaseUntilTicks()),
-        leftMs(reported.takeoverUntilTicks()));
+        shares.ownShare(Long.MAX_VALUE, 0, members), remainingMs(reported.leaseUntilTicks()),
+        remainingMs(reported.takeoverUntilTicks()));
   }
 
   private void reportFleetView(FleetView view) {
@@ -122,16 +123,16 @@
     history.fleetViewChanged(view, membership.liveCount(), membership.version());
   }
 
-  private long leftMs(long untilTicks) {
-    long leftTicks = Math.min(timings.leaseTicks(), untilTicks - scheduler.now());
-    return Math.max(0, leftTicks) / Ticks.PER_MILLISECOND;
+  private long remainingMs(long untilTicks) {
+    long remainingTicks = Math.min(timings.leaseTicks(), untilTicks - scheduler.now());
+    return Math.max(0, remainingTicks) / Ticks.PER_MILLISECOND;
   }
 
-  /** Lines for INFO; {@code gossipValidityTicks}: for how long the policy goes by gossip. */
+  /** Returns the lines for INFO; the policy uses gossip for {@code gossipValidityTicks}. */
   String infoText(long gossipValidityTicks) {
     return MembershipInfo.text(fleetView, shareLevel, membership,
-        leftMs(reported.leaseUntilTicks()), leftMs(reported.takeoverUntilTicks()), timings,
-        gossipValidityTicks);
+        remainingMs(reported.leaseUntilTicks()), remainingMs(reported.takeoverUntilTicks()),
+        timings, gossipValidityTicks);
   }
 
   @Override
--- a/src/main/java/saltlatch/node/MembershipInfo.java
+++ b/src/main/java/saltlatch/node/MembershipInfo.java
@@ -8,13 +8,13 @@
 import saltlatch.node.NodeHistory.QuotaShareLevel;
 
 /**
- * Membership's lines of INFO: the one class that knows their names, and the word for a quota
- * share's level, which history files use too. Stateless.
+ * Formats membership's lines of INFO. It is the only class that defines their names and the names
+ * of the quota share levels, which history files use as well. Stateless.
  */
 final class MembershipInfo {
   private MembershipInfo() {}
 
-  /** The word for a quota share's level. */
+  /** Returns the name of a quota share level in INFO and in the history. */
   static String levelName(QuotaShareLevel level) {
     return switch (level) {
       case FLOOR -> "floor";
@@ -24,9 +24,11 @@
   }
 
   /**
-   * All lines; {@code leaseRemainingMs}, {@code takeoverRemainingMs}: what is left of each.
+   * Returns all lines.
    *
-   * @param gossipValidityTicks for how long the policy goes by a peer's gossip
+   * @param leaseRemainingMs    time until the lease on this node's full share expires
+   * @param takeoverRemainingMs time until the lease on taken-over shares expires
+   * @param gossipValidityTicks how long the policy uses a peer's gossip after it was received
    */
   static String text(FleetView view, QuotaShareLevel level, Membership membership,
       long leaseRemainingMs, long takeoverRemainingMs, MembershipTimings timings,
--- a/src/main/java/saltlatch/node/NodeConfiguration.java
+++ b/src/main/java/saltlatch/node/NodeConfiguration.java
@@ -8,30 +8,30 @@
 import saltlatch.wire.discovery.EndpointList;
 
 /**
- * Where this node stands, whom it talks to and what it may use: immutable, decoded once by
- * {@link NodeConfigurationReader} and shared freely between threads.
+ * The configuration of one node: addresses, resource limits and settings. Immutable and therefore
+ * thread-safe; {@link NodeConfigurationReader} decodes it.
  *
- * @param name              of this node among its fleet
- * @param historyDirectory  null: no history is kept
- * @param membershipEnabled whether nodes watch each other's liveness
- * @param cachedEndpoints   the endpoint list as it was known before the start
+ * @param name              the node's name within the fleet
+ * @param historyDirectory  the directory of the history files; null if no history is written
+ * @param membershipEnabled whether nodes monitor each other's liveness
+ * @param cachedEndpoints   the endpoint list that the node uses until discovery sends one
  */
 public record NodeConfiguration(String name, Addresses addresses, ResourceLimits resourceLimits,
     Path historyDirectory, boolean membershipEnabled, EndpointList cachedEndpoints,
     HostSettings hostSettings, GatewaySettings settings) {
 
   /**
-   * Where this node and its partners listen.
+   * Addresses of this node, of discovery, of the counter and of the peers.
    *
-   * @param counter       null: there is no counter
-   * @param peerListen    for datagrams; null: this node has no peers
-   * @param peers         by the node's number, this one's own too
-   * @param peerBroadcast reaches all peers at once
+   * @param counter       null if there is no counter
+   * @param peerListen    this node's address for datagrams; null if it has no peers
+   * @param peers         datagram addresses by node number, including this node's
+   * @param peerBroadcast address that reaches all peers with one datagram
    */
   public record Addresses(SocketAddress listen, SocketAddress discovery, SocketAddress counter,
       SocketAddress peerListen, List<SocketAddress> peers, SocketAddress peerBroadcast) {}
 
-  /** Whether this node exchanges datagrams with its peers. */
+  /** Returns whether this node exchanges datagrams with peers. */
   boolean hasPeers() {
     return hostSettings.gossipAllowed() && addresses.peerListen() != null;
   }
--- a/src/main/java/saltlatch/node/NodeConfigurationReader.java
+++ b/src/main/java/saltlatch/node/NodeConfigurationReader.java
@@ -12,8 +12,9 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * Maps the keys of a node's configuration file to the field's terms; the only class that knows
- * them. The settings that the file holds are {@link SettingsReader}'s.
+ * Decodes a node's configuration file. It is the only class that defines the file's keys, except
+ * for those of the settings, which {@link SettingsReader} decodes, and of the endpoint list, which
+ * {@link EndpointList} decodes.
  */
 public final class NodeConfigurationReader {
   private static final List<String> REQUIRED_KEYS = List.of("name", "seed", "listen", "discovery",
@@ -23,10 +24,11 @@
   private NodeConfigurationReader() {}
 
   /**
-   * Decodes a configuration's JSON text; at the start on the main thread, at a reload on a worker.
+   * Decodes a configuration's JSON text. Runs on the main thread at the start, and on a worker
+   * thread for a reload.
    *
-   * @throws RuntimeException for a text that is no JSON object, {@link InvalidSettingException} for
-   *     a key that is missing or whose value can't be used
+   * @throws RuntimeException if the text is not a JSON object; {@link InvalidSettingException} if a
+   *     key is missing or has an invalid value
    */
   public static NodeConfiguration read(String text) {
     JsonSection file = JsonSection.parse(text);
@@ -42,8 +44,8 @@
     GatewaySettings settings = SettingsReader.read(settingsSection, seed);
     if (membershipEnabled) requirePeers(settings, addresses);
     Path historyDirectory = file.has("history")
-        ? Path.of(file.required("history", "word", JsonElement::getAsString)) : null;
-    EndpointList cachedEndpoints = file.required("known", "list of app servers",
+        ? Path.of(file.required("history", "string", JsonElement::getAsString)) : null;
+    EndpointList cachedEndpoints = file.required("known", "endpoint list",
         value -> EndpointList.decode(value.getAsJsonObject()));
     return new NodeConfiguration(file.text("name"), addresses, resourceLimits, historyDirectory,
         membershipEnabled, cachedEndpoints, SettingsReader.readHostSettings(settingsSection),
@@ -53,8 +55,8 @@
   private static ResourceLimits resourceLimits(JsonSection limits) {
     int descriptors = limits.requiredInt("sockets");
     if (descriptors < ResourceLimits.MIN_DESCRIPTORS) {
-      throw new InvalidSettingException(
-          "limits.sockets " + descriptors + " below " + ResourceLimits.MIN_DESCRIPTORS);
+      throw new InvalidSettingException("limits.sockets must be at least "
+          + ResourceLimits.MIN_DESCRIPTORS + ", but is " + descriptors);
     }
     return new ResourceLimits(limits.requiredInt("memory_mb"), descriptors);
   }
@@ -71,13 +73,18 @@
     return file.required(key, "address", value -> TcpConnector.parseAddress(value.getAsString()));
   }
 
-  private static void requirePeers(GatewaySettings settings, NodeConfiguration.Addresses own) {
-    boolean mayReceive = settings.peers().datagramsPerSecond() > 0;
-    if (mayReceive && own.peers().size() == settings.nodeCount() && own.peerListen() != null) {
+  private static void requirePeers(GatewaySettings settings,
+      NodeConfiguration.Addresses addresses) {
+    double datagramsPerSecond = settings.peers().datagramsPerSecond();
+    if (datagramsPerSecond > 0 && addresses.peers().size() == settings.nodeCount()
+        && addresses.peerListen() != null) {
       return;
     }
     throw new InvalidSettingException(
-        "membership wants peer_listen, an address in peers for each of the " + settings.nodeCount()
-            + " nodes, and mayTell with peerInPerS above 0");
+        "membership requires peer_listen, an address in peers for each of the "
+            + settings.nodeCount()
+            + " nodes, and mayTell with peerInPerS above 0; found peer_listen "
+            + (addresses.peerListen() == null ? "missing" : "set") + ", " + addresses.peers().size()
+            + " addresses in peers, and " + datagramsPerSecond + " datagrams per second");
   }
 }
--- a/src/main/java/saltlatch/node/NodeHistoryFile.java
+++ b/src/main/java/saltlatch/node/NodeHistoryFile.java
@@ -9,9 +9,9 @@
 import saltlatch.wire.transport.CallResult;
 
 /**
- * Writes a node's history to its file: the one class that knows the kinds, keys and words of a
- * node's lines. The laboratory's checks read them, those of files written long ago too, so they
- * stay as they are whatever the code's own names become.
+ * Writes a node's history to its file. It is the only class that defines the event kinds, keys and
+ * values of a node's lines. The laboratory's checks also read files of earlier versions, so these
+ * names must not change when names in the code do.
  */
 final class NodeHistoryFile implements NodeHistory {
   private static final String ID = "id";
@@ -66,7 +66,7 @@
 
   @Override
   public void requestFinished(RequestContext context, FinalOutcome outcome) {
-    history.add("answered", ID, context.request().id(), RESULT, word(outcome));
+    history.add("answered", ID, context.request().id(), RESULT, historyName(outcome));
   }
 
   @Override
@@ -90,8 +90,8 @@
   @Override
   public void memberChanged(int member, MembershipMessage.State state, long incarnation,
       long viewVersion) {
-    history.add("member", "member", "n" + member, "state", word(state), "incarnation", incarnation,
-        VIEW_VERSION, viewVersion);
+    history.add("member", "member", "n" + member, "state", historyName(state), "incarnation",
+        incarnation, VIEW_VERSION, viewVersion);
   }
 
   @Override
@@ -100,13 +100,13 @@
   }
 
   @Override
-  public void quotaShareChanged(QuotaShareLevel level, QuotaShareValues figures) {
-    history.add("share", "is", MembershipInfo.levelName(level), "part", figures.currentShare(),
-        "whole", figures.evenShare(), "floor", figures.floor(), "holds_ms",
-        figures.leaseRemainingMs(), "takes_ms", figures.takeoverRemainingMs());
+  public void quotaShareChanged(QuotaShareLevel level, QuotaShareValues values) {
+    history.add("share", "is", MembershipInfo.levelName(level), "part", values.currentShare(),
+        "whole", values.evenShare(), "floor", values.floor(), "holds_ms", values.leaseRemainingMs(),
+        "takes_ms", values.takeoverRemainingMs());
   }
 
-  private static String word(FinalOutcome outcome) {
+  private static String historyName(FinalOutcome outcome) {
     return switch (outcome) {
       case SUCCEEDED -> "passed";
       case REJECTED -> "denied";
@@ -115,7 +115,7 @@
     };
   }
 
-  private static String word(MembershipMessage.State state) {
+  private static String historyName(MembershipMessage.State state) {
     return switch (state) {
       case UNKNOWN -> "unknown";
       case ALIVE -> "alive";
--- a/src/main/java/saltlatch/node/PeerMessageListener.java
+++ b/src/main/java/saltlatch/node/PeerMessageListener.java
@@ -7,18 +7,18 @@
 import saltlatch.wire.peer.PeerSocket;
 
 /**
- * Hands each peer's datagram to the protocol that it belongs to: membership or quota gossip. One of
- * another form is dropped. Called by the peer socket, on the event loop.
+ * Dispatches each peer's datagram to its protocol, membership or quota gossip, and drops malformed
+ * ones. The peer socket calls it on the event loop.
  */
 final class PeerMessageListener implements PeerSocket.Listener {
   private final EventBatcher events;
-  private MembershipAdapter membership; // null: not enabled, or not started yet
+  private MembershipAdapter membership; // null if not enabled or not started
 
   PeerMessageListener(EventBatcher events) {
     this.events = events;
   }
 
-  /** Sets who takes membership's datagrams; they are dropped before. */
+  /** Sets the receiver of membership datagrams, which are dropped before this call. */
   void start(MembershipAdapter adapter) {
     membership = adapter;
   }
--- a/src/main/java/saltlatch/node/ResourceLimits.java
+++ b/src/main/java/saltlatch/node/ResourceLimits.java
@@ -1,33 +1,36 @@
 package saltlatch.node;
 
 /**
- * What this node may use of the machine: memory and file descriptors, and how it divides them. Its
- * own needs come first; what is left of the descriptors is divided between clients and app servers.
+ * The memory and file descriptors that this node may use, and how it divides them. Some descriptors
+ * are reserved; the others are divided between connections to clients and to app servers.
+ *
+ * @param memoryMb    memory of the process, in MB of 1024 * 1024 bytes
+ * @param descriptors file descriptors of the process
  */
 public record ResourceLimits(int memoryMb, int descriptors) {
-  /** The JVM's own, the counter's, discovery's, the listening sockets', those just accepted. */
+  /** For the JVM, the counter, discovery, listening sockets and connections just accepted. */
   private static final int RESERVED_DESCRIPTORS = 72;
   private static final int MIN_SHARED_DESCRIPTORS = 64;
-  /** The fewest with which a node starts. */
+  /** The minimum number of file descriptors with which a node starts. */
   static final int MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + MIN_SHARED_DESCRIPTORS;
-  /** A third of the memory is heap, which has more to hold than requests. */
+  /** Requests may use 1/16 of the memory; the heap is 1/3 of it and also holds other data. */
   private static final int REQUEST_MEMORY_DIVISOR = 16;
   private static final long BYTES_PER_MB = 1024 * 1024;
 
   /**
-   * Connections that clients may have open: a third of all descriptors for those with requests, and
-   * half as many for those that have sent nothing yet.
+   * Returns how many connections clients may have open: a third of all descriptors for connections
+   * with requests, and half as many for connections that have not sent anything yet.
    */
   int maxClientConnections() {
     return Math.min(descriptors / 2, (descriptors - RESERVED_DESCRIPTORS) * 3 / 5);
   }
 
-  /** Connections to app servers that may be open at a time. */
+  /** Returns how many connections to app servers may be open at a time. */
   int maxServerConnections() {
     return descriptors - RESERVED_DESCRIPTORS - maxClientConnections();
   }
 
-  /** Bytes that all requests in flight together may hold. */
+  /** Returns how many bytes all requests in flight together may use. */
   long maxRequestBytes() {
     return memoryMb * BYTES_PER_MB / REQUEST_MEMORY_DIVISOR;
   }
