--- a/src/main/java/saltlatch/wire/FramingException.java
+++ b/src/main/java/saltlatch/wire/FramingException.java
@@ -1,19 +1,19 @@
 package saltlatch.wire;
 
 /**
- * Where the next message begins can't be known any more. The caller reads nothing further from this
- * connection and closes it; a new connection may do.
+ * The start of the next message in the stream can no longer be found. The caller stops reading from
+ * this connection and closes it; a new connection may succeed.
  */
 public final class FramingException extends ProtocolException {
   private static final long serialVersionUID = 1;
 
-  /** Says where the stream can't be read, and why. */
-  public FramingException(String where, String what) {
-    super(where, what, null, null);
+  /** Creates an error with the place at which the stream is unreadable, and the reason. */
+  public FramingException(String location, String problem) {
+    super(location, problem, null, null);
   }
 
-  /** Says which limit, given with its unit, a partner's message exceeds, and where. */
-  public FramingException(String where, String what, String limit) {
-    super(where, what, limit, null);
+  /** Creates an error for a message that exceeds a limit, which is given with its unit. */
+  public FramingException(String location, String problem, String limit) {
+    super(location, problem, limit, null);
   }
 }
--- a/src/main/java/saltlatch/wire/LimitExceededException.java
+++ b/src/main/java/saltlatch/wire/LimitExceededException.java
@@ -1,19 +1,19 @@
 package saltlatch.wire;
 
 /**
- * A message is larger than this node can hold. The caller goes on with what it has and asks again
- * no sooner than for a fault that lasts: until the partner has something smaller, the same comes.
+ * A message is larger than this node can hold. The caller keeps its present data and retries no
+ * sooner than after a persistent fault: the partner sends the same message until its data shrinks.
  */
 public final class LimitExceededException extends ProtocolException {
   private static final long serialVersionUID = 1;
 
-  /** Says which limit, given with its unit, was exceeded and where. */
-  public LimitExceededException(String where, String what, String limit) {
-    super(where, what, limit, null);
+  /** Creates an error with the limit that was exceeded, given with its unit, and the place. */
+  public LimitExceededException(String location, String problem, String limit) {
+    super(location, problem, limit, null);
   }
 
-  /** As above, behind a library's failure, such as the heap's end. */
-  public LimitExceededException(String where, String what, String limit, Throwable cause) {
-    super(where, what, limit, cause);
+  /** Creates an error caused by a library's failure, such as an exhausted heap. */
+  public LimitExceededException(String location, String problem, String limit, Throwable cause) {
+    super(location, problem, limit, cause);
   }
 }
--- a/src/main/java/saltlatch/wire/MalformedMessageException.java
+++ b/src/main/java/saltlatch/wire/MalformedMessageException.java
@@ -1,24 +1,24 @@
 package saltlatch.wire;
 
 /**
- * One message can't be taken. The caller drops it, or answers with an error, and reads on: the
- * messages behind it are not affected.
+ * One message is invalid. The caller drops it, or replies with an error, and continues to read: the
+ * messages after it are not affected.
  */
 public final class MalformedMessageException extends ProtocolException {
   private static final long serialVersionUID = 1;
 
-  /** Says which part of the message can't be taken, and why. */
-  public MalformedMessageException(String where, String what) {
-    super(where, what, null, null);
+  /** Creates an error with the part of the message that is invalid, and the reason. */
+  public MalformedMessageException(String location, String problem) {
+    super(location, problem, null, null);
   }
 
-  /** Says which limit, given with its unit, a part of the message exceeds. */
-  public MalformedMessageException(String where, String what, String limit) {
-    super(where, what, limit, null);
+  /** Creates an error for a part of the message that exceeds a limit, given with its unit. */
+  public MalformedMessageException(String location, String problem, String limit) {
+    super(location, problem, limit, null);
   }
 
-  /** Says which part of the message a library could not decode. */
-  public MalformedMessageException(String where, String what, Throwable cause) {
-    super(where, what, null, cause);
+  /** Creates an error for a part of the message that a library failed to decode. */
+  public MalformedMessageException(String location, String problem, Throwable cause) {
+    super(location, problem, null, cause);
   }
 }
--- a/src/main/java/saltlatch/wire/ProtocolException.java
+++ b/src/main/java/saltlatch/wire/ProtocolException.java
@@ -1,45 +1,45 @@
 package saltlatch.wire;
 
 /**
- * A partner sent something that this node can't take as the protocol's page gives it. Each subclass
- * stands for what the caller may do next, so that it need not look into the text. Checked, since
- * any partner can cause it at any time; without a stack trace, since one that floods this node with
- * faulty messages would have it spend its time on filling them in.
+ * A partner sent a message that violates the protocol. The subclass determines what the caller may
+ * do next, so that callers need not parse the message text. The exception is checked because any
+ * partner can cause it at any time. It has no stack trace: filling in stack traces would use up the
+ * node's CPU time when a partner floods it with faulty messages.
  */
 public abstract class ProtocolException extends Exception {
   private static final long serialVersionUID = 1;
 
-  private final String where;
-  private final String what;
+  private final String location;
+  private final String problem;
   private final String limit;
 
   /**
-   * Says what is wrong.
+   * Creates an error whose text is made of these parts.
    *
-   * @param where the partner's message, and the part of it, at which reading stopped
-   * @param what  what is wrong there, in a few words
-   * @param limit the limit that was exceeded, with its unit; null where none was
-   * @param cause the library's failure behind it; null where there is none
+   * @param location the message, and the part of it, at which decoding stopped
+   * @param problem  the fault found at the location, in a few words
+   * @param limit    the limit that was exceeded, with its unit; null if no limit was exceeded
+   * @param cause    the library's failure that caused this error; null if there is none
    */
-  protected ProtocolException(String where, String what, String limit, Throwable cause) {
-    super(where + ": " + what + (limit == null ? "" : " (limit " + limit + ")"), cause, false,
+  protected ProtocolException(String location, String problem, String limit, Throwable cause) {
+    super(location + ": " + problem + (limit == null ? "" : " (limit " + limit + ")"), cause, false,
         false);
-    this.where = where;
-    this.what = what;
+    this.location = location;
+    this.problem = problem;
     this.limit = limit;
   }
 
-  /** The partner's message, and the part of it, at which reading stopped. */
+  /** Returns the message, and the part of it, at which decoding stopped. */
   public final String location() {
-    return where;
+    return location;
   }
 
-  /** What is wrong there, in a few words and without its place. */
+  /** Returns the fault in a few words, without its location. */
   public final String problem() {
-    return what;
+    return problem;
   }
 
-  /** The limit that was exceeded, with its unit; null where none was. */
+  /** Returns the limit that was exceeded, with its unit; null if no limit was exceeded. */
   public final String limit() {
     return limit;
   }
--- a/src/main/java/saltlatch/wire/resp/DecimalCodec.java
+++ b/src/main/java/saltlatch/wire/resp/DecimalCodec.java
@@ -1,19 +1,19 @@
 package saltlatch.wire.resp;
 
-/** Plain decimal numbers, as the protocol has them: to text and back. Has no state. */
+/** Parses and formats decimal numbers as the protocol writes them. Has no state. */
 public final class DecimalCodec {
   private static final String DECIMAL_CHARACTERS = "0123456789.-+eE";
-  /** Fits a long with room to spare. */
-  private static final int MAX_WHOLE_DIGITS = 15;
-  /** Four decimal places: totals come to seven digits. */
+  /** Always fits in a long, which holds every number of 18 digits. */
+  private static final int MAX_INTEGER_DIGITS = 15;
+  /** Four decimal places; totals have up to seven digits. */
   private static final long SCALE = 10_000;
 
   private DecimalCodec() {}
 
   /**
-   * Reads a decimal number; not a number ({@code NaN}) for what is none, or is infinite. Guards
-   * against texts that the protocol does not know and Java's own reader takes: names, hexadecimal
-   * numbers, suffixes, spaces.
+   * Parses a decimal number; returns {@code NaN} if the text is not a number or is infinite.
+   * Rejects texts that {@link Double#parseDouble} accepts but that the protocol does not define:
+   * names such as {@code Infinity}, hexadecimal numbers, type suffixes and spaces.
    */
   public static double parse(String text) {
     if (!consistsOf(text, DECIMAL_CHARACTERS)) return Double.NaN;
@@ -25,10 +25,10 @@
     }
   }
 
-  /** Reads a number of 1 to 15 digits and nothing else; -1 for any other text. */
+  /** Parses a number of 1 to 15 digits without a sign; returns -1 for any other text. */
   public static long parseDigits(String text) {
-    boolean isWhole = text.length() <= MAX_WHOLE_DIGITS && consistsOf(text, "0123456789");
-    return isWhole ? Long.parseLong(text) : -1;
+    boolean isInteger = text.length() <= MAX_INTEGER_DIGITS && consistsOf(text, "0123456789");
+    return isInteger ? Long.parseLong(text) : -1;
   }
 
   private static boolean consistsOf(String text, String characters) {
@@ -38,7 +38,7 @@
     return !text.isEmpty();
   }
 
-  /** Writes a number with four decimal places, or none where it is whole. */
+  /** Formats a number with four decimal places, or with none if it is an integer. */
   public static String format(double units) {
     long scaled = Math.round(Math.abs(units) * SCALE);
     String sign = units < 0 && scaled > 0 ? "-" : "";
--- a/src/main/java/saltlatch/wire/resp/RespDecoder.java
+++ b/src/main/java/saltlatch/wire/resp/RespDecoder.java
@@ -8,46 +8,47 @@
 import saltlatch.wire.FramingException;
 
 /**
- * Cuts one connection's byte stream into RESP2 values. Each connection owns a decoder, on the event
- * loop; it holds no more than one value that is not whole yet, of {@link #MAX_MESSAGE_BYTES}, and
- * what was read with its last byte. After a {@link FramingException} it is of no further use.
+ * Splits the byte stream of one connection into RESP2 values. Each connection owns a decoder and
+ * calls it on the event loop. A decoder buffers at most one incomplete value, of up to
+ * {@link #MAX_MESSAGE_BYTES}, and the bytes that were read together with its last byte. It must not
+ * be used again after a {@link FramingException}.
  */
 public final class RespDecoder {
-  /** As the protocol's page gives it. */
+  /** The longest bulk string that the protocol allows. */
   private static final int MAX_VALUE_BYTES = 64 * 1024;
-  /** Far over any error text or number. */
+  /** Far longer than any error text or number of the protocol. */
   private static final int MAX_LINE_BYTES = 1024;
-  /** Commands have five values at most, answers three. */
+  /** Commands have at most five values, replies at most three. */
   private static final int MAX_ARRAY_VALUES = 16;
-  /** No message of the protocol has an array within an array within an array. */
+  /** No message of the protocol has more than two levels of arrays. */
   private static final int MAX_ARRAY_LEVELS = 2;
-  /** One value of full length, and lines for all the others. */
+  /** One value of maximum length, and eight lines for the other values. */
   private static final int MAX_MESSAGE_BYTES = MAX_VALUE_BYTES + 8 * MAX_LINE_BYTES;
 
   private static final int INITIAL_BUFFER_BYTES = 512;
   private static final int KEPT_BUFFER_BYTES = 4 * MAX_LINE_BYTES;
   private static final int LINE_END_BYTES = 2;
-  /** In place of a length: there is no string, or no array. */
+  /** The length that marks a null string or a null array. */
   private static final int NULL_LENGTH = -1;
 
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-  private int begin; // of what has come and was not returned as a value
-  private int end;
-  private int position; // up to where the value that is being read has been
+  private int begin; // index of the first buffered byte that no returned value includes
+  private int end; // index after the last buffered byte
+  private int position; // index of the next byte to parse within the value being read
 
-  /** Takes in what has come on the connection. */
-  public void feed(Buffer more) {
-    int size = more.length();
+  /** Appends bytes that were received on the connection. */
+  public void feed(Buffer received) {
+    int size = received.length();
     if (begin == end) {
       begin = 0;
       end = 0;
     }
-    if (end + size > buffer.length) makeRoom(size);
-    more.getBytes(buffer, end);
+    if (end + size > buffer.length) ensureCapacity(size);
+    received.getBytes(buffer, end);
     end += size;
   }
 
-  private void makeRoom(int size) {
+  private void ensureCapacity(int size) {
     int held = end - begin;
     byte[] target = held + size > buffer.length ? new byte[Math.max(2 * buffer.length, held + size)]
         : buffer;
@@ -58,42 +59,43 @@
   }
 
   /**
-   * The next whole value; null while it has not all come.
+   * Returns the next complete value; null if more bytes are needed to complete it.
    *
-   * @throws FramingException where no value begins, or it exceeds a limit
+   * @throws FramingException if the bytes are not a RESP2 value, or the value exceeds a limit
    */
   public RespValue next() throws FramingException {
     position = begin;
     RespValue value = readValue(0);
     if (value == null) {
       if (end - begin > MAX_MESSAGE_BYTES) {
-        throw new FramingException("RESP2 value", "message too long", MAX_MESSAGE_BYTES + " bytes");
+        throw new FramingException("RESP2 value, incomplete after " + (end - begin) + " bytes",
+            "message too long", MAX_MESSAGE_BYTES + " bytes");
       }
       return null;
     }
     begin = position;
-    // gives back the room of a long message, so that a node's many idle connections stay small
+    // Releases the buffer of a long message, so that many idle connections use little memory.
     if (isEmpty() && buffer.length > KEPT_BUFFER_BYTES) buffer = new byte[INITIAL_BUFFER_BYTES];
     return value;
   }
 
-  /** Whether nothing has come beyond the values that were returned. */
+  /** Returns whether no bytes are buffered beyond the values that were returned. */
   public boolean isEmpty() {
     return begin == end;
   }
 
-  /** Null while it has not all come, as from all methods below. */
+  /** Returns null if the value is incomplete, as all methods below do. */
   private RespValue readValue(int level) throws FramingException {
     String line = readLine();
     if (line == null) return null;
-    if (line.isEmpty()) throw noValue();
+    if (line.isEmpty()) throw noValue("an empty line");
     char type = line.charAt(0);
     String rest = line.substring(1);
     return switch (type) {
       case '+', '-', ':' -> new RespValue.Line(type, rest);
-      case '$' -> readBulk(length(rest, MAX_VALUE_BYTES, "bytes"));
-      case '*' -> readArray(length(rest, MAX_ARRAY_VALUES, "values"), level);
-      default -> throw noValue();
+      case '$' -> readBulk(parseLength(rest, MAX_VALUE_BYTES, "bytes"));
+      case '*' -> readArray(parseLength(rest, MAX_ARRAY_VALUES, "values"), level);
+      default -> throw noValue("byte 0x" + Integer.toHexString(type));
     };
   }
 
@@ -101,7 +103,8 @@
     if (length == NULL_LENGTH) return new RespValue.Bulk(null);
     if (end - position < length + LINE_END_BYTES) return null;
     if (!isLineEnd(position + length)) {
-      throw new FramingException("RESP2 bulk string", "bulk string without its end");
+      throw new FramingException("RESP2 bulk string, expected CR LF after " + length + " bytes",
+          "bulk string without its end");
     }
     byte[] bytes = Arrays.copyOfRange(buffer, position, position + length);
     position += length + LINE_END_BYTES;
@@ -111,7 +114,8 @@
   private RespValue readArray(int count, int level) throws FramingException {
     if (count == NULL_LENGTH) return new RespValue.Array(null);
     if (level >= MAX_ARRAY_LEVELS) {
-      throw new FramingException("RESP2 array", "arrays too deep", MAX_ARRAY_LEVELS + " levels");
+      throw new FramingException("RESP2 array at level " + (level + 1), "arrays too deep",
+          MAX_ARRAY_LEVELS + " levels");
     }
     List<RespValue> elements = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -136,21 +140,23 @@
     return null;
   }
 
-  private boolean isLineEnd(int at) {
-    return buffer[at] == '\r' && buffer[at + 1] == '\n';
+  private boolean isLineEnd(int index) {
+    return buffer[index] == '\r' && buffer[index + 1] == '\n';
   }
 
-  private static int length(String text, int limit, String unit) throws FramingException {
+  private static int parseLength(String text, int limit, String unit) throws FramingException {
     try {
       int length = Integer.parseInt(text);
       if (length >= NULL_LENGTH && length <= limit && !text.startsWith("+")) return length;
     } catch (NumberFormatException e) {
-      // falls through: as good as a number out of range
+      // Falls through: handled like a number that is out of range.
     }
-    throw new FramingException("RESP2 length", "no length: " + text, limit + " " + unit);
+    throw new FramingException("RESP2 length, expected " + NULL_LENGTH + " to " + limit,
+        "no length: " + text, limit + " " + unit);
   }
 
-  private static FramingException noValue() {
-    return new FramingException("RESP2 value", "no RESP2 value");
+  private static FramingException noValue(String found) {
+    return new FramingException("RESP2 type, expected one of + - : $ *, found " + found,
+        "no RESP2 value");
   }
 }
--- a/src/main/java/saltlatch/wire/transport/Scheduler.java
+++ b/src/main/java/saltlatch/wire/transport/Scheduler.java
@@ -3,20 +3,20 @@
 import saltlatch.state.TimerQueue;
 
 /**
- * What the edge needs of the node's event loop: its one clock and its one set of timers. Times are
- * ticks. Called on the event loop only, where the timers' actions run too.
+ * The clock and the timers of the node's event loop. Times are in ticks. May be called only on the
+ * event loop, which also runs the timers' actions.
  */
 public interface Scheduler {
-  /** The time, which never runs backwards within one node. */
+  /** Returns the current time, which never decreases within one node. */
   long now();
 
-  /** Runs the action once, as soon as this time has come; at the next turn if it is past. */
+  /** Runs the action once when this time is reached; if it is past, at the next iteration. */
   TimerQueue.Timer scheduleAt(long dueTicks, Runnable action);
 
   /**
-   * Runs the action once all that the present turn of the loop brings has been handed on. Guards
-   * against acting on the first of two events that came together, such as a command and the close
-   * behind it: closes are handed on by tasks behind what was read.
+   * Runs the action after all events of the loop's current iteration have been dispatched. Guards
+   * against acting on only the first of two events that arrived together, such as a command and the
+   * close that follows it: a close is dispatched by a task that runs after the data was read.
    */
   void afterCurrentIteration(Runnable action);
 }
--- a/src/main/java/saltlatch/wire/transport/SocketCloser.java
+++ b/src/main/java/saltlatch/wire/transport/SocketCloser.java
@@ -8,14 +8,14 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Ways to close a connection that Vert.x does not offer: its close waits until all that was written
- * has been taken. Called on the connection's event loop; has no state. How a close itself ends is
- * not looked at: the connection's end is notified in any case.
+ * Closes connections in ways that Vert.x does not offer: its own close waits until all pending
+ * writes are complete. Called on the connection's event loop; has no state. The result of a close
+ * is ignored, because the connection's close handler is called in any case.
  */
 public final class SocketCloser {
   private SocketCloser() {}
 
-  /** Ends this side's sending alone: what the other side still sends can be read. */
+  /** Shuts down only this side's output: data from the other side can still be read. */
   public static void shutdownOutput(NetSocket socket) {
     Channel channel = context(socket).channel();
     if (channel instanceof DuplexChannel duplex && channel.isActive()) {
@@ -26,18 +26,18 @@
   }
 
   /**
-   * Closes without waiting for what is still to be written. Guards against another side that reads
-   * nothing: its connection would stay open, and a command that was given up, or reported as never
-   * sent, would still reach an app server whole. Closing from this place of the pipeline skips
-   * Vert.x's own handler, the one that waits.
+   * Closes without waiting for pending writes. Guards against a partner that does not read: its
+   * connection would stay open, and a command that was cancelled, or reported as never sent, would
+   * still reach an app server completely. Closing from this handler context bypasses the Vert.x
+   * handler that waits.
    */
   public static void closeNow(NetSocket socket) {
     ChannelFuture unused = context(socket).close();
   }
 
   /**
-   * Leaves bytes that come from now on in the operating system. The library's own pause still takes
-   * in up to eight buffers of them.
+   * Leaves all bytes that arrive from now on in the operating system's buffer. Pausing the Vert.x
+   * socket alone would still read up to eight buffers.
    */
   public static void stopReading(NetSocket socket) {
     socket.pause();
--- a/src/main/java/saltlatch/wire/transport/TcpConnector.java
+++ b/src/main/java/saltlatch/wire/transport/TcpConnector.java
@@ -6,25 +6,30 @@
 import io.vertx.core.net.SocketAddress;
 
 /**
- * How this node connects to its partners over TCP. The library neither retries a connection nor
- * keeps it alive by itself: what is sent, and when, is decided by the policy alone. Has no state.
+ * Creates the TCP clients that connect this node to its partners. Automatic reconnects and TCP
+ * keep-alive are off, because only the policy decides what is sent and when. Has no state.
  */
 public final class TcpConnector {
+  private static final int MAX_QUOTED_CHARACTERS = 64;
+
   private TcpConnector() {}
 
   /**
-   * Reads an address of the form {@code HOST:PORT}.
+   * Parses an address of the form {@code HOST:PORT}.
    *
-   * @throws IllegalArgumentException if the text has no host, or no number for its port
+   * @throws IllegalArgumentException if the text has no host, or the port is not a number
    */
   public static SocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
-    if (colon <= 0) throw new IllegalArgumentException("no address: " + text);
+    if (colon <= 0) {
+      throw new IllegalArgumentException("expected HOST:PORT, found: "
+          + text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARACTERS)));
+    }
     return SocketAddress.inetSocketAddress(Integer.parseInt(text.substring(colon + 1)),
         text.substring(0, colon));
   }
 
-  /** A client whose connections are given up if they have not come up after this time. */
+  /** Creates a client whose connections fail if they are not established within this time. */
   public static NetClient createClient(Vertx vertx, long connectTimeoutMs) {
     return vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setTcpKeepAlive(false)
         .setConnectTimeout((int) connectTimeoutMs).setReconnectAttempts(0));
--- a/src/main/java/saltlatch/wire/transport/TcpReceiveAge.java
+++ b/src/main/java/saltlatch/wire/transport/TcpReceiveAge.java
@@ -7,24 +7,24 @@
 import saltlatch.api.Ticks;
 
 /**
- * How long the newest bytes of a connection lay in the operating system before they were read, by
- * its own record (TCP_INFO). Guards against a request whose client has given up: a process that was
- * stopped reads what came meanwhile as if it had just come. Has no state; called on the
- * connection's event loop, and only after this node has been stalled.
+ * Reads from TCP_INFO how long ago the operating system received the newest bytes of a connection.
+ * Guards against executing a request whose client has already given up: a process that was stopped
+ * would treat bytes that arrived during the stop as if they had just arrived. Has no state; called
+ * on the connection's event loop, and only after this node was stalled.
  */
 public final class TcpReceiveAge {
   private static final long UNKNOWN = 0;
 
   private TcpReceiveAge() {}
 
-  /** In ticks; 0 where the system has no record, or the connection has closed meanwhile. */
+  /** Returns the age in ticks; 0 if TCP_INFO is unavailable or the connection has closed. */
   public static long ticksSinceLastReceive(NetSocket socket) {
     try {
       Channel channel = ((NetSocketInternal) socket).channelHandlerContext().channel();
       return channel instanceof EpollSocketChannel epoll
           ? epoll.tcpInfo().lastDataRecv() * Ticks.PER_MILLISECOND : UNKNOWN;
     } catch (RuntimeException e) {
-      // closed meanwhile, or a system without TCP_INFO
+      // The connection has closed, or the system has no TCP_INFO.
       return UNKNOWN;
     }
   }
--- a/src/test/java/saltlatch/wire/resp/DecimalCodecTest.java
+++ b/src/test/java/saltlatch/wire/resp/DecimalCodecTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Decimal numbers as the protocol has them. */
+/** Tests parsing and formatting of the protocol's decimal numbers. */
 class DecimalCodecTest {
   @Test
-  void formatsAmounts() {
+  void formatsFourDecimalPlacesOrNone() {
     assertEquals("0 -2.5000 4 0.0001 1000000000 0",
         DecimalCodec.format(0) + " " + DecimalCodec.format(-2.5) + " " + DecimalCodec.format(4)
             + " " + DecimalCodec.format(1e-4) + " " + DecimalCodec.format(1e9) + " "
             + DecimalCodec.format(-1e-9));
   }
 
-  /** Java's own reader takes names, hexadecimals and suffixes, which the protocol does not know. */
+  /** {@link Double#parseDouble} accepts names, hexadecimals and suffixes; the protocol does not. */
   @Test
   void parsesPlainDecimalsOnly() {
     assertEquals(-2.5, DecimalCodec.parse("-2.5"));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void parsesWholeNumbersOfDigitsOnly() {
+  void parsesUnsignedIntegersOnly() {
     assertEquals(480, DecimalCodec.parseDigits("480"));
     assertEquals(999_999_999_999_999L, DecimalCodec.parseDigits("999999999999999"));
     for (String text : new String[] {"", "+1", "-1", "1.0", "1000000000000000", "x"}) {
--- a/src/test/java/saltlatch/wire/resp/NamedNumbersTest.java
+++ b/src/test/java/saltlatch/wire/resp/NamedNumbersTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Figures by name in load reports. */
+/** Tests finding numbers by name in load reports. */
 class NamedNumbersTest {
   @Test
-  void findsFiguresByTheirWholeName() {
+  void findsNumbersByTheirFullName() {
     String text = "inflight=7,queue=2,util=0.61,in=3,empty=";
     assertEquals(7, NamedNumbers.find(text, "inflight"));
     assertEquals(0.61, NamedNumbers.find(text, "util"));
@@ -17,11 +17,11 @@
     assertEquals(0, NamedNumbers.find("", "inflight"));
   }
 
-  /** A figure that can't be right says nothing, rather than drive decisions. */
+  /** An invalid number is treated as unknown, so that no decision is based on it. */
   @Test
-  void figuresOutOfRangeAreNotSaid() {
-    for (String figure : new String[] {"-1", "1e9", "NaN", "1e999", "x", "0x1"}) {
-      assertEquals(0, NamedNumbers.find("util=" + figure, "util"), figure);
+  void invalidNumbersAreZero() {
+    for (String number : new String[] {"-1", "1e9", "NaN", "1e999", "x", "0x1"}) {
+      assertEquals(0, NamedNumbers.find("util=" + number, "util"), number);
     }
   }
 }
--- a/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
+++ b/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import saltlatch.wire.FramingException;
 
-/** A stream of bytes cut into values. */
+/** Tests splitting a byte stream into RESP2 values. */
 class RespDecoderTest {
-  /** Every byte comes on its own, and two messages behind one another. */
+  /** Two consecutive messages, received one byte at a time. */
   @Test
-  void messagesInPieces() throws FramingException {
+  void decodesMessagesReceivedByteByByte() throws FramingException {
     RespDecoder decoder = new RespDecoder();
     StringBuilder decoded = new StringBuilder();
     String text = "*3\r\n$2\r\nab\r\n$-1\r\n$4\r\nx=,y\r\n-BUSY\r\n";
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void lostFraming() {
+  void rejectsBrokenFraming() {
     String[] texts = {"GET / HTTP/1.1\r\n", "$5\r\nabcdefg\r\n", "*99\r\n", "$65537\r\n", "$x\r\n",
         "*1\r\n*1\r\n*1\r\n", "+" + "x".repeat(1100)};
     for (String text : texts) {
@@ -39,16 +39,20 @@
     }
   }
 
-  /** On-call reads what was wrong, where, and which limit was exceeded. */
+  /** The error messages contain what was expected, what was found and the limit. */
   @Test
-  void errorsSayWhatWhereAndWhichLimit() {
-    assertEquals("RESP2 line: line too long (limit 1024 bytes)", error("+" + "x".repeat(1100)));
-    assertEquals("RESP2 length: no length: 17 (limit 16 values)", error("*17\r\n"));
-    assertEquals("RESP2 array: arrays too deep (limit 2 levels)", error("*1\r\n*1\r\n*1\r\n"));
-    assertEquals("RESP2 value: no RESP2 value", error("nonsense\r\n"));
+  void errorMessagesContainCauseAndLimit() {
+    assertEquals("RESP2 line: line too long (limit 1024 bytes)",
+        errorMessage("+" + "x".repeat(1100)));
+    assertEquals("RESP2 length, expected -1 to 16: no length: 17 (limit 16 values)",
+        errorMessage("*17\r\n"));
+    assertEquals("RESP2 array at level 3: arrays too deep (limit 2 levels)",
+        errorMessage("*1\r\n*1\r\n*1\r\n"));
+    assertEquals("RESP2 type, expected one of + - : $ *, found byte 0x6e: no RESP2 value",
+        errorMessage("nonsense\r\n"));
   }
 
-  private static String error(String text) {
+  private static String errorMessage(String text) {
     return assertThrows(FramingException.class, () -> RespText.decode(text)).getMessage();
   }
 }
--- a/src/test/java/saltlatch/wire/resp/RespText.java
+++ b/src/test/java/saltlatch/wire/resp/RespText.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import saltlatch.wire.ProtocolException;
 
-/** RESP2 as text, for tests: written out by hand, and read with the decoder. */
+/** Writes RESP2 texts independently of the encoder, and decodes them, for tests. */
 public final class RespText {
   private RespText() {}
 
-  /** An array of bulk strings, as a client writes a command. */
+  /** Returns an array of bulk strings, the form in which a client sends a command. */
   public static String command(String... words) {
     StringBuilder out = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
@@ -18,12 +18,12 @@
     return out.toString();
   }
 
-  /** The words of a command once it has been decoded. */
+  /** Returns the decoded words of a command. */
   public static List<RespValue> commandWords(String... words) throws ProtocolException {
     return ((RespValue.Array) decode(command(words))).elements();
   }
 
-  /** The first value in a text; null if it is not whole. */
+  /** Returns the first value in a text; null if it is incomplete. */
   public static RespValue decode(String text) throws ProtocolException {
     RespDecoder decoder = new RespDecoder();
     decoder.feed(Buffer.buffer(text.getBytes(StandardCharsets.ISO_8859_1)));
--- a/src/test/java/saltlatch/wire/transport/CallResultTest.java
+++ b/src/test/java/saltlatch/wire/transport/CallResultTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How calls to partners end. */
+/** Tests the outcomes and history names of call results. */
 class CallResultTest {
-  /** Only results that prove it may say that nothing was executed. */
+  /** Only results that prove that nothing was executed may have such an outcome. */
   @Test
-  void resultsThatProveThatNothingWasExecuted() {
+  void onlyProvenResultsCountAsNeverExecuted() {
     StringBuilder results = new StringBuilder();
     for (CallResult result : CallResult.values()) {
       results.append(result)
@@ -31,9 +31,9 @@
         """, results.toString());
   }
 
-  /** History files of earlier versions hold these names: a renamed constant keeps its own. */
+  /** History files of earlier versions contain these names: a renamed constant keeps its name. */
   @Test
-  void namesInHistoryFilesStay() {
+  void historyNamesAreStable() {
     StringBuilder names = new StringBuilder();
     for (CallResult result : CallResult.values()) names.append(result.historyName()).append(' ');
     assertEquals("ANSWERED ERROR_ANSWER SPOILT_ANSWER BUSY_ANSWER REFUSED_CALL CONNECT_FAILED "
--- a/src/test/java/saltlatch/wire/transport/FixedTimeScheduler.java
+++ b/src/test/java/saltlatch/wire/transport/FixedTimeScheduler.java
@@ -2,7 +2,10 @@
 
 import saltlatch.state.TimerQueue;
 
-/** A scheduler whose clock stands at 0: nothing times out, and a turn is over at once. */
+/**
+ * A scheduler whose clock is fixed at 0, so that no timeout expires. Actions that wait for the end
+ * of the iteration run at once.
+ */
 public final class FixedTimeScheduler implements Scheduler {
   private final TimerQueue timers = new TimerQueue();
 
@@ -12,16 +15,16 @@
   }
 
   @Override
-  public TimerQueue.Timer scheduleAt(long when, Runnable then) {
-    return timers.add(when, then);
+  public TimerQueue.Timer scheduleAt(long dueTicks, Runnable action) {
+    return timers.add(dueTicks, action);
   }
 
   @Override
-  public void afterCurrentIteration(Runnable then) {
-    then.run();
+  public void afterCurrentIteration(Runnable action) {
+    action.run();
   }
 
-  /** Runs what has been asked for at 0. */
+  /** Runs the actions that are scheduled at time 0. */
   public void runDue() {
     timers.runDue(0);
   }
--- a/src/test/java/saltlatch/wire/transport/ManualScheduler.java
+++ b/src/test/java/saltlatch/wire/transport/ManualScheduler.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import saltlatch.state.TimerQueue;
 
-/** A scheduler on an event loop whose clock stands still until a test moves it. */
+/** A scheduler on an event loop whose clock is advanced only by the test. */
 public final class ManualScheduler implements Scheduler {
   private static final long WAIT_SECONDS = 20;
 
@@ -14,7 +14,7 @@
   private final TimerQueue timers = new TimerQueue();
   private long nowTicks = 1_000_000;
 
-  /** The clock starts 100 s after its origin. */
+  /** Creates a scheduler whose clock starts at 100 s. */
   public ManualScheduler(Context loop) {
     this.loop = loop;
   }
@@ -25,27 +25,27 @@
   }
 
   @Override
-  public TimerQueue.Timer scheduleAt(long when, Runnable then) {
-    return timers.add(when, then);
+  public TimerQueue.Timer scheduleAt(long dueTicks, Runnable action) {
+    return timers.add(dueTicks, action);
   }
 
   @Override
-  public void afterCurrentIteration(Runnable then) {
-    loop.runOnContext(v -> loop.runOnContext(w -> then.run()));
+  public void afterCurrentIteration(Runnable action) {
+    loop.runOnContext(v -> loop.runOnContext(w -> action.run()));
   }
 
-  /** Moves the clock and runs what has fallen due; from another thread. */
+  /** Advances the clock and runs due timers; must be called from outside the loop's thread. */
   public void advance(long ticks) throws Exception {
     runOnLoop(() -> advanceOnLoop(ticks));
   }
 
-  /** Moves the clock and runs what has fallen due; on the loop. */
+  /** Advances the clock and runs due timers; must be called on the loop. */
   public void advanceOnLoop(long ticks) {
     nowTicks += ticks;
     timers.runDue(nowTicks);
   }
 
-  /** Runs a step on the loop and returns once it is done. */
+  /** Runs a step on the loop and returns after it has finished. */
   public void runOnLoop(Runnable step) throws Exception {
     Promise<Void> done = Promise.promise();
     loop.runOnContext(v -> {
@@ -59,7 +59,7 @@
     await(done.future());
   }
 
-  /** The result of what was begun on the loop. */
+  /** Waits for a future of the loop and returns its result. */
   public static <T> T await(Future<T> result) throws Exception {
     return result.toCompletionStage().toCompletableFuture().get(WAIT_SECONDS, TimeUnit.SECONDS);
   }
--- a/src/test/java/saltlatch/wire/transport/TcpConnectorTest.java
+++ b/src/test/java/saltlatch/wire/transport/TcpConnectorTest.java
@@ -6,16 +6,16 @@
 import io.vertx.core.net.SocketAddress;
 import org.junit.jupiter.api.Test;
 
-/** Addresses in configurations and endpoint lists. */
+/** Tests parsing of addresses in configurations and endpoint lists. */
 class TcpConnectorTest {
   @Test
-  void readsHostAndPort() {
+  void parsesHostAndPort() {
     SocketAddress address = TcpConnector.parseAddress("node-1.example:6379");
     assertEquals("node-1.example 6379", address.host() + " " + address.port());
   }
 
   @Test
-  void refusesWhatIsNoAddress() {
+  void rejectsInvalidAddresses() {
     for (String text : new String[] {"", "host", ":6379", "host:", "host:x"}) {
       assertThrows(IllegalArgumentException.class, () -> TcpConnector.parseAddress(text), text);
     }
