--- a/src/main/java/saltlatch/wire/client/ClientCommandDecoder.java
+++ b/src/main/java/saltlatch/wire/client/ClientCommandDecoder.java
@@ -7,12 +7,11 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * Decodes a client's command, {@code VERB CUSTOMER ID TERMS [BODY]}, into a request. With
- * {@link RequestTerms} the only place that knows the protocol's words for what a client asks. Has
- * no state.
+ * Decodes a client's command, {@code VERB CUSTOMER ID TERMS [BODY]}, into a request. Only this
+ * class and {@link RequestTerms} contain the protocol's words for requests. Has no state.
  */
 public final class ClientCommandDecoder {
-  /** What every verb that asks for a request begins with. */
+  /** The prefix of every verb that starts a request. */
   static final String VERB_PREFIX = "SVC.";
   private static final String QUERY = "SVC.QUERY";
   private static final String SUBMIT = "SVC.SUBMIT";
@@ -33,10 +32,10 @@
   private ClientCommandDecoder() {}
 
   /**
-   * Decodes the words of one command; called by the client's connection for each.
+   * Decodes the words of one command; called once for each command on a client's connection.
    *
-   * @throws MalformedMessageException saying which word or term is wrong; the connection can be
-   *         read on
+   * @throws MalformedMessageException if a word or term is invalid; the connection can still be
+   *         read
    */
   public static ClientRequest decode(List<RespValue> words) throws MalformedMessageException {
     checkWords(words);
@@ -57,9 +56,10 @@
       throw new MalformedMessageException("command", words.size() + " words",
           WORDS_WITHOUT_BODY + " or " + WORDS_WITH_BODY + " words");
     }
-    for (RespValue word : words) {
-      if (!(word instanceof RespValue.Bulk bulk) || bulk.bytes() == null) {
-        throw new MalformedMessageException("command", "a word is no bulk string");
+    for (int i = 0; i < words.size(); i++) {
+      if (!(words.get(i) instanceof RespValue.Bulk bulk) || bulk.bytes() == null) {
+        throw new MalformedMessageException("command word " + (i + 1),
+            "expected a bulk string, found a null string or another RESP2 type");
       }
     }
   }
@@ -68,7 +68,8 @@
     return switch (verb) {
       case QUERY -> true;
       case SUBMIT -> false;
-      default -> throw new MalformedMessageException("verb", "neither query nor submit");
+      default -> throw new MalformedMessageException("verb",
+          "expected " + QUERY + " or " + SUBMIT + ", found " + RequestTerms.quote(verb));
     };
   }
 
@@ -81,11 +82,14 @@
     try {
       customer = Long.parseUnsignedLong(digits, HEXADECIMAL);
     } catch (NumberFormatException e) {
-      throw new MalformedMessageException("customer", "no hexadecimal number", e);
+      throw new MalformedMessageException("customer", "expected " + CUSTOMER_DIGITS
+          + " hexadecimal digits, found " + RequestTerms.quote(digits), e);
     }
-    // a leading sign is taken by the library, and numbers from 2^63 on come out below 0
+    // The parser accepts a leading plus sign, and returns numbers from 2^63 as negative numbers.
     if (digits.charAt(0) == '+' || customer < 0 || customer >= CUSTOMER_LIMIT) {
-      throw new MalformedMessageException("customer", "out of range", "0 to 2^33 - 1");
+      throw new MalformedMessageException("customer",
+          "expected an unsigned number in range, found " + RequestTerms.quote(digits),
+          "0 to 2^33 - 1");
     }
     return customer;
   }
--- a/src/main/java/saltlatch/wire/client/ClientConnection.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnection.java
@@ -17,12 +17,13 @@
 import saltlatch.wire.transport.TcpReceiveAge;
 
 /**
- * One client's connection. Hands requests on as their commands come, and writes replies in the
- * order of the commands. Runs on the event loop; owns the replies that are pending. Reading stops
- * at {@link #MAX_PENDING_REPLIES}, so there are no more than these and what a single read brings.
+ * One client's connection. Passes requests to the handler when their commands arrive, and writes
+ * replies in the order of the commands. Runs on the event loop; owns the pending replies. Reading
+ * stops at {@link #MAX_PENDING_REPLIES}, so the pending replies exceed this number by at most the
+ * commands of a single read.
  */
 final class ClientConnection {
-  /** Commands without a reply before reading stops; 4 MB of replies. */
+  /** Pending commands at which reading stops; their replies take up to 4 MB. */
   private static final int MAX_PENDING_REPLIES = 64;
 
   private static final String PING = "PING";
@@ -38,45 +39,47 @@
   private final NetSocket socket;
   private final RespDecoder decoder = new RespDecoder();
   private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
-  private boolean framingLost; // nothing more is read
-  private boolean closed; // or lingering: nothing more is taken or written
-  private boolean reading; // what came is being taken, command by command
+  private boolean framingLost; // no more input is parsed
+  private boolean closed; // or lingering; no more input is parsed and no more replies are written
+  private boolean processingInput; // the commands of the latest read are being processed
   private boolean hasSentCommand;
-  private long usedAtTicks; // acceptance, the last whole command, or the first byte of the next one
+  // time of the accept, of the last complete command, or of the first byte of the next command
+  private long lastUsedTicks;
 
   ClientConnection(ClientListener listener, NetSocket socket) {
     this.listener = listener;
     this.socket = socket;
-    usedAtTicks = listener.scheduler().now();
+    lastUsedTicks = listener.scheduler().now();
     socket.handler(this::read);
     socket.exceptionHandler(e -> metrics().add(Metric.CLIENT_CONNECTIONS_BROKEN));
     socket.closeHandler(v -> connectionEnded());
     socket.drainHandler(v -> resumeReading());
   }
 
-  /** Whether no reply is pending. */
+  /** Returns whether no reply is pending. */
   boolean isIdle() {
     return pendingReplies.isEmpty();
   }
 
-  long usedAtTicks() {
-    return usedAtTicks;
+  long lastUsedTicks() {
+    return lastUsedTicks;
   }
 
   NodeMetrics metrics() {
     return listener.metrics();
   }
 
-  /** How long the last bytes lay unread in the operating system; 0 if that is not known. */
+  /** Returns how long ago the operating system received the last bytes; 0 if unknown. */
   long readDelayTicks() {
     return TcpReceiveAge.ticksSinceLastReceive(socket);
   }
 
-  // ---- how it ends
+  // ---- closing
 
   /**
-   * Closes at once. What is unread makes the operating system reset the connection, from which the
-   * client knows that it was not taken, and sends it again on a new connection.
+   * Closes at once. If bytes are unread, the operating system resets the connection; the reset
+   * shows the client that those commands were not processed, and it sends them again on a new
+   * connection.
    */
   void close() {
     closed = true;
@@ -86,14 +89,17 @@
 
   private void linger() {
     closed = true;
-    listener.lingers(this);
+    listener.startedLingering(this);
     new LingeringClose(socket, listener.scheduler(), framingLost).begin(listener.isRejecting());
   }
 
-  /** Closes if, since then or before, it has sent nothing, or half a command and no more. */
+  /**
+   * Closes the connection if it has been unused since this time or longer, and has sent no command
+   * yet or only part of its latest one.
+   */
   void closeIfIncompleteSince(long ticks) {
     boolean isBetweenCommands = hasSentCommand && decoder.isEmpty();
-    if (closed || usedAtTicks > ticks || !isIdle() || isBetweenCommands) return;
+    if (closed || lastUsedTicks > ticks || !isIdle() || isBetweenCommands) return;
     metrics().add(Metric.CLIENT_CONNECTIONS_SILENT);
     framingLost = true;
     if (decoder.isEmpty()) close();
@@ -104,19 +110,19 @@
     if (!closed && isIdle()) linger();
   }
 
-  /** Has the requests that wait for a final response get one now. */
-  void abandonRequests() {
+  /** Aborts the requests that have no final response, so that they get one now. */
+  void abortRequests() {
     List.copyOf(pendingReplies).stream().filter(PendingReply::isAwaitingResponse)
         .forEach(pending -> listener.handler().abort(pending.request()));
   }
 
   /**
-   * Guards, while this node stops, against a connection that ends in front of commands that were
-   * read together with the one just answered: they get their replies too, or their clients would
-   * take them for lost.
+   * Starts a lingering close if the framing is lost, or if this node stops and no command is left.
+   * Guards, while this node stops, against closing before the replies to commands that were read
+   * together with the one just answered: their client would treat them as lost.
    */
-  private void lingerIfDue() {
-    if (closed || reading || !isIdle()) return;
+  private void lingerIfFinished() {
+    if (closed || processingInput || !isIdle()) return;
     if (framingLost || (listener.isClosing() && decoder.isEmpty())) linger();
   }
 
@@ -131,44 +137,46 @@
 
   // ---- commands
 
-  private void read(Buffer more) {
+  private void read(Buffer received) {
     if (framingLost || closed) return;
-    if (decoder.isEmpty()) usedAtTicks = listener.scheduler().now();
-    decoder.feed(more);
-    reading = true;
+    if (decoder.isEmpty()) lastUsedTicks = listener.scheduler().now();
+    decoder.feed(received);
+    processingInput = true;
     try {
-      takeCommands();
+      processCommands();
     } catch (FramingException e) {
       metrics().add(Metric.COMMANDS_LOST_FRAMING);
       framingLost = true;
       replyLine(PROTOCOL_ERROR_PREFIX + e.problem());
     }
-    reading = false;
+    processingInput = false;
     if (framingLost || isFull()) socket.pause();
-    lingerIfDue();
+    lingerIfFinished();
   }
 
-  private void takeCommands() throws FramingException {
+  private void processCommands() throws FramingException {
     for (RespValue command = decoder.next(); command != null; command = decoder.next()) {
-      usedAtTicks = listener.scheduler().now();
+      lastUsedTicks = listener.scheduler().now();
       hasSentCommand = true;
       listener.commandReceived(this);
-      take(command);
+      processCommand(command);
     }
   }
 
-  private void take(RespValue command) throws FramingException {
-    if (!(command instanceof RespValue.Array array))
-      throw new FramingException("command", "a command is an array");
+  private void processCommand(RespValue command) throws FramingException {
+    if (!(command instanceof RespValue.Array array)) {
+      char type = command instanceof RespValue.Line line ? line.type() : '$';
+      throw new FramingException("command of RESP2 type " + type, "a command is an array");
+    }
     List<RespValue> words = array.elements() == null ? List.of() : array.elements();
     String verb = verb(words);
     if (verb.startsWith(ClientCommandDecoder.VERB_PREFIX)) {
-      takeRequest(words);
+      processRequest(words);
     } else if (verb.equalsIgnoreCase(PING)) {
       replyLine(listener.isReady() ? PONG : NOT_READY);
     } else if (verb.equalsIgnoreCase(INFO)) {
       byte[] text = listener.handler().infoText().getBytes(StandardCharsets.ISO_8859_1);
-      addPendingReply().fill(RespEncoder.bulk(text));
+      addPendingReply().setReply(RespEncoder.bulk(text));
     } else {
       metrics().add(Metric.COMMANDS_UNKNOWN);
       replyLine(UNKNOWN_COMMAND);
@@ -179,7 +187,7 @@
     return !words.isEmpty() && words.get(0) instanceof RespValue.Bulk verb ? verb.text() : "";
   }
 
-  private void takeRequest(List<RespValue> words) {
+  private void processRequest(List<RespValue> words) {
     ClientRequest request;
     try {
       request = ClientCommandDecoder.decode(words);
@@ -190,7 +198,7 @@
     }
     PendingReply pending = addPendingReply();
     if (listener.isRejecting()) pending.reject(0);
-    else pending.awaits(listener.handler().requestArrived(request, pending));
+    else pending.awaitResponseTo(listener.handler().requestArrived(request, pending));
   }
 
   // ---- replies
@@ -202,24 +210,24 @@
   }
 
   private void replyLine(String line) {
-    addPendingReply().fill(RespEncoder.line(line));
+    addPendingReply().setReply(RespEncoder.line(line));
   }
 
-  /** Writes the replies in front that have come; those behind one that is pending wait for it. */
+  /** Writes the replies that are set, up to the first command whose reply is still pending. */
   void flushReplies() {
     if (closed) return;
-    while (!pendingReplies.isEmpty() && pendingReplies.peek().isFilled()) {
+    while (!pendingReplies.isEmpty() && pendingReplies.peek().hasReply()) {
       socket.write(pendingReplies.poll().reply());
     }
     resumeReading();
-    lingerIfDue();
+    lingerIfFinished();
   }
 
   private boolean isFull() {
     return pendingReplies.size() >= MAX_PENDING_REPLIES;
   }
 
-  /** Guards against a client that reads no replies, or too few: no more commands are taken. */
+  /** Guards against a client that reads replies too slowly or not at all: reading pauses. */
   private void resumeReading() {
     if (closed) return;
     boolean writesQueued = socket.writeQueueFull();
--- a/src/main/java/saltlatch/wire/client/ClientConnections.java
+++ b/src/main/java/saltlatch/wire/client/ClientConnections.java
@@ -6,15 +6,16 @@
 import java.util.Set;
 
 /**
- * The clients' connections by what can be expected of each, in the order in which they would be
- * closed for a new one. Owned by {@link ClientListener}, which sets their bound.
+ * The clients' connections, grouped by state. If the limit is reached, one of them is selected for
+ * closing to make room for a new connection. Owned by {@link ClientListener}, which enforces the
+ * limit.
  */
 final class ClientConnections {
-  // no whole command yet, oldest first
+  // have not sent a complete command yet; oldest first
   private final Set<ClientConnection> silent = new LinkedHashSet<>();
-  // have sent a command, the last to do so last
+  // have sent a command; the least recently used first
   private final Set<ClientConnection> used = new LinkedHashSet<>();
-  // this side has ended, oldest first
+  // being closed by this node; oldest first
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   void add(ClientConnection connection) {
@@ -27,7 +28,7 @@
     used.add(connection);
   }
 
-  void lingers(ClientConnection connection) {
+  void startedLingering(ClientConnection connection) {
     remove(connection);
     lingering.add(connection);
   }
@@ -42,7 +43,7 @@
     return silent.size() + used.size() + lingering.size();
   }
 
-  /** Those that have not ended, in an own list, since closing one removes it from here. */
+  /** Returns a copy of the sets of connections not closing, because closing one modifies them. */
   List<ClientConnection> open() {
     List<ClientConnection> open = new ArrayList<>(silent);
     open.addAll(used);
@@ -50,15 +51,16 @@
   }
 
   /**
-   * The one to close for a new one: one that is ending anyway; then the one idle for longest, if
-   * since {@code staleTicks} or before; then the oldest that has sent nothing; then one that is
-   * idle just now, whose client may send its next request on a new connection. Null if all have
-   * replies pending.
+   * Returns the connection to close in favour of a new one: first one that is already lingering;
+   * then the least recently used idle one, if it was last used at {@code staleTicks} or earlier;
+   * then the oldest one that has sent no complete command; then an idle one that was used more
+   * recently, whose client can send its next request on a new connection. Returns null if all
+   * connections have pending replies.
    */
-  ClientConnection leastNeeded(long staleTicks) {
+  ClientConnection selectForClosing(long staleTicks) {
     if (!lingering.isEmpty()) return lingering.iterator().next();
     ClientConnection idle = used.stream().filter(ClientConnection::isIdle).findFirst().orElse(null);
-    if (idle != null && idle.usedAtTicks() <= staleTicks) return idle;
+    if (idle != null && idle.lastUsedTicks() <= staleTicks) return idle;
     return silent.isEmpty() ? idle : silent.iterator().next();
   }
 }
--- a/src/main/java/saltlatch/wire/client/ClientListener.java
+++ b/src/main/java/saltlatch/wire/client/ClientListener.java
@@ -15,32 +15,33 @@
 import saltlatch.wire.transport.SocketCloser;
 
 /**
- * Listens for clients: their commands in, the replies out. Called on the node's event loop; owns
- * the clients' connections, of which there are {@code maxConnections} at most.
+ * Accepts clients' connections, receives their commands and writes the replies. Called on the
+ * node's event loop; owns the clients' connections, at most {@code maxConnections}.
  */
 public final class ClientListener {
-  /** Who handles clients' requests; called on the event loop. */
+  /** Handles clients' requests; called on the event loop. */
   public interface Handler {
     /**
-     * A request has come. Its final response goes to {@code client}, now or later.
+     * Called when a request arrives. Its final response is passed to {@code client}, during this
+     * call or later.
      *
-     * @return null if it was answered at once, since it can't be taken
+     * @return the request; null if it was not accepted and its response was passed during this call
      */
     RequestContext requestArrived(ClientRequest request, RequestContext.ResponseSink client);
 
-    /** The client of a request has closed its connection before the final response. */
+    /** Called when the client of a request closes its connection before the final response. */
     void clientDisconnected(RequestContext request);
 
-    /** A request must get its final response now, since this node stops. */
+    /** Gives a request its final response now, because this node stops. */
     void abort(RequestContext request);
 
-    /** The text that the command INFO gets. */
+    /** Returns the text of the reply to the command INFO. */
     String infoText();
   }
 
-  /** After so long a connection without a request in flight may be closed. */
+  /** The time after which a connection without a request in flight may be closed. */
   private static final long STALE_AFTER_TICKS = 2 * Ticks.PER_SECOND;
-  /** Short enough that a connection without a command ends within 3 s. */
+  /** Short enough to close a connection without a command within the 3 s of the protocol. */
   private static final long SWEEP_INTERVAL_TICKS = Ticks.PER_SECOND / 4;
   private static final int BACKLOG_PER_CONNECTION = 16;
 
@@ -50,78 +51,82 @@
   private final int maxConnections;
   private final Scheduler scheduler;
   private final ClientConnections connections = new ClientConnections();
-  private int openConnections; // until the client's end has come, so more than are in the set
+  // counts a connection until its close handler is called, so it can exceed connections.size()
+  private int openConnections;
   private boolean ready;
   private boolean closing;
   private boolean rejecting;
 
-  /** Listens once {@link #listen} is called. */
+  /** Creates the listener; it accepts connections after {@link #listen} is called. */
   public ClientListener(Vertx vertx, Scheduler scheduler, Handler handler, NodeMetrics metrics,
       int maxConnections) {
     this.scheduler = scheduler;
     this.handler = handler;
     this.metrics = metrics;
     this.maxConnections = maxConnections;
-    // Guards against many clients that connect at once: past a short backlog the system would drop
-    // the connections of others with theirs, which shows as clients that wait a second to connect.
+    // Guards against many clients that connect at once: if the backlog were short, the operating
+    // system would also drop connections of other clients, which would retry after a second.
     server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true).setReuseAddress(true)
         .setAcceptBacklog(BACKLOG_PER_CONNECTION * maxConnections));
     server.connectHandler(this::accept);
     server.exceptionHandler(e -> metrics.add(Metric.CLIENT_CONNECTIONS_BROKEN));
   }
 
-  /** Listens at this address; done once connections are accepted, failed if it is taken. */
+  /**
+   * Listens at this address. The future succeeds when connections are accepted, and fails if the
+   * address is in use.
+   */
   public Future<?> listen(SocketAddress address) {
     sweep();
     return server.listen(address);
   }
 
-  /** The port in use, which the system chose if it was asked for 0. */
+  /** Returns the port in use, which the operating system chose if the port was given as 0. */
   public int port() {
     return server.actualPort();
   }
 
-  /** From now on PING is answered with PONG, which has clients counted on this node. */
+  /** Replies to PING with PONG from now on, so that clients use this node. */
   public void markReady() {
     ready = true;
   }
 
   /**
-   * From now on a connection ends right behind a reply. Guards against a request that crosses the
-   * end of an idle connection and is lost with it: whoever has just been answered has not sent the
-   * next one yet.
+   * Closes each connection right after a reply from now on. Guards against losing a request that a
+   * client sends while this node closes its idle connection: a client that has just received a
+   * reply has not sent its next request yet.
    */
   public void closeConnectionsAfterReply() {
     closing = true;
   }
 
   /**
-   * Gives each request in flight its final response, and rejects what still comes, so that idle
-   * connections are all that is left. For the last moment before this node's end.
+   * Aborts all requests in flight and rejects all further requests, so that only idle connections
+   * remain. Called just before this node terminates.
    */
   public void failPendingAndRejectNew() {
     rejecting = true;
-    connections.open().forEach(ClientConnection::abandonRequests);
+    connections.open().forEach(ClientConnection::abortRequests);
   }
 
-  /** Ends the connections that have no reply pending. */
+  /** Closes the connections that have no pending reply. */
   public void closeIdleConnections() {
     connections.open().forEach(ClientConnection::closeIfIdle);
   }
 
-  /** How many connections of clients are open, those included whose end is on its way. */
+  /** Returns the number of open client connections, including those that are being closed. */
   public int openConnections() {
     return openConnections;
   }
 
-  /** Whether every request that comes is rejected. */
+  /** Returns whether every new request is rejected. */
   public boolean isRejecting() {
     return rejecting;
   }
 
   private void accept(NetSocket socket) {
     metrics.add(Metric.CLIENT_CONNECTIONS_ACCEPTED);
-    if (connections.size() >= maxConnections && !closeLeastNeeded()) {
+    if (connections.size() >= maxConnections && !closeForNewConnection()) {
       SocketCloser.closeNow(socket);
       return;
     }
@@ -130,20 +135,21 @@
   }
 
   /**
-   * Guards against connections that send nothing, or have sent a request once and stay: they would
-   * use up the limit, and other clients could not connect.
+   * Closes a connection in favour of a new one; returns false if all have pending replies. Guards
+   * against connections that send nothing, or that stay open after one request: they would use up
+   * the limit, and other clients could not connect.
    */
-  private boolean closeLeastNeeded() {
+  private boolean closeForNewConnection() {
     metrics.add(Metric.CLIENT_CONNECTIONS_OVER_LIMIT);
-    ClientConnection least = connections.leastNeeded(scheduler.now() - STALE_AFTER_TICKS);
-    if (least == null) return false;
-    least.close();
+    ClientConnection selected = connections.selectForClosing(scheduler.now() - STALE_AFTER_TICKS);
+    if (selected == null) return false;
+    selected.close();
     return true;
   }
 
   /**
-   * Guards against connections that send nothing, or half a command and no more, and would stay for
-   * good: by the protocol they are ended within 3 s.
+   * Closes connections that send nothing, or only part of a command. Guards against such
+   * connections staying open forever: the protocol requires that they are closed within 3 s.
    */
   private void sweep() {
     for (ClientConnection connection : connections.open()) {
@@ -152,7 +158,7 @@
     scheduler.scheduleAt(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
-  // ---- for the connections
+  // ---- called by the connections
 
   boolean isReady() {
     return ready;
@@ -174,22 +180,22 @@
     return scheduler;
   }
 
-  /** A whole command has come on this connection. */
+  /** Called when a complete command has arrived on this connection. */
   void commandReceived(ClientConnection connection) {
     connections.commandReceived(connection);
   }
 
-  /** This side of the connection ends behind its replies. */
-  void lingers(ClientConnection connection) {
-    connections.lingers(connection);
+  /** Called when this connection starts its lingering close. */
+  void startedLingering(ClientConnection connection) {
+    connections.startedLingering(connection);
   }
 
-  /** This side has closed; the end of the connection itself follows. */
+  /** Called when this side has closed the connection; {@link #connectionEnded} follows. */
   void closed(ClientConnection connection) {
     connections.remove(connection);
   }
 
-  /** The connection is gone, whichever side ended it. */
+  /** Called when the connection has ended, whichever side closed it. */
   void connectionEnded(ClientConnection connection) {
     openConnections--;
     connections.remove(connection);
--- a/src/main/java/saltlatch/wire/client/LingeringClose.java
+++ b/src/main/java/saltlatch/wire/client/LingeringClose.java
@@ -7,16 +7,17 @@
 import saltlatch.wire.transport.SocketCloser;
 
 /**
- * Ends this side of a client's connection behind the replies, and waits within bounds for the
- * client's end. Guards against closing over unread bytes: the operating system would reset the
- * connection, and the client would lose the replies just written. Runs on the event loop.
+ * Shuts down the output of a client's connection after the replies, and then waits for a bounded
+ * time until the client closes its side. Guards against closing while received bytes are unread:
+ * the operating system would reset the connection, and the client would lose the replies that were
+ * just written. Runs on the event loop.
  */
 final class LingeringClose {
-  /** A client's end that crosses this side's has come by then. */
+  /** Enough for a close that the client sent at the same time as this side to arrive. */
   private static final long LINGER_TICKS = Ticks.PER_SECOND / 5;
-  /** A client that has not taken its replies by then takes none. */
+  /** A client that has not received its replies within this time is assumed not to read. */
   private static final long REPLIES_TIMEOUT_TICKS = 2 * Ticks.PER_SECOND;
-  /** Two of the longest commands. */
+  /** Two commands of maximum length. */
   private static final int MAX_DISCARDED_BYTES = 128 * 1024;
 
   private final NetSocket socket;
@@ -25,11 +26,12 @@
   private int discardedBytes;
 
   /**
-   * Closes nothing yet.
+   * Creates the close without starting it.
    *
-   * @param discardsInput whether what still comes is read and thrown away, as behind broken
-   *                      framing, since a client in the middle of sending would not look up; else
-   *                      it stays unread, which shows the client that it was not taken
+   * @param discardsInput whether further input is read and discarded. This is needed after broken
+   *                      framing, because a client that is still sending would not read the error.
+   *                      Otherwise input stays unread, and the resulting reset shows the client
+   *                      that its commands were not processed.
    */
   LingeringClose(NetSocket socket, Scheduler scheduler, boolean discardsInput) {
     this.socket = socket;
@@ -37,14 +39,14 @@
     this.discardsInput = discardsInput;
   }
 
-  /** Begins; {@code nodeStops}: this node can't wait until a slow client has taken its replies. */
+  /** Starts the close; if {@code nodeStops}, a slow client gets less time to read its replies. */
   void begin(boolean nodeStops) {
     closeWithin(nodeStops ? LINGER_TICKS : REPLIES_TIMEOUT_TICKS);
     socket.handler(this::discard);
-    handleInput();
-    Buffer behindReplies = Buffer.buffer();
-    socket.write(behindReplies).onComplete(v -> {
-      handleInput(); // again: once what was pending is written, the library reads again
+    resumeOrStopReading();
+    Buffer emptyAfterReplies = Buffer.buffer();
+    socket.write(emptyAfterReplies).onComplete(v -> {
+      resumeOrStopReading(); // repeated, because Vert.x resumes reading after pending writes
       SocketCloser.shutdownOutput(socket);
       closeWithin(LINGER_TICKS);
     });
@@ -55,7 +57,7 @@
     if (discardedBytes > MAX_DISCARDED_BYTES) SocketCloser.closeNow(socket);
   }
 
-  private void handleInput() {
+  private void resumeOrStopReading() {
     if (discardsInput) socket.resume();
     else SocketCloser.stopReading(socket);
   }
--- a/src/main/java/saltlatch/wire/client/PendingReply.java
+++ b/src/main/java/saltlatch/wire/client/PendingReply.java
@@ -6,42 +6,43 @@
 import saltlatch.wire.resp.RespEncoder;
 
 /**
- * The place of one command's reply among those of its connection, and the only place that knows the
- * words of final responses. Owned by the connection, on the event loop.
+ * The reply to one command, queued in the order of the connection's commands until it is set and
+ * written. This is the only class that contains the protocol's words for final responses. Owned by
+ * the connection; used on the event loop.
  */
 final class PendingReply implements RequestContext.ResponseSink {
   private static final String REJECTED = "-BUSY";
   private static final String FAILED = "-ERR aborted";
 
   private final ClientConnection connection;
-  private RequestContext request; // null: the command was no request, or was answered at once
-  private Buffer reply; // null: still to come
+  private RequestContext request; // null if the command is not a request or got its reply at once
+  private Buffer reply; // null until it is set
 
   PendingReply(ClientConnection connection) {
     this.connection = connection;
   }
 
-  /** This place waits for the final response of a request; null: it was answered at once. */
-  void awaits(RequestContext arrived) {
-    request = arrived;
+  /** Sets the request whose final response becomes the reply; null if the reply is already set. */
+  void awaitResponseTo(RequestContext newRequest) {
+    request = newRequest;
   }
 
   @Override
   public void succeed(byte[] value) {
     connection.metrics().add(Metric.RESPONSES_SUCCEEDED);
-    fill(RespEncoder.bulk(value));
+    setReply(RespEncoder.bulk(value));
   }
 
   @Override
   public void reject(long retryAfterMs) {
     connection.metrics().add(Metric.RESPONSES_REJECTED);
-    fill(RespEncoder.line(retryAfterMs > 0 ? REJECTED + " " + retryAfterMs : REJECTED));
+    setReply(RespEncoder.line(retryAfterMs > 0 ? REJECTED + " " + retryAfterMs : REJECTED));
   }
 
   @Override
   public void fail() {
     connection.metrics().add(Metric.RESPONSES_FAILED);
-    fill(RespEncoder.line(FAILED));
+    setReply(RespEncoder.line(FAILED));
   }
 
   @Override
@@ -49,17 +50,17 @@
     return connection.readDelayTicks();
   }
 
-  /** Sets the reply, which goes out once those in front of it have. */
-  void fill(Buffer text) {
-    reply = text;
+  /** Sets the reply, which is written after the replies to all earlier commands. */
+  void setReply(Buffer newReply) {
+    reply = newReply;
     connection.flushReplies();
   }
 
-  boolean isFilled() {
+  boolean hasReply() {
     return reply != null;
   }
 
-  /** Whether its request is in flight with no final response yet. */
+  /** Returns whether the command is a request that has no final response yet. */
   boolean isAwaitingResponse() {
     return request != null && reply == null;
   }
--- a/src/main/java/saltlatch/wire/client/RequestTerms.java
+++ b/src/main/java/saltlatch/wire/client/RequestTerms.java
@@ -6,8 +6,8 @@
 import saltlatch.wire.resp.DecimalCodec;
 
 /**
- * The list of names and values in a client's command, {@code NAME=VALUE,NAME=VALUE}, with the
- * protocol's names of what this node reads in it. Other names may stand there too, and go on to the
+ * The list of terms in a client's command, {@code NAME=VALUE,NAME=VALUE}, and the protocol's names
+ * of the terms that this node reads. The list may contain other names, which are forwarded to the
  * app server with the rest. Immutable.
  */
 final class RequestTerms {
@@ -20,24 +20,26 @@
   private static final String FIRST_NODE = "first";
   private static final String IDEMPOTENCY_KEY = "k";
 
-  /** A list that is longer comes from no client of this protocol. */
+  /** No client that follows the protocol sends a longer list. */
   private static final int MAX_LENGTH_BYTES = 1024;
   private static final long CLIENT_TIMEOUT_LIMIT_MS = 1L << 31;
   private static final double UNITS_LIMIT = 1e9;
   private static final int NODE_LIMIT = 1 << 20;
+  private static final int MAX_QUOTED_CHARACTERS = 64;
 
   private static final String MARKED_AS_RETRY = "1";
   private static final double DEFAULT_UNITS = 1;
 
   private final String text;
   private final Map<String, String> values = new HashMap<>();
-  private int timeoutBegin; // of the timeout's value in the text
-  private int timeoutEnd;
+  private int timeoutBegin; // index of the timeout's value in the text
+  private int timeoutEnd; // index after the timeout's value
 
-  /** Cuts the list; the values are looked at when they are asked for. */
+  /** Splits the list into terms; each getter validates its value when it is called. */
   RequestTerms(String text) throws MalformedMessageException {
     if (text.length() > MAX_LENGTH_BYTES) {
-      throw new MalformedMessageException("terms", "list too long", MAX_LENGTH_BYTES + " bytes");
+      throw new MalformedMessageException("terms", text.length() + " bytes",
+          MAX_LENGTH_BYTES + " bytes");
     }
     this.text = text;
     int begin = 0;
@@ -51,10 +53,12 @@
 
   private void addTerm(int begin, int end) throws MalformedMessageException {
     int equals = text.indexOf('=', begin);
-    if (equals <= begin || equals >= end) throw malformed("a term is no NAME=VALUE");
+    if (equals <= begin || equals >= end) {
+      throw malformed("expected NAME=VALUE, found " + quote(text.substring(begin, end)));
+    }
     String name = text.substring(begin, equals);
     if (values.put(name, text.substring(equals + 1, end)) != null) {
-      throw malformed("name given twice: " + name);
+      throw malformed("term " + quote(name) + " occurs more than once");
     }
     if (name.equals(CLIENT_TIMEOUT_MS)) {
       timeoutBegin = equals + 1;
@@ -81,12 +85,12 @@
   double units() throws MalformedMessageException {
     String value = values.get(UNITS);
     double units = value == null ? DEFAULT_UNITS : DecimalCodec.parse(value);
-    boolean inRange = units > 0 && units < UNITS_LIMIT; // false too for what is not a number
+    boolean inRange = units > 0 && units < UNITS_LIMIT; // false for NaN
     if (!inRange) throw outOfRange(UNITS, "over 0 and under 1e9 units");
     return units;
   }
 
-  /** 0: not said. */
+  /** Returns how many consecutive nodes serve the customer; 0 if not given. */
   int nodeCount() throws MalformedMessageException {
     if (!values.containsKey(NODE_COUNT)) return 0;
     int count = nodeNumber(NODE_COUNT);
@@ -112,26 +116,33 @@
     return !values.getOrDefault(IDEMPOTENCY_KEY, "").isEmpty();
   }
 
-  /** The list up to the timeout's value; with {@link #textAfterTimeout} all but that value. */
+  /** Returns the text before the value of the client's timeout. */
   String textBeforeTimeout() {
     return text.substring(0, timeoutBegin);
   }
 
+  /** Returns the text after the value of the client's timeout. */
   String textAfterTimeout() {
     return text.substring(timeoutEnd);
   }
 
   private String required(String name) throws MalformedMessageException {
     String value = values.get(name);
-    if (value == null) throw malformed("no term " + name);
+    if (value == null) throw malformed("term " + name + " is missing");
     return value;
   }
 
-  private static MalformedMessageException malformed(String what) {
-    return new MalformedMessageException("terms", what);
+  private static MalformedMessageException malformed(String problem) {
+    return new MalformedMessageException("terms", problem);
+  }
+
+  private MalformedMessageException outOfRange(String name, String range) {
+    return new MalformedMessageException("term " + name,
+        "expected a number in range, found " + quote(values.get(name)), range);
   }
 
-  private static MalformedMessageException outOfRange(String name, String range) {
-    return new MalformedMessageException("term " + name, "no number, or out of range", range);
+  /** Returns the text in quotation marks for an error message, cut to a bounded length. */
+  static String quote(String text) {
+    return "\"" + text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARACTERS)) + "\"";
   }
 }
--- a/src/test/java/saltlatch/wire/client/ClientCommandDecoderTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientCommandDecoderTest.java
@@ -9,7 +9,7 @@
 import saltlatch.wire.ProtocolException;
 import saltlatch.wire.resp.RespText;
 
-/** Clients' commands decoded into requests. */
+/** Tests decoding clients' commands into requests. */
 class ClientCommandDecoderTest {
   private static final String CUSTOMER = "00000000b4d65521";
   private static final String ID = "9b1f03aa5c7e2d41";
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void decodesEachTerm() throws ProtocolException {
+  void decodesEveryTerm() throws ProtocolException {
     String terms = "c=order,t=team,d=480,k=5c0f6e1a2b3d4c59,r=1,units=2.5,spread=3,first=1,new=x";
     ClientRequest request = decode("SVC.SUBMIT", CUSTOMER, ID, terms, "BODY");
     assertEquals("3033945377 order team 480 2.5 3 1 true",
@@ -31,22 +31,22 @@
   }
 
   @Test
-  void decodesDefaults() throws ProtocolException {
+  void missingTermsGetDefaults() throws ProtocolException {
     ClientRequest request = decode("SVC.QUERY", CUSTOMER, ID, "c=a,t=b,d=9,k=,r=0,");
     assertEquals("1.0 0 0 false true false",
         request.units() + " " + request.nodeCount() + " " + request.firstNode() + " "
             + request.retry() + " " + request.query() + " " + request.hasIdempotencyKey());
   }
 
-  /** What a request counts for against the memory that requests may hold: its text's bytes. */
+  /** A request's size, which counts towards the memory limit of requests, is its text's bytes. */
   @Test
-  void sizeIsThatOfTheTextWithoutTheTimeout() throws ProtocolException {
+  void sizeExcludesTheTimeout() throws ProtocolException {
     ClientRequest request = decode("SVC.SUBMIT", CUSTOMER, ID, "c=a,t=b,d=9000", "BODY");
     assertEquals(10 + 16 + 16 + 10 + 4, request.sizeBytes());
   }
 
   @Test
-  void malformedCommands() throws ProtocolException {
+  void rejectsMalformedCommands() throws ProtocolException {
     String[][] malformed = {{"SVC.QUERY", CUSTOMER, ID}, {"SVC.OTHER", CUSTOMER, ID, "c=a,t=b,d=1"},
         {"SVC.QUERY", "b4d65521", ID, "c=a,t=b,d=1"},
         {"SVC.QUERY", "00000000b4d6552x", ID, "c=a,t=b,d=1"},
@@ -64,9 +64,9 @@
     }
   }
 
-  /** Edges of what is taken, one step beyond each. */
+  /** Each command exceeds one limit by one step; the last one is at all limits and is accepted. */
   @Test
-  void malformedAtTheLimits() throws ProtocolException {
+  void rejectsValuesBeyondTheLimits() throws ProtocolException {
     String terms = "c=a,t=b,d=1";
     String[][] malformed = {{"SVC.QUERY", "+000000000000007", ID, terms},
         {"SVC.QUERY", "ffffffffffffffff", ID, terms},
@@ -86,18 +86,21 @@
         "c=,t=,d=2147483647,units=999999999,spread=1048575,first=1048575", "");
   }
 
-  /** On-call reads which word or term was wrong, and which limit holds for it. */
+  /** The error messages contain the invalid word or term, the value found and the limit. */
   @Test
-  void errorsSayWhatWhereAndWhichLimit() {
+  void errorMessagesContainValueAndLimit() {
     assertEquals("customer: 8 characters (limit 16 hexadecimal digits)",
-        error("SVC.QUERY", "b4d65521", ID, "c=a,t=b,d=1"));
-    assertEquals("terms: no term d", error("SVC.QUERY", CUSTOMER, ID, "c=a,t=b"));
-    assertEquals("term units: no number, or out of range (limit over 0 and under 1e9 units)",
-        error("SVC.QUERY", CUSTOMER, ID, "c=a,t=b,d=1,units=0"));
-    assertEquals("verb: neither query nor submit", error("SVC.OTHER", CUSTOMER, ID, "c=a,t=b,d=1"));
+        errorMessage("SVC.QUERY", "b4d65521", ID, "c=a,t=b,d=1"));
+    assertEquals("terms: term d is missing", errorMessage("SVC.QUERY", CUSTOMER, ID, "c=a,t=b"));
+    assertEquals(
+        "term units: expected a number in range, found \"0\""
+            + " (limit over 0 and under 1e9 units)",
+        errorMessage("SVC.QUERY", CUSTOMER, ID, "c=a,t=b,d=1,units=0"));
+    assertEquals("verb: expected SVC.QUERY or SVC.SUBMIT, found \"SVC.OTHER\"",
+        errorMessage("SVC.OTHER", CUSTOMER, ID, "c=a,t=b,d=1"));
   }
 
-  private static String error(String... words) {
+  private static String errorMessage(String... words) {
     return assertThrows(MalformedMessageException.class, () -> decode(words)).getMessage();
   }
 }
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -26,20 +26,20 @@
 import saltlatch.wire.transport.ManualScheduler;
 
 /**
- * The bytes of every reply that a client can get, and which connections are closed; on real
- * connections, with a clock that the test moves.
+ * Tests the bytes of every reply that a client can receive and the selection of connections to
+ * close. Uses real connections and a manual clock.
  */
 @Timeout(60)
 class ClientListenerTest {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
   private static final String QUERY = "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n"
       + "$2\r\n10\r\n$19\r\nc=read,t=plan,d=900\r\n";
-  private static final int MOST_CONNECTIONS = 4;
+  private static final int MAX_CONNECTIONS = 4;
   private static final String INFO_TEXT = "reqs=1\nheld=0\n";
 
   private final InFlightRequests requests = new InFlightRequests(1 << 20);
   private final List<Socket> sockets = new ArrayList<>();
-  private BiFunction<ClientRequest, ResponseSink, RequestContext> whenArrived = requests::register;
+  private BiFunction<ClientRequest, ResponseSink, RequestContext> onRequest = requests::register;
   private Vertx vertx;
   private ManualScheduler scheduler;
   private ClientListener listener;
@@ -51,12 +51,12 @@
     scheduler = new ManualScheduler(vertx.getOrCreateContext());
     metrics = new NodeMetrics();
     listener = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
-        MOST_CONNECTIONS);
+        MAX_CONNECTIONS);
     scheduler.runOnLoop(() -> listener.markReady());
-    List<Future<?>> open = new ArrayList<>();
+    List<Future<?>> listening = new ArrayList<>();
     scheduler.runOnLoop(
-        () -> open.add(listener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
-    ManualScheduler.await(open.get(0));
+        () -> listening.add(listener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+    ManualScheduler.await(listening.get(0));
   }
 
   @AfterEach
@@ -65,11 +65,11 @@
     ManualScheduler.await(vertx.close());
   }
 
-  /** Answers as the test says, and fails what the listener abandons. */
+  /** Handles requests as the test specifies, and fails requests that the listener aborts. */
   private final class ScriptedHandler implements ClientListener.Handler {
     @Override
     public RequestContext requestArrived(ClientRequest request, ResponseSink client) {
-      return whenArrived.apply(request, client);
+      return onRequest.apply(request, client);
     }
 
     @Override
@@ -102,7 +102,7 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** The reply is exactly this: a PING behind it shows that nothing more was written. */
+  /** Asserts the complete reply; the reply to a subsequent PING shows that nothing follows it. */
   private void assertReply(String expected, String command) throws IOException {
     Socket socket = connect();
     send(socket, command + PING);
@@ -110,7 +110,7 @@
     socket.close();
   }
 
-  /** The reply is exactly this, and the connection ends behind it. */
+  /** Asserts the complete output up to the end of the connection. */
   private void assertLastReply(String expected, String bytes) throws IOException {
     Socket socket = connect();
     send(socket, bytes);
@@ -119,37 +119,37 @@
     socket.close();
   }
 
-  private void answerWith(Consumer<ResponseSink> answer) {
-    whenArrived = (request, client) -> {
-      answer.accept(client);
+  private void respondWith(Consumer<ResponseSink> response) {
+    onRequest = (request, client) -> {
+      response.accept(client);
       return null;
     };
   }
 
   @Test
   void repliesToRequests() throws Exception {
-    answerWith(client -> client.succeed("hi".getBytes(StandardCharsets.ISO_8859_1)));
+    respondWith(client -> client.succeed("hi".getBytes(StandardCharsets.ISO_8859_1)));
     assertReply("$2\r\nhi\r\n", QUERY);
-    answerWith(client -> client.succeed(new byte[0]));
+    respondWith(client -> client.succeed(new byte[0]));
     assertReply("$0\r\n\r\n", QUERY);
-    answerWith(client -> client.reject(0));
+    respondWith(client -> client.reject(0));
     assertReply("-BUSY\r\n", QUERY);
-    answerWith(client -> client.reject(250));
+    respondWith(client -> client.reject(250));
     assertReply("-BUSY 250\r\n", QUERY);
-    answerWith(client -> client.fail());
+    respondWith(client -> client.fail());
     assertReply("-ERR aborted\r\n", QUERY);
   }
 
-  /** A value of any bytes goes out as it is. */
+  /** Values are binary: every byte value is written unchanged. */
   @Test
-  void valueOfAllBytes() throws Exception {
-    byte[] all = new byte[256];
-    for (int i = 0; i < all.length; i++) all[i] = (byte) i;
-    answerWith(client -> client.succeed(all));
+  void writesAllByteValuesUnchanged() throws Exception {
+    byte[] allBytes = new byte[256];
+    for (int i = 0; i < allBytes.length; i++) allBytes[i] = (byte) i;
+    respondWith(client -> client.succeed(allBytes));
     Socket socket = connect();
     send(socket, QUERY);
     assertEquals("$256\r\n", receive(socket, 6));
-    assertArrayEquals(all, socket.getInputStream().readNBytes(256));
+    assertArrayEquals(allBytes, socket.getInputStream().readNBytes(256));
     assertEquals("\r\n", receive(socket, 2));
   }
 
@@ -176,7 +176,7 @@
     assertReply(expected, QUERY.replace("t=plan", "q=plan"));
   }
 
-  /** What can't be cut into values is answered once, and ends the connection. */
+  /** Bytes that are not RESP2 values get one error reply, and the connection is closed. */
   @Test
   void repliesToLostFraming() throws Exception {
     String error = "-ERR Protocol error: ";
@@ -196,19 +196,19 @@
     assertLastReply(error + "message too long\r\n", "*3\r\n" + value + value);
   }
 
-  /** Commands in front of broken framing get their replies first. */
+  /** Commands before the broken framing get their replies first. */
   @Test
-  void repliesInFrontOfLostFraming() throws Exception {
-    answerWith(client -> client.reject(0));
+  void repliesToCommandsBeforeLostFraming() throws Exception {
+    respondWith(client -> client.reject(0));
     assertLastReply("+PONG\r\n-BUSY\r\n-ERR Protocol error: no RESP2 value\r\n",
         PING + QUERY + "nonsense\r\n" + PING);
   }
 
-  /** A later command that is answered first waits for the one in front. */
+  /** A reply that is ready early waits for the replies to earlier commands. */
   @Test
-  void repliesInTheOrderOfCommands() throws Exception {
+  void writesRepliesInTheOrderOfCommands() throws Exception {
     List<RequestContext> arrived = new ArrayList<>();
-    whenArrived = (request, client) -> {
+    onRequest = (request, client) -> {
       arrived.add(requests.register(request, client));
       return arrived.get(arrived.size() - 1);
     };
@@ -221,11 +221,11 @@
   }
 
   /**
-   * A client sends half a command and no more, which would hold its connection for good. After two
-   * seconds it gets an error, and the connection ends.
+   * Guards against a client that sends part of a command and nothing more, which would keep its
+   * connection open forever. After two seconds it gets an error, and the connection is closed.
    */
   @Test
-  void replyToHalfACommand() throws Exception {
+  void incompleteCommandTimesOut() throws Exception {
     Socket socket = connect();
     send(socket, PING + "*4\r\n$9\r\nSVC.QU");
     assertEquals("+PONG\r\n", receive(socket, 7));
@@ -234,9 +234,9 @@
     assertEquals("", receive(socket, 1));
   }
 
-  /** Past its time this node rejects what comes, and fails what is still in flight. */
+  /** At the end of shutdown, new requests are rejected and requests in flight are aborted. */
   @Test
-  void repliesWhileRefusing() throws Exception {
+  void abortsPendingAndRejectsNewRequests() throws Exception {
     Socket socket = connect();
     send(socket, QUERY + PING);
     awaitInFlight(1);
@@ -250,8 +250,8 @@
     while (!reached[0]) scheduler.runOnLoop(() -> reached[0] = requests.size() == count);
   }
 
-  /** A client that has been answered: its connection is known to be accepted. */
-  private Socket answered() throws IOException {
+  /** Connects and waits for the reply to a PING, so that the connection is accepted. */
+  private Socket connectAndPing() throws IOException {
     Socket socket = connect();
     ping(socket);
     return socket;
@@ -263,70 +263,70 @@
   }
 
   /**
-   * Clients send a request each and stay, until the limit is used up: others could not connect. The
-   * connection idle for longest goes.
+   * Guards against clients that send one request each and keep their connections until the limit is
+   * reached, so that others cannot connect. The least recently used connection is closed.
    */
   @Test
-  void newConnectionClosesTheOneIdleForLongest() throws Exception {
-    Socket first = answered();
-    Socket second = answered();
-    Socket third = answered();
-    Socket fourth = answered();
+  void newConnectionClosesTheLeastRecentlyUsed() throws Exception {
+    Socket first = connectAndPing();
+    Socket second = connectAndPing();
+    Socket third = connectAndPing();
+    Socket fourth = connectAndPing();
     scheduler.advance(20_000);
     ping(first);
-    Socket fifth = answered();
+    Socket fifth = connectAndPing();
     assertEquals("", receive(second, 1));
     for (Socket socket : List.of(first, third, fourth, fifth)) ping(socket);
   }
 
   /**
-   * Connections that send nothing use up the limit. The oldest of them goes before one that was
-   * used just now, whose client counts on it.
+   * Guards against connections that send nothing until the limit is reached. The oldest of them is
+   * closed before a recently used one, whose client still uses it.
    */
   @Test
-  void newConnectionClosesASilentOneBeforeOneUsedJustNow() throws Exception {
-    Socket first = answered();
+  void newConnectionClosesASilentOneBeforeARecentlyUsedOne() throws Exception {
+    Socket first = connectAndPing();
     Socket silent = connect();
-    Socket third = answered();
-    Socket fourth = answered();
-    Socket fifth = answered();
+    Socket third = connectAndPing();
+    Socket fourth = connectAndPing();
+    Socket fifth = connectAndPing();
     assertEquals("", receive(silent, 1));
     for (Socket socket : List.of(first, third, fourth, fifth)) ping(socket);
   }
 
-  /** With a reply pending on every connection, the new one goes. */
+  /** If every connection has a pending reply, the new connection is closed. */
   @Test
-  void newConnectionIsClosedWhereAllAreNeeded() throws Exception {
+  void newConnectionIsClosedIfAllHavePendingReplies() throws Exception {
     List<Socket> pending = new ArrayList<>();
-    for (int i = 0; i < MOST_CONNECTIONS; i++) {
+    for (int i = 0; i < MAX_CONNECTIONS; i++) {
       pending.add(connect());
       send(pending.get(i), QUERY);
     }
-    awaitInFlight(MOST_CONNECTIONS);
+    awaitInFlight(MAX_CONNECTIONS);
     assertEquals("", receive(connect(), 1));
     scheduler.runOnLoop(() -> listener.failPendingAndRejectNew());
     for (Socket socket : pending) assertEquals("-ERR aborted\r\n", receive(socket, 14));
   }
 
-  /** By the protocol a connection that sends nothing is ended within 3 s. */
+  /** The protocol requires that a connection that sends nothing is closed within 3 s. */
   @Test
   void silentConnectionIsClosed() throws Exception {
     Socket silent = connect();
-    answered();
+    connectAndPing();
     scheduler.advance(19_999);
     scheduler.advance(5_000);
     assertEquals("", receive(silent, 1));
   }
 
   @Test
-  void replyToPingBeforeReady() throws Exception {
-    ClientListener early = new ClientListener(vertx, scheduler, new ScriptedHandler(), metrics,
-        MOST_CONNECTIONS);
-    List<Future<?>> open = new ArrayList<>();
-    scheduler
-        .runOnLoop(() -> open.add(early.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
-    ManualScheduler.await(open.get(0));
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), early.port())) {
+  void pingBeforeReadyGetsAnError() throws Exception {
+    ClientListener unreadyListener = new ClientListener(vertx, scheduler, new ScriptedHandler(),
+        metrics, MAX_CONNECTIONS);
+    List<Future<?>> listening = new ArrayList<>();
+    scheduler.runOnLoop(() -> listening
+        .add(unreadyListener.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))));
+    ManualScheduler.await(listening.get(0));
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), unreadyListener.port())) {
       socket.setSoTimeout(20_000);
       send(socket, PING);
       assertEquals("-ERR not ready\r\n", receive(socket, 16));
