--- a/src/main/java/saltlatch/wire/appserver/AppServerClient.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerClient.java
@@ -16,46 +16,47 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * Makes the calls to app servers that the policy wants: attempts and health checks. A connection
- * carries one call at a time, since giving up an attempt ends its connection, and a reply must not
- * wait for another's; it is used again once its call was answered. Called on the node's event loop.
+ * Makes the calls to app servers that the policy requires: attempts and health checks. A connection
+ * carries one call at a time, because cancelling an attempt closes its connection and a reply must
+ * not wait for an earlier one. A connection is reused after its call was answered. Called on the
+ * node's event loop.
  *
  * <p>
  * Owns the servers' addresses, one for each server in the endpoint list, and the connections to
- * them, of which there are {@code maxConnections} at most.
+ * them, at most {@code maxConnections}.
  */
 public final class AppServerClient {
-  /** Who is notified of the ends of calls; called on the event loop. */
+  /** Receives the results of calls; called on the event loop. */
   public interface Listener {
-    /** An attempt has ended; called once for each, perhaps before the attempt's start returns. */
+    /** Called once when an attempt ends, possibly before {@link #startAttempt} returns. */
     void attemptEnded(RequestContext request, int attempt, int server, AppServerReply reply,
         long elapsedTicks);
 
-    /** A health check has ended; called once for each, perhaps before its start returns. */
+    /** Called once when a health check ends, possibly before {@link #checkHealth} returns. */
     void healthCheckEnded(int server, AppServerReply reply, long elapsedTicks);
 
-    /** Whether an attempt whose connection has just come up may still be sent. */
+    /** Returns whether an attempt whose connection was just established may still be sent. */
     boolean mayStartAttempt(RequestContext request, int attempt);
   }
 
-  /** An app server that the endpoint list names. */
+  /** An app server of the endpoint list; most servers of a long list have no connection. */
   private static final class Server {
     private SocketAddress address;
-    private ServerConnections connections; // null: none open, as with most of a long list
+    private ServerConnections connections; // null if no connection is open
   }
 
-  /** 3 ms: a second reply, or noise, behind a reply has come by then. */
-  private static final long SETTLING_TICKS = 3 * Ticks.PER_MILLISECOND;
+  /** 3 ms, within which unexpected bytes after a reply arrive. */
+  private static final long REUSE_DELAY_TICKS = 3 * Ticks.PER_MILLISECOND;
   private static final long SWEEP_INTERVAL_TICKS = Ticks.PER_SECOND / 2;
-  /** An idle connection is closed so many intervals before the app server would close it. */
+  /** The number of sweeps by which this side closes an idle connection before the app server. */
   private static final long IDLE_MARGIN_SWEEPS = 4;
 
   private final NetClient client;
   private final Scheduler scheduler;
   private final Listener listener;
   private final NodeMetrics metrics;
-  private final List<Server> servers = new ArrayList<>(); // by number; null: none has it
-  // in the order in which they got a connection; the only ones walked
+  private final List<Server> servers = new ArrayList<>(); // by number; null if it is unused
+  // servers with open connections, in the order of connecting; only these are iterated over
   private final Set<Server> connectedServers = new LinkedHashSet<>();
   private final long connectTimeoutTicks;
   private final long idleTimeoutTicks;
@@ -63,11 +64,11 @@
   private int connectionCount;
 
   /**
-   * Starts with no servers.
+   * Creates a client without servers.
    *
-   * @param connectTimeoutTicks how long a connection may take to come up
-   * @param idleTimeoutTicks    after which app servers close an idle connection
-   * @param maxConnections      to all app servers together
+   * @param connectTimeoutTicks the time within which a connection must be established
+   * @param idleTimeoutTicks    the time after which app servers close an idle connection
+   * @param maxConnections      the limit of connections to all app servers together
    */
   public AppServerClient(Vertx vertx, Scheduler scheduler, Listener listener, NodeMetrics metrics,
       long connectTimeoutTicks, long idleTimeoutTicks, int maxConnections) {
@@ -76,8 +77,8 @@
     this.metrics = metrics;
     this.maxConnections = maxConnections;
     this.connectTimeoutTicks = connectTimeoutTicks;
-    // Guards against an attempt that crosses the app server's close, and ends as a lost connection:
-    // this side closes first.
+    // This side closes first. Guards against an attempt that is sent while the app server closes
+    // the connection, which would end as a lost connection.
     this.idleTimeoutTicks = Math.max(idleTimeoutTicks / 2,
         idleTimeoutTicks - IDLE_MARGIN_SWEEPS * SWEEP_INTERVAL_TICKS);
     client = TcpConnector.createClient(vertx,
@@ -85,7 +86,7 @@
     sweep();
   }
 
-  /** Adds a listed server, or moves it: idle connections to its former address are closed. */
+  /** Sets a server's address; if it changes, idle connections to the old address are closed. */
   public void setAddress(int server, SocketAddress address) {
     while (servers.size() <= server) servers.add(null);
     if (servers.get(server) == null) servers.set(server, new Server());
@@ -95,9 +96,9 @@
   }
 
   /**
-   * Removes a server with its idle connections.
+   * Closes the idle connections to a server, and removes the server if no call to it is in flight.
    *
-   * @return whether no call is in flight there, so that the server's number can be given to another
+   * @return whether no call is in flight, so that the number can be assigned to another server
    */
   public boolean remove(int server) {
     Server entry = find(server);
@@ -108,7 +109,7 @@
     return true;
   }
 
-  /** Forwards a request to a server, and waits for its reply for so long. */
+  /** Forwards a request to a server and waits for the reply until the timeout expires. */
   public void startAttempt(RequestContext request, int attempt, int server, long timeoutTicks) {
     metrics.add(Metric.ATTEMPTS_STARTED);
     AppServerConnection connection = takeConnection(server);
@@ -121,7 +122,7 @@
         timeoutTicks));
   }
 
-  /** Asks a server for its load report, and waits for the reply for so long. */
+  /** Requests a server's load report and waits for the reply until the timeout expires. */
   public void checkHealth(int server, long timeoutTicks) {
     metrics.add(Metric.HEALTH_CHECKS);
     AppServerConnection connection = takeConnection(server);
@@ -137,7 +138,7 @@
     return AppServerReply.withoutValue(CallResult.NO_CONNECTION_FREE);
   }
 
-  /** Gives up an attempt, which ends its connection; nothing if it has ended. */
+  /** Cancels an attempt and closes its connection; does nothing if the attempt has ended. */
   public void cancelAttempt(RequestContext request, int attempt) {
     for (Server server : connectedServers) {
       AppServerConnection connection = server.connections.findCarrying(request, attempt);
@@ -160,25 +161,26 @@
 
   private void closeIdleBefore(Server server, long ticks) {
     server.connections.takeIdleBefore(ticks).forEach(AppServerConnection::close);
-    dropIfUnconnected(server);
+    releaseIfUnconnected(server);
   }
 
-  private void dropIfUnconnected(Server server) {
+  private void releaseIfUnconnected(Server server) {
     if (server.connections == null || !server.connections.isEmpty()) return;
     server.connections = null;
     connectedServers.remove(server);
   }
 
   /**
-   * An idle connection to the server, or a new one; null if none may be opened. Guards against a
-   * second reply, or noise, behind a reply, which would be taken for that to the next call: a
-   * connection rests before it is used again, and what comes meanwhile ends it.
+   * Returns an idle connection to the server, or a new one; null if none may be opened. A
+   * connection is reused only after a delay, and bytes that arrive during the delay close it.
+   * Guards against treating unexpected bytes after a reply, such as a second reply, as the next
+   * call's reply.
    */
   private AppServerConnection takeConnection(int server) {
     Server entry = find(server);
     if (entry == null) return null;
     AppServerConnection connection = entry.connections == null ? null
-        : entry.connections.takeIdleSince(scheduler.now() - SETTLING_TICKS);
+        : entry.connections.takeIdleSince(scheduler.now() - REUSE_DELAY_TICKS);
     if (connection == null) {
       if (connectionCount >= maxConnections && !closeOldestIdle()) return null;
       connectionCount++;
@@ -192,12 +194,12 @@
     return connection;
   }
 
-  /** Makes room for a new connection; false if every one carries a call. */
+  /** Closes the connection that is idle for longest; returns false if every one carries a call. */
   private boolean closeOldestIdle() {
     Server oldest = null;
     long oldestSince = Long.MAX_VALUE;
     for (Server server : connectedServers) {
-      long since = server.connections.oldestIdleSince();
+      long since = server.connections.oldestIdleSinceTicks();
       if (since < oldestSince) {
         oldest = server;
         oldestSince = since;
@@ -215,13 +217,13 @@
     scheduler.scheduleAt(scheduler.now() + SWEEP_INTERVAL_TICKS, this::sweep);
   }
 
-  // ---- for the connections
+  // ---- called by the connections
 
   boolean mayStartAttempt(RequestContext request, int attempt) {
     return listener.mayStartAttempt(request, attempt);
   }
 
-  /** How long the rest of a reply that has begun may take: as long as a connection to come up. */
+  /** Returns the time limit for the rest of a started reply: the same as for connecting. */
   long restOfReplyTimeoutTicks() {
     return connectTimeoutTicks;
   }
@@ -234,13 +236,13 @@
     return metrics;
   }
 
-  /** A call has ended on this connection, which may be used again or has closed. */
+  /** Called when a call has ended; the connection is closed unless it is reusable. */
   void callEnded(AppServerConnection connection, boolean reusable, AppServerConnection.Call call,
       AppServerReply reply, long elapsedTicks) {
     Server server = find(connection.server());
     server.connections.removeBusy(connection);
     if (reusable) server.connections.addIdle(connection, scheduler.now());
-    dropIfUnconnected(server);
+    releaseIfUnconnected(server);
     metrics.add(
         reply.result() == CallResult.ANSWERED ? Metric.ATTEMPTS_SUCCEEDED : Metric.ATTEMPTS_FAILED);
     if (call.isHealthCheck()) {
@@ -251,12 +253,12 @@
     }
   }
 
-  /** This connection has closed; a call on it is ended behind this. */
+  /** Called when a connection has closed, before {@link #callEnded} for a call in flight on it. */
   void connectionClosed(AppServerConnection connection) {
     connectionCount--;
     Server server = find(connection.server());
     if (server == null || server.connections == null) return;
     server.connections.removeIdle(connection);
-    dropIfUnconnected(server);
+    releaseIfUnconnected(server);
   }
 }
--- a/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerConnection.java
@@ -16,8 +16,8 @@
 import saltlatch.wire.transport.SocketCloser;
 
 /**
- * One connection to an app server, with at most one call in flight on it. Runs on the event loop;
- * every call ends exactly once, with {@link AppServerClient#callEnded}.
+ * One connection to an app server, with at most one call in flight. Runs on the event loop. Each
+ * call ends with exactly one call to {@link AppServerClient#callEnded}.
  */
 final class AppServerConnection {
   private static final AppServerReply MALFORMED = AppServerReply
@@ -26,10 +26,10 @@
   /**
    * An attempt or a health check.
    *
-   * @param request      whose attempt it is; null: a health check
+   * @param request      the request of the attempt; null for a health check
    * @param attempt      the attempt's number within the request
-   * @param command      its text, given the ms that are left to wait once it is written
-   * @param timeoutTicks how long its reply is waited for
+   * @param command      encodes the command, given the milliseconds left when it is written
+   * @param timeoutTicks the time within which the reply must be complete
    */
   record Call(RequestContext request, int attempt, LongFunction<Buffer> command,
       long timeoutTicks) {
@@ -45,35 +45,35 @@
   private final AppServerClient owner;
   private final int server;
   private final RespDecoder decoder = new RespDecoder();
-  private NetSocket socket; // null: not up
+  private NetSocket socket; // null until the connection is established
   private boolean closed;
-  private Call call; // the one in flight; null: idle, so that no request is kept in memory
-  private LongFunction<Buffer> unsentCommand; // null: it was handed to the socket
-  private boolean commandWritten; // its last byte
+  private Call call; // the call in flight; null if idle, so that the request can be freed
+  private LongFunction<Buffer> unsentCommand; // null after it was passed to the socket
+  private boolean commandWritten; // including its last byte
   private long sentTicks;
   private long deadlineTicks;
   private TimerQueue.Timer timeout;
-  private TimerQueue.Timer restOfReplyTimeout; // null: no reply has begun to come
+  private TimerQueue.Timer restOfReplyTimeout; // null until the first bytes of a reply arrive
 
   AppServerConnection(AppServerClient owner, int server) {
     this.owner = owner;
     this.server = server;
   }
 
-  /** The number of the server to which it leads. */
+  /** Returns the number of the server that it is connected to. */
   int server() {
     return server;
   }
 
-  /** Connects; a call may be given to it at once, and is written when it is up. */
+  /** Connects; a call can be sent at once, and is written when the connection is established. */
   void open(NetClient client, SocketAddress address) {
     client.connect(address).onComplete(connected -> {
       if (connected.failed()) end(AppServerReply.withoutValue(CallResult.CONNECT_FAILED));
-      else connected(connected.result());
+      else handleConnected(connected.result());
     });
   }
 
-  private void connected(NetSocket newSocket) {
+  private void handleConnected(NetSocket newSocket) {
     socket = newSocket;
     if (closed) {
       SocketCloser.closeNow(socket);
@@ -87,10 +87,11 @@
   }
 
   /**
-   * Guards against an attempt that is sent when what allowed it is past: its client has gone away,
-   * its app server is draining, the time in which it may be sent again is over. It would show as a
-   * request executed for nobody, or twice. Asking the policy hands it all that came while the
-   * connection came up, which may also end this attempt.
+   * Sends the first call if it is still allowed. Guards against sending an attempt that is no
+   * longer allowed because its client has disconnected, its app server is draining, or the time in
+   * which it may be retried has passed: the request would be executed without a client, or twice.
+   * Asking the policy also passes it the events that arrived while connecting, which may end this
+   * attempt.
    */
   private void sendFirstCall() {
     boolean allowed = closed || call == null || call.isHealthCheck()
@@ -100,7 +101,7 @@
     else end(AppServerReply.withoutValue(CallResult.WITHDRAWN));
   }
 
-  /** Sends a call, at once or when the connection is up. No other may be in flight. */
+  /** Sends a call, at once or when connected. No other call may be in flight. */
   void send(Call newCall) {
     call = newCall;
     commandWritten = false;
@@ -117,8 +118,9 @@
   }
 
   /**
-   * Guards against an app server that works on for nobody: where the connection came up late, the
-   * command gives the time that is left, not the whole of it.
+   * Writes the command with the time that is left, which is less than the timeout if connecting
+   * took long. Guards against an app server that continues to work after this node has stopped
+   * waiting.
    */
   private void write() {
     if (unsentCommand == null) return;
@@ -129,54 +131,54 @@
   }
 
   /**
-   * Guards against half a line, or a second reply, on an idle connection: the next call's reply
-   * would come behind it and be taken for another's. The connection closes instead.
+   * Reads reply bytes; closes the connection if no call is in flight. Guards against a partial line
+   * or a second reply on an idle connection, which would be treated as the reply to the next call.
    */
-  private void read(Buffer more) {
+  private void read(Buffer received) {
     if (closed) return;
     if (call == null) {
       close();
       return;
     }
-    decoder.feed(more);
+    decoder.feed(received);
     try {
       RespValue reply = decoder.next();
-      if (reply == null) limitRestOfReply();
-      else replied(reply);
+      if (reply == null) startRestOfReplyTimeout();
+      else handleReply(reply);
     } catch (FramingException e) {
       end(MALFORMED);
     }
   }
 
   /**
-   * Guards against a reply that gives a wrong length, so that its end never comes: its request
-   * would stay in flight until the client's timeout.
+   * Limits the time for the rest of the reply. Guards against a reply with a wrong length, whose
+   * end never arrives: its request would stay in flight until the client's timeout.
    */
-  private void limitRestOfReply() {
+  private void startRestOfReplyTimeout() {
     if (restOfReplyTimeout != null) return;
     long dueTicks = owner.scheduler().now() + owner.restOfReplyTimeoutTicks();
     restOfReplyTimeout = owner.scheduler().scheduleAt(dueTicks, () -> end(MALFORMED));
   }
 
   /**
-   * Guards against bytes behind the reply, which nobody asked for and which would be taken for the
-   * next call's reply: the connection is not used again.
+   * Ends the call with its reply; closes the connection if more bytes follow the reply. Guards
+   * against treating those unexpected bytes as the reply to the next call.
    */
-  private void replied(RespValue value) {
+  private void handleReply(RespValue value) {
     AppServerReply reply = call.isHealthCheck() ? AppServerReply.ofHealthCheck(value)
         : AppServerReply.ofAttempt(value);
     if (decoder.isEmpty() && reply.result() != CallResult.MALFORMED_REPLY) finish(true, reply);
     else end(reply);
   }
 
-  /** Closes the connection and ends the call that is in flight on it. */
+  /** Closes the connection and ends the call in flight, if any. */
   void end(AppServerReply reply) {
     if (closed) return;
     close();
     if (call != null) finish(false, reply);
   }
 
-  /** Closes the connection; called from outside only while it is idle. */
+  /** Closes the connection; other classes may call this only while the connection is idle. */
   void close() {
     if (closed) return;
     closed = true;
--- a/src/main/java/saltlatch/wire/appserver/AppServerReply.java
+++ b/src/main/java/saltlatch/wire/appserver/AppServerReply.java
@@ -6,9 +6,9 @@
 import saltlatch.wire.transport.CallResult;
 
 /**
- * How an attempt or a health check at an app server ended, and what its reply said; decoded once,
- * and the only place that knows the words of app servers' replies. Immutable but for the value's
- * bytes, which nobody writes to; compared by identity.
+ * The result of an attempt or a health check at an app server, with the contents of its reply. This
+ * is the only class that contains the protocol's words of app servers' replies. Immutable as long
+ * as no caller modifies the value's bytes; compared by identity.
  */
 public final class AppServerReply {
   private static final String ACTUAL_UNITS = "cost";
@@ -17,7 +17,7 @@
   private static final String ERROR = "ERR";
 
   private static final int VALUE_ELEMENT = 0;
-  private static final int USE_ELEMENT = 1;
+  private static final int USAGE_ELEMENT = 1;
   private static final int LOAD_ELEMENT = 2;
 
   private final CallResult result;
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Decodes the reply to an attempt: an array that begins with the value, or an error line. Guards
-   * against noise that is taken for an app server's word, {@code BUSY} above all, which says that
-   * the request was not executed: only the two words of the protocol count, whole.
+   * Decodes the reply to an attempt: an array that begins with the value, or an error line. Accepts
+   * only the protocol's two error words, matched completely. Guards against treating garbage as an
+   * error reply, in particular as {@code BUSY}, which means that the request was not executed.
    */
   static AppServerReply ofAttempt(RespValue reply) {
     if (reply instanceof RespValue.Array array && array.elements() != null
@@ -52,9 +52,9 @@
   }
 
   private static AppServerReply answered(byte[] value, List<RespValue> elements) {
-    String use = text(elements, USE_ELEMENT);
-    return new AppServerReply(CallResult.ANSWERED, value, NamedNumbers.find(use, ACTUAL_UNITS),
-        NamedNumbers.find(use, FLEET_UTILIZATION), text(elements, LOAD_ELEMENT));
+    String usage = text(elements, USAGE_ELEMENT);
+    return new AppServerReply(CallResult.ANSWERED, value, NamedNumbers.find(usage, ACTUAL_UNITS),
+        NamedNumbers.find(usage, FLEET_UTILIZATION), text(elements, LOAD_ELEMENT));
   }
 
   private static AppServerReply ofErrorLine(String text) {
@@ -69,7 +69,7 @@
     return new AppServerReply(result, null, 0, 0, trailingLoadReport(text));
   }
 
-  /** An error line may end in a load report, known from the error's own words by its {@code =}. */
+  /** Returns the load report at the end of an error line, which contains {@code =}; else "". */
   private static String trailingLoadReport(String text) {
     int space = text.lastIndexOf(' ');
     return space >= 0 && text.indexOf('=', space) > 0 ? text.substring(space + 1) : "";
@@ -82,7 +82,7 @@
     return new AppServerReply(CallResult.ANSWERED, report.bytes(), 0, 0, report.text());
   }
 
-  /** An end with no reply, or with one that says nothing else. */
+  /** Returns the result of a call without a reply, or whose reply contains no further data. */
   public static AppServerReply withoutValue(CallResult result) {
     return new AppServerReply(result, null, 0, 0, "");
   }
@@ -92,30 +92,30 @@
         ? bulk.text() : "";
   }
 
-  /** How the call ended. */
+  /** Returns how the call ended. */
   public CallResult result() {
     return result;
   }
 
-  /** The client's answer; null but with {@link CallResult#ANSWERED}. */
+  /** Returns the value for the client; null unless {@link CallResult#ANSWERED}. */
   public byte[] value() {
     return value;
   }
 
-  /** What the request used of the quota, in units; 0: not said. */
+  /** Returns the units of the quota that the request used; 0 if not reported. */
   public double actualUnits() {
     return actualUnits;
   }
 
   /**
-   * 1 + the customer's use over all nodes in the metered period before, as a percentage of its
-   * rate; 0: not said.
+   * Returns 1 plus the customer's usage on all nodes in the previous metered period, as a
+   * percentage of its rate; 0 if not reported.
    */
   public double fleetUtilization() {
     return fleetUtilization;
   }
 
-  /** Figures by name, as {@link NamedNumbers} reads them; empty: none came. */
+  /** Returns the load report, in the format of {@link NamedNumbers}; empty if there is none. */
   public String loadReport() {
     return loadReport;
   }
--- a/src/main/java/saltlatch/wire/appserver/ServerConnections.java
+++ b/src/main/java/saltlatch/wire/appserver/ServerConnections.java
@@ -7,7 +7,7 @@
 
 /**
  * The open connections to one app server, idle or with a call in flight. Owned by
- * {@link AppServerClient}, which sets their bound.
+ * {@link AppServerClient}, which limits their number.
  */
 final class ServerConnections {
   private final ConnectionPool<AppServerConnection> idle = new ConnectionPool<>();
@@ -17,18 +17,18 @@
     return busy.isEmpty() && idle.oldestIdleSinceTicks() == Long.MAX_VALUE;
   }
 
-  /** The connection used last among those idle since then or longer; null if there is none. */
+  /** Takes the most recently used connection idle since this time or earlier; null if none. */
   AppServerConnection takeIdleSince(long ticks) {
     return idle.takeIdleSince(ticks);
   }
 
-  /** Takes out the connections idle since before then. */
+  /** Removes and returns the connections that became idle before this time. */
   List<AppServerConnection> takeIdleBefore(long ticks) {
     return idle.removeIdleBefore(ticks);
   }
 
-  /** Since when the oldest one is idle, in ticks; {@link Long#MAX_VALUE} if none is. */
-  long oldestIdleSince() {
+  /** Returns when the oldest idle one became idle; {@link Long#MAX_VALUE} if none is idle. */
+  long oldestIdleSinceTicks() {
     return idle.oldestIdleSinceTicks();
   }
 
@@ -48,7 +48,7 @@
     busy.remove(connection);
   }
 
-  /** The connection with this attempt in flight; null if there is none. */
+  /** Returns the connection with this attempt in flight; null if there is none. */
   AppServerConnection findCarrying(RequestContext request, int attempt) {
     for (AppServerConnection connection : busy) {
       if (connection.carries(request, attempt)) return connection;
--- a/src/test/java/saltlatch/wire/appserver/AppServerCommandEncoderTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerCommandEncoderTest.java
@@ -7,7 +7,7 @@
 import saltlatch.wire.client.ClientCommandDecoder;
 import saltlatch.wire.resp.RespText;
 
-/** The text of the commands that app servers get. */
+/** Tests the text of the commands that are sent to app servers. */
 class AppServerCommandEncoderTest {
   private static final String CUSTOMER = "00000000b4d65521";
   private static final String ID = "9b1f03aa5c7e2d41";
@@ -18,9 +18,9 @@
         .toString();
   }
 
-  /** Forwarded as it came, but for the time that this node waits. */
+  /** A command is forwarded unchanged except for the timeout. */
   @Test
-  void forwardedCommandDiffersInTheTimeLeftAlone() throws ProtocolException {
+  void forwardReplacesOnlyTheTimeout() throws ProtocolException {
     String terms = "c=order,t=team,d=480,k=5c0f6e1a2b3d4c59,r=1,units=2.5,spread=3,first=1,new=x";
     assertEquals(
         RespText.command("SVC.SUBMIT", CUSTOMER, ID, terms.replace("d=480", "d=97"), "BODY"),
@@ -29,15 +29,15 @@
         forward(0, "SVC.QUERY", CUSTOMER, ID, "c=a,t=b,d=9"));
   }
 
-  /** An empty body is a body, and a list's last comma stays. */
+  /** An empty body and a trailing comma in the terms are forwarded. */
   @Test
-  void forwardedCommandKeepsWhatIsEmpty() throws ProtocolException {
+  void forwardKeepsEmptyBodyAndTrailingComma() throws ProtocolException {
     assertEquals(RespText.command("SVC.SUBMIT", CUSTOMER, ID, "d=20,c=a,t=b,", ""),
         forward(20, "SVC.SUBMIT", CUSTOMER, ID, "d=9,c=a,t=b,", ""));
   }
 
   @Test
-  void healthCheck() {
+  void healthCheckIsInfoLoad() {
     assertEquals(RespText.command("INFO", "load"),
         AppServerCommandEncoder.healthCheck().toString());
   }
--- a/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
+++ b/src/test/java/saltlatch/wire/appserver/AppServerReplyTest.java
@@ -8,10 +8,10 @@
 import saltlatch.wire.resp.NamedNumbers;
 import saltlatch.wire.resp.RespText;
 
-/** App servers' replies, faulty ones too. */
+/** Tests decoding of app servers' replies, including malformed ones. */
 class AppServerReplyTest {
   @Test
-  void repliesToAttempts() throws ProtocolException {
+  void decodesValidAndMalformedReplies() throws ProtocolException {
     StringBuilder decoded = new StringBuilder();
     for (String text : new String[] {"*3\r\n$2\r\nok\r\n$-1\r\n$22\r\ninflight=7,util=0.61,q\r\n",
         "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n", "-ERR failed inflight=7\r\n", "-ERR failed\r\n",
@@ -38,9 +38,9 @@
         """, decoded.toString());
   }
 
-  /** What an app server says of the request's use and of its own load is kept apart. */
+  /** The units used by the request are decoded separately from the load report. */
   @Test
-  void figuresOfUse() throws ProtocolException {
+  void decodesUsageAndLoadSeparately() throws ProtocolException {
     AppServerReply reply = AppServerReply.ofAttempt(
         RespText.decode("*3\r\n$2\r\nok\r\n$13\r\ncost=3,used=7\r\n$10\r\ninflight=7\r\n"));
     assertEquals("3.0 7.0 inflight=7",
