--- a/src/main/java/saltlatch/wire/counter/CounterCall.java
+++ b/src/main/java/saltlatch/wire/counter/CounterCall.java
@@ -4,17 +4,17 @@
 import saltlatch.state.TimerQueue;
 
 /**
- * One call. It keeps its place in the order of answers after it has timed out, since the counter
- * still answers it.
+ * A call to the counter. It stays in its connection's queue after it has timed out, because the
+ * counter still answers it and answers are matched to calls by their order.
  */
 final class CounterCall {
   final long name;
   final long sentAtTicks;
   final long timeoutTicks;
   TimerQueue.Timer timeout;
-  boolean written; // from here on the counter may add its units
-  boolean ended; // its result has been reported
-  private Buffer line;
+  boolean written; // once true, the counter may have added the units
+  boolean ended; // the result has been reported to the listener
+  private Buffer line; // null once taken
 
   CounterCall(long name, long sentAtTicks, long timeoutTicks, String line) {
     this.name = name;
@@ -23,7 +23,7 @@
     this.line = Buffer.buffer(line);
   }
 
-  /** Its line, to be written now; not kept any longer. */
+  /** Marks the call as written and returns its line, which the call then releases. */
   Buffer takeLine() {
     written = true;
     Buffer taken = line;
--- a/src/main/java/saltlatch/wire/counter/CounterClient.java
+++ b/src/main/java/saltlatch/wire/counter/CounterClient.java
@@ -14,30 +14,32 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * Adds units to the counter's totals. All calls of a name go over one connection, so that they are
- * answered in order. Every call gets exactly one result, at the latest when its time limit is over.
+ * Adds units to the totals that the counter keeps. All calls for a name use the same connection, so
+ * that their answers arrive in order. Each call gets exactly one result, at the end of its time
+ * limit if no answer arrives before.
  *
- * <p>Owned by the node's event loop; times are ticks.
+ * <p>Owned by the node's event loop; times are in ticks.
  */
 public final class CounterClient {
-  /** Gets the results of calls, on the node's event loop. */
+  /** Receives the results of calls on the node's event loop. */
   public interface Listener {
     /**
-     * A call has ended.
+     * Reports the result of a call.
      *
-     * @param total        units under this name, with the call's own; 0 unless answered
-     * @param elapsedTicks since the call was made
+     * @param total        the name's total in units, including the call's own; 0 unless answered
+     * @param elapsedTicks the time since the call was made
      */
     void counterCallEnded(long name, CallResult result, double total, long elapsedTicks);
   }
 
-  // of the 32 that the counter allows: a slow part of it holds up few names of the others
+  // The counter allows 32. Names are spread over several connections so that a slow partition of
+  // the counter delays few names of the other partitions.
   private static final int MAX_CONNECTIONS = 8;
-  // the counter closes idle connections after 10 s or less
+  // The counter closes idle connections after at most 10 s.
   private static final long IDLE_TICKS = 4 * Ticks.PER_SECOND;
   private static final long SWEEP_INTERVAL_TICKS = Ticks.PER_SECOND;
   private static final long MIN_CONNECT_TIMEOUT_MS = 100;
-  private static final long CONNECT_TIMEOUTS = 10; // time limits of a call
+  private static final long CONNECT_TIMEOUT_FACTOR = 10; // times the minimum time limit of a call
 
   private final NetClient client;
   private final Scheduler scheduler;
@@ -48,9 +50,9 @@
   private SocketAddress address;
 
   /**
-   * Connects on the first call.
+   * Creates a client that connects when the first call is made.
    *
-   * @param timeoutTicks the least time limit of a call
+   * @param timeoutTicks the minimum time limit of a call
    */
   public CounterClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener listener,
       NodeMetrics metrics, long timeoutTicks) {
@@ -59,7 +61,7 @@
     this.listener = listener;
     this.metrics = metrics;
     this.timeoutTicks = timeoutTicks;
-    long connectTimeoutMs = CONNECT_TIMEOUTS * timeoutTicks / Ticks.PER_MILLISECOND;
+    long connectTimeoutMs = CONNECT_TIMEOUT_FACTOR * timeoutTicks / Ticks.PER_MILLISECOND;
     client = TcpConnector.createClient(vertx, Math.max(MIN_CONNECT_TIMEOUT_MS, connectTimeoutMs));
     sweep();
   }
@@ -67,8 +69,8 @@
   /**
    * Adds units to a name's total.
    *
-   * @param timeToLiveTicks   after which the counter may forget the total
-   * @param callTimeoutTicks the call's time limit, where it is longer than the client's own
+   * @param timeToLiveTicks  the time after which the counter may discard the total
+   * @param callTimeoutTicks the call's time limit; the client's minimum applies if that is longer
    */
   public void add(long name, double units, long timeToLiveTicks, long callTimeoutTicks) {
     count(Metric.COUNTER_CALLS);
@@ -80,15 +82,15 @@
         CounterCodec.encodeAdd(name, units, timeToLiveTicks));
   }
 
-  /** Names are distributed over the connections by their low bits and those above the 31st. */
+  /** Distributes names over the connections by their low bits and the bits from bit 31 up. */
   private static int slotOf(long name) {
     return (int) Math.floorMod(name ^ name >>> 31, (long) MAX_CONNECTIONS);
   }
 
   /**
-   * Sends calls to another address from now on. Guards against a name's answers that overtake each
-   * other, by which an older total would replace a newer one: a call on the new connection is
-   * written only once all calls on the old one have their result.
+   * Sends later calls to another address. A call on the new connection is written only after every
+   * call on the old connection has a result: otherwise two answers for the same name could arrive
+   * in the wrong order, and an older total would replace a newer one.
    */
   public void changeAddress(SocketAddress newAddress) {
     if (address.equals(newAddress)) return;
@@ -121,21 +123,21 @@
     return timeoutTicks;
   }
 
-  TimerQueue.Timer scheduleAt(long atTicks, Runnable task) {
-    return scheduler.scheduleAt(atTicks, task);
+  TimerQueue.Timer scheduleAt(long dueTicks, Runnable action) {
+    return scheduler.scheduleAt(dueTicks, action);
   }
 
   void count(Metric metric) {
     metrics.add(metric);
   }
 
-  void ended(CounterCall call, CallResult result, double total) {
+  void callEnded(CounterCall call, CallResult result, double total) {
     count(result == CallResult.ANSWERED ? Metric.COUNTER_CALLS_ANSWERED
         : Metric.COUNTER_CALLS_FAILED);
     listener.counterCallEnded(call.name, result, total, nowTicks() - call.sentAtTicks);
   }
 
-  void closed(CounterConnection connection, int slot) {
+  void connectionClosed(CounterConnection connection, int slot) {
     if (connections[slot] == connection) connections[slot] = null;
   }
 }
--- a/src/main/java/saltlatch/wire/counter/CounterCodec.java
+++ b/src/main/java/saltlatch/wire/counter/CounterCodec.java
@@ -4,7 +4,7 @@
 import saltlatch.wire.resp.DecimalCodec;
 import saltlatch.wire.transport.CallResult;
 
-/** The lines of the counter's protocol. */
+/** Encodes calls to the counter and decodes its answers; each is one line of text. */
 final class CounterCodec {
   private static final String ADD = "bump";
   private static final String TOTAL_PREFIX = "ok ";
@@ -14,22 +14,25 @@
   private static final long MIN_TIME_TO_LIVE_MS = 1;
 
   /**
-   * What an answer says of its call.
+   * The result of a call as given by its answer.
    *
-   * @param total units under the call's name, its own among them; 0 unless answered
+   * @param total the name's total in units, including the call's own; 0 unless answered
    */
   record Answer(CallResult result, double total) {}
 
   private CounterCodec() {}
 
-  /** The call that adds units to a name's total, which the counter forgets after some time. */
+  /**
+   * Returns the call that adds units to a name's total, which the counter may discard after its
+   * time to live.
+   */
   static String encodeAdd(long name, double units, long timeToLiveTicks) {
     long timeToLiveMs = Math.max(MIN_TIME_TO_LIVE_MS, timeToLiveTicks / Ticks.PER_MILLISECOND);
     return ADD + " " + Long.toHexString(name) + " " + DecimalCodec.format(units) + " "
         + timeToLiveMs + LINE_END;
   }
 
-  /** Reads an answer's line without its end. */
+  /** Decodes an answer, given without its line end. */
   static Answer decode(String line) {
     double total = line.startsWith(TOTAL_PREFIX)
         ? DecimalCodec.parse(line.substring(TOTAL_PREFIX.length())) : Double.NaN;
@@ -38,8 +41,8 @@
   }
 
   /**
-   * Guards against a spoilt answer that is taken for a refusal: its units, which the counter may
-   * have added, would be added again. So only the exact words of a refusal prove that nothing was.
+   * Accepts only the exact words of a refusal as proof that no units were added. If a malformed
+   * answer were taken for a refusal, units that the counter may have added would be added again.
    */
   private static CallResult resultWithoutTotal(String line) {
     return switch (line) {
--- a/src/main/java/saltlatch/wire/counter/CounterConnection.java
+++ b/src/main/java/saltlatch/wire/counter/CounterConnection.java
@@ -9,32 +9,31 @@
 import saltlatch.wire.transport.SocketCloser;
 
 /**
- * One connection to the counter and the calls on it, which are answered in the order in which they
- * were written. Calls wait while it is connecting, and while an earlier connection still has calls
- * of the same names without a result.
+ * A connection to the counter and its queue of calls, which the counter answers in the order in
+ * which they were written. Calls are not written until the connection is established and, if it
+ * replaces another connection, until every call on that one has a result.
  *
  * <p>Owned by the node's event loop.
  */
 final class CounterConnection {
   private static final int MAX_ANSWER_BYTES = 256;
-  // time limits without any answer after which a connection is given up
-  private static final long STUCK_TIMEOUTS = 10;
-  // or so many times the time limit of its oldest call, where that is longer
-  private static final long STUCK_CALL_TIMEOUTS = 4;
+  // A connection is closed if its oldest call has had no answer for longer than both of these.
+  private static final long STUCK_TIMEOUT_FACTOR = 10; // times the minimum time limit of a call
+  private static final long STUCK_CALL_TIMEOUT_FACTOR = 4; // times the oldest call's time limit
 
   private final CounterClient owner;
   private final int slot;
   private final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
-  private final byte[] line = new byte[MAX_ANSWER_BYTES];
-  private int lineBytes;
-  private NetSocket socket; // null: not connected yet
+  private final byte[] answerLine = new byte[MAX_ANSWER_BYTES];
+  private int answerLineBytes;
+  private NetSocket socket; // null until connected
   private long lastCallAtTicks;
   private boolean closed;
-  private boolean retired; // it takes no new calls and closes once each of its calls has a result
-  private CounterConnection predecessor; // whose calls come first; null: this one's may be written
-  private CounterConnection successor;
+  private boolean retired; // takes no new calls; closes once each of its calls has a result
+  private CounterConnection predecessor; // its calls must end before any is written here; or null
+  private CounterConnection successor; // replaces this one; null: none
 
-  /** Begins to connect to the owner's address. */
+  /** Starts connecting to the owner's address. */
   CounterConnection(CounterClient owner, int slot, CounterConnection predecessor) {
     this.owner = owner;
     this.slot = slot;
@@ -76,24 +75,25 @@
   }
 
   /**
-   * Guards against a connection on which nothing comes any more, as when the counter or the network
-   * has gone silent: every further call on it would time out as well. Its oldest call is long
-   * overdue then, far beyond what a slow answer takes.
+   * Returns whether the oldest call has been without an answer for far longer than a slow answer
+   * takes. Guards against a connection on which nothing arrives any more because the counter or the
+   * network has stopped responding: every further call on it would time out as well.
    */
   boolean isStuck() {
     CounterCall oldest = calls.peek();
     if (oldest == null) return false;
-    return owner.nowTicks() - oldest.sentAtTicks > Math.max(STUCK_TIMEOUTS * owner.timeoutTicks(),
-        STUCK_CALL_TIMEOUTS * oldest.timeoutTicks);
+    return owner.nowTicks() - oldest.sentAtTicks > Math.max(
+        STUCK_TIMEOUT_FACTOR * owner.timeoutTicks(),
+        STUCK_CALL_TIMEOUT_FACTOR * oldest.timeoutTicks);
   }
 
-  /** Takes no new calls; the one behind it writes once each call of this one has a result. */
+  /** Stops taking calls; the next connection writes its calls once each call here has a result. */
   void retire(CounterConnection next) {
     retired = true;
     successor = next;
   }
 
-  /** Whether it still has calls without a result; if not, it is closed. */
+  /** Closes the connection if every call has a result, and returns whether it did so. */
   boolean closeUnlessOpenCalls() {
     if (hasOpenCalls()) return false;
     retired = true;
@@ -101,8 +101,8 @@
     return true;
   }
 
-  void call(long name, long timeoutTicks, String text) {
-    CounterCall call = new CounterCall(name, owner.nowTicks(), timeoutTicks, text);
+  void call(long name, long timeoutTicks, String line) {
+    CounterCall call = new CounterCall(name, owner.nowTicks(), timeoutTicks, line);
     call.timeout = owner.scheduleAt(call.sentAtTicks + timeoutTicks, () -> timedOut(call));
     calls.add(call);
     lastCallAtTicks = call.sentAtTicks;
@@ -111,13 +111,13 @@
 
   private void timedOut(CounterCall call) {
     end(call, call.written ? CallResult.TIMED_OUT : CallResult.TIMED_OUT_UNWRITTEN, 0);
-    // Guards against an answer that was cut off: the rest of its line never comes, and nothing
-    // behind it would be answered. Half a line that stands for a whole time limit is such a one.
-    if (lineBytes > 0) close();
+    // Guards against an answer that was cut off: the rest of its line never arrives, so no later
+    // call would be answered. A partial line at the end of a call's time limit is taken for one.
+    if (answerLineBytes > 0) close();
   }
 
   private void write(CounterCall call) {
-    if (call.ended) return; // timed out before it could be written: the counter never sees it
+    if (call.ended) return; // timed out before it was written: the counter never receives it
     socket.write(call.takeLine());
   }
 
@@ -125,18 +125,19 @@
     for (int i = 0; i < received.length() && !closed; i++) {
       byte next = received.getByte(i);
       if (next == '\n') {
-        answered(new String(line, 0, lineBytes, StandardCharsets.ISO_8859_1).trim());
-        lineBytes = 0;
-      } else if (lineBytes < line.length) {
-        line[lineBytes++] = next;
+        handleAnswer(
+            new String(answerLine, 0, answerLineBytes, StandardCharsets.ISO_8859_1).trim());
+        answerLineBytes = 0;
+      } else if (answerLineBytes < answerLine.length) {
+        answerLine[answerLineBytes++] = next;
       } else {
         close();
       }
     }
   }
 
-  private void answered(String text) {
-    // those that timed out before they could be written get no answer
+  private void handleAnswer(String text) {
+    // Calls that timed out before they were written get no answer.
     while (!calls.isEmpty() && !calls.peek().written) calls.poll();
     CounterCall call = calls.poll();
     if (call == null) {
@@ -152,15 +153,15 @@
     if (call.ended) return;
     call.ended = true;
     call.timeout.cancel();
-    owner.ended(call, result, total);
+    owner.callEnded(call, result, total);
     if (retired && !hasOpenCalls()) close();
   }
 
-  /** Ends every call that has no result yet, and lets the connection behind it begin. */
+  /** Ends every call that has no result yet, and lets the next connection write its calls. */
   void close() {
     if (closed) return;
     closed = true;
-    owner.closed(this, slot);
+    owner.connectionClosed(this, slot);
     if (socket != null) SocketCloser.closeNow(socket);
     for (CounterCall call : calls)
       end(call, call.written ? CallResult.CONNECTION_LOST : CallResult.CONNECT_FAILED, 0);
--- a/src/test/java/saltlatch/wire/counter/CounterClientTest.java
+++ b/src/test/java/saltlatch/wire/counter/CounterClientTest.java
@@ -21,12 +21,12 @@
 import saltlatch.state.NodeMetrics;
 import saltlatch.wire.transport.FixedTimeScheduler;
 
-/** The bytes of calls to the counter, on a real connection with a clock that stands still. */
+/** Checks the bytes of calls to the counter on a real connection, with a fixed clock. */
 @Timeout(60)
 class CounterClientTest {
   private static final long TIMEOUT_TICKS = 100_000;
 
-  private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
   private Vertx vertx;
   private Context loop;
   private ServerSocket counter;
@@ -42,7 +42,7 @@
     client = new CounterClient(vertx,
         SocketAddress.inetSocketAddress(counter.getLocalPort(), "127.0.0.1"),
         new FixedTimeScheduler(),
-        (name, result, total, ticks) -> answers
+        (name, result, total, ticks) -> results
             .add(Long.toHexString(name) + " " + result + " " + total),
         new NodeMetrics(), TIMEOUT_TICKS);
   }
@@ -73,23 +73,23 @@
     assertEquals(expected, new String(bytes, StandardCharsets.ISO_8859_1));
   }
 
-  private void assertAnswer(String line, String expected) throws Exception {
-    connection.getOutputStream().write(line.getBytes(StandardCharsets.ISO_8859_1));
-    assertEquals(expected, answers.poll(20, TimeUnit.SECONDS));
+  private void assertResult(String answer, String expectedResult) throws Exception {
+    connection.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
+    assertEquals(expectedResult, results.poll(20, TimeUnit.SECONDS));
   }
 
   /**
-   * The name in hexadecimal, also with its highest bit set; units whole, with four places or below
-   * 0; the time to keep it in ms and never less than one.
+   * The name is sent in hexadecimal, units as an integer or with four decimal places, also below 0,
+   * and the time to live in ms, at least 1.
    */
   @Test
-  void bytesOfEachCall() throws Exception {
-    long sameConnection = 8L << 32; // the low bits and the fold choose the connection
+  void encodesNameUnitsAndTimeToLive() throws Exception {
+    long nameOnSameConnection = 8L << 32; // chosen by the low bits and the bits from bit 31 up
     runOnLoop(() -> {
       client.add(0, 1, 40_000, 0);
       client.add(0, 2.5, 40_009, 0);
       client.add(0, -0.0001, 9, 0);
-      client.add(sameConnection, 1e-9, 0, 0);
+      client.add(nameOnSameConnection, 1e-9, 0, 0);
     });
     accept();
     assertReceived(
@@ -97,25 +97,25 @@
   }
 
   @Test
-  void bytesOfANameWithItsHighestBitSet() throws Exception {
+  void encodesNameWithHighestBitSet() throws Exception {
     runOnLoop(() -> client.add(0xffffffffffffffffL, 123456.78901, 1_000_000_000, 0));
     accept();
     assertReceived("bump ffffffffffffffff 123456.7890 100000000\r\n");
   }
 
-  /** Each form of an answer; what is no answer ends the connection and may have been added. */
+  /** A malformed answer ends the connection; the counter may have added the call's units. */
   @Test
-  void formsOfAnswers() throws Exception {
+  void decodesAnswersAndClosesAfterMalformedOne() throws Exception {
     runOnLoop(() -> {
       for (int call = 0; call < 5; call++) client.add(0xff, 1, 10, 0);
     });
     accept();
     assertReceived("bump ff 1 1\r\n".repeat(5));
-    assertAnswer("ok 17.25\r\n", "ff ANSWERED 17.25");
-    assertAnswer("ok 3\n", "ff ANSWERED 3.0");
-    assertAnswer("busy\r\n", "ff BUSY_REPLY 0.0");
-    assertAnswer("error\r\n", "ff CALL_REFUSED 0.0");
-    assertAnswer("ok 0x1\r\n", "ff MALFORMED_REPLY 0.0");
+    assertResult("ok 17.25\r\n", "ff ANSWERED 17.25");
+    assertResult("ok 3\n", "ff ANSWERED 3.0");
+    assertResult("busy\r\n", "ff BUSY_REPLY 0.0");
+    assertResult("error\r\n", "ff CALL_REFUSED 0.0");
+    assertResult("ok 0x1\r\n", "ff MALFORMED_REPLY 0.0");
     assertEquals(-1, connection.getInputStream().read());
   }
 }
