--- a/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
+++ b/src/main/java/saltlatch/wire/discovery/DiscoveryClient.java
@@ -20,24 +20,24 @@
 import saltlatch.wire.transport.Scheduler;
 
 /**
- * Follows the endpoint list by a watch: one HTTP request whose response never ends and brings each
- * change as it happens. A watch that is silent, or does not begin, is given up after a time limit,
- * and the listener opens the next one. So whatever discovery has, and can send, is known here
- * within {@link #SILENCE_TIMEOUT_TICKS} and a round trip. A list that is too large is the
- * exception: {@link WatchPacing} asks for it ever more seldom.
+ * Follows the endpoint list through a watch: an HTTP request whose response stays open and delivers
+ * each change when it happens. A watch that is silent or does not start is ended after a time
+ * limit, and the listener opens the next one. Everything that discovery holds and is able to send
+ * therefore arrives within {@link #SILENCE_TIMEOUT_TICKS} and a round trip, except for a list that
+ * is too large: {@link WatchPacing} requests it at growing intervals.
  *
- * <p>At most one watch is on; what comes late from an ended one is ignored by its number. No watch
- * is opened while a list is being applied.
+ * <p>At most one watch is open. Watches are numbered, and whatever arrives late from an ended watch
+ * is ignored. No watch is opened while a list is being applied.
  *
- * <p>Owned by the node's event loop; times are ticks.
+ * <p>Owned by the node's event loop; times are in ticks.
  */
 public final class DiscoveryClient {
-  /** Gets the list and its changes, on the node's event loop. */
+  /** Receives the list and its changes on the node's event loop. */
   public interface Listener {
     /**
-     * A list or change has come.
+     * Receives a list or a change.
      *
-     * @param applied to be run once all of it is applied, in the same turn or a later one
+     * @param applied must be run once all of it is applied, now or in a later event-loop iteration
      */
     void endpointsReceived(EndpointList list, Runnable applied);
 
@@ -47,11 +47,11 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-  // two of the empty lines that come every 2 s, and some time for the second
+  // Discovery sends an empty line every 2 s: covers two intervals and a delay of 0.5 s.
   private static final long SILENCE_TIMEOUT_TICKS = 4_500 * Ticks.PER_MILLISECOND;
-  // the agent is on this machine: it answers at once, or it is down
+  // The agent runs on this machine: it answers at once, or it is down.
   private static final long BEGIN_TIMEOUT_TICKS = 2 * Ticks.PER_SECOND;
-  private static final int MAX_BYTES_IN_A_ROW = 32 << 10; // decoded in about 1 ms
+  private static final int MAX_BYTES_WITHOUT_PAUSE = 32 << 10; // decoded in about 1 ms
   private static final long READ_PAUSE_TICKS = Ticks.PER_MILLISECOND;
   private static final int STATUS_OK = 200;
 
@@ -61,39 +61,39 @@
   private final NodeMetrics metrics;
   private final WatchPosition position;
   private final WatchPacing pacing = new WatchPacing();
-  private HttpClient client; // made with the first watch, which is opened after the node serves
+  private HttpClient client; // created with the first watch, which is opened once the node serves
   private SocketAddress address;
   private int listsBeingApplied;
-  private Runnable whenApplied; // opens the watch that waits for them; null: none does
-  private int bytesInARow;
-  private HttpClientRequest request; // of the watch that is on; null: none
-  // for what must come next: the opening, the first line, another line; null: no watch is on
+  private Runnable pendingOpening; // opens the watch that waits for these lists; null: none waits
+  private int bytesSincePause;
+  private HttpClientRequest request; // of the open watch; null: none
+  // opens the watch when due, or ends it if its first or next line is late; null: no watch
   private TimerQueue.Timer timeout;
-  private int currentWatch; // its number; what another one brings is ignored
+  private int currentWatch; // number of the watch whose events are handled
 
   /**
-   * Does nothing before {@link #openWatch()}.
+   * Creates a client that does nothing until {@link #openWatch()} is called.
    *
-   * @param known the list that the node starts with
+   * @param initial the list with which the node starts
    */
   public DiscoveryClient(Vertx vertx, SocketAddress address, Scheduler scheduler, Listener listener,
-      NodeMetrics metrics, EndpointList known) {
+      NodeMetrics metrics, EndpointList initial) {
     this.vertx = vertx;
     this.address = address;
     this.scheduler = scheduler;
     this.listener = listener;
     this.metrics = metrics;
-    position = new WatchPosition(known);
+    position = new WatchPosition(initial);
   }
 
-  /** Opens a watch as soon as the pacing allows; one that is on is ended. */
+  /** Ends the current watch, if any, and opens another one as soon as the pacing allows. */
   public void openWatch() {
     closeWatch();
     int watch = ++currentWatch;
     timeout = scheduler.scheduleAt(pacing.nextOpeningAtTicks(scheduler.now()), () -> open(watch));
   }
 
-  /** Goes on at another address, at once where a watch is on or due. */
+  /** Uses another address from now on; a watch that is open or due is replaced at once. */
   public void changeAddress(SocketAddress newAddress) {
     if (address.equals(newAddress)) return;
     address = newAddress;
@@ -101,21 +101,21 @@
     if (timeout != null) openWatch();
   }
 
-  /** Ends the watch without a word to the listener. */
+  /** Ends the watch without notifying the listener. */
   public void closeWatch() {
     currentWatch++;
     if (timeout != null) timeout.cancel();
     timeout = null;
-    whenApplied = null;
+    pendingOpening = null;
     if (request != null) request.reset();
     request = null;
   }
 
   private void open(int watch) {
-    // Guards against a list that is asked for and sent again while it is being applied, since the
-    // request could only name the index before it.
+    // Guards against receiving a list again while it is being applied: a request sent now could
+    // only give the index before that list.
     if (listsBeingApplied > 0) {
-      whenApplied = () -> open(watch);
+      pendingOpening = () -> open(watch);
       return;
     }
     HttpClient http = client();
@@ -123,10 +123,10 @@
     metrics.add(Metric.WATCHES_OPENED);
     expectWithin(watch, BEGIN_TIMEOUT_TICKS);
     http.request(HttpMethod.GET, address.port(), address.host(), position.requestPath())
-        .onComplete(made -> {
-          if (made.failed()) end(watch, made.cause());
-          else if (watch != currentWatch) made.result().reset();
-          else send(made.result(), watch);
+        .onComplete(creation -> {
+          if (creation.failed()) end(watch, creation.cause());
+          else if (watch != currentWatch) creation.result().reset();
+          else send(creation.result(), watch);
         });
   }
 
@@ -139,37 +139,38 @@
     return client;
   }
 
-  private void send(HttpClientRequest made, int watch) {
-    request = made;
+  private void send(HttpClientRequest created, int watch) {
+    request = created;
     request.exceptionHandler(e -> end(watch, e));
     request.send().onFailure(e -> end(watch, e)).onSuccess(response -> read(response, watch));
   }
 
   private void read(HttpClientResponse response, int watch) {
     if (response.statusCode() != STATUS_OK) {
-      end(watch, new IllegalStateException("status " + response.statusCode()));
+      end(watch, new IllegalStateException(
+          "expected status " + STATUS_OK + ", found " + response.statusCode()));
       return;
     }
     EndpointListParser parser = new EndpointListParser();
-    bytesInARow = 0;
+    bytesSincePause = 0;
     response.exceptionHandler(e -> end(watch, e));
     response.endHandler(v -> end(watch, null));
     response.handler(received -> {
       if (watch != currentWatch) return;
       parse(parser, received, watch);
-      if (watch == currentWatch) pauseAfterARow(response, received.length(), watch);
+      if (watch == currentWatch) pauseAfterMaxBytes(response, received.length(), watch);
     });
   }
 
   /**
-   * A list that can't be read ends the watch, so that it is asked for again: its changes would
-   * never come otherwise.
+   * Parses received bytes. A list that cannot be parsed ends the watch, so that the list is
+   * requested again; otherwise its changes would never arrive.
    */
   private void parse(EndpointListParser parser, Buffer received, int watch) {
     try {
-      // Guards against a line that never ends, whose bytes alone would keep a watch alive that
-      // brings nothing: only what is whole counts as a sign of life.
-      boolean progress = parser.feed(received, list -> take(list, watch));
+      // Only complete entries, objects and empty lines count as progress: otherwise the bytes of a
+      // line that never ends would keep a watch open that delivers nothing.
+      boolean progress = parser.feed(received, list -> accept(list, watch));
       if (progress && watch == currentWatch) expectWithin(watch, SILENCE_TIMEOUT_TICKS);
     } catch (LimitExceededException e) {
       refuse(e.getMessage(), watch);
@@ -182,13 +183,13 @@
   }
 
   /**
-   * Guards against a long list that holds the event loop up, so that requests wait and time out:
-   * between two rows of its bytes the loop does its other work.
+   * Pauses reading after every {@link #MAX_BYTES_WITHOUT_PAUSE} bytes, so that the event loop can
+   * do other work. Guards against a long list that blocks the loop until requests time out.
    */
-  private void pauseAfterARow(HttpClientResponse response, int bytes, int watch) {
-    bytesInARow += bytes;
-    if (bytesInARow < MAX_BYTES_IN_A_ROW) return;
-    bytesInARow = 0;
+  private void pauseAfterMaxBytes(HttpClientResponse response, int bytes, int watch) {
+    bytesSincePause += bytes;
+    if (bytesSincePause < MAX_BYTES_WITHOUT_PAUSE) return;
+    bytesSincePause = 0;
     response.pause();
     scheduler.scheduleAt(scheduler.now() + READ_PAUSE_TICKS, () -> {
       if (watch == currentWatch) response.resume();
@@ -199,17 +200,17 @@
     long backoffTicks = pacing.listRefused(scheduler.now());
     metrics.add(Metric.ENDPOINT_LISTS_TOO_LARGE);
     LOG.warn("list_refused retry_s={} reason={}", backoffTicks / Ticks.PER_SECOND, reason);
-    end(watch, new IllegalStateException("a list too large"));
+    end(watch, new IllegalStateException("endpoint list exceeds a limit"));
   }
 
-  private void take(EndpointList list, int watch) {
+  private void accept(EndpointList list, int watch) {
     if (watch != currentWatch) return;
     switch (position.advanceTo(list)) {
-      case OLD -> metrics.add(Metric.ENDPOINT_LISTS_STALE);
-      case UNKNOWN_SERIES -> end(watch,
-          new IllegalStateException("a change of series " + list.series() + ", not known yet"));
-      case TAKE -> {
-        pacing.listTaken();
+      case STALE -> metrics.add(Metric.ENDPOINT_LISTS_STALE);
+      case UNKNOWN_SERIES -> end(watch, new IllegalStateException(
+          "expected a snapshot first, found a change of unknown series " + list.series()));
+      case ACCEPT -> {
+        pacing.listAccepted();
         metrics.add(Metric.ENDPOINT_LISTS);
         listsBeingApplied++;
         listener.endpointsReceived(list, () -> applied(list));
@@ -220,9 +221,9 @@
   private void applied(EndpointList list) {
     position.applied(list);
     listsBeingApplied--;
-    if (listsBeingApplied > 0 || whenApplied == null) return;
-    Runnable opening = whenApplied;
-    whenApplied = null;
+    if (listsBeingApplied > 0 || pendingOpening == null) return;
+    Runnable opening = pendingOpening;
+    pendingOpening = null;
     opening.run();
   }
 
@@ -231,7 +232,7 @@
     timeout = scheduler.scheduleAt(scheduler.now() + ticks, () -> end(watch, null));
   }
 
-  /** Ends the watch, unless it has ended before; {@code cause} null: silent or closed. */
+  /** Ends the watch unless it has ended already; {@code cause} null: it was silent or closed. */
   private void end(int watch, Throwable cause) {
     if (watch != currentWatch) return;
     metrics.add(Metric.WATCHES_BROKEN);
--- a/src/main/java/saltlatch/wire/discovery/EndpointList.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointList.java
@@ -11,12 +11,12 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * One watch event of discovery: the whole list of app servers, or a change of it.
+ * A watch event of discovery: the complete list of app servers, or a change to it.
  *
- * @param series   when the series of indices began, in Unix ms; 0 where discovery doesn't say
- * @param index    of this event, growing within a series
- * @param snapshot whether it is the whole list
- * @param entries  app servers as they are now
+ * @param series   the start of the series of indices in Unix ms; 0 if discovery does not send it
+ * @param index    the event's index, which grows within a series
+ * @param snapshot whether the entries are the complete list
+ * @param entries  the app servers with their current state
  */
 public record EndpointList(long series, long index, boolean snapshot, List<Entry> entries) {
   static final String ENDPOINTS_KEY = "endpoints";
@@ -33,33 +33,34 @@
   private static final String WEIGHT_KEY = "weight";
   private static final String STARTED_AT_MS_KEY = "since_ms";
   private static final double DEFAULT_WEIGHT = 1;
+  private static final int MAX_QUOTED_CHARACTERS = 64;
 
   /**
-   * One app server as discovery names it.
+   * An app server as discovery describes it.
    *
-   * @param address     null: there is none to connect to
-   * @param keyGroup    the group within which idempotency keys are remembered
-   * @param weight      its capacity relative to others
-   * @param startedAtMs when it last started, Unix time in ms, 0 for long ago
+   * @param address     the address to connect to; null if there is none
+   * @param keyGroup    the group of app servers within which idempotency keys are remembered
+   * @param weight      its capacity relative to other app servers
+   * @param startedAtMs its last start in Unix ms; 0 if it started long ago
    */
   public record Entry(String name, SocketAddress address, String zone, String machineType,
       int keyGroup, EndpointState state, double weight, long startedAtMs) {}
 
   /**
-   * Reads an event whose entries are all in the object.
+   * Decodes an event whose entries are all in the object.
    *
-   * @throws RuntimeException the object is malformed; the text says what is wrong
+   * @throws RuntimeException if the object is malformed; the message says what is wrong
    */
   public static EndpointList decode(JsonObject object) {
     return decode(object, new ArrayList<>(), UnaryOperator.identity());
   }
 
   /**
-   * Reads an event.
+   * Decodes an event.
    *
-   * @param object  what of it stands outside the entries decoded already
-   * @param decoded those entries, to which the others are added
-   * @param intern  gives one instance of a recurring word
+   * @param object  the event without the entries that are already decoded
+   * @param decoded those entries, to which the object's entries are added
+   * @param intern  returns the same instance for equal words
    */
   static EndpointList decode(JsonObject object, List<Entry> decoded, UnaryOperator<String> intern) {
     for (JsonElement entry : object.getAsJsonArray(ENDPOINTS_KEY))
@@ -72,8 +73,8 @@
   static Entry decodeEntry(JsonObject object, UnaryOperator<String> intern) {
     EndpointState state = decodeState(object.get(STATE_KEY).getAsString());
     String address = textOrEmpty(object, ADDRESS_KEY);
-    if (address.isEmpty() && state == EndpointState.READY)
-      throw new IllegalArgumentException("ready at no address");
+    if (address.isEmpty() && state == EndpointState.READY) throw new IllegalArgumentException(
+        "expected an address of an app server with status Ready, found none");
     return new Entry(object.get(NAME_KEY).getAsString(),
         address.isEmpty() ? null : TcpConnector.parseAddress(address),
         intern.apply(textOrEmpty(object, ZONE_KEY)),
@@ -88,7 +89,9 @@
       case "READY" -> EndpointState.READY;
       case "TERMINATING" -> EndpointState.DRAINING;
       case "GONE" -> EndpointState.REMOVED;
-      default -> throw new IllegalArgumentException("status " + status);
+      default ->
+        throw new IllegalArgumentException("expected status Ready, Terminating or Gone, found "
+            + status.substring(0, Math.min(MAX_QUOTED_CHARACTERS, status.length())));
     };
   }
 
--- a/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointListParser.java
@@ -14,97 +14,109 @@
 import saltlatch.wire.ProtocolException;
 
 /**
- * Reads a watch's stream of JSON objects: one a line, or one over several lines that are indented.
- * A line that begins with a brace begins an object, whatever came before it.
+ * Parses a watch's stream of JSON objects: one per line, or one over several indented lines. A line
+ * that starts with a brace starts an object, whatever precedes it.
  *
- * <p>Each entry of {@code endpoints} is decoded as its last byte comes, so that an object's whole
- * text is never held, whatever the order of its fields. Every part has a bound that holds from the
- * first byte beyond it. After a failure the parser can't be used any further.
+ * <p>Each entry of {@code endpoints} is decoded when its last byte arrives, so that the complete
+ * text of an object is never held in memory, in whatever order its fields are. Each part has a size
+ * limit, which is enforced at the first byte that exceeds it. After a failure the parser must not
+ * be used again.
  */
 final class EndpointListParser {
-  /** What may come next between the brackets of {@code endpoints}. */
+  /** What may follow in the array of {@code endpoints}. */
   private enum Next {
-    ENTRY_OR_END,
-    COMMA_OR_END,
-    ENTRY
+    ENTRY_OR_END("an object or ]"),
+    COMMA_OR_END("a comma or ]"),
+    ENTRY("an object");
+
+    private final String description;
+
+    Next(String description) {
+      this.description = description;
+    }
   }
 
-  /** Entries of one object: twice the largest fleet that is expected. */
+  /** The maximum number of entries of an object: twice the largest expected fleet. */
   static final int MAX_ENTRIES = 65_536;
-  /** Bytes of one entry, and of all that stands outside entries; an entry has 125 or so. */
+  /**
+   * The maximum size of an entry, and of all text of an object outside its entries; an entry
+   * usually has about 125 bytes.
+   */
   static final int MAX_PART_BYTES = 8 << 10;
 
-  private static final String WHERE = "endpoint list";
+  private static final String LOCATION = "endpoint list";
   private static final int MAX_INTERNED_WORDS = 4_096;
-  private static final int ENTRIES_DEPTH = 2; // of braces and brackets, between the entries
+  private static final int ENTRIES_DEPTH = 2; // open braces and brackets between two entries
 
   private final PartBuffer outside = new PartBuffer();
   private final PartBuffer entry = new PartBuffer();
   private final JsonNesting nesting = new JsonNesting();
   private final Map<String, String> internedWords = new HashMap<>();
   private List<EndpointList.Entry> entries = new ArrayList<>();
-  private boolean lineBegins = true;
+  private boolean atLineStart = true;
   private boolean inEndpoints;
   private Next next = Next.ENTRY_OR_END;
-  private long objectBytes; // so far
+  private long objectBytes; // of the current object, so far
   private boolean progress;
 
   /**
-   * Takes in what has come, and gives on each list that is complete.
+   * Parses received bytes and passes each complete list to the consumer.
    *
-   * @return whether a whole object, a whole entry of one, or an empty line was in it
-   * @throws FramingException   an object is malformed; nothing can be read on from there
-   * @throws LimitExceededException an object is beyond a bound, or beyond the heap: the same comes
-   *     when it is asked for again
+   * @return whether the bytes completed an object or an entry, or contained an empty line
+   * @throws FramingException       if an object is malformed; the rest of the stream cannot be
+   *                                parsed
+   * @throws LimitExceededException if an object exceeds a limit or the heap; another request would
+   *                                receive the same object
    */
   boolean feed(Buffer received, Consumer<EndpointList> consumer) throws ProtocolException {
     progress = false;
-    for (int i = 0; i < received.length(); i++) take(received.getByte(i), consumer);
+    for (int i = 0; i < received.length(); i++) accept(received.getByte(i), consumer);
     return progress;
   }
 
-  private void take(byte current, Consumer<EndpointList> consumer) throws ProtocolException {
-    // Guards against an object that was cut off and takes the next one in as a part of it.
-    if (lineBegins && current == '{' && objectBytes > 0) complete(consumer);
+  private void accept(byte current, Consumer<EndpointList> consumer) throws ProtocolException {
+    // Guards against an object that was cut off and would absorb the next one as a part of it.
+    if (atLineStart && current == '{' && objectBytes > 0) completeObject(consumer);
     if (current == '\n' && nesting.depth() <= 0) {
-      if (!outside.isBlank()) complete(consumer);
-      clear();
+      if (!outside.isBlank()) completeObject(consumer);
+      reset();
       progress = true;
     } else {
       objectBytes++;
-      place(current);
+      handle(current);
     }
-    lineBegins = current == '\n';
+    atLineStart = current == '\n';
   }
 
-  /** Puts a byte where it belongs: outside entries, between them, or to the one that is open. */
-  private void place(byte current) throws ProtocolException {
+  /** Handles a byte according to its position: outside the entries, between them or in one. */
+  private void handle(byte current) throws ProtocolException {
     int depthBefore = nesting.depth();
-    nesting.follow(current);
+    nesting.advance(current);
     int depth = nesting.depth();
     if (inEndpoints && (depthBefore > ENTRIES_DEPTH || depth > ENTRIES_DEPTH)) {
-      inEntry(current, depthBefore);
+      appendToEntry(current, depthBefore);
     } else if (inEndpoints && depth == ENTRIES_DEPTH) {
-      betweenEntries(current);
+      checkSeparator(current);
     } else {
-      if (inEndpoints) endOfEndpoints(current);
+      if (inEndpoints) endEndpoints(current);
       else if (depthBefore == 1 && depth == ENTRIES_DEPTH && current == '[')
         inEndpoints = outside.endsWithEndpointsKey();
-      outside(current);
+      appendOutside(current);
     }
   }
 
-  private void inEntry(byte current, int depthBefore) throws ProtocolException {
+  private void appendToEntry(byte current, int depthBefore) throws ProtocolException {
     if (depthBefore == ENTRIES_DEPTH) beginEntry();
     if (entry.size() >= MAX_PART_BYTES)
-      throw tooLarge("an entry is too long", MAX_PART_BYTES + " bytes");
+      throw limitExceeded("oversized entry", MAX_PART_BYTES + " bytes");
     entry.write(current);
     if (nesting.depth() == ENTRIES_DEPTH) endEntry();
   }
 
   private void beginEntry() throws ProtocolException {
-    if (next == Next.COMMA_OR_END) throw malformed("no comma before an entry");
-    if (entries.size() >= MAX_ENTRIES) throw tooLarge("too many entries", MAX_ENTRIES + " entries");
+    if (next == Next.COMMA_OR_END) throw malformed("another entry");
+    if (entries.size() >= MAX_ENTRIES)
+      throw limitExceeded("another entry", MAX_ENTRIES + " entries");
   }
 
   private void endEntry() throws ProtocolException {
@@ -112,73 +124,78 @@
       JsonObject object = JsonParser.parseString(entry.text()).getAsJsonObject();
       entries.add(EndpointList.decodeEntry(object, this::intern));
     } catch (RuntimeException e) {
-      throw undecodable(e);
+      throw toProtocolException(e);
     }
     entry.reset();
     next = Next.COMMA_OR_END;
     progress = true;
   }
 
-  private void betweenEntries(byte separator) throws ProtocolException {
+  private void checkSeparator(byte separator) throws ProtocolException {
     if (JsonNesting.isSpace(separator)) return;
-    if (separator != ',' || next != Next.COMMA_OR_END) throw malformed("no object among endpoints");
+    if (separator != ',' || next != Next.COMMA_OR_END) throw malformed(describe(separator));
     next = Next.ENTRY;
   }
 
-  private void endOfEndpoints(byte bracket) throws ProtocolException {
-    if (bracket != ']' || next == Next.ENTRY)
-      throw malformed("endpoints end with a comma or a brace");
+  private void endEndpoints(byte bracket) throws ProtocolException {
+    if (bracket != ']' || next == Next.ENTRY) throw malformed(describe(bracket));
     inEndpoints = false;
   }
 
-  private void outside(byte current) throws ProtocolException {
-    if (outside.size() >= MAX_PART_BYTES) throw new FramingException(WHERE, "a list without end",
-        MAX_PART_BYTES + " bytes outside entries");
+  private void appendOutside(byte current) throws ProtocolException {
+    if (outside.size() >= MAX_PART_BYTES)
+      throw new FramingException(LOCATION, "expected the end of the object, found more text",
+          MAX_PART_BYTES + " bytes outside entries");
     outside.write(current);
   }
 
-  private static FramingException malformed(String what) {
-    return new FramingException(WHERE, what);
+  private FramingException malformed(String found) {
+    return new FramingException(LOCATION,
+        "expected " + next.description + " after " + entries.size() + " entries, found " + found);
+  }
+
+  private static String describe(byte found) {
+    return String.format("byte 0x%02x", found);
   }
 
-  private LimitExceededException tooLarge(String what, String limit) {
-    return new LimitExceededException(WHERE,
-        what + ", read up to " + entries.size() + " entries and " + objectBytes + " bytes", limit);
+  private LimitExceededException limitExceeded(String found, String limit) {
+    return new LimitExceededException(LOCATION,
+        found + " found after " + entries.size() + " entries and " + objectBytes + " bytes", limit);
   }
 
   /**
-   * What can't be decoded. Guards against a full heap that passes for a malformed list: the JSON
-   * library wraps the heap's end in an error of its own, and the list would be asked for again at
-   * once, ever anew.
+   * Converts a decoding failure. Guards against a full heap that is reported as a malformed list:
+   * the JSON library wraps the {@link OutOfMemoryError} in another exception, and the node
+   * would request the list again and again without a growing interval.
    */
-  static ProtocolException undecodable(RuntimeException failure) {
-    String what = HeapExhaustion.explain(failure);
+  static ProtocolException toProtocolException(RuntimeException failure) {
+    String problem = HeapExhaustion.explain(failure);
     return HeapExhaustion.isCauseOf(failure)
-        ? new LimitExceededException(WHERE, what, null, failure)
-        : new FramingException(WHERE, what);
+        ? new LimitExceededException(LOCATION, problem, null, failure)
+        : new FramingException(LOCATION, problem);
   }
 
-  /** The same object for a word that recurs: thousands of entries name a few zones and types. */
+  /** Returns one instance for equal words: thousands of entries name a few zones and types. */
   private String intern(String word) {
-    String known = internedWords.get(word);
-    if (known != null) return known;
+    String interned = internedWords.get(word);
+    if (interned != null) return interned;
     if (internedWords.size() < MAX_INTERNED_WORDS) internedWords.put(word, word);
     return word;
   }
 
-  private void complete(Consumer<EndpointList> consumer) throws ProtocolException {
+  private void completeObject(Consumer<EndpointList> consumer) throws ProtocolException {
     EndpointList list;
     try {
-      JsonObject rest = JsonParser.parseString(outside.text()).getAsJsonObject();
-      list = EndpointList.decode(rest, entries, this::intern);
+      JsonObject object = JsonParser.parseString(outside.text()).getAsJsonObject();
+      list = EndpointList.decode(object, entries, this::intern);
     } catch (RuntimeException e) {
-      throw undecodable(e);
+      throw toProtocolException(e);
     }
-    clear();
+    reset();
     consumer.accept(list);
   }
 
-  private void clear() {
+  private void reset() {
     outside.reset();
     entry.reset();
     entries = new ArrayList<>();
--- a/src/main/java/saltlatch/wire/discovery/JsonNesting.java
+++ b/src/main/java/saltlatch/wire/discovery/JsonNesting.java
@@ -1,31 +1,31 @@
 package saltlatch.wire.discovery;
 
-/** Follows a JSON text byte by byte: how deep it is in braces and brackets. */
+/** Tracks the depth of braces and brackets in a JSON text, byte by byte. */
 final class JsonNesting {
   private int depth;
-  private boolean quoted;
+  private boolean inString;
   private boolean escaped;
 
-  /** Open braces and brackets; below 0 where more were closed than opened. */
+  /** Returns the number of open braces and brackets; negative if more were closed than opened. */
   int depth() {
     return depth;
   }
 
-  void follow(byte next) {
+  void advance(byte current) {
     if (escaped) escaped = false;
-    else if (quoted && next == '\\') escaped = true;
-    else if (next == '"') quoted = !quoted;
-    else if (!quoted && (next == '{' || next == '[')) depth++;
-    else if (!quoted && (next == '}' || next == ']')) depth--;
+    else if (inString && current == '\\') escaped = true;
+    else if (current == '"') inString = !inString;
+    else if (!inString && (current == '{' || current == '[')) depth++;
+    else if (!inString && (current == '}' || current == ']')) depth--;
   }
 
   void reset() {
     depth = 0;
-    quoted = false;
+    inString = false;
     escaped = false;
   }
 
-  static boolean isSpace(byte next) {
-    return next >= 0 && next <= ' ';
+  static boolean isSpace(byte current) {
+    return current >= 0 && current <= ' ';
   }
 }
--- a/src/main/java/saltlatch/wire/discovery/package-info.java
+++ b/src/main/java/saltlatch/wire/discovery/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The client side towards discovery: the watch of the endpoint list over HTTP, and the reading of
- * its stream under bounds.
+ * The client of discovery: the HTTP watch of the endpoint list, and the parser of its stream, which
+ * enforces size limits.
  *
- * <p>It may import {@code saltlatch.api}, {@code saltlatch.state}, {@code saltlatch.wire} and its
- * package {@code transport}. Owned by the node's event loop, whose adapter calls it and is its
- * listener; the node's configuration reads the list that it starts with by the same codec.
+ * <p>May import {@code saltlatch.api}, {@code saltlatch.state}, {@code saltlatch.wire} and its
+ * package {@code transport}. Owned by the node's event loop, on which the node's adapter calls the
+ * client and listens to it. The node's configuration decodes its initial list with the same codec.
  */
 package saltlatch.wire.discovery;
--- a/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
+++ b/src/test/java/saltlatch/wire/discovery/EndpointListParserTest.java
@@ -17,136 +17,139 @@
 import saltlatch.wire.ProtocolException;
 
 /**
- * Objects of discovery's stream, in any order of their fields, cut anywhere, and those beyond a
- * bound.
+ * Checks objects of discovery's stream: with fields in any order, split at any byte, malformed, and
+ * beyond a limit.
  */
 class EndpointListParserTest {
-  private static final String ENTRY = "{\"name\":\"ş-1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\","
+  private static final String READY_ENTRY = "{\"name\":\"ş-1\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\","
       + "\"type\":\"m\",\"status\":\"Ready\"}";
-  private static final String GONE = "{\"name\":\"s-2\",\"status\":\"Gone\",\"tags\":[{\"k\":\"]}\"}]}";
+  private static final String GONE_ENTRY = "{\"name\":\"s-2\",\"status\":\"Gone\",\"tags\":[{\"k\":\"]}\"}]}";
 
   private final List<EndpointList> lists = new ArrayList<>();
 
-  private boolean read(EndpointListParser reader, String text) throws ProtocolException {
-    return reader.feed(Buffer.buffer(text), lists::add);
+  private boolean feed(EndpointListParser parser, String text) throws ProtocolException {
+    return parser.feed(Buffer.buffer(text), lists::add);
   }
 
-  private String seen() {
+  private String describeLists() {
     StringBuilder text = new StringBuilder();
     for (EndpointList list : lists) {
       text.append(list.series()).append('/').append(list.index())
           .append(list.snapshot() ? " whole" : "");
-      list.entries().forEach(t -> text.append(' ').append(t.name()).append(' ').append(t.state()));
+      list.entries().forEach(
+          entry -> text.append(' ').append(entry.name()).append(' ').append(entry.state()));
       text.append('\n');
     }
     return text.toString();
   }
 
-  private static ProtocolException unreadable(String text) {
+  private static ProtocolException assertParsingFails(String text) {
     return assertThrows(ProtocolException.class,
         () -> new EndpointListParser().feed(Buffer.buffer(text), list -> {}), text);
   }
 
-  /**
-   * The key {@code endpoints} elsewhere, as a value and within another object, begins no entries.
-   */
+  /** The word {@code endpoints} in a value, or as a key of a nested object, starts no entries. */
   @Test
-  void anyOrderOfFields() throws Exception {
+  void parsesFieldsInAnyOrderByteByByte() throws Exception {
     String[] texts = {
-        "{\"endpoints\" : [" + ENTRY + " , " + GONE
+        "{\"endpoints\" : [" + READY_ENTRY + " , " + GONE_ENTRY
             + "],\"index\":7,\"snapshot\":true,\"series\":5}\n",
-        "{\"index\":7,\"endpoints\":[" + ENTRY + "," + GONE + "],\"snapshot\":true,\"series\":5}\n",
+        "{\"index\":7,\"endpoints\":[" + READY_ENTRY + "," + GONE_ENTRY
+            + "],\"snapshot\":true,\"series\":5}\n",
         "{\"note\":\"\\\"endpoints\\\":[\",\"more\":{\"endpoints\":[1,2]},\"snapshot\":true,\"index\":7,"
-            + "\"series\":5,\n  \"endpoints\":[\n  " + ENTRY + ",\n  " + GONE + "\n]}\n"};
+            + "\"series\":5,\n  \"endpoints\":[\n  " + READY_ENTRY + ",\n  " + GONE_ENTRY
+            + "\n]}\n"};
     for (String text : texts) {
-      EndpointListParser reader = new EndpointListParser();
-      for (byte one : text.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
-        reader.feed(Buffer.buffer(new byte[] {one}), lists::add);
+      EndpointListParser parser = new EndpointListParser();
+      for (byte current : text.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
+        parser.feed(Buffer.buffer(new byte[] {current}), lists::add);
       }
-      assertTrue(read(reader, text));
+      assertTrue(feed(parser, text));
     }
-    assertEquals("5/7 whole ş-1 READY s-2 REMOVED\n".repeat(6), seen());
+    assertEquals("5/7 whole ş-1 READY s-2 REMOVED\n".repeat(6), describeLists());
   }
 
   @Test
-  void emptyListsAndBlankLines() throws Exception {
-    EndpointListParser reader = new EndpointListParser();
-    assertTrue(read(reader, "\n"));
-    assertFalse(read(reader, " {\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
-    assertTrue(read(reader, "\r\n"));
-    assertEquals("0/3\n", seen());
+  void acceptsEmptyListsAndBlankLines() throws Exception {
+    EndpointListParser parser = new EndpointListParser();
+    assertTrue(feed(parser, "\n"));
+    assertFalse(feed(parser, " {\"index\":3,\"snapshot\":false,\"endpoints\":[]}"));
+    assertTrue(feed(parser, "\r\n"));
+    assertEquals("0/3\n", describeLists());
   }
 
-  /** What says that a watch is well while a long line comes: a whole entry, not bytes of one. */
+  /** While a long line arrives, only a complete entry shows that the watch works. */
   @Test
-  void wholeEntriesAreProgress() throws Exception {
-    EndpointListParser reader = new EndpointListParser();
-    assertFalse(
-        read(reader, "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY.substring(0, 40)));
-    assertFalse(read(reader, ENTRY.substring(40, 50)));
-    assertTrue(read(reader, ENTRY.substring(50)));
-    assertFalse(read(reader, ","));
-    assertTrue(read(reader, GONE + "]}\n"));
-    assertEquals("0/3 whole ş-1 READY s-2 REMOVED\n", seen());
+  void completeEntriesAreProgress() throws Exception {
+    EndpointListParser parser = new EndpointListParser();
+    assertFalse(feed(parser,
+        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + READY_ENTRY.substring(0, 40)));
+    assertFalse(feed(parser, READY_ENTRY.substring(40, 50)));
+    assertTrue(feed(parser, READY_ENTRY.substring(50)));
+    assertFalse(feed(parser, ","));
+    assertTrue(feed(parser, GONE_ENTRY + "]}\n"));
+    assertEquals("0/3 whole ş-1 READY s-2 REMOVED\n", describeLists());
   }
 
   @Test
-  void recurringWordsAreKeptOnce() throws Exception {
-    read(new EndpointListParser(),
-        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + "," + ENTRY + "]}\n");
-    List<EndpointList.Entry> targets = lists.get(0).entries();
-    assertSame(targets.get(0).zone(), targets.get(1).zone());
-    assertSame(targets.get(0).machineType(), targets.get(1).machineType());
+  void recurringWordsAreInterned() throws Exception {
+    feed(new EndpointListParser(), "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + READY_ENTRY
+        + "," + READY_ENTRY + "]}\n");
+    List<EndpointList.Entry> entries = lists.get(0).entries();
+    assertSame(entries.get(0).zone(), entries.get(1).zone());
+    assertSame(entries.get(0).machineType(), entries.get(1).machineType());
   }
 
   @Test
-  void malformedEntriesAreNoMatterOfSize() {
-    String[] within = {ENTRY + ENTRY, ENTRY + ",", "," + ENTRY, ENTRY + ",," + GONE, "5", "null",
-        "\"s-1\"", "[" + ENTRY + "]", "{}", "{\"name\":\"s-1\",\"status\":\"Asleep\"}",
-        ENTRY + "}"};
-    for (String one : within) {
-      String text = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + one + "]}\n";
-      assertInstanceOf(FramingException.class, unreadable(text), text);
+  void malformedObjectsAreFramingFailures() {
+    String[] arrayContents = {READY_ENTRY + READY_ENTRY, READY_ENTRY + ",", "," + READY_ENTRY,
+        READY_ENTRY + ",," + GONE_ENTRY, "5", "null", "\"s-1\"", "[" + READY_ENTRY + "]", "{}",
+        "{\"name\":\"s-1\",\"status\":\"Asleep\"}", READY_ENTRY + "}"};
+    for (String content : arrayContents) {
+      String text = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + content + "]}\n";
+      assertInstanceOf(FramingException.class, assertParsingFails(text), text);
     }
     for (String text : new String[] {"{\"index\":3,\"snapshot\":true}\n",
-        "{\"endpoints\":[" + ENTRY + "]}\n",
-        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + ENTRY + ",\n{\"index\":4}\n", "]\n",
-        "[]\n"}) {
-      assertInstanceOf(FramingException.class, unreadable(text), text);
+        "{\"endpoints\":[" + READY_ENTRY + "]}\n",
+        "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + READY_ENTRY + ",\n{\"index\":4}\n",
+        "]\n", "[]\n"}) {
+      assertInstanceOf(FramingException.class, assertParsingFails(text), text);
     }
     assertInstanceOf(FramingException.class,
-        unreadable("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)));
+        assertParsingFails("x".repeat(EndpointListParser.MAX_PART_BYTES + 1)));
   }
 
   /**
-   * The JSON library wraps the heap's end: such a list is too large for this node, not malformed.
+   * Guards against a full heap that is reported as a malformed list, because the JSON library wraps
+   * the {@link OutOfMemoryError}: the list is too large for this node.
    */
   @Test
-  void fullHeapIsNoMalformedList() {
+  void fullHeapIsReportedAsExceededLimit() {
     RuntimeException wrapped = new JsonParseException("Failed parsing JSON source",
         new OutOfMemoryError());
-    ProtocolException full = EndpointListParser.undecodable(wrapped);
-    assertInstanceOf(LimitExceededException.class, full);
-    assertTrue(full.problem().startsWith("the heap of "), full.getMessage());
+    ProtocolException fullHeap = EndpointListParser.toProtocolException(wrapped);
+    assertInstanceOf(LimitExceededException.class, fullHeap);
+    assertTrue(fullHeap.problem().startsWith("the heap of "), fullHeap.getMessage());
     assertInstanceOf(FramingException.class,
-        EndpointListParser.undecodable(new JsonParseException("no number")));
+        EndpointListParser.toProtocolException(new JsonParseException("no number")));
   }
 
   /**
-   * At the bound it is read, one beyond it is refused, and so is one entry that is too long; the
-   * size is told.
+   * A list with the maximum number of entries is accepted. One more entry is refused with a message
+   * that gives the size so far, and so is an entry that is too long.
    */
   @Test
-  void bounds() throws Exception {
-    String head = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + GONE;
-    String most = head + ("," + GONE).repeat(EndpointListParser.MAX_ENTRIES - 1);
-    read(new EndpointListParser(), most + "]}\n");
+  void entriesBeyondTheLimitsAreRefused() throws Exception {
+    String head = "{\"index\":3,\"snapshot\":true,\"endpoints\":[" + GONE_ENTRY;
+    String largest = head + ("," + GONE_ENTRY).repeat(EndpointListParser.MAX_ENTRIES - 1);
+    feed(new EndpointListParser(), largest + "]}\n");
     assertEquals(EndpointListParser.MAX_ENTRIES, lists.get(0).entries().size());
-    ProtocolException many = unreadable(most + "," + GONE + "]}\n");
-    assertInstanceOf(LimitExceededException.class, many);
-    assertTrue(many.getMessage().contains("65536 entries and " + (most.length() + 2) + " bytes"),
-        many.getMessage());
+    ProtocolException tooMany = assertParsingFails(largest + "," + GONE_ENTRY + "]}\n");
+    assertInstanceOf(LimitExceededException.class, tooMany);
+    assertTrue(
+        tooMany.getMessage().contains("65536 entries and " + (largest.length() + 2) + " bytes"),
+        tooMany.getMessage());
     assertInstanceOf(LimitExceededException.class,
-        unreadable(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.MAX_PART_BYTES)));
+        assertParsingFails(head + ",{\"name\":\"" + "x".repeat(EndpointListParser.MAX_PART_BYTES)));
   }
 }
--- a/src/test/java/saltlatch/wire/discovery/WatchPacingTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchPacingTest.java
@@ -8,29 +8,29 @@
 class WatchPacingTest {
   private final WatchPacing pacing = new WatchPacing();
 
-  /** An agent resets each watch at once: the next one waits until a second after the opening. */
+  /** Guards against flooding an agent that resets each watch at once: openings are 1 s apart. */
   @Test
-  void openingsAreASecondApart() {
+  void openingsAreOneSecondApart() {
     assertEquals(0, pacing.nextOpeningAtTicks(0));
     pacing.opened(0);
     assertEquals(Ticks.PER_SECOND, pacing.nextOpeningAtTicks(1));
     assertEquals(Ticks.PER_SECOND + 1, pacing.nextOpeningAtTicks(Ticks.PER_SECOND + 1));
   }
 
-  /** Discovery's list is too large, time after time, and is asked for ever more seldom. */
+  /** A list that is too large each time is requested at growing intervals. */
   @Test
-  void backoffGrowsToFiveMinutesAndEndsWithAListTaken() {
+  void backoffGrowsToFiveMinutesUntilAListIsAccepted() {
     for (int seconds : new int[] {1, 2, 4, 8, 16, 32, 64, 128, 256, 300, 300}) {
       assertEquals(seconds * Ticks.PER_SECOND, pacing.listRefused(7));
       assertEquals(7 + seconds * Ticks.PER_SECOND, pacing.nextOpeningAtTicks(7));
     }
-    pacing.listTaken();
+    pacing.listAccepted();
     assertEquals(Ticks.PER_SECOND, pacing.listRefused(7));
   }
 
-  /** Another agent has not sent the list that was too large: it is asked at once. */
+  /** Another agent has not sent the list that was too large, so its watch opens at once. */
   @Test
-  void anotherAddressIsAskedAtOnce() {
+  void watchOfAnotherAddressOpensAtOnce() {
     pacing.opened(5);
     pacing.listRefused(6);
     pacing.addressChanged();
--- a/src/test/java/saltlatch/wire/discovery/WatchPositionTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchPositionTest.java
@@ -13,38 +13,38 @@
     return new EndpointList(series, index, snapshot, List.of());
   }
 
-  private void assertPath(String query) {
+  private void assertRequestQuery(String query) {
     assertEquals("/api/targets?follow=1&" + query, position.requestPath());
   }
 
-  /** A watch goes on behind what is applied, not behind what is only taken. */
+  /** A watch resumes after the last event applied, not after one that is only accepted. */
   @Test
-  void goesOnBehindWhatIsApplied() {
-    assertPath("since=3");
+  void resumesAfterTheLastAppliedEvent() {
+    assertRequestQuery("since=3");
     EndpointList change = list(0, 4, false);
-    assertEquals(Verdict.TAKE, position.advanceTo(change));
-    assertPath("since=3");
+    assertEquals(Verdict.ACCEPT, position.advanceTo(change));
+    assertRequestQuery("since=3");
     position.applied(change);
-    assertPath("since=4");
+    assertRequestQuery("since=4");
   }
 
-  /** An agent that is behind sends an older list; taking it would undo drains. */
+  /** Guards against undoing drains by accepting an older list from an agent that is out of date. */
   @Test
-  void olderEventsAreIgnored() {
-    assertEquals(Verdict.OLD, position.advanceTo(list(0, 2, true)));
-    assertEquals(Verdict.TAKE, position.advanceTo(list(0, 3, true)));
-    assertEquals(Verdict.TAKE, position.advanceTo(list(9, 1, true)));
-    assertEquals(Verdict.OLD, position.advanceTo(list(8, 50, true)));
+  void olderEventsAreStale() {
+    assertEquals(Verdict.STALE, position.advanceTo(list(0, 2, true)));
+    assertEquals(Verdict.ACCEPT, position.advanceTo(list(0, 3, true)));
+    assertEquals(Verdict.ACCEPT, position.advanceTo(list(9, 1, true)));
+    assertEquals(Verdict.STALE, position.advanceTo(list(8, 50, true)));
   }
 
-  /** Discovery has begun a new series: a change of it means nothing without its whole list. */
+  /** Discovery has started a new series, whose changes are meaningless without its snapshot. */
   @Test
-  void unknownSeriesIsAskedForFromItsBeginning() {
+  void unknownSeriesIsRequestedFromItsSnapshot() {
     assertEquals(Verdict.UNKNOWN_SERIES, position.advanceTo(list(9, 7, false)));
-    assertPath("since=0");
+    assertRequestQuery("since=0");
     EndpointList snapshot = list(9, 8, true);
-    assertEquals(Verdict.TAKE, position.advanceTo(snapshot));
+    assertEquals(Verdict.ACCEPT, position.advanceTo(snapshot));
     position.applied(snapshot);
-    assertPath("since=8&series=9");
+    assertRequestQuery("since=8&series=9");
   }
 }
--- a/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
+++ b/src/test/java/saltlatch/wire/discovery/WatchRequestBytesTest.java
@@ -21,7 +21,7 @@
 import saltlatch.state.NodeMetrics;
 import saltlatch.wire.transport.FixedTimeScheduler;
 
-/** Every byte of the watch's HTTP request, on a real connection. */
+/** Checks every byte of the watch's HTTP request on a real connection. */
 @Timeout(60)
 class WatchRequestBytesTest {
   private final FixedTimeScheduler clock = new FixedTimeScheduler();
@@ -43,8 +43,8 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  /** All that the client sends first when it begins behind this list. */
-  private String requestBehind(EndpointList known) throws Exception {
+  /** Returns all bytes that a client which starts with this list sends at first. */
+  private String receiveRequest(EndpointList initial) throws Exception {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.runOnContext(v -> {
       DiscoveryClient client = new DiscoveryClient(vertx,
@@ -55,7 +55,7 @@
 
             @Override
             public void watchEnded() {}
-          }, new NodeMetrics(), known);
+          }, new NodeMetrics(), initial);
       client.openWatch();
       clock.runDue();
       done.complete(null);
@@ -63,36 +63,36 @@
     done.get(10, TimeUnit.SECONDS);
     try (Socket connection = agent.accept()) {
       connection.setSoTimeout(20_000);
-      return head(connection.getInputStream());
+      return readRequest(connection.getInputStream());
     }
   }
 
-  private static String head(InputStream in) throws IOException {
+  private static String readRequest(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) head.append((char) in.read());
-    byte[] behind = new byte[in.available()];
-    in.readNBytes(behind, 0, behind.length);
-    return head + new String(behind, StandardCharsets.ISO_8859_1);
+    byte[] rest = new byte[in.available()];
+    in.readNBytes(rest, 0, rest.length);
+    return head + new String(rest, StandardCharsets.ISO_8859_1);
   }
 
-  private void assertRequest(String pathAndQuery, EndpointList known) throws Exception {
+  private void assertRequest(String pathAndQuery, EndpointList initial) throws Exception {
     assertEquals(
         "GET " + pathAndQuery + " HTTP/1.1\r\nhost: 127.0.0.1:" + agent.getLocalPort() + "\r\n\r\n",
-        requestBehind(known));
+        receiveRequest(initial));
   }
 
   @Test
-  void withoutIndexAndSeries() throws Exception {
+  void requestsWithoutIndexAndSeries() throws Exception {
     assertRequest("/api/targets?follow=1&since=0", new EndpointList(0, 0, true, List.of()));
   }
 
   @Test
-  void withIndex() throws Exception {
+  void requestsWithIndex() throws Exception {
     assertRequest("/api/targets?follow=1&since=41", new EndpointList(0, 41, true, List.of()));
   }
 
   @Test
-  void withIndexAndSeries() throws Exception {
+  void requestsWithIndexAndSeries() throws Exception {
     assertRequest("/api/targets?follow=1&since=41&series=1764739200000",
         new EndpointList(1_764_739_200_000L, 41, true, List.of()));
   }
