--- a/src/main/java/saltlatch/wire/peer/PeerSocket.java
+++ b/src/main/java/saltlatch/wire/peer/PeerSocket.java
@@ -14,17 +14,17 @@
  * counted. Owned by the node's event loop.
  */
 public final class PeerSocket {
-  /** Gets datagrams, on the node's event loop. */
+  /** Receives datagrams on the node's event loop. */
   public interface Listener {
     /**
-     * A datagram has come.
+     * Receives a datagram.
      *
-     * @param fromPeer the sender's place in the list of peers; -1: none of them
+     * @param fromPeer the sender's index in the list of peers; -1 if it is not in the list
      */
     void datagramReceived(int fromPeer, byte[] bytes);
   }
 
-  /** The longest datagram that the network between nodes carries. */
+  /** The maximum size of a datagram on the network between nodes. */
   static final int MAX_DATAGRAM_BYTES = 256;
 
   private final DatagramSocket socket;
@@ -33,10 +33,10 @@
   private final NodeMetrics metrics;
 
   /**
-   * Begins to receive.
+   * Opens the socket and starts to receive.
    *
-   * @param peers     addresses by the peers' numbers
-   * @param broadcast the address that reaches all of them
+   * @param peers     the peers' addresses in the order of their numbers
+   * @param broadcast the address that reaches all peers
    */
   public PeerSocket(Vertx vertx, SocketAddress listen, List<SocketAddress> peers,
       SocketAddress broadcast, Listener listener, NodeMetrics metrics) {
@@ -56,7 +56,7 @@
   /**
    * Sends a datagram.
    *
-   * @param peer its number; below 0: all peers
+   * @param peer the receiver's number; negative for all peers
    */
   public void send(int peer, byte[] bytes) {
     SocketAddress address = addressOf(peer);
--- a/src/main/java/saltlatch/wire/peer/package-info.java
+++ b/src/main/java/saltlatch/wire/peer/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Datagrams between edge nodes: the socket, and the forms of quota gossip and of membership
- * messages, which differ in their first byte.
+ * Datagrams between edge nodes: the socket, and the codecs of quota gossip and of membership
+ * messages, which are distinguished by their first byte.
  *
- * <p>It may import {@code saltlatch.api}, {@code saltlatch.state} and {@code
- * saltlatch.membership}'s messages. Owned by the node's event loop, whose adapter calls it and is
- * its listener; the codecs are stateless and serve tests and the simulator's host too.
+ * <p>May import {@code saltlatch.api}, {@code saltlatch.state} and the messages of {@code
+ * saltlatch.membership}. Owned by the node's event loop, on which the node's adapter calls the
+ * socket and listens to it; the codecs are stateless and are also used by tests and by the
+ * simulator's host.
  */
 package saltlatch.wire.peer;
--- a/src/test/java/saltlatch/wire/peer/MembershipCodecTest.java
+++ b/src/test/java/saltlatch/wire/peer/MembershipCodecTest.java
@@ -11,7 +11,7 @@
 import saltlatch.membership.MembershipMessage.MemberUpdate;
 import saltlatch.membership.MembershipMessage.State;
 
-/** The bytes of membership datagrams, one of each kind and state. */
+/** Checks the bytes of membership datagrams of each kind and state. */
 class MembershipCodecTest {
   private static final HexFormat HEX = HexFormat.of();
 
@@ -21,14 +21,14 @@
   }
 
   @Test
-  void ping() {
+  void encodesPing() {
     assertBytes(
         "b70100" + "91246de7" + "00000001" + "0002" + "00000003" + "0000000000000004" + "00",
         new MembershipMessage(Kind.PING, 1, 2, 3, 4, false, List.of()));
   }
 
   @Test
-  void ackThatVouchesWithUpdatesOfEachState() {
+  void encodesAckWithLeaseGrantAndUpdatesOfEachState() {
     assertBytes(
         "b70141" + "65056d35" + "ffffffff" + "ffff" + "ffffffff" + "fedcba9876543210" + "05"
             + "000000000000000000" + "000101000000010000" + "000202000000020007"
@@ -41,29 +41,29 @@
   }
 
   @Test
-  void probeByProxy() {
+  void encodesPingRequest() {
     assertBytes(
         "b70102" + "c793b7b2" + "00000009" + "0011" + "00000003" + "0000000000000004" + "00",
         new MembershipMessage(Kind.PING_REQUEST, 9, 17, 3, 4, false, List.of()));
   }
 
   @Test
-  void proxyFailureThatVouches() {
+  void encodesNackWithLeaseGrant() {
     assertBytes(
         "b70143" + "60a88932" + "00000009" + "0011" + "00000003" + "0000000000000004" + "00",
         new MembershipMessage(Kind.NACK, 9, 17, 3, 4, true, List.of()));
   }
 
-  /** Another first byte, version, length, check sum, kind or state is no membership datagram. */
+  /** A datagram with a changed bit in any byte, or one that is too short, is not accepted. */
   @Test
-  void otherDatagrams() {
-    byte[] good = MembershipCodec.encode(new MembershipMessage(Kind.PING, 1, 2, 3, 4, false,
+  void rejectsCorruptedAndShortDatagrams() {
+    byte[] valid = MembershipCodec.encode(new MembershipMessage(Kind.PING, 1, 2, 3, 4, false,
         List.of(new MemberUpdate(1, State.ALIVE, 1, 0))));
-    assertEquals(26 + 9, good.length);
-    for (int at = 0; at < good.length; at++) {
-      byte[] spoilt = good.clone();
-      spoilt[at] ^= 0x10;
-      assertNull(MembershipCodec.decode(spoilt), "byte " + at);
+    assertEquals(26 + 9, valid.length);
+    for (int index = 0; index < valid.length; index++) {
+      byte[] corrupted = valid.clone();
+      corrupted[index] ^= 0x10;
+      assertNull(MembershipCodec.decode(corrupted), "byte " + index);
     }
     assertNull(MembershipCodec.decode(new byte[0]));
     assertNull(MembershipCodec.decode(new byte[25]));
--- a/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
+++ b/src/test/java/saltlatch/wire/peer/PeerSocketTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Timeout;
 import saltlatch.state.NodeMetrics;
 
-/** Datagrams to and from peers, on real sockets. */
+/** Checks datagrams to and from peers on real sockets. */
 @Timeout(60)
 class PeerSocketTest {
   private static final HexFormat HEX = HexFormat.of();
 
-  private static DatagramSocket bound() throws Exception {
+  private static DatagramSocket openSocket() throws Exception {
     DatagramSocket socket = new DatagramSocket(
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     socket.setSoTimeout(20_000);
@@ -34,41 +34,43 @@
     return SocketAddress.inetSocketAddress(socket.getLocalPort(), "127.0.0.1");
   }
 
-  private static String received(DatagramSocket socket) throws Exception {
+  private static String receive(DatagramSocket socket) throws Exception {
     DatagramPacket packet = new DatagramPacket(new byte[512], 512);
     socket.receive(packet);
     return HEX.formatHex(Arrays.copyOf(packet.getData(), packet.getLength()));
   }
 
-  /** To one peer, to all, to none there is, and beyond the 256 bytes that a datagram may have. */
+  /** Sends to one peer, all peers and an unknown one, and beyond the limit of 256 bytes. */
   @Test
-  void sendsTheBytesAsTheyAre() throws Exception {
+  void sendsAndReceivesBytesUnchanged() throws Exception {
     Vertx vertx = Vertx.vertx();
     NodeMetrics metrics = new NodeMetrics();
-    try (DatagramSocket first = bound();
-        DatagramSocket second = bound();
-        DatagramSocket all = bound();
-        DatagramSocket free = bound()) {
-      SocketAddress own = address(free);
-      free.close();
-      BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-      PeerSocket peers = new PeerSocket(vertx, own, List.of(address(first), address(second)),
-          address(all), (from, bytes) -> heard.add(from + " " + HEX.formatHex(bytes)), metrics);
+    try (DatagramSocket firstPeer = openSocket();
+        DatagramSocket secondPeer = openSocket();
+        DatagramSocket broadcast = openSocket();
+        DatagramSocket nodePort = openSocket()) {
+      SocketAddress nodeAddress = address(nodePort);
+      nodePort.close();
+      BlockingQueue<String> received = new LinkedBlockingQueue<>();
+      PeerSocket peers = new PeerSocket(vertx, nodeAddress,
+          List.of(address(firstPeer), address(secondPeer)), address(broadcast),
+          (fromPeer, bytes) -> received.add(fromPeer + " " + HEX.formatHex(bytes)), metrics);
       peers.send(0, HEX.parseHex("5100"));
       peers.send(1, HEX.parseHex("b701"));
       peers.send(-1, HEX.parseHex("00"));
       peers.send(2, HEX.parseHex("ff"));
       peers.send(0, new byte[257]);
       peers.send(0, new byte[256]);
-      assertEquals("5100", received(first));
-      assertEquals("b701", received(second));
-      assertEquals("00", received(all));
-      assertEquals("00".repeat(256), received(first));
-      InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), own.port());
-      second.send(new DatagramPacket(new byte[] {0x51, 7}, 2, to));
-      assertEquals("1 5107", heard.poll(20, TimeUnit.SECONDS));
-      all.send(new DatagramPacket(new byte[] {8}, 1, to));
-      assertEquals("-1 08", heard.poll(20, TimeUnit.SECONDS));
+      assertEquals("5100", receive(firstPeer));
+      assertEquals("b701", receive(secondPeer));
+      assertEquals("00", receive(broadcast));
+      assertEquals("00".repeat(256), receive(firstPeer));
+      InetSocketAddress node = new InetSocketAddress(InetAddress.getLoopbackAddress(),
+          nodeAddress.port());
+      secondPeer.send(new DatagramPacket(new byte[] {0x51, 7}, 2, node));
+      assertEquals("1 5107", received.poll(20, TimeUnit.SECONDS));
+      broadcast.send(new DatagramPacket(new byte[] {8}, 1, node));
+      assertEquals("-1 08", received.poll(20, TimeUnit.SECONDS));
     } finally {
       vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
