--- a/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
@@ -27,19 +27,19 @@
 import saltlatch.wire.ProtocolException;
 
 /**
- * The JSON form of shared configurations: times in ms, customers in hexadecimal. What is unknown,
- * missing or of another kind is refused with its key. One configuration has one text, and so one
- * hash.
+ * Encodes shared configurations as JSON and decodes them: times in ms, customers in hexadecimal.
+ * Unknown keys, missing keys and values of the wrong type are rejected with the path of the key.
+ * Each configuration has exactly one encoding, and therefore one hash.
  */
 public final class ConfigurationCodec {
-  // far above any fleet's configuration, far below the memory of a server of the quorum
+  // Far more than the configuration of any fleet, far less than the memory of a quorum server.
   private static final int MAX_LENGTH_CHARACTERS = 1 << 20;
   private static final int HASH_BYTES = 8;
   private static final int HEXADECIMAL = 16;
 
   private static final String EPOCH = "epoch";
   private static final String NUMBER = "number";
-  private static final String WITHOUT_LEASE = "expired";
+  private static final String LEASE_EXPIRY_POLICY = "expired";
   private static final String LOCKED_KEYS = "pins";
   private static final String QUOTA_PLANS = "plans";
   private static final String REQUEST_CLASSES = "frontends";
@@ -48,7 +48,7 @@
   private static final String BLOCKED_CUSTOMERS = "barred";
   private static final String EXEMPT_CUSTOMERS = "exempt";
   private static final String MEMBERS = "roster";
-  private static final List<String> KEYS = List.of(EPOCH, NUMBER, WITHOUT_LEASE, LOCKED_KEYS,
+  private static final List<String> KEYS = List.of(EPOCH, NUMBER, LEASE_EXPIRY_POLICY, LOCKED_KEYS,
       QUOTA_PLANS, REQUEST_CLASSES, LIMITS, EXCLUDED_SERVERS, BLOCKED_CUSTOMERS, EXEMPT_CUSTOMERS,
       MEMBERS);
 
@@ -77,10 +77,10 @@
   private ConfigurationCodec() {}
 
   /**
-   * Reads a configuration; missing numbers are 0, missing lists empty.
+   * Decodes a configuration; missing numbers are 0, and missing lists are empty.
    *
-   * @throws LimitExceededException    the text is too long
-   * @throws MalformedMessageException what is wrong, and at which key
+   * @throws LimitExceededException    if the text is too long
+   * @throws MalformedMessageException if the text is malformed; names the key and the problem
    */
   public static SharedConfiguration decode(String text) throws ProtocolException {
     if (text.length() > MAX_LENGTH_CHARACTERS) throw new LimitExceededException("configuration",
@@ -97,16 +97,16 @@
     for (JsonObjectReader requestClass : object.child(REQUEST_CLASSES).children())
       requestClasses.put(requestClass.name(), requestClass(requestClass));
     return new SharedConfiguration(
-        new ConfigurationVersion(object.whole(EPOCH), object.whole(NUMBER)), quotaPlans,
-        requestClasses, limits(object.child(LIMITS)), object.words(EXCLUDED_SERVERS),
+        new ConfigurationVersion(object.integer(EPOCH), object.integer(NUMBER)), quotaPlans,
+        requestClasses, limits(object.child(LIMITS)), object.strings(EXCLUDED_SERVERS),
         customers(object, BLOCKED_CUSTOMERS), customers(object, EXEMPT_CUSTOMERS),
-        object.words(MEMBERS), object.words(LOCKED_KEYS), leaseExpiryPolicy(object));
+        object.strings(MEMBERS), object.strings(LOCKED_KEYS), leaseExpiryPolicy(object));
   }
 
   private static QuotaPlan quotaPlan(JsonObjectReader object) throws MalformedMessageException {
     object.allowOnly(QUOTA_PLAN_KEYS);
     return new QuotaPlan(object.number(RATE_PER_SECOND), object.number(BURST_UNITS),
-        (int) object.whole(MAX_CONCURRENT), object.number(CEILING_PER_SECOND),
+        (int) object.integer(MAX_CONCURRENT), object.number(CEILING_PER_SECOND),
         object.number(CEILING_BURST_UNITS), object.number(PLAN_PRIORITY_WEIGHT));
   }
 
@@ -121,17 +121,18 @@
 
   private static Limits limits(JsonObjectReader object) throws MalformedMessageException {
     object.allowOnly(LIMIT_KEYS);
-    return new Limits((int) object.whole(MAX_ATTEMPTS), object.ticks(MAX_RETRY_AFTER_MS));
+    return new Limits((int) object.integer(MAX_ATTEMPTS), object.ticks(MAX_RETRY_AFTER_MS));
   }
 
   private static SortedSet<Long> customers(JsonObjectReader object, String key)
       throws MalformedMessageException {
     SortedSet<Long> customers = new TreeSet<>();
-    for (String word : object.words(key)) {
+    for (String word : object.strings(key)) {
       try {
         customers.add(Long.parseUnsignedLong(word, HEXADECIMAL));
       } catch (NumberFormatException e) {
-        throw object.fault(key, word + " is no customer");
+        throw object.malformed(key, "expected a customer as a hexadecimal number of 64 bits, found "
+            + JsonObjectReader.quote(word));
       }
     }
     return customers;
@@ -139,17 +140,20 @@
 
   private static LeaseExpiryPolicy leaseExpiryPolicy(JsonObjectReader object)
       throws MalformedMessageException {
-    return object.has(WITHOUT_LEASE)
-        ? EnumWords.read(object, WITHOUT_LEASE, LeaseExpiryPolicy.values())
+    return object.has(LEASE_EXPIRY_POLICY)
+        ? EnumWords.read(object, LEASE_EXPIRY_POLICY, LeaseExpiryPolicy.values())
         : LeaseExpiryPolicy.REJECT_REQUESTS;
   }
 
-  /** The one text of a configuration. */
+  /** Returns the only encoding of a configuration. */
   public static String encode(SharedConfiguration configuration) {
     return toJson(configuration).toString();
   }
 
-  /** 16 hexadecimal digits of all but the version: the same hash stands for the same contents. */
+  /**
+   * Returns a hash of everything but the version, as 16 hexadecimal digits. Configurations with the
+   * same hash have the same contents.
+   */
   public static String hash(SharedConfiguration configuration) {
     String text = encode(configuration.withVersion(ConfigurationVersion.NONE));
     try {
@@ -157,16 +161,16 @@
           .digest(text.getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(digest, 0, HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // every JDK has it
+      throw new IllegalStateException(e); // every JDK provides SHA-256
     }
   }
 
-  /** The order of keys is part of the form: the hash depends on it. */
+  /** Encodes the keys in an order that is part of the format, because the hash depends on it. */
   static JsonObject toJson(SharedConfiguration configuration) {
     JsonObject object = new JsonObject();
     object.addProperty(EPOCH, configuration.version().epoch());
     object.addProperty(NUMBER, configuration.version().number());
-    object.addProperty(WITHOUT_LEASE, EnumWords.word(configuration.leaseExpiryPolicy()));
+    object.addProperty(LEASE_EXPIRY_POLICY, EnumWords.word(configuration.leaseExpiryPolicy()));
     object.add(LOCKED_KEYS, array(configuration.lockedKeys(), Function.identity()));
     object.add(QUOTA_PLANS, objects(configuration.quotaPlans(), ConfigurationCodec::toJson));
     object.add(REQUEST_CLASSES,
--- a/src/main/java/saltlatch/wire/configuration/EnumWords.java
+++ b/src/main/java/saltlatch/wire/configuration/EnumWords.java
@@ -8,7 +8,7 @@
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
 import saltlatch.wire.MalformedMessageException;
 
-/** The form's words for values that have other names in the code. */
+/** Maps enum values to their words in the JSON format, which differ from the names in the code. */
 final class EnumWords {
   private static final Map<Enum<?>, String> WORDS = Map.of(RetrySafety.IDEMPOTENT, "replayable",
       RetrySafety.IDEMPOTENT_BY_KEY, "uniqued", RetrySafety.NOT_IDEMPOTENT, "non_replayable",
@@ -21,12 +21,13 @@
     return WORDS.get(value);
   }
 
-  /** The value at a key, which must be the word of one of these. */
+  /** Reads the value of a key, which must be the word of one of the given enum values. */
   static <E extends Enum<E>> E read(JsonObjectReader object, String key, E[] values)
       throws MalformedMessageException {
-    String word = object.word(key);
+    String word = object.string(key);
     for (E value : values) if (word(value).equals(word)) return value;
     List<String> allowed = Arrays.stream(values).map(EnumWords::word).toList();
-    throw object.fault(key, word + " is none of " + allowed);
+    throw object.malformed(key,
+        "expected one of " + allowed + ", found " + JsonObjectReader.quote(word));
   }
 }
--- a/src/main/java/saltlatch/wire/configuration/JsonObjectReader.java
+++ b/src/main/java/saltlatch/wire/configuration/JsonObjectReader.java
@@ -12,51 +12,74 @@
 import saltlatch.wire.MalformedMessageException;
 
 /**
- * A JSON object and the path at which it stands. What is unknown, missing or of another kind is
- * refused with its path, since a misspelt key must not pass unnoticed.
+ * Reads a JSON object that has a path in its document. Unknown keys, missing keys and values of the
+ * wrong type are rejected with their path, because a misspelt key must not go unnoticed.
  */
 final class JsonObjectReader {
-  private static final String ROOT = "the whole";
-  // the largest whole number up to which a double holds every one
-  private static final double MAX_WHOLE = 1L << 53;
+  private static final String ROOT = "document";
+  // A double represents every integer up to this one exactly.
+  private static final long MAX_INTEGER = 1L << 53;
+  private static final int MAX_QUOTED_CHARACTERS = 64;
+  private static final int MAX_CAUSE_CHARACTERS = 256; // of the JSON library's message
 
-  private final String path; // of its keys, with dots; empty: the root
+  private final String path; // keys separated by dots; empty: the root
   private final JsonObject object;
 
   private JsonObjectReader(String path, JsonElement element) throws MalformedMessageException {
     this.path = path;
-    if (!element.isJsonObject())
-      throw new MalformedMessageException(path.isEmpty() ? ROOT : path, "no object");
+    if (!element.isJsonObject()) throw new MalformedMessageException(path.isEmpty() ? ROOT : path,
+        "expected an object, found " + describe(element));
     object = element.getAsJsonObject();
   }
 
-  /** The object that is the whole text. */
+  /** Parses a text that consists of one JSON object. */
   static JsonObjectReader ofText(String text) throws MalformedMessageException {
     try {
       return new JsonObjectReader("", JsonParser.parseString(text));
     } catch (JsonParseException e) {
-      throw new MalformedMessageException(ROOT, "no JSON: " + e.getMessage(), e);
+      throw new MalformedMessageException(ROOT,
+          "expected JSON: " + truncate(String.valueOf(e.getMessage()), MAX_CAUSE_CHARACTERS), e);
     }
   }
 
-  /** The path of one of its keys. */
+  /** Returns the path of a key of this object. */
   String pathOf(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  /** The last part of its own path. */
+  /** Returns the last part of this object's path. */
   String name() {
     return path.substring(path.lastIndexOf('.') + 1);
   }
 
-  /** A fault at one of its keys. */
-  MalformedMessageException fault(String key, String what) {
-    return new MalformedMessageException(pathOf(key), what);
+  /** Returns an exception for a problem with the value of a key of this object. */
+  MalformedMessageException malformed(String key, String problem) {
+    return new MalformedMessageException(pathOf(key), problem);
   }
 
-  /** Refuses every key but these. */
+  /** Quotes a text from outside in a message, cut to a bounded length. */
+  static String quote(String text) {
+    return '"' + truncate(text, MAX_QUOTED_CHARACTERS) + '"';
+  }
+
+  private static String truncate(String text, int maxCharacters) {
+    return text.substring(0, Math.min(maxCharacters, text.length()));
+  }
+
+  /** Describes a value from outside in a message: the type of a container, or a bounded text. */
+  private static String describe(JsonElement element) {
+    if (element.isJsonObject()) return "an object";
+    if (element.isJsonArray()) return "an array";
+    return isString(element) ? quote(element.getAsString())
+        : truncate(element.toString(), MAX_QUOTED_CHARACTERS);
+  }
+
+  /** Rejects every key that is not in the list. */
   void allowOnly(List<String> keys) throws MalformedMessageException {
-    for (String key : object.keySet()) if (!keys.contains(key)) throw fault(key, "not known");
+    for (String key : object.keySet()) {
+      if (!keys.contains(key)) throw malformed(truncate(key, MAX_QUOTED_CHARACTERS),
+          "unknown key, expected one of " + keys);
+    }
   }
 
   boolean has(String key) {
@@ -64,7 +87,7 @@
   }
 
   private JsonElement required(String key) throws MalformedMessageException {
-    if (!has(key)) throw fault(key, "missing");
+    if (!has(key)) throw malformed(key, "expected a value, found none");
     return object.get(key);
   }
 
@@ -72,7 +95,7 @@
     return new JsonObjectReader(pathOf(key), required(key));
   }
 
-  /** The object at each of its keys, in their order. */
+  /** Returns the objects at all keys, in the order of the keys. */
   List<JsonObjectReader> children() throws MalformedMessageException {
     List<JsonObjectReader> children = new ArrayList<>();
     for (String key : object.keySet())
@@ -80,47 +103,51 @@
     return children;
   }
 
-  String word(String key) throws MalformedMessageException {
+  String string(String key) throws MalformedMessageException {
     JsonElement element = required(key);
-    if (!isString(element)) throw fault(key, "no word");
+    if (!isString(element)) throw malformed(key, "expected a string, found " + describe(element));
     return element.getAsString();
   }
 
-  /** A list of words; empty where the key is missing. */
-  SortedSet<String> words(String key) throws MalformedMessageException {
-    SortedSet<String> words = new TreeSet<>();
-    if (!has(key)) return words;
-    if (!required(key).isJsonArray()) throw fault(key, "no list");
+  /** Returns an array of strings; empty if the key is missing. */
+  SortedSet<String> strings(String key) throws MalformedMessageException {
+    SortedSet<String> strings = new TreeSet<>();
+    if (!has(key)) return strings;
+    if (!required(key).isJsonArray())
+      throw malformed(key, "expected an array of strings, found " + describe(required(key)));
     for (JsonElement element : required(key).getAsJsonArray()) {
-      if (!isString(element)) throw fault(key, "words alone");
-      words.add(element.getAsString());
+      if (!isString(element))
+        throw malformed(key, "expected only strings in the array, found " + describe(element));
+      strings.add(element.getAsString());
     }
-    return words;
+    return strings;
   }
 
   private static boolean isString(JsonElement element) {
     return element.isJsonPrimitive() && element.getAsJsonPrimitive().isString();
   }
 
-  /** A number from 0 on; 0 where the key is missing. */
+  /** Returns a finite number that is not negative; 0 if the key is missing. */
   double number(String key) throws MalformedMessageException {
     if (!has(key)) return 0;
     JsonElement element = required(key);
     if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isNumber())
-      throw fault(key, "no number");
+      throw malformed(key, "expected a number, found " + describe(element));
     double number = element.getAsDouble();
-    if (!Double.isFinite(number) || number < 0) throw fault(key, "from 0 on");
+    if (!Double.isFinite(number) || number < 0)
+      throw malformed(key, "expected a finite number of at least 0, found " + describe(element));
     return number;
   }
 
-  /** A whole number from 0 on; 0 where the key is missing. */
-  long whole(String key) throws MalformedMessageException {
+  /** Returns an integer that is not negative; 0 if the key is missing. */
+  long integer(String key) throws MalformedMessageException {
     double number = number(key);
-    if (number != Math.rint(number) || number > MAX_WHOLE) throw fault(key, "a whole number");
+    if (number != Math.rint(number) || number > MAX_INTEGER)
+      throw malformed(key, "expected an integer of at most " + MAX_INTEGER + ", found " + number);
     return (long) number;
   }
 
-  /** A time that the text gives in ms; 0 where the key is missing. */
+  /** Returns a time in ticks, which the text gives in ms; 0 if the key is missing. */
   long ticks(String key) throws MalformedMessageException {
     return Math.round(number(key) * Ticks.PER_MILLISECOND);
   }
--- a/src/main/java/saltlatch/wire/configuration/LeaseCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/LeaseCodec.java
@@ -7,7 +7,7 @@
 import saltlatch.configuration.LeaseResponse;
 import saltlatch.wire.MalformedMessageException;
 
-/** The JSON form of lease renewals and of the quorum's responses. */
+/** Encodes lease renewals and the quorum's responses as JSON, and decodes them. */
 public final class LeaseCodec {
   private static final String NODE = "node";
   private static final String ACTIVE = "acts";
@@ -25,7 +25,7 @@
 
   private LeaseCodec() {}
 
-  /** The text of a renewal. */
+  /** Returns the JSON text of a renewal. */
   public static String encode(LeaseRenewal renewal) {
     JsonObject object = new JsonObject();
     object.addProperty(NODE, renewal.node());
@@ -39,19 +39,19 @@
   }
 
   /**
-   * Reads a renewal.
+   * Decodes a renewal.
    *
-   * @throws MalformedMessageException what is wrong, and at which key
+   * @throws MalformedMessageException if the text is malformed; names the key and the problem
    */
   public static LeaseRenewal decodeRenewal(String text) throws MalformedMessageException {
     JsonObjectReader object = JsonObjectReader.ofText(text);
     object.allowOnly(RENEWAL_KEYS);
     boolean rejects = object.has(REJECTED);
-    return new LeaseRenewal(object.word(NODE), version(object, ACTIVE), version(object, PREPARED),
-        rejects ? version(object, REJECTED) : null, rejects ? object.word(REASON) : null);
+    return new LeaseRenewal(object.string(NODE), version(object, ACTIVE), version(object, PREPARED),
+        rejects ? version(object, REJECTED) : null, rejects ? object.string(REASON) : null);
   }
 
-  /** The text of a response. */
+  /** Returns the JSON text of a response. */
   public static String encode(LeaseResponse response) {
     JsonObject object = new JsonObject();
     object.addProperty(ACTIVE_VERSION, response.activeVersion().toString());
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Reads a response.
+   * Decodes a response.
    *
-   * @throws MalformedMessageException what is wrong, and at which key
+   * @throws MalformedMessageException if the text is malformed; names the key and the problem
    */
   public static LeaseResponse decodeResponse(String text) throws MalformedMessageException {
     JsonObjectReader object = JsonObjectReader.ofText(text);
@@ -78,11 +78,12 @@
 
   private static ConfigurationVersion version(JsonObjectReader object, String key)
       throws MalformedMessageException {
-    String word = object.word(key);
+    String word = object.string(key);
     try {
       return ConfigurationVersion.parse(word);
     } catch (IllegalArgumentException e) {
-      throw object.fault(key, e.getMessage());
+      throw object.malformed(key,
+          "expected a version as EPOCH.NUMBER, found " + JsonObjectReader.quote(word));
     }
   }
 }
--- a/src/main/java/saltlatch/wire/configuration/package-info.java
+++ b/src/main/java/saltlatch/wire/configuration/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The JSON form of shared configurations, of the nodes' lease renewals and of the quorum's
- * responses.
+ * Codecs for the JSON formats of shared configurations, of the nodes' lease renewals and of the
+ * quorum's responses.
  *
- * <p>The only place that knows the form's keys and words; they are mapped here to the terms of
- * {@code saltlatch.configuration}. It may import that package, {@code saltlatch.api} and {@code
- * saltlatch.wire}. Stateless, for any thread. Only tests call it so far: the servers of the quorum
- * and the renewals over HTTP are open issues.
+ * <p>Only this package contains the keys and words of these formats; it maps them to the terms of
+ * {@code saltlatch.configuration}. May import that package, {@code saltlatch.api} and {@code
+ * saltlatch.wire}. Stateless and callable from any thread. So far only tests call it: the quorum
+ * servers and the renewals over HTTP are open issues.
  */
 package saltlatch.wire.configuration;
--- a/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/saltlatch/wire/configuration/ConfigurationCodecTest.java
@@ -19,7 +19,7 @@
 import saltlatch.wire.LimitExceededException;
 import saltlatch.wire.MalformedMessageException;
 
-/** The JSON text of configurations, of nodes' reports and of keepers' answers. */
+/** Checks the JSON text of configurations, of lease renewals and of the quorum's responses. */
 class ConfigurationCodecTest {
   private static final String CONFIGURATION = "{\"epoch\":3,\"number\":17,\"expired\":\"wait\","
       + "\"pins\":[\"customers\",\"plans.team\"],\"plans\":{\"free\":{\"rate\":0.0,\"burst\":0.0,"
@@ -52,22 +52,22 @@
   }
 
   @Test
-  void textOfAConfiguration() throws Exception {
+  void encodesAndDecodesConfiguration() throws Exception {
     assertEquals(CONFIGURATION, ConfigurationCodec.encode(configuration()));
     assertEquals(configuration(), ConfigurationCodec.decode(CONFIGURATION));
   }
 
-  /** Of all but the version, so that it is the same under another one. */
+  /** The hash covers everything but the version, so it is the same under another version. */
   @Test
-  void hashOfAConfiguration() {
+  void hashIgnoresTheVersion() {
     assertEquals("45615706b031e35e", ConfigurationCodec.hash(configuration()));
     assertEquals("45615706b031e35e",
         ConfigurationCodec.hash(configuration().withVersion(new ConfigurationVersion(4, 1))));
   }
 
-  /** What may be left out, and the value that stands for it. */
+  /** Checks which keys may be left out, and their default values. */
   @Test
-  void shortestText() throws Exception {
+  void missingKeysHaveDefaults() throws Exception {
     SharedConfiguration read = ConfigurationCodec.decode("{\"epoch\":1,\"plans\":{\"p\":{}},"
         + "\"frontends\":{\"f\":{\"effect\":\"replayable\",\"group\":\"zone\"}},\"limits\":{}}");
     assertEquals("{\"epoch\":1,\"number\":0,\"expired\":\"deny\",\"pins\":[],\"plans\":{\"p\":"
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void textOfRenewals() throws Exception {
+  void encodesAndDecodesRenewals() throws Exception {
     assertRenewal("{\"node\":\"n1\",\"acts\":\"1.1\",\"prepared\":\"0.0\"}", new LeaseRenewal("n1",
         new ConfigurationVersion(1, 1), ConfigurationVersion.NONE, null, null));
     assertRenewal(
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void textOfResponses() throws Exception {
+  void encodesAndDecodesResponses() throws Exception {
     ConfigurationVersion version = new ConfigurationVersion(3, 16);
     assertResponse("{\"in_force\":\"3.16\"}", new LeaseResponse(version, null, null));
     assertResponse("{\"in_force\":\"3.16\",\"offered\":" + CONFIGURATION + "}",
@@ -109,61 +109,68 @@
     assertEquals(response, LeaseCodec.decodeResponse(text));
   }
 
-  /** A text beyond the bound is not read, however it goes on. */
+  /** A text of the maximum length is decoded; a longer one is refused, whatever follows. */
   @Test
-  void longestText() throws Exception {
+  void refusesTextBeyondTheLimit() throws Exception {
     String longest = CONFIGURATION + " ".repeat((1 << 20) - CONFIGURATION.length());
     assertEquals(configuration(), ConfigurationCodec.decode(longest));
-    LimitExceededException longer = assertThrows(LimitExceededException.class,
+    LimitExceededException exception = assertThrows(LimitExceededException.class,
         () -> ConfigurationCodec.decode(longest + " "));
     assertEquals("configuration: 1048577 characters (limit 1048576 characters)",
-        longer.getMessage());
+        exception.getMessage());
   }
 
   /**
-   * An operator misspells a key or a value. The text is refused and names the key; were it taken,
-   * the plan would silently have another limit.
+   * Guards against a key or value that an operator has misspelt: if the text were accepted, a plan
+   * would silently have another limit. The failure names the key.
    */
   @Test
-  void misspeltKeysAndValues() throws Exception {
+  void rejectsMisspeltKeysAndValues() throws Exception {
     SharedConfiguration configuration = configuration();
     assertEquals(configuration,
         ConfigurationCodec.decode(ConfigurationCodec.encode(configuration)));
-    Map<String, String> misspelt = Map.of("\"plans\"", "\"plan\"", "\"burst\":10.0",
+    Map<String, String> misspellings = Map.of("\"plans\"", "\"plan\"", "\"burst\":10.0",
         "\"burst\":\"x\"", "\"replayable\"", "\"maybe\"", "\"9b1f03aa\"", "\"nobody\"",
         "\"send_cap\":4", "\"send_cap\":4.5");
-    List<String> faults = new ArrayList<>();
-    misspelt.forEach((from, to) -> {
-      MalformedMessageException fault = assertThrows(MalformedMessageException.class,
-          () -> ConfigurationCodec.decode(CONFIGURATION.replace(from, to)));
-      assertEquals(fault.getMessage(), fault.location() + ": " + fault.problem());
-      faults.add(fault.getMessage());
+    List<String> messages = new ArrayList<>();
+    misspellings.forEach((original, misspelling) -> {
+      MalformedMessageException exception = assertThrows(MalformedMessageException.class,
+          () -> ConfigurationCodec.decode(CONFIGURATION.replace(original, misspelling)));
+      assertEquals(exception.getMessage(), exception.location() + ": " + exception.problem());
+      messages.add(exception.getMessage());
     });
-    faults.sort(null);
-    assertEquals(
-        List.of("barred: nobody is no customer",
-            "frontends.read.effect: maybe is none of [replayable, uniqued, non_replayable]",
-            "limits.send_cap: a whole number", "plan: not known", "plans.team.burst: no number"),
-        faults);
+    messages.sort(null);
+    assertEquals(List.of(
+        "barred: expected a customer as a hexadecimal number of 64 bits, found \"nobody\"",
+        "frontends.read.effect: expected one of [replayable, uniqued, non_replayable], "
+            + "found \"maybe\"",
+        "limits.send_cap: expected an integer of at most 9007199254740992, found 4.5",
+        "plan: unknown key, expected one of [epoch, number, expired, pins, plans, frontends, limits, "
+            + "held_out, barred, exempt, roster]",
+        "plans.team.burst: expected a number, found \"x\""), messages);
   }
 
-  /** Every kind of fault is named with its key. */
+  /** Each kind of problem is reported with its key. */
   @Test
-  void faultsNameTheirKey() {
-    assertFault("the whole: no JSON: ", "{\"epoch\":");
-    assertFault("the whole: no object", "[]");
-    assertFault("limits: missing",
+  void reportsEachProblemWithItsKey() {
+    assertMalformed("document: expected JSON: ", "{\"epoch\":");
+    assertMalformed("document: expected an object, found an array", "[]");
+    assertMalformed("limits: expected a value, found none",
         CONFIGURATION.replaceFirst("\"limits\":\\{[^}]*}", "\"limits\":null"));
-    assertFault("epoch: from 0 on", CONFIGURATION.replace("\"epoch\":3", "\"epoch\":-3"));
-    assertFault("number: a whole number", CONFIGURATION.replace("17,", "1e99,"));
-    assertFault("plans.team: no object",
+    assertMalformed("epoch: expected a finite number of at least 0, found -3",
+        CONFIGURATION.replace("\"epoch\":3", "\"epoch\":-3"));
+    assertMalformed("number: expected an integer of at most 9007199254740992, found 1.0E99",
+        CONFIGURATION.replace("17,", "1e99,"));
+    assertMalformed("plans.team: expected an object, found 5",
         CONFIGURATION.replaceFirst("\"team\":\\{[^}]*}", "\"team\":5"));
-    assertFault("expired: no word", CONFIGURATION.replace("\"wait\"", "1"));
-    assertFault("roster: no list", CONFIGURATION.replace("[\"n0\",\"n1\"]", "\"n0\""));
-    assertFault("roster: words alone", CONFIGURATION.replace("[\"n0\",\"n1\"]", "[1]"));
+    assertMalformed("expired: expected a string, found 1", CONFIGURATION.replace("\"wait\"", "1"));
+    assertMalformed("roster: expected an array of strings, found \"n0\"",
+        CONFIGURATION.replace("[\"n0\",\"n1\"]", "\"n0\""));
+    assertMalformed("roster: expected only strings in the array, found 1",
+        CONFIGURATION.replace("[\"n0\",\"n1\"]", "[1]"));
   }
 
-  private static void assertFault(String message, String text) {
+  private static void assertMalformed(String message, String text) {
     String actual = assertThrows(MalformedMessageException.class,
         () -> ConfigurationCodec.decode(text), message).getMessage();
     assertEquals(message, actual.substring(0, Math.min(message.length(), actual.length())));
