--- a/src/test/java/saltlatch/node/EventOrderTest.java
+++ b/src/test/java/saltlatch/node/EventOrderTest.java
@@ -15,229 +15,239 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * Two events that cross, on real connections, in the bad order every time: the node's loop is held
- * by the scripted module, or a listener's backlog is full, until both have happened.
+ * Guards against races between two events on real connections. Each test forces the harmful order:
+ * until both events have happened, the scripted policy blocks the node's event loop, or the node
+ * does not read because a client has the maximum number of unanswered requests.
  */
 @Timeout(60)
 class EventOrderTest extends NodeHarness {
-  private static final String PASSED = "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n";
+  private static final String SUCCESS_REPLY = "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n";
 
-  /** What the script holds the loop with, so that what comes meanwhile comes in one turn. */
-  private static final class Hold {
-    final CountDownLatch begun = new CountDownLatch(1);
-    final CountDownLatch over = new CountDownLatch(1);
+  /** Blocks the event loop, so that all that arrives meanwhile is read in one iteration. */
+  private static final class LoopBlocker {
+    final CountDownLatch blocked = new CountDownLatch(1);
+    final CountDownLatch released = new CountDownLatch(1);
 
-    void hold() {
-      begun.countDown();
+    void block() {
+      blocked.countDown();
       try {
-        assertTrue(over.await(20, TimeUnit.SECONDS));
+        assertTrue(released.await(20, TimeUnit.SECONDS));
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
     }
   }
 
-  /** The module is asked again before a dispatch whose connection came up later is written. */
+  /**
+   * The policy may withdraw an attempt while its connection is being established. The node asks it
+   * again before it writes the command.
+   */
   @Test
-  void lateConnectionIsNotWrittenAgainstThePolicy() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
-        actions.fail(d.requestId());
+  void asksThePolicyAgainBeforeWritingOnALateConnection() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived)
+        actions.startAttempt(requestIdOf(event), 0, 80_000);
+      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
+        actions.fail(ended.requestId());
     };
     allowAttemptStart = false;
-    Socket c = connectClient();
-    send(c, queryCommand(0));
-    Socket s = accept(appServer);
-    assertEquals("closed", readLine(s));
+    Socket client = connectClient();
+    send(client, queryCommand(0));
+    Socket connection = accept(appServer);
+    assertEquals("closed", readLine(connection));
     assertEquals("asked 0/0", attemptStartQueries.poll(20, TimeUnit.SECONDS));
     assertEquals("arrived 0 waits 900 ended 0/0 WITHDRAWN",
         nextEventText() + " " + nextEventText());
-    assertEquals("-ERR aborted", readLine(c));
+    assertEquals("-ERR aborted", readLine(client));
   }
 
   /**
-   * An app srv is told what is left of the wait when its command is written, not what was left
-   * before its connection came up.
+   * An app server receives the time that is left when its command is written, not the time that was
+   * left before its connection was established.
    */
   @Test
-  void lateConnectionForwardsTheTimeThatIsLeft() throws Exception {
-    Hold hold = new Hold();
-    long capMs = 800;
-    long lateMs = 150;
-    eventHandler = e -> {
-      if (!(e instanceof GatewayEvent.RequestArrived)) return;
-      actions.startAttempt(requestIdOf(e), 0, capMs * 10);
-      hold.hold();
+  void lateConnectionForwardsTheRemainingTime() throws Exception {
+    LoopBlocker blocker = new LoopBlocker();
+    long attemptCapMs = 800;
+    long delayMs = 150;
+    eventHandler = event -> {
+      if (!(event instanceof GatewayEvent.RequestArrived)) return;
+      actions.startAttempt(requestIdOf(event), 0, attemptCapMs * 10);
+      blocker.block();
     };
     send(connectClient(), queryCommand(0));
-    assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    Thread.sleep(lateMs); // what is measured, not an order
-    hold.over.countDown();
-    Matcher told = Pattern.compile("\\bd=(\\d+)").matcher(request(accept(appServer)));
-    assertTrue(told.find());
-    long toldMs = Long.parseLong(told.group(1));
-    assertTrue(toldMs <= capMs - lateMs && toldMs > 0, "told " + toldMs);
+    assertTrue(blocker.blocked.await(20, TimeUnit.SECONDS));
+    Thread.sleep(delayMs); // the delay under test; it orders no events
+    blocker.released.countDown();
+    Matcher deadline = Pattern.compile("\\bd=(\\d+)")
+        .matcher(readCommandUpToDeadline(accept(appServer)));
+    assertTrue(deadline.find());
+    long forwardedMs = Long.parseLong(deadline.group(1));
+    assertTrue(forwardedMs <= attemptCapMs - delayMs && forwardedMs > 0,
+        "forwarded " + forwardedMs + " ms");
   }
 
-  /** A command's lines up to that of its terms. */
-  private static String request(Socket appServer) throws IOException {
+  /** Reads a command's lines up to the one with its deadline. */
+  private static String readCommandUpToDeadline(Socket appServer) throws IOException {
     StringBuilder lines = new StringBuilder();
     while (!lines.toString().contains("d=")) lines.append(readLine(appServer)).append(' ');
     return lines.toString();
   }
 
   /**
-   * The client leaves while the connection comes up, and the settings know no cancelling: nothing
-   * is written.
+   * The client disconnects while the connection to the app server is being established. Nothing is
+   * written, even though the settings do not enable cancellation.
    */
   @Test
-  void clientLeavesBeforeTheConnectionIsUp() throws Exception {
-    Hold hold = new Hold();
-    eventHandler = e -> {
-      if (!(e instanceof GatewayEvent.RequestArrived)) return;
-      actions.startAttempt(requestIdOf(e), 0, 80_000);
-      hold.hold();
+  void sendsNothingIfTheClientLeavesBeforeTheConnectionIsUp() throws Exception {
+    LoopBlocker blocker = new LoopBlocker();
+    eventHandler = event -> {
+      if (!(event instanceof GatewayEvent.RequestArrived)) return;
+      actions.startAttempt(requestIdOf(event), 0, 80_000);
+      blocker.block();
     };
-    Socket c = connectClient();
-    send(c, queryCommand(0));
-    assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    closeAndAwaitFin(c);
-    hold.over.countDown();
+    Socket client = connectClient();
+    send(client, queryCommand(0));
+    assertTrue(blocker.blocked.await(20, TimeUnit.SECONDS));
+    closeAndAwaitFin(client);
+    blocker.released.countDown();
     assertEquals("closed", readLine(accept(appServer)));
     assertEquals("arrived 0 waits 900 left 0 ended 0/0 WITHDRAWN over",
         nextEventText() + " " + nextEventText() + " " + nextEventText());
   }
 
   /**
-   * A req that is read in the turn in which its client's close is seen comes to the module with the
-   * close.
+   * If a request and its client's close are read in the same iteration of the event loop, the
+   * policy gets both in one batch, so that it does not start work for a client that has left.
    */
   @Test
-  void closeReadWithTheRequestInFront() throws Exception {
-    Hold hold = new Hold();
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived && requestIdOf(e) == 0) hold.hold();
-      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
+  void deliversACloseInTheSameBatchAsTheRequestBeforeIt() throws Exception {
+    LoopBlocker blocker = new LoopBlocker();
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived && requestIdOf(event) == 0) blocker.block();
+      if (event instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(event), 0);
     };
-    Socket first = connectClient();
-    Socket second = usualConnection();
-    send(first, queryCommand(0));
-    assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    send(second, queryCommand(1));
-    closeAndAwaitFin(second);
-    hold.over.countDown();
-    assertEquals("-BUSY", readLine(first));
+    Socket blockingClient = connectClient();
+    Socket closingClient = acceptedClient();
+    send(blockingClient, queryCommand(0));
+    assertTrue(blocker.blocked.await(20, TimeUnit.SECONDS));
+    send(closingClient, queryCommand(1));
+    closeAndAwaitFin(closingClient);
+    blocker.released.countDown();
+    assertEquals("-BUSY", readLine(blockingClient));
     List<String> batch = batches.poll(20, TimeUnit.SECONDS);
     while (batch != null && !batch.contains("arrived 1 waits 900"))
       batch = batches.poll(20, TimeUnit.SECONDS);
     assertEquals(List.of("arrived 1 waits 900", "left 1"), batch);
   }
 
-  /** A connection that the node has accepted: it has answered there. */
-  private Socket usualConnection() throws IOException {
-    Socket s = connectClient();
-    send(s, "*1\r\n$4\r\nPING\r\n");
-    assertEquals("+PONG", readLine(s));
-    return s;
+  /** Connects a client and waits for a reply, so that the node has accepted the connection. */
+  private Socket acceptedClient() throws IOException {
+    Socket client = connectClient();
+    send(client, "*1\r\n$4\r\nPING\r\n");
+    assertEquals("+PONG", readLine(client));
+    return client;
   }
 
   /**
-   * A client with so much owed that reading has stopped goes away, its close behind unread bytes.
+   * A client closes while 64 of its requests are unanswered. The node has then stopped reading from
+   * it, so that the close is behind unread bytes; it must be noticed nevertheless.
    */
   @Test
-  void closeBehindUnreadBytes() throws Exception {
-    Socket c = usualConnection();
-    StringBuilder many = new StringBuilder();
-    for (int i = 0; i < 64; i++) many.append(queryCommand(i));
-    send(c, many.toString());
+  void noticesACloseBehindUnreadBytes() throws Exception {
+    Socket client = acceptedClient();
+    StringBuilder commands = new StringBuilder();
+    for (int i = 0; i < 64; i++) commands.append(queryCommand(i));
+    send(client, commands.toString());
     for (int i = 0; i < 64; i++) assertEquals("arrived " + i + " waits 900", nextEventText());
-    send(c, queryCommand(64));
-    c.close();
+    send(client, queryCommand(64));
+    client.close();
     assertEquals("left 0", nextEventText());
   }
 
-  /** The same with a reset, and with a half close. */
+  /** Like the test above, with a reset and with a half close. */
   @Test
-  void resetBehindUnreadBytes() throws Exception {
+  void noticesAResetOrHalfCloseBehindUnreadBytes() throws Exception {
     for (boolean reset : new boolean[] {true, false}) {
-      Socket c = usualConnection();
-      StringBuilder many = new StringBuilder();
-      for (int i = 0; i < 64; i++) many.append(queryCommand(i));
-      send(c, many.toString());
-      long first = -1;
+      Socket client = acceptedClient();
+      StringBuilder commands = new StringBuilder();
+      for (int i = 0; i < 64; i++) commands.append(queryCommand(i));
+      send(client, commands.toString());
+      long firstRequestId = -1;
       for (int i = 0; i < 64; i++) {
         String text = nextEventText();
         assertTrue(text.startsWith("arrived"), text);
-        if (first < 0) first = Long.parseLong(text.split(" ", 0)[1]);
+        if (firstRequestId < 0) firstRequestId = Long.parseLong(text.split(" ", 0)[1]);
       }
-      send(c, queryCommand(64));
-      if (reset) c.setSoLinger(true, 0);
-      if (reset) c.close();
-      else c.shutdownOutput();
-      assertEquals("left " + first, nextEventText());
+      send(client, queryCommand(64));
+      if (reset) client.setSoLinger(true, 0);
+      if (reset) client.close();
+      else client.shutdownOutput();
+      assertEquals("left " + firstRequestId, nextEventText());
       for (int i = 1; i < 64; i++) nextEventText();
     }
   }
 
   /**
-   * Half a line, or a second answer, on a connection that rests ends it: it is not the next
-   * dispatch's answer.
+   * An app server sends part of a line, or a second reply, on an idle connection. The node closes
+   * the connection; otherwise the bytes would be taken for the next attempt's reply.
    */
   @Test
-  void bytesOnAnIdleConnection() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
-        actions.fail(d.requestId());
+  void closesAnIdleServerConnectionThatReceivesBytes() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived)
+        actions.startAttempt(requestIdOf(event), 0, 80_000);
+      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
+        actions.fail(ended.requestId());
     };
-    Socket c = connectClient();
-    String[] strays = {"*3\r\n$2\r\nxx", PASSED};
-    for (int i = 0; i < strays.length; i++) {
-      send(c, queryCommand(2 * i));
-      Socket s = accept(appServer);
-      readLines(s, 9);
-      send(s, PASSED);
-      assertEquals("$2 hi", readLines(c, 2));
-      send(s, strays[i]);
-      assertEquals("closed", readLine(s));
-      send(c, queryCommand(2 * i + 1));
-      s = accept(appServer);
-      readLines(s, 9);
-      send(s, PASSED);
-      assertEquals("$2 hi", readLines(c, 2));
-      s.close();
-      while (!infoLines(c).contains("connections_opened=" + (2 * i + 2))) Thread.onSpinWait();
+    Socket client = connectClient();
+    String[] strayBytes = {"*3\r\n$2\r\nxx", SUCCESS_REPLY};
+    for (int i = 0; i < strayBytes.length; i++) {
+      send(client, queryCommand(2 * i));
+      Socket connection = accept(appServer);
+      readLines(connection, 9);
+      send(connection, SUCCESS_REPLY);
+      assertEquals("$2 hi", readLines(client, 2));
+      send(connection, strayBytes[i]);
+      assertEquals("closed", readLine(connection));
+      send(client, queryCommand(2 * i + 1));
+      connection = accept(appServer);
+      readLines(connection, 9);
+      send(connection, SUCCESS_REPLY);
+      assertEquals("$2 hi", readLines(client, 2));
+      connection.close();
+      while (!infoLines(client).contains("connections_opened=" + (2 * i + 2))) Thread.onSpinWait();
     }
   }
 
   /**
-   * What comes behind broken framing is thrown away, and the error arrives: no reset takes it
-   * along.
+   * After a framing error the node discards what the client still sends. If it closed the socket
+   * with unread bytes, the kernel would send a reset, and the client could lose the error reply.
    */
   @Test
-  void errorArrivesThoughMoreWasSent() throws Exception {
-    eventHandler = e -> actions.reject(requestIdOf(e), 0);
-    Hold hold = new Hold();
-    Socket c = usualConnection();
-    Socket other = usualConnection();
-    eventHandler = e -> {
-      if (requestIdOf(e) == 0) hold.hold();
-      actions.reject(requestIdOf(e), 0);
+  void framingErrorReachesAClientThatSentMore() throws Exception {
+    eventHandler = event -> actions.reject(requestIdOf(event), 0);
+    LoopBlocker blocker = new LoopBlocker();
+    Socket client = acceptedClient();
+    Socket blockingClient = acceptedClient();
+    eventHandler = event -> {
+      if (requestIdOf(event) == 0) blocker.block();
+      actions.reject(requestIdOf(event), 0);
     };
-    send(other, queryCommand(0));
-    assertTrue(hold.begun.await(20, TimeUnit.SECONDS));
-    send(c, queryCommand(1) + "nonsense\r\n" + "x".repeat(60_000));
-    hold.over.countDown();
-    assertEquals("-ERR Protocol error: no RESP2 value -BUSY".split(" -BUSY", 0)[0], errorAfter(c));
-    // to a connection that was reset this fails, and what had come is gone
-    send(c, "y".repeat(20_000));
-    assertEquals("closed", readLine(c));
+    send(blockingClient, queryCommand(0));
+    assertTrue(blocker.blocked.await(20, TimeUnit.SECONDS));
+    send(client, queryCommand(1) + "nonsense\r\n" + "x".repeat(60_000));
+    blocker.released.countDown();
+    assertEquals("-ERR Protocol error: no RESP2 value -BUSY".split(" -BUSY", 0)[0],
+        readErrorAfterRejection(client));
+    // fails if the connection was reset, and then unread replies are lost as well
+    send(client, "y".repeat(20_000));
+    assertEquals("closed", readLine(client));
   }
 
-  /** Its first line is the denial of the req in front, its second the error. */
-  private static String errorAfter(Socket c) throws IOException {
-    assertEquals("-BUSY", readLine(c));
-    return readLine(c);
+  /** Reads the rejection of the request before the error, and returns the error. */
+  private static String readErrorAfterRejection(Socket client) throws IOException {
+    assertEquals("-BUSY", readLine(client));
+    return readLine(client);
   }
 }
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -29,12 +29,12 @@
 import saltlatch.api.GatewaySettings;
 
 /**
- * A whole node on loopback sockets, with a scripted module in it. The test's own thread is the
- * client, the app srv, the counter and discovery, each in its turn, so that nothing races.
+ * Runs a complete node on loopback sockets with a scripted policy. The test thread acts as client,
+ * app server, counter and discovery in turn, so that none of them race.
  */
 abstract class NodeHarness {
-  private static final Pattern WAIT = Pattern.compile("\\$(\\d+) c=\\S*\\bd=(\\d+)");
-  private static final String CLOSE_WAIT = "08"; // Linux' number of the state in /proc/net/tcp
+  private static final Pattern DEADLINE = Pattern.compile("\\$(\\d+) c=\\S*\\bd=(\\d+)");
+  private static final String CLOSE_WAIT = "08"; // the state's code in Linux's /proc/net/tcp
 
   final BlockingQueue<String> eventTexts = new LinkedBlockingQueue<>();
   final List<Socket> sockets = new ArrayList<>();
@@ -46,13 +46,13 @@
   volatile GatewayActions actions;
   boolean stopped;
   volatile Consumer<GatewayEvent> eventHandler = e -> {};
-  // what the module says of a dispatch whose connection comes up late
+  // the policy's decision on an attempt whose connection is established late
   volatile boolean allowAttemptStart = true;
   final BlockingQueue<String> attemptStartQueries = new LinkedBlockingQueue<>();
   final BlockingQueue<List<String>> batches = new LinkedBlockingQueue<>();
 
   @BeforeEach
-  void start() throws Exception {
+  void startNode() throws Exception {
     appServer = openServerSocket();
     counter = openServerSocket();
     discovery = openServerSocket();
@@ -62,29 +62,30 @@
     assertEquals("listed CACHED_SNAPSHOT [0 READY]", nextEventText());
   }
 
-  private GatewayPolicy createPolicy(long now, GatewaySettings site, GatewayActions out) {
-    actions = out;
+  private GatewayPolicy createPolicy(long nowTicks, GatewaySettings settings,
+      GatewayActions policyActions) {
+    actions = policyActions;
     return new GatewayPolicy() {
       @Override
-      public void handle(long at, List<GatewayEvent> events) {
-        events.forEach(e -> {
-          eventTexts.add(describe(e));
-          eventHandler.accept(e);
+      public void handle(long nowTicks, List<GatewayEvent> events) {
+        events.forEach(event -> {
+          eventTexts.add(describe(event));
+          eventHandler.accept(event);
         });
         batches.add(events.stream().map(NodeHarness::describe).toList());
       }
 
       @Override
-      public boolean mayStartAttempt(long at, long rid, int dispatch) {
-        attemptStartQueries.add("asked " + rid + "/" + dispatch);
+      public boolean mayStartAttempt(long nowTicks, long requestId, int attempt) {
+        attemptStartQueries.add("asked " + requestId + "/" + attempt);
         return allowAttemptStart;
       }
     };
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (Socket s : sockets) s.close();
+  void tearDown() throws Exception {
+    for (Socket socket : sockets) socket.close();
     appServer.close();
     counter.close();
     discovery.close();
@@ -108,23 +109,24 @@
             "\"address\":\"127.0.0.1:" + appServer.getLocalPort() + "\"");
   }
 
-  static String describe(GatewayEvent e) {
-    if (e instanceof GatewayEvent.RequestArrived a)
-      return "arrived " + a.requestId() + " waits " + a.clientTimeoutTicks() / 10;
-    if (e instanceof GatewayEvent.AttemptEnded d) return "ended " + d.requestId() + "/"
-        + d.attempt() + " " + d.outcome() + (d.requestFinished() ? " over" : "");
-    if (e instanceof GatewayEvent.CounterReplied c)
-      return "counted " + c.counterName() + " " + c.outcome() + " " + c.total();
-    if (e instanceof GatewayEvent.ClientDisconnected c) return "left " + c.requestId();
-    if (e instanceof GatewayEvent.HealthChecked p)
-      return "probed " + p.outcome() + " " + p.loadReport();
-    if (e instanceof GatewayEvent.EndpointsUpdated l) {
-      return "listed " + l.kind() + " "
-          + l.endpoints().stream().map(x -> x.serverId() + " " + x.state()).toList();
+  static String describe(GatewayEvent event) {
+    if (event instanceof GatewayEvent.RequestArrived arrived)
+      return "arrived " + arrived.requestId() + " waits " + arrived.clientTimeoutTicks() / 10;
+    if (event instanceof GatewayEvent.AttemptEnded ended) return "ended " + ended.requestId() + "/"
+        + ended.attempt() + " " + ended.outcome() + (ended.requestFinished() ? " over" : "");
+    if (event instanceof GatewayEvent.CounterReplied reply)
+      return "counted " + reply.counterName() + " " + reply.outcome() + " " + reply.total();
+    if (event instanceof GatewayEvent.ClientDisconnected disconnected)
+      return "left " + disconnected.requestId();
+    if (event instanceof GatewayEvent.HealthChecked check)
+      return "probed " + check.outcome() + " " + check.loadReport();
+    if (event instanceof GatewayEvent.EndpointsUpdated update) {
+      return "listed " + update.kind() + " " + update.endpoints().stream()
+          .map(endpoint -> endpoint.serverId() + " " + endpoint.state()).toList();
     }
-    if (e instanceof GatewayEvent.GossipReceived h)
-      return "heard " + h.sender() + " " + h.message().usage();
-    return e.getClass().getSimpleName();
+    if (event instanceof GatewayEvent.GossipReceived gossip)
+      return "heard " + gossip.sender() + " " + gossip.message().usage();
+    return event.getClass().getSimpleName();
   }
 
   String nextEventText() throws InterruptedException {
@@ -133,76 +135,77 @@
   }
 
   static ServerSocket openServerSocket() throws IOException {
-    ServerSocket s = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    s.setSoTimeout(20_000);
-    return s;
+    ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    server.setSoTimeout(20_000);
+    return server;
   }
 
-  Socket accept(ServerSocket at) throws IOException {
-    Socket s = at.accept();
-    s.setSoTimeout(20_000);
-    sockets.add(s);
-    return s;
+  Socket accept(ServerSocket server) throws IOException {
+    Socket connection = server.accept();
+    connection.setSoTimeout(20_000);
+    sockets.add(connection);
+    return connection;
   }
 
   /**
-   * Closes a client's connection and returns once its end has reached the node's socket: on a busy
-   * machine the system delivers it some time after the close, and a node that is held until then
-   * must find it there.
+   * Closes a client's connection and returns once the close has reached the node's socket. On a
+   * busy machine the kernel delivers it some time after the call, and a node whose event loop is
+   * blocked until then must find it there.
    */
   void closeAndAwaitFin(Socket client) throws IOException, InterruptedException {
     int port = client.getLocalPort();
     client.close();
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    while (!isEndAtNode(port)) {
-      if (System.nanoTime() > end) throw new IOException("the close did not reach the node");
+    long giveUpAtNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    while (!isClosedByClient(port)) {
+      if (System.nanoTime() > giveUpAtNanos)
+        throw new IOException("the client's close did not reach the node within 20 s");
       Thread.sleep(1);
     }
   }
 
-  /** Whether the system lists the node's side of a client's connection as closed by the client. */
-  private boolean isEndAtNode(int clientPort) throws IOException {
-    String ends = String.format(Locale.ROOT, ":%04X [0-9A-F]+:%04X %s .*", node.port(), clientPort,
-        CLOSE_WAIT);
-    Pattern connection = Pattern.compile(ends);
+  /** Returns whether the kernel lists the node's end of a connection as closed by the client. */
+  private boolean isClosedByClient(int clientPort) throws IOException {
+    String rowPattern = String.format(Locale.ROOT, ":%04X [0-9A-F]+:%04X %s .*", node.port(),
+        clientPort, CLOSE_WAIT);
+    Pattern closedConnection = Pattern.compile(rowPattern);
     for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
       for (String row : Files.readAllLines(Path.of(table))) {
-        if (connection.matcher(row).find()) return true;
+        if (closedConnection.matcher(row).find()) return true;
       }
     }
     return false;
   }
 
   Socket connectClient() throws IOException {
-    Socket s = new Socket(InetAddress.getLoopbackAddress(), node.port());
-    s.setSoTimeout(20_000);
-    sockets.add(s);
-    return s;
+    Socket client = new Socket(InetAddress.getLoopbackAddress(), node.port());
+    client.setSoTimeout(20_000);
+    sockets.add(client);
+    return client;
   }
 
-  /** A client that has been answered, as all are from now on: come again. */
+  /** Connects a client and has one request rejected; the policy rejects all later ones too. */
   Socket answeredClient() throws IOException {
-    eventHandler = e -> actions.reject(requestIdOf(e), 0);
-    Socket s = connectClient();
-    send(s, queryCommand(0));
-    assertEquals("-BUSY", readLine(s));
-    return s;
+    eventHandler = event -> actions.reject(requestIdOf(event), 0);
+    Socket client = connectClient();
+    send(client, queryCommand(0));
+    assertEquals("-BUSY", readLine(client));
+    return client;
   }
 
-  static void send(Socket s, String text) throws IOException {
-    s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+  static void send(Socket socket, String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** The beginning of a chunked answer. */
-  static void sendFirstChunk(Socket s, String body) throws IOException {
+  /** Sends the head and the first chunk of a chunked HTTP response. */
+  static void sendFirstChunk(Socket socket, String body) throws IOException {
     String chunk = Integer.toHexString(body.length()) + "\r\n" + body + "\r\n";
-    send(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
+    send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk);
   }
 
-  /** A line without its end; the end of the stream is "closed". */
-  static String readLine(Socket s) throws IOException {
+  /** Reads a line without its terminator; returns "closed" at the end of the stream. */
+  static String readLine(Socket socket) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    InputStream in = s.getInputStream();
+    InputStream in = socket.getInputStream();
     for (int b = in.read(); b != '\n'; b = in.read()) {
       if (b < 0) return "closed";
       if (b != '\r') out.write(b);
@@ -210,45 +213,45 @@
     return out.toString(StandardCharsets.ISO_8859_1);
   }
 
-  static String readLines(Socket s, int count) throws IOException {
-    List<String> all = new ArrayList<>();
-    for (int i = 0; i < count; i++) all.add(readLine(s));
-    return String.join(" ", all);
+  static String readLines(Socket socket, int count) throws IOException {
+    List<String> lines = new ArrayList<>();
+    for (int i = 0; i < count; i++) lines.add(readLine(socket));
+    return String.join(" ", lines);
   }
 
-  static List<String> infoLines(Socket c) throws IOException {
-    send(c, "*1\r\n$4\r\nINFO\r\n");
-    List<String> figures = new ArrayList<>();
-    for (String line = readLine(c); !line.startsWith("held="); line = readLine(c))
-      figures.add(line);
-    readLine(c);
-    return figures;
+  static List<String> infoLines(Socket client) throws IOException {
+    send(client, "*1\r\n$4\r\nINFO\r\n");
+    List<String> lines = new ArrayList<>();
+    for (String line = readLine(client); !line.startsWith("held="); line = readLine(client))
+      lines.add(line);
+    readLine(client);
+    return lines;
   }
 
   /**
-   * A command as an app server got it, with the time it was told put at {@code capMs} where that is
-   * what was left of it: less by what has passed since {@code saidAt} (the clock in ns) at the
-   * most, never more. Else it stays as it is.
+   * Returns a command as an app server received it, with its deadline set to {@code capMs} if the
+   * received one is what may be left of that: not longer than {@code capMs}, and shorter by at most
+   * the time since {@code sentAtNanos}. Otherwise returns the command unchanged.
    */
-  static String withDeadline(long capMs, String command, long saidAt) {
-    long passedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - saidAt) + 1;
-    Matcher told = WAIT.matcher(command);
-    if (!told.find()) return command;
-    long toldMs = Long.parseLong(told.group(2));
-    if (toldMs > capMs || toldMs < capMs - passedMs) return command;
-    int longer = Long.toString(capMs).length() - told.group(2).length();
-    String length = "$" + (Integer.parseInt(told.group(1)) + longer);
-    return command.replace("$" + told.group(1) + " c=", length + " c=").replace("d=" + toldMs + ",",
-        "d=" + capMs + ",");
+  static String withDeadline(long capMs, String command, long sentAtNanos) {
+    long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAtNanos) + 1;
+    Matcher deadline = DEADLINE.matcher(command);
+    if (!deadline.find()) return command;
+    long deadlineMs = Long.parseLong(deadline.group(2));
+    if (deadlineMs > capMs || deadlineMs < capMs - elapsedMs) return command;
+    int extraDigits = Long.toString(capMs).length() - deadline.group(2).length();
+    String length = "$" + (Integer.parseInt(deadline.group(1)) + extraDigits);
+    return command.replace("$" + deadline.group(1) + " c=", length + " c=")
+        .replace("d=" + deadlineMs + ",", "d=" + capMs + ",");
   }
 
   static String queryCommand(int id) {
-    String name = Integer.toString(10 + id);
-    return "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$" + name.length() + "\r\n" + name
-        + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
+    String requestId = Integer.toString(10 + id);
+    return "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$" + requestId.length() + "\r\n"
+        + requestId + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
   }
 
-  static long requestIdOf(GatewayEvent e) {
-    return ((GatewayEvent.RequestArrived) e).requestId();
+  static long requestIdOf(GatewayEvent event) {
+    return ((GatewayEvent.RequestArrived) event).requestId();
   }
 }
