--- a/src/test/java/saltlatch/node/ConnectionCloseTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -27,109 +27,111 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * Closes on real connections whose other side does not take what is written, or writes in that very
- * moment.
+ * Closing of real connections whose other end does not read what the node writes, or sends at the
+ * same moment.
  */
 @Timeout(60)
 class ConnectionCloseTest extends NodeHarness {
-  private static final String LONG = "x".repeat(60_000);
+  private static final String LONG_VALUE = "x".repeat(60_000);
 
-  private static String submit(int id) {
-    return queryCommand(id).replace("*4", "*5") + "$60000\r\n" + LONG + "\r\n";
+  private static String submitCommand(int id) {
+    return queryCommand(id).replace("*4", "*5") + "$60000\r\n" + LONG_VALUE + "\r\n";
   }
 
   /**
-   * A command given up while half of it is written never comes whole: it was told as never begun.
+   * An attempt times out while its command is partly written. The app server must never get the
+   * complete command, since the policy was told that the attempt did not start.
    */
   @Test
-  void givenUpHalfWritten() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 5_000);
-      if (e instanceof GatewayEvent.AttemptEnded d && !d.requestFinished())
-        actions.fail(d.requestId());
+  void partlyWrittenCommandNeverArrivesCompletely() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived)
+        actions.startAttempt(requestIdOf(event), 0, 5_000);
+      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
+        actions.fail(ended.requestId());
     };
     int port = appServer.getLocalPort();
     appServer.close();
-    try (Narrow srv = new Narrow(port)) {
-      Socket c = connectClient();
-      send(c, submit(0));
+    try (SlowAppServer slowServer = new SlowAppServer(port)) {
+      Socket client = connectClient();
+      send(client, submitCommand(0));
       assertEquals("arrived 0 waits 900", nextEventText());
       assertEquals("ended 0/0 CONNECT_FAILED", nextEventText());
-      assertEquals("-ERR aborted", readLine(c));
-      int got = srv.readToEnd();
-      assertTrue(got < 60_000, got + " bytes");
+      assertEquals("-ERR aborted", readLine(client));
+      int bytesReceived = slowServer.readToEnd();
+      assertTrue(bytesReceived < 60_000, bytesReceived + " bytes");
     }
   }
 
   /**
-   * Commands read in one piece while this node ends: a first answer at once does not end the
-   * connection in front of the rest.
+   * The node reads several commands in one piece while it shuts down. An immediate reply to the
+   * first must not close the connection before the others are answered.
    */
   @Test
-  void commandsBehindOneAnsweredAtOnce() throws Exception {
-    eventHandler = e -> actions.reject(requestIdOf(e), 0);
-    Socket c = connectClient();
-    Socket idle = connectClient();
-    send(idle, queryCommand(9));
-    assertEquals("-BUSY", readLine(idle));
-    var done = node.stop().toCompletionStage().toCompletableFuture();
+  void answersAllPipelinedCommandsDuringShutdown() throws Exception {
+    eventHandler = event -> actions.reject(requestIdOf(event), 0);
+    Socket client = connectClient();
+    Socket answeredClient = connectClient();
+    send(answeredClient, queryCommand(9));
+    assertEquals("-BUSY", readLine(answeredClient));
+    var stopFuture = node.stop().toCompletionStage().toCompletableFuture();
     String ping = "*1\r\n$4\r\nPING\r\n";
-    int asked = 0;
-    for (String got = "+PONG"; !got.equals("closed"); asked++) {
-      send(c, ping + queryCommand(2 * asked) + ping + queryCommand(2 * asked + 1));
-      got = readLine(c);
-      if (!got.equals("closed"))
-        assertEquals("+PONG -BUSY +PONG -BUSY", got + " " + readLines(c, 3));
+    int rounds = 0;
+    for (String reply = "+PONG"; !reply.equals("closed"); rounds++) {
+      send(client, ping + queryCommand(2 * rounds) + ping + queryCommand(2 * rounds + 1));
+      reply = readLine(client);
+      if (!reply.equals("closed"))
+        assertEquals("+PONG -BUSY +PONG -BUSY", reply + " " + readLines(client, 3));
     }
-    assertTrue(asked > 1);
-    done.get();
+    assertTrue(rounds > 1);
+    stopFuture.get();
     stopped = true;
   }
 
   /**
-   * An app srv that reads nothing until asked, with segments so short that the node's system holds
-   * few bytes.
+   * An app server that reads nothing until {@link #readToEnd()}. Its segments are so short that the
+   * kernel on the node's side buffers few bytes.
    */
-  private static final class Narrow implements AutoCloseable {
+  private static final class SlowAppServer implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1,
         EpollIoHandler.newFactory());
-    private final AtomicInteger read = new AtomicInteger();
-    private final CompletableFuture<Channel> peer = new CompletableFuture<>();
-    private final CompletableFuture<Void> over = new CompletableFuture<>();
+    private final AtomicInteger bytesRead = new AtomicInteger();
+    private final CompletableFuture<Channel> acceptedChannel = new CompletableFuture<>();
+    private final CompletableFuture<Void> closed = new CompletableFuture<>();
 
-    Narrow(int port) throws InterruptedException {
+    SlowAppServer(int port) throws InterruptedException {
       new ServerBootstrap().group(loop).channel(EpollServerSocketChannel.class)
           .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_RCVBUF, 2_048)
           .option(new IntegerUnixChannelOption("TCP_MAXSEG", 6, 2), 128)
           .childOption(ChannelOption.AUTO_READ, false)
           .childHandler(new ChannelInboundHandlerAdapter() {
             @Override
-            public void channelActive(ChannelHandlerContext at) {
-              peer.complete(at.channel());
+            public void channelActive(ChannelHandlerContext context) {
+              acceptedChannel.complete(context.channel());
             }
 
             @Override
-            public void channelRead(ChannelHandlerContext at, Object bytes) {
-              read.addAndGet(((ByteBuf) bytes).readableBytes());
+            public void channelRead(ChannelHandlerContext context, Object bytes) {
+              bytesRead.addAndGet(((ByteBuf) bytes).readableBytes());
               ((ByteBuf) bytes).release();
             }
 
             @Override
-            public void exceptionCaught(ChannelHandlerContext at, Throwable e) {
-              var unused = at.close();
+            public void exceptionCaught(ChannelHandlerContext context, Throwable e) {
+              var unused = context.close();
             }
 
             @Override
-            public void channelInactive(ChannelHandlerContext at) {
-              over.complete(null);
+            public void channelInactive(ChannelHandlerContext context) {
+              closed.complete(null);
             }
           }).bind("127.0.0.1", port).sync();
     }
 
     int readToEnd() throws Exception {
-      peer.get(20, TimeUnit.SECONDS).config().setAutoRead(true);
-      over.get(20, TimeUnit.SECONDS);
-      return read.get();
+      acceptedChannel.get(20, TimeUnit.SECONDS).config().setAutoRead(true);
+      closed.get(20, TimeUnit.SECONDS);
+      return bytesRead.get();
     }
 
     @Override
@@ -138,19 +140,19 @@
     }
   }
 
-  /** A client that takes no answers keeps neither a descriptor nor the end of this node. */
+  /** A client that never reads its replies neither keeps its descriptor nor delays the shutdown. */
   @Test
-  void clientThatReadsNothing() throws Exception {
-    try (SocketChannel c = SocketChannel
+  void clientThatReadsNothingDoesNotDelayTheShutdown() throws Exception {
+    try (SocketChannel client = SocketChannel
         .open(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()))) {
-      c.configureBlocking(false);
-      ByteBuffer many = ByteBuffer
+      client.configureBlocking(false);
+      ByteBuffer commands = ByteBuffer
           .wrap("*1\r\n$4\r\nINFO\r\n".repeat(2_000_000).getBytes(StandardCharsets.ISO_8859_1));
-      long since = System.nanoTime();
-      while (many.hasRemaining() && System.nanoTime() - since < 1_000_000_000L) {
-        if (c.write(many) > 0) since = System.nanoTime();
+      long lastWriteNanos = System.nanoTime();
+      while (commands.hasRemaining() && System.nanoTime() - lastWriteNanos < 1_000_000_000L) {
+        if (client.write(commands) > 0) lastWriteNanos = System.nanoTime();
       }
-      assertTrue(many.hasRemaining()); // the node reads no more
+      assertTrue(commands.hasRemaining()); // the node has stopped reading
       node.stop().toCompletionStage().toCompletableFuture().get(4, TimeUnit.SECONDS);
       stopped = true;
     }
--- a/src/test/java/saltlatch/node/ConnectionLimitTest.java
+++ b/src/test/java/saltlatch/node/ConnectionLimitTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A crowd that connects while the node's loop is busy. */
+/** Many clients connect while the node's event loop is blocked. */
 @Timeout(60)
 class ConnectionLimitTest extends NodeHarness {
   @Override
@@ -20,40 +20,41 @@
     return super.configurationJson().replace("\"sockets\":1024", "\"sockets\":256");
   }
 
-  private static long open() throws IOException {
-    try (Stream<Path> all = Files.list(Path.of("/proc/self/fd"))) {
-      return all.count();
+  private static long openDescriptors() throws IOException {
+    try (Stream<Path> descriptors = Files.list(Path.of("/proc/self/fd"))) {
+      return descriptors.count();
     }
   }
 
   /**
-   * No more is accepted than clients may hold, and the few of one look: else a crowd takes the
-   * descriptors of the others.
+   * The node accepts no more connections than clients may hold (110), plus the few that one look at
+   * the backlog takes (32). Otherwise many clients could use up the descriptors that the node needs
+   * for app servers, the counter and discovery.
    */
   @Test
-  void acceptsNoMoreThanItMayHold() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    eventHandler = e -> {
-      held.countDown();
+  void acceptsNoMoreConnectionsThanClientsMayHold() throws Exception {
+    CountDownLatch loopBlocked = new CountDownLatch(1);
+    CountDownLatch releaseLoop = new CountDownLatch(1);
+    eventHandler = event -> {
+      loopBlocked.countDown();
       try {
-        assertTrue(go.await(30, TimeUnit.SECONDS));
-      } catch (InterruptedException i) {
-        throw new IllegalStateException(i);
+        assertTrue(releaseLoop.await(30, TimeUnit.SECONDS));
+      } catch (InterruptedException interrupted) {
+        throw new IllegalStateException(interrupted);
       }
     };
-    Socket first = connectClient();
-    send(first, queryCommand(0));
-    assertTrue(held.await(20, TimeUnit.SECONDS));
-    long before = open();
+    Socket blockingClient = connectClient();
+    send(blockingClient, queryCommand(0));
+    assertTrue(loopBlocked.await(20, TimeUnit.SECONDS));
+    long descriptorsBefore = openDescriptors();
     for (int i = 0; i < 400; i++) connectClient();
     long accepted = 0;
     for (int i = 0; i < 20 && accepted <= 256; i++) {
-      accepted = open() - before - 400;
-      // the accepting thread's own time: what it has not taken in a second it leaves
+      accepted = openDescriptors() - descriptorsBefore - 400;
+      // the accepting thread runs on its own; what it has not accepted within 1 s stays unaccepted
       Thread.sleep(50);
     }
-    go.countDown();
-    assertTrue(accepted <= 110 + 32, accepted + " accepted, and clients may hold 110");
+    releaseLoop.countDown();
+    assertTrue(accepted <= 110 + 32, accepted + " accepted, but clients may hold 110");
   }
 }
--- a/src/test/java/saltlatch/node/LargeListTest.java
+++ b/src/test/java/saltlatch/node/LargeListTest.java
@@ -15,49 +15,49 @@
 import org.junit.jupiter.api.Timeout;
 import saltlatch.api.GatewayEvent;
 
-/** Lists of the size that is coming, from discovery's socket to the module. */
+/** Endpoint lists of the size that is expected in future, from discovery's socket to the policy. */
 @Timeout(60)
 class LargeListTest extends NodeHarness {
-  private static final int MANY = 34_000;
+  private static final int SERVER_COUNT = 34_000;
 
   private final BlockingQueue<GatewayEvent.EndpointsUpdated> events = new LinkedBlockingQueue<>();
-  private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // of all events so far
+  private final List<GatewayEvent.Endpoint> entries = new ArrayList<>(); // from all events so far
 
-  private static String target(String name, String status) {
+  private static String entryJson(String name, String status) {
     return "{\"name\":\"" + name
         + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\""
         + status + "\",\"weight\":1.0,\"since_ms\":1764651600000}";
   }
 
-  private static String list(int index, boolean whole, List<String> targets) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
-        + String.join(",", targets) + "]}\n";
+  private static String listJson(int index, boolean snapshot, List<String> endpoints) {
+    return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
+        + String.join(",", endpoints) + "]}\n";
   }
 
-  private static List<String> ready(int from, int to) {
-    List<String> all = new ArrayList<>();
-    for (int i = from; i < to; i++) all.add(target("s-" + i, "Ready"));
-    return all;
+  private static List<String> readyEntries(int from, int to) {
+    List<String> readyList = new ArrayList<>();
+    for (int i = from; i < to; i++) readyList.add(entryJson("s-" + i, "Ready"));
+    return readyList;
   }
 
-  private Socket watch(String asks) throws IOException {
-    Socket s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", readLine(s));
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.EndpointsUpdated l) events.add(l);
+  private Socket acceptWatch(String sinceIndex) throws IOException {
+    Socket watch = accept(discovery);
+    assertEquals("GET /api/targets?follow=1&since=" + sinceIndex + " HTTP/1.1", readLine(watch));
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.EndpointsUpdated update) events.add(update);
     };
-    return s;
+    return watch;
   }
 
-  private static void more(Socket s, String body) throws IOException {
-    send(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
+  private static void sendChunk(Socket watch, String body) throws IOException {
+    send(watch, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
   /**
-   * Takes in events until so many entries have come; each event is a slice, and alone among lists
-   * in its batch.
+   * Collects events until they have {@code count} entries in all. Each event must be one slice and
+   * the only event of its batch.
    */
-  private void until(int count) throws InterruptedException {
+  private void awaitEntries(int count) throws InterruptedException {
     while (entries.size() < count) {
       GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
       assertTrue(event != null, entries.size() + " entries, then nothing");
@@ -71,85 +71,86 @@
       assertTrue(batch.size() == 1, () -> batch.size() + " events at once");
   }
 
-  private int distinct(GatewayEvent.EndpointState condition) {
-    BitSet numbers = new BitSet();
-    entries.stream().filter(e -> e.state() == condition)
-        .forEach(e -> numbers.set((int) e.serverId()));
-    return numbers.cardinality();
+  private int distinctServers(GatewayEvent.EndpointState state) {
+    BitSet serverIds = new BitSet();
+    entries.stream().filter(entry -> entry.state() == state)
+        .forEach(entry -> serverIds.set((int) entry.serverId()));
+    return serverIds.cardinality();
   }
 
   /**
-   * All of it is known in the end: what left the list first, then what drains, then the rest; a
-   * newer change behind it.
+   * A large snapshot reaches the policy completely, in slices: first the servers that left the
+   * list, then the draining ones, then the rest. A newer change comes after it.
    */
   @Test
-  void wholeListInSlices() throws Exception {
-    Socket s = watch("1");
-    List<String> targets = ready(1, MANY);
-    targets.add(target("drains", "Terminating"));
-    sendFirstChunk(s, list(2, true, targets));
-    more(s, list(3, false, List.of(target("s-5", "Terminating"))));
-    until(MANY + 2);
-    // s-0, of the list last known
+  void deliversALargeSnapshotInSlices() throws Exception {
+    Socket watch = acceptWatch("1");
+    List<String> endpoints = readyEntries(1, SERVER_COUNT);
+    endpoints.add(entryJson("drains", "Terminating"));
+    sendFirstChunk(watch, listJson(2, true, endpoints));
+    sendChunk(watch, listJson(3, false, List.of(entryJson("s-5", "Terminating"))));
+    awaitEntries(SERVER_COUNT + 2);
+    // s-0 is in the cached list only
     assertEquals(GatewayEvent.EndpointState.REMOVED, entries.get(0).state());
     assertEquals(0, entries.get(0).serverId());
     assertEquals(GatewayEvent.EndpointState.DRAINING, entries.get(1).state());
-    assertEquals(MANY - 1, distinct(GatewayEvent.EndpointState.READY));
-    GatewayEvent.Endpoint last = entries.get(MANY + 1);
+    assertEquals(SERVER_COUNT - 1, distinctServers(GatewayEvent.EndpointState.READY));
+    GatewayEvent.Endpoint last = entries.get(SERVER_COUNT + 1);
     assertEquals(GatewayEvent.EndpointState.DRAINING, last.state());
     assertEquals(3, last.keyGroup());
-    s.close();
-    watch("3");
+    watch.close();
+    acceptWatch("3");
   }
 
   /**
-   * A whole list that names few removes thousands, a slice at a time; the last entry of a name
-   * counts.
+   * A snapshot that names few servers removes thousands, one slice at a time. If a list has several
+   * entries with the same name, the last one counts.
    */
   @Test
-  void shrinksAndGrows() throws Exception {
-    Socket s = watch("1");
-    List<String> first = ready(0, 2_000);
-    first.add(target("s-7", "Gone"));
-    sendFirstChunk(s, list(2, true, first));
-    until(2_000);
-    assertEquals(1, distinct(GatewayEvent.EndpointState.REMOVED));
-    assertEquals(1_999, distinct(GatewayEvent.EndpointState.READY));
+  void deliversRemovalsAndAdditionsInSlices() throws Exception {
+    Socket watch = acceptWatch("1");
+    List<String> first = readyEntries(0, 2_000);
+    first.add(entryJson("s-7", "Gone"));
+    sendFirstChunk(watch, listJson(2, true, first));
+    awaitEntries(2_000);
+    assertEquals(1, distinctServers(GatewayEvent.EndpointState.REMOVED));
+    assertEquals(1_999, distinctServers(GatewayEvent.EndpointState.READY));
     entries.clear();
-    more(s, list(3, true, List.of(target("s-9", "Ready"))));
-    until(1_999);
-    assertEquals(1_998, distinct(GatewayEvent.EndpointState.REMOVED));
+    sendChunk(watch, listJson(3, true, List.of(entryJson("s-9", "Ready"))));
+    awaitEntries(1_999);
+    assertEquals(1_998, distinctServers(GatewayEvent.EndpointState.REMOVED));
     assertEquals(GatewayEvent.EndpointState.READY, entries.get(1_998).state());
     entries.clear();
-    more(s, list(4, false, ready(10_000, 10_600)));
-    until(600);
-    assertEquals(600, distinct(GatewayEvent.EndpointState.READY));
+    sendChunk(watch, listJson(4, false, readyEntries(10_000, 10_600)));
+    awaitEntries(600);
+    assertEquals(600, distinctServers(GatewayEvent.EndpointState.READY));
   }
 
-  /** At most a slice goes to the module as one event, as it came. */
+  /** A list of at most one slice reaches the policy as one event of the kind that was sent. */
   @Test
-  void smallListsAreOneEvent() throws Exception {
-    Socket s = watch("1");
-    sendFirstChunk(s, list(2, true, ready(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
+  void deliversASmallListAsOneEvent() throws Exception {
+    Socket watch = acceptWatch("1");
+    sendFirstChunk(watch,
+        listJson(2, true, readyEntries(1, 1 + EndpointListApplier.MAX_ENTRIES_PER_SLICE)));
     GatewayEvent.EndpointsUpdated event = events.poll(20, TimeUnit.SECONDS);
     assertEquals(GatewayEvent.EndpointUpdateKind.SNAPSHOT, event.kind());
     assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, event.endpoints().size());
   }
 
   /**
-   * The agent ends while the slices go: what was read is applied, and the next watch goes on behind
-   * it.
+   * The agent closes the watch while the slices are being delivered. The rest of the list is still
+   * applied, and the next watch continues from the list's index.
    */
   @Test
-  void watchEndsDuringSlices() throws Exception {
-    Socket s = watch("1");
-    sendFirstChunk(s, list(2, true, ready(0, MANY)));
+  void appliesAListWhoseWatchEndsDuringDelivery() throws Exception {
+    Socket watch = acceptWatch("1");
+    sendFirstChunk(watch, listJson(2, true, readyEntries(0, SERVER_COUNT)));
     assertEquals(EndpointListApplier.MAX_ENTRIES_PER_SLICE, events.take().endpoints().size());
-    s.close();
-    while (distinct(GatewayEvent.EndpointState.READY) < MANY
+    watch.close();
+    while (distinctServers(GatewayEvent.EndpointState.READY) < SERVER_COUNT
         - EndpointListApplier.MAX_ENTRIES_PER_SLICE) {
       entries.addAll(events.poll(20, TimeUnit.SECONDS).endpoints());
     }
-    watch("2");
+    acceptWatch("2");
   }
 }
--- a/src/test/java/saltlatch/node/WatchTest.java
+++ b/src/test/java/saltlatch/node/WatchTest.java
@@ -14,205 +14,207 @@
 import sun.misc.Signal;
 
 /**
- * A list watch that goes wrong, each way on a real connection. A change counts as told 6 s after
- * discovery had it and could be reached, so the next watch has to be open before that: 4.5 s of
- * silence, or 2 s without a beginning, and at most 1 s apart.
+ * Failures of the watch on the discovery agent, each on a real connection. A node must receive a
+ * change within 6 s after discovery has it and can be reached, so it must have reopened a failed
+ * watch before that. It gives up a watch after 4.5 s of silence, or after 2 s without a complete
+ * first line, and opens the next one at most 1 s later.
  */
 @Timeout(60)
 class WatchTest extends NodeHarness {
-  private static final long TOLD_MS = 6_000;
+  private static final long MAX_DELIVERY_MS = 6_000;
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  private static String list(int index, boolean whole, String name, String status) {
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[{\"name\":\"" + name
+  private static String listJson(int index, boolean snapshot, String name, String status) {
+    return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[{\"name\":\""
+        + name
         + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\""
         + status + "\",\"weight\":1.0,\"since_ms\":0}]}\n";
   }
 
-  private static void chunk(Socket s, String body) throws IOException {
-    send(s, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
+  private static void sendChunk(Socket socket, String body) throws IOException {
+    send(socket, Integer.toHexString(body.length()) + "\r\n" + body + "\r\n");
   }
 
-  /** Waits for the next watch, and tells how long that took. */
-  private long nextWatch(long since, String asks) throws IOException {
-    Socket s = accept(discovery);
-    assertEquals("GET /api/targets?follow=1&since=" + asks + " HTTP/1.1", readLine(s));
-    last = s;
-    return (System.nanoTime() - since) / 1_000_000;
+  /** Accepts the next watch and returns the time from {@code startNanos} to then, in ms. */
+  private long acceptWatchMs(long startNanos, String sinceIndex) throws IOException {
+    Socket watch = accept(discovery);
+    assertEquals("GET /api/targets?follow=1&since=" + sinceIndex + " HTTP/1.1", readLine(watch));
+    latestWatch = watch;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
-  private Socket last;
+  private Socket latestWatch;
 
-  private Socket first() throws IOException {
-    nextWatch(System.nanoTime(), "1");
-    return last;
+  private Socket acceptFirstWatch() throws IOException {
+    acceptWatchMs(System.nanoTime(), "1");
+    return latestWatch;
   }
 
-  /** The bound with its worst start: the line before the silence came just then. */
+  /** The worst case for the bound: the last line arrives just before the silence begins. */
   @Test
-  void fallsSilent() throws Exception {
-    Socket s = first();
-    sendFirstChunk(s, list(2, false, "s-1", "Ready"));
+  void reopensASilentWatch() throws Exception {
+    Socket watch = acceptFirstWatch();
+    sendFirstChunk(watch, listJson(2, false, "s-1", "Ready"));
     assertEquals("listed DELTA [1 READY]", nextEventText());
-    long since = System.nanoTime();
-    long took = nextWatch(since, "2");
-    assertTrue(took > 4_000 && took < TOLD_MS - 500, took + " ms");
-    assertEquals("closed", restOf(s));
-    sendFirstChunk(last, list(3, false, "s-1", "Terminating"));
+    long startNanos = System.nanoTime();
+    long elapsedMs = acceptWatchMs(startNanos, "2");
+    assertTrue(elapsedMs > 4_000 && elapsedMs < MAX_DELIVERY_MS - 500, elapsedMs + " ms");
+    assertEquals("closed", readToEnd(watch));
+    sendFirstChunk(latestWatch, listJson(3, false, "s-1", "Terminating"));
     assertEquals("listed DELTA [1 DRAINING]", nextEventText());
   }
 
-  /** The agent takes the connection and says nothing, as while discovery is down. */
+  /** The agent accepts the connection and sends nothing, as happens while discovery is down. */
   @Test
-  void opensIntoSilence() throws Exception {
-    first();
-    long took = nextWatch(System.nanoTime(), "1");
-    assertTrue(took < 3_000, took + " ms");
-    long again = nextWatch(System.nanoTime(), "1"); // and so on, until there is one that answers
-    assertTrue(again < 3_000, again + " ms");
-    sendFirstChunk(last, list(2, false, "s-1", "Ready"));
+  void reopensAWatchThatGetsNoResponse() throws Exception {
+    acceptFirstWatch();
+    long elapsedMs = acceptWatchMs(System.nanoTime(), "1");
+    assertTrue(elapsedMs < 3_000, elapsedMs + " ms");
+    // the node tries again until discovery responds
+    long secondElapsedMs = acceptWatchMs(System.nanoTime(), "1");
+    assertTrue(secondElapsedMs < 3_000, secondElapsedMs + " ms");
+    sendFirstChunk(latestWatch, listJson(2, false, "s-1", "Ready"));
     assertEquals("listed DELTA [1 READY]", nextEventText());
   }
 
-  /** A beginning without an end is no line: bytes that trickle keep no watch alive. */
+  /** Bytes that trickle in do not keep a watch open as long as they do not complete a line. */
   @Test
-  void firstLineNeverEnds() throws Exception {
-    Socket s = first();
-    long since = System.nanoTime();
-    send(s, HEAD);
-    CountDownLatch over = new CountDownLatch(1);
-    Thread trickle = new Thread(() -> {
+  void reopensAWatchWhoseFirstLineNeverEnds() throws Exception {
+    Socket watch = acceptFirstWatch();
+    long startNanos = System.nanoTime();
+    send(watch, HEAD);
+    CountDownLatch stopTrickle = new CountDownLatch(1);
+    Thread trickleThread = new Thread(() -> {
       try {
-        while (over.getCount() > 0) {
-          chunk(s, "{\"index\": ");
+        while (stopTrickle.getCount() > 0) {
+          sendChunk(watch, "{\"index\": ");
           Thread.sleep(50);
         }
       } catch (IOException | InterruptedException e) {
-        // the node has closed it
+        // expected: the node has closed the connection
       }
     });
-    trickle.start();
-    long took = nextWatch(since, "1");
-    over.countDown();
-    trickle.join();
-    assertTrue(took < 3_000, took + " ms");
+    trickleThread.start();
+    long elapsedMs = acceptWatchMs(startNanos, "1");
+    stopTrickle.countDown();
+    trickleThread.join();
+    assertTrue(elapsedMs < 3_000, elapsedMs + " ms");
   }
 
   @Test
-  void isReset() throws Exception {
-    Socket s = first();
-    long since = System.nanoTime();
-    sendFirstChunk(s, list(2, false, "s-1", "Ready"));
+  void reopensAWatchThatIsReset() throws Exception {
+    Socket watch = acceptFirstWatch();
+    long startNanos = System.nanoTime();
+    sendFirstChunk(watch, listJson(2, false, "s-1", "Ready"));
     assertEquals("listed DELTA [1 READY]", nextEventText());
-    s.setSoLinger(true, 0);
-    s.close();
-    long took = nextWatch(since, "2");
-    assertTrue(took < 1_500, took + " ms");
+    watch.setSoLinger(true, 0);
+    watch.close();
+    long elapsedMs = acceptWatchMs(startNanos, "2");
+    assertTrue(elapsedMs < 1_500, elapsedMs + " ms");
   }
 
   @Test
-  void isRefused() throws Exception {
-    Socket s = first();
+  void reopensAWatchThatIsRefused() throws Exception {
+    Socket watch = acceptFirstWatch();
     int port = discovery.getLocalPort();
     discovery.close();
-    s.close();
-    while (!has("watches_broken=2")) Thread.onSpinWait(); // one that ended, one that was refused
+    watch.close();
+    // one was closed, one was refused
+    while (!infoContains("watches_broken=2")) Thread.onSpinWait();
     discovery = new java.net.ServerSocket(port, 50, java.net.InetAddress.getLoopbackAddress());
     discovery.setSoTimeout(20_000);
-    long took = nextWatch(System.nanoTime(), "1");
-    assertTrue(took < 1_500, took + " ms");
+    long elapsedMs = acceptWatchMs(System.nanoTime(), "1");
+    assertTrue(elapsedMs < 1_500, elapsedMs + " ms");
   }
 
-  private boolean has(String figure) throws IOException {
-    try (Socket asking = new Socket(java.net.InetAddress.getLoopbackAddress(), node.port())) {
-      return infoLines(asking).contains(figure);
+  private boolean infoContains(String metric) throws IOException {
+    try (Socket client = new Socket(java.net.InetAddress.getLoopbackAddress(), node.port())) {
+      return infoLines(client).contains(metric);
     }
   }
 
-  /** What comes with another status is no list, and a chunk that is cut off ends the watch. */
+  /** The body of a response with an error status is ignored; a truncated chunk ends the watch. */
   @Test
-  void otherStatusAndCutChunk() throws Exception {
-    String body = list(9, true, "s-9", "Ready");
-    send(first(), "HTTP/1.1 503 Down\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-    nextWatch(System.nanoTime(), "1");
-    send(last, HEAD + "400\r\n{\"index\":9,\"sna");
-    last.close();
-    nextWatch(System.nanoTime(), "1");
-    sendFirstChunk(last, list(2, true, "s-2", "Ready"));
+  void ignoresErrorStatusesAndTruncatedChunks() throws Exception {
+    String body = listJson(9, true, "s-9", "Ready");
+    send(acceptFirstWatch(),
+        "HTTP/1.1 503 Down\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    acceptWatchMs(System.nanoTime(), "1");
+    send(latestWatch, HEAD + "400\r\n{\"index\":9,\"sna");
+    latestWatch.close();
+    acceptWatchMs(System.nanoTime(), "1");
+    sendFirstChunk(latestWatch, listJson(2, true, "s-2", "Ready"));
     assertEquals("listed SNAPSHOT [1 READY]", nextEventText());
   }
 
-  /**
-   * A list over several lines, as when discovery indents what it writes, in pieces that cut it
-   * anywhere.
-   */
+  /** An indented list spans several lines, and chunks may split it at any position. */
   @Test
-  void indented() throws Exception {
-    Socket s = first();
-    String text = list(2, true, "s-\\\"}{", "Ready").trim().replace(",", ",\n    ")
+  void acceptsAnIndentedListInSmallChunks() throws Exception {
+    Socket watch = acceptFirstWatch();
+    String text = listJson(2, true, "s-\\\"}{", "Ready").trim().replace(",", ",\n    ")
         .replace("{\"index", "{\n  \"index") + "\n";
-    send(s, HEAD);
+    send(watch, HEAD);
     for (int i = 0; i < text.length(); i += 7)
-      chunk(s, text.substring(i, Math.min(text.length(), i + 7)));
-    chunk(s, "\n" + list(3, false, "s-3", "Terminating"));
+      sendChunk(watch, text.substring(i, Math.min(text.length(), i + 7)));
+    sendChunk(watch, "\n" + listJson(3, false, "s-3", "Terminating"));
     assertEquals("listed SNAPSHOT [1 READY] listed DELTA [2 DRAINING]",
         nextEventText() + " " + nextEventText());
   }
 
   /**
-   * An agent that is behind, before or after SIGHUP, does not turn the list back; nor does the old
-   * one's late word.
+   * A list with an older index than the one applied does not revert it, neither from the same agent
+   * nor from another after SIGHUP. Lines that the old agent sends late are ignored as well.
    */
   @Test
-  void olderListsArePassedOver(@TempDir Path dir) throws Exception {
+  void ignoresOlderLists(@TempDir Path dir) throws Exception {
     Path path = dir.resolve("config.json");
     node.reloadOn(new ReloadSignal(), path);
-    Socket old = first();
-    sendFirstChunk(old, list(7, false, "s-1", "Terminating"));
+    Socket oldWatch = acceptFirstWatch();
+    sendFirstChunk(oldWatch, listJson(7, false, "s-1", "Terminating"));
     assertEquals("listed DELTA [1 DRAINING]", nextEventText());
-    java.net.ServerSocket was = discovery;
+    java.net.ServerSocket oldDiscovery = discovery;
     discovery = openServerSocket();
     Files.writeString(path, configurationJson());
     Signal.raise(new Signal("HUP"));
-    nextWatch(System.nanoTime(), "7");
+    acceptWatchMs(System.nanoTime(), "7");
     try {
-      chunk(old, list(8, false, "s-1", "Ready"));
+      sendChunk(oldWatch, listJson(8, false, "s-1", "Ready"));
     } catch (IOException e) {
-      // closed already, as it should be
+      // expected: the node may have closed the connection already
     }
-    sendFirstChunk(last, list(5, true, "s-1", "Ready") + list(6, false, "s-1", "Ready")
-        + list(8, false, "s-4", "Ready"));
+    sendFirstChunk(latestWatch, listJson(5, true, "s-1", "Ready")
+        + listJson(6, false, "s-1", "Ready") + listJson(8, false, "s-4", "Ready"));
     assertEquals("listed DELTA [2 READY]", nextEventText());
-    was.close();
+    oldDiscovery.close();
   }
 
   /**
-   * An address that can't be used, or an entry of another type: the change is asked for again, and
-   * none of it is half taken.
+   * If an entry has an unusable address or a value of the wrong type, the node applies no part of
+   * the change and requests it again.
    */
   @Test
-  void malformedListsAreAskedForAgain() throws Exception {
-    String good = list(2, false, "s-1", "Ready");
-    String[] bad = {good.replace("127.0.0.1:9", "nowhere"),
-        good.replace("127.0.0.1:9", "127.0.0.1:x"), good.replace("\"127.0.0.1:9\"", "{}"),
-        good.replace("Ready", "Sleeping"), good.replace("127.0.0.1:9", ""),
-        good.replace("\"since_ms\":0", "\"since_ms\":\"soon\""), "[]\n", "all is well\n"};
-    for (String one : bad) {
-      first();
-      // what comes behind it is no help: it would hide what is missing
-      sendFirstChunk(last, one + list(3, false, "s-3", "Ready"));
+  void requestsMalformedListsAgain() throws Exception {
+    String valid = listJson(2, false, "s-1", "Ready");
+    String[] malformed = {valid.replace("127.0.0.1:9", "nowhere"),
+        valid.replace("127.0.0.1:9", "127.0.0.1:x"), valid.replace("\"127.0.0.1:9\"", "{}"),
+        valid.replace("Ready", "Sleeping"), valid.replace("127.0.0.1:9", ""),
+        valid.replace("\"since_ms\":0", "\"since_ms\":\"soon\""), "[]\n", "all is well\n"};
+    for (String change : malformed) {
+      acceptFirstWatch();
+      // the next change must not be applied: it would hide that this one is missing
+      sendFirstChunk(latestWatch, change + listJson(3, false, "s-3", "Ready"));
     }
-    first();
-    sendFirstChunk(last, good);
+    acceptFirstWatch();
+    sendFirstChunk(latestWatch, valid);
     assertEquals("listed DELTA [1 READY]", nextEventText());
   }
 
-  private static String restOf(Socket s) throws IOException {
+  private static String readToEnd(Socket socket) throws IOException {
     try {
       String line = "";
-      while (!line.equals("closed")) line = readLine(s);
+      while (!line.equals("closed")) line = readLine(socket);
     } catch (java.net.SocketException e) {
-      // reset: closed as well
+      // a reset closes the connection as well
     }
     return "closed";
   }
