--- a/src/test/java/saltlatch/node/BadConfigurationTest.java
+++ b/src/test/java/saltlatch/node/BadConfigurationTest.java
@@ -13,40 +13,40 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Configurations that a node does not start with, each named by its key. */
+/** Configurations that a node rejects at the start; the error line names the invalid key. */
 @Timeout(60)
 class BadConfigurationTest extends NodeHarness {
   @Test
-  void badConfiguration(@TempDir Path dir) throws IOException {
-    ByteArrayOutputStream err = new ByteArrayOutputStream();
+  void rejectsInvalidConfigurations(@TempDir Path directory) throws IOException {
+    ByteArrayOutputStream errors = new ByteArrayOutputStream();
     String[] keys = {"name", "seed", "listen", "discovery", "settings", "limits", "known",
         "sockets", "memory_mb", "categories", "peers", "counter", "connIdle", "aim", "refill",
         "cancelling", "effect"};
     for (String key : keys) {
-      String wrong = configurationJson().replaceFirst("\"" + key + "\":",
+      String invalid = configurationJson().replaceFirst("\"" + key + "\":",
           "\"" + key + "\":[[]],\"was\":");
-      Path path = Files.writeString(dir.resolve("config.json"), wrong);
-      ByteArrayOutputStream one = new ByteArrayOutputStream();
-      assertEquals(2,
-          ServeProcess.run((now, site, out) -> null, path.toString(), new PrintStream(one)), key);
+      Path path = Files.writeString(directory.resolve("config.json"), invalid);
+      ByteArrayOutputStream output = new ByteArrayOutputStream();
+      assertEquals(2, ServeProcess.run((nowTicks, settings, policyActions) -> null, path.toString(),
+          new PrintStream(output)), key);
       assertTrue(
-          one.toString(StandardCharsets.UTF_8).lines().count() == 1
-              && one.toString(StandardCharsets.UTF_8).contains(key),
-          one.toString(StandardCharsets.UTF_8));
+          output.toString(StandardCharsets.UTF_8).lines().count() == 1
+              && output.toString(StandardCharsets.UTF_8).contains(key),
+          output.toString(StandardCharsets.UTF_8));
     }
     String[] texts = {"", "{", "{}", configurationJson().replace("1024", "100"),
         configurationJson().replace("0000000000000001", "seed"),
         configurationJson().replace("127.0.0.1:0\"", "127.0.0.1\"")};
     for (String text : texts) {
-      Path path = Files.writeString(dir.resolve("config.json"), text);
-      assertEquals(2,
-          ServeProcess.run((now, site, out) -> null, path.toString(), new PrintStream(err)));
+      Path path = Files.writeString(directory.resolve("config.json"), text);
+      assertEquals(2, ServeProcess.run((nowTicks, settings, policyActions) -> null, path.toString(),
+          new PrintStream(errors)));
     }
-    assertEquals(2, ServeProcess.run((now, site, out) -> null, dir.resolve("none").toString(),
-        new PrintStream(err)));
+    assertEquals(2, ServeProcess.run((nowTicks, settings, policyActions) -> null,
+        directory.resolve("none").toString(), new PrintStream(errors)));
     assertTrue(
-        err.toString(StandardCharsets.UTF_8).lines()
-            .allMatch(l -> l.startsWith("saltlatch serve: configuration ")),
-        err.toString(StandardCharsets.UTF_8));
+        errors.toString(StandardCharsets.UTF_8).lines()
+            .allMatch(line -> line.startsWith("saltlatch serve: configuration ")),
+        errors.toString(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/saltlatch/node/GracefulShutdownTest.java
+++ b/src/test/java/saltlatch/node/GracefulShutdownTest.java
@@ -9,33 +9,33 @@
 import saltlatch.api.Ticks;
 
 /**
- * When a node that was told to end stops serving: as late as SIGKILL allows, which comes the
- * longest client timeout (3 s at most) and 0.7 s after SIGTERM. ShutdownTest plays it on sockets.
+ * Checks when a node stops serving after SIGTERM: as late as SIGKILL allows. SIGKILL follows after
+ * the longest client timeout (3 s at most) plus 0.7 s. ShutdownTest runs the shutdown on sockets.
  */
 class GracefulShutdownTest {
-  private static GracefulShutdown.Schedule schedule(long... timeoutAndObjectiveMs) {
-    List<GatewaySettings.RequestClass> classes = new ArrayList<>();
-    for (int i = 0; i < timeoutAndObjectiveMs.length; i += 2) {
-      classes.add(new GatewaySettings.RequestClass(GatewaySettings.RetrySafety.IDEMPOTENT,
-          GatewaySettings.KeyScope.ALL, 0, timeoutAndObjectiveMs[i + 1] * Ticks.PER_MILLISECOND,
-          timeoutAndObjectiveMs[i] * Ticks.PER_MILLISECOND, 1));
+  private static GracefulShutdown.Schedule schedule(long... timeoutsAndObjectivesMs) {
+    List<GatewaySettings.RequestClass> requestClasses = new ArrayList<>();
+    for (int i = 0; i < timeoutsAndObjectivesMs.length; i += 2) {
+      requestClasses.add(new GatewaySettings.RequestClass(GatewaySettings.RetrySafety.IDEMPOTENT,
+          GatewaySettings.KeyScope.ALL, 0, timeoutsAndObjectivesMs[i + 1] * Ticks.PER_MILLISECOND,
+          timeoutsAndObjectivesMs[i] * Ticks.PER_MILLISECOND, 1));
     }
     return GracefulShutdown.Schedule
-        .of(new GatewaySettings(1, 1, 1, null, null, null, classes, List.of()));
+        .of(new GatewaySettings(1, 1, 1, null, null, null, requestClasses, List.of()));
   }
 
   @Test
-  void leavesTheLongestObjectiveForWhatIsInFlight() {
+  void leavesTheLongestObjectiveForRequestsInFlight() {
     assertEquals(new GracefulShutdown.Schedule(1_300, 2_300), schedule(2_000, 1_000, 900, 300));
   }
 
   @Test
-  void longClientTimeoutsCountNoMoreThanThreeSeconds() {
+  void capsLongClientTimeoutsAtThreeSeconds() {
     assertEquals(new GracefulShutdown.Schedule(2_300, 3_300), schedule(60_000, 1_000));
   }
 
   @Test
-  void servesAtLeastAsLongAsNewConnectionsCome() {
+  void servesAtLeastAsLongAsNewConnectionsArrive() {
     assertEquals(new GracefulShutdown.Schedule(500, 520), schedule(100, 1_000));
   }
 }
--- a/src/test/java/saltlatch/node/HeapFullTest.java
+++ b/src/test/java/saltlatch/node/HeapFullTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import saltlatch.state.HeapExhaustion;
 
-/** A heap that is full is called so, whatever a library makes of it. */
+/** A full heap is reported as such, even if a library wraps the OutOfMemoryError. */
 @Timeout(60)
 class HeapFullTest {
-  private static final int PLANS = 40_000;
+  private static final int PLAN_COUNT = 40_000;
 
   @Test
-  void isDistinguishedFromOtherFailures() {
+  void fullHeapIsDistinguishedFromOtherFailures() {
     Throwable wrapped = new JsonParseException("Failed parsing JSON source",
         new OutOfMemoryError("Java heap space"));
     assertTrue(HeapExhaustion.explain(wrapped).matches("the heap of \\d+ MB is full.*"),
@@ -29,19 +29,20 @@
     assertFalse(HeapExhaustion.isCauseOf(new IllegalStateException(new RuntimeException())));
   }
 
-  /** Plans that don't fit into the heap: one line that says so, and code 2. */
+  /** Quota plans that don't fit into the heap: the process prints the reason and exits with 2. */
   @Test
-  void configurationThatDoesNotFit(@TempDir Path dir) throws Exception {
+  void configurationThatExceedsTheHeapExitsWithCode2(@TempDir Path directory) throws Exception {
     String plan = "{\"name\":\"plan\",\"refill\":1,";
-    String text = Files.readString(Path.of("deploy/sample.json"));
-    assertTrue(text.contains(plan));
+    String sample = Files.readString(Path.of("deploy/sample.json"));
+    assertTrue(sample.contains(plan));
     StringBuilder plans = new StringBuilder();
-    for (int i = 0; i < PLANS; i++) {
+    for (int i = 0; i < PLAN_COUNT; i++) {
       plans.append(plan.replace("plan", "plan-" + i))
           .append("\"peakUnits\":6,\"pays\":1,\"capRate\":0,\"hardBurst\":0,\"parallel\":0},");
     }
-    Path config = Files.writeString(dir.resolve("config.json"), text.replace(plan, plans + plan));
-    Path log = dir.resolve("log.txt");
+    Path config = Files.writeString(directory.resolve("config.json"),
+        sample.replace(plan, plans + plan));
+    Path log = directory.resolve("log.txt");
     ProcessBuilder command = new ProcessBuilder(
         Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx24m",
         "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "saltlatch.Main",
@@ -49,9 +50,9 @@
     command.environment().put("LB_CONFIG", config.toString());
     Process process = command.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     assertTrue(process.waitFor(30, TimeUnit.SECONDS));
-    String said = Files.readString(log);
-    assertEquals(2, process.exitValue(), said);
-    assertTrue(said.contains("config.json: the heap of 2"), said);
-    assertTrue(said.contains(" MB is full"), said);
+    String output = Files.readString(log);
+    assertEquals(2, process.exitValue(), output);
+    assertTrue(output.contains("config.json: the heap of 2"), output);
+    assertTrue(output.contains(" MB is full"), output);
   }
 }
--- a/src/test/java/saltlatch/node/HollowNodeTest.java
+++ b/src/test/java/saltlatch/node/HollowNodeTest.java
@@ -21,18 +21,18 @@
 import org.junit.jupiter.api.Timeout;
 import saltlatch.policy.PolicyEngine;
 
-/** Several nodes' control parts in one JVM, with the real module. */
+/** Several hollow nodes, that is, nodes without a data path, in one JVM with the real policy. */
 @Timeout(60)
 class HollowNodeTest {
-  private static String list(int index, String name) {
+  private static String listJson(int index, String name) {
     return "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[{\"name\":\"" + name
         + "\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"m\",\"status\":\"Ready\"}]}\n";
   }
 
   @Test
-  void followDiscoveryEachOnItsOwnLoop() throws Exception {
+  void eachNodeFollowsDiscoveryOnItsOwnLoop() throws Exception {
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(2));
-    List<BlockingQueue<Long>> applied = new ArrayList<>();
+    List<BlockingQueue<Long>> appliedIndices = new ArrayList<>();
     try (ServerSocket discovery = NodeHarness.openServerSocket()) {
       String config = Files.readString(Path.of("deploy/sample.json"))
           .replace("\"discovery\":\"127.0.0.1:16379\"",
@@ -50,19 +50,20 @@
         node.onListApplied(indices::add);
         node.start(PolicyEngine::new);
         assertEquals(1, indices.poll(20, TimeUnit.SECONDS));
-        applied.add(indices);
+        appliedIndices.add(indices);
         Socket watch = discovery.accept();
         watch.setSoTimeout(20_000);
         NodeHarness.readLine(watch);
-        NodeHarness.sendFirstChunk(watch, list(2 + i, "s-1") + list(4, "s-2"));
-        assertEquals(2 + i, applied.get(i).poll(20, TimeUnit.SECONDS));
-        assertEquals(4, applied.get(i).poll(20, TimeUnit.SECONDS));
+        NodeHarness.sendFirstChunk(watch, listJson(2 + i, "s-1") + listJson(4, "s-2"));
+        assertEquals(2 + i, appliedIndices.get(i).poll(20, TimeUnit.SECONDS));
+        assertEquals(4, appliedIndices.get(i).poll(20, TimeUnit.SECONDS));
         assertEquals(4, node.listIndex());
         assertEquals(3, node.listedServerCount());
         assertTrue(node.infoText().contains("lists=2\n"), node.infoText());
         node.stop();
         String line = "";
-        while (!line.equals("closed")) line = NodeHarness.readLine(watch); // the watch ends
+        // the node closes the watch
+        while (!line.equals("closed")) line = NodeHarness.readLine(watch);
         watch.close();
       }
     } finally {
--- a/src/test/java/saltlatch/node/NodeHistoryFileTest.java
+++ b/src/test/java/saltlatch/node/NodeHistoryFileTest.java
@@ -16,27 +16,27 @@
 import saltlatch.node.NodeHistory.QuotaShareLevel;
 
 /**
- * The lines that HistoryLinesTest does not bring about on sockets: each kind, key and word as the
- * laboratory's checks read it.
+ * Checks the history lines that HistoryLinesTest does not produce on sockets: each kind, key and
+ * word as the laboratory's checks read it.
  */
 class NodeHistoryFileTest {
   @TempDir private Path directory;
 
-  private List<String> lines(Consumer<NodeHistory> events) throws IOException {
+  private List<String> recordedLines(Consumer<NodeHistory> recording) throws IOException {
     try (HistoryWriter history = new HistoryWriter(directory, "n0", "1")) {
-      events.accept(new NodeHistoryFile(history));
+      recording.accept(new NodeHistoryFile(history));
     }
     return Files.readAllLines(directory.resolve("n0.jsonl")).stream()
         .map(line -> line.replaceAll(".*\"mono_ns\":\"?\\d+\"?}", "")).toList();
   }
 
   @Test
-  void processAndLoop() throws IOException {
+  void writesProcessAndStallLines() throws IOException {
     assertEquals(
         List.of(",{\"nodes\":\"3\"}],\"message\":\"started\"}", "],\"message\":\"ready\"}",
             "],\"message\":\"reloaded\"}", ",{\"for_ms\":\"70\"}],\"message\":\"away\"}",
             "],\"message\":\"stops\"}", ",{\"figures\":\"reqs=1 held=0\"}],\"message\":\"ends\"}"),
-        lines(history -> {
+        recordedLines(history -> {
           history.started(3);
           history.ready();
           history.reloaded();
@@ -47,8 +47,8 @@
   }
 
   @Test
-  void eachStateOfAMember() throws IOException {
-    List<String> lines = lines(history -> {
+  void writesEachMemberState() throws IOException {
+    List<String> lines = recordedLines(history -> {
       for (MembershipMessage.State state : MembershipMessage.State.values()) {
         history.memberChanged(2, state, 7, 9);
       }
@@ -63,8 +63,8 @@
   }
 
   @Test
-  void eachViewOfTheFleet() throws IOException {
-    List<String> lines = lines(history -> {
+  void writesEachFleetView() throws IOException {
+    List<String> lines = recordedLines(history -> {
       for (FleetView view : FleetView.values()) history.fleetViewChanged(view, 2, 9);
     });
     List<String> words = List.of("whole", "majority", "minority", "alone");
@@ -77,8 +77,8 @@
   }
 
   @Test
-  void eachLevelOfAQuotaShare() throws IOException {
-    List<String> lines = lines(history -> {
+  void writesEachQuotaShareLevel() throws IOException {
+    List<String> lines = recordedLines(history -> {
       for (QuotaShareLevel level : QuotaShareLevel.values()) {
         history.quotaShareChanged(level, new QuotaShareValues(0.125, 0.5, 0.25, 30, 40));
       }
--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One process of the built jar with its real module; the test is its clients, counter, discovery
- * and app srv.
+ * Runs the packaged jar as one process with its real policy. The test acts as its clients, counter,
+ * discovery and app server.
  */
 @Timeout(120)
 class ProcessIT {
   private static final String PING = "*1\r\n$4\r\nPING\r\n";
-  private static final int DESCRIPTORS = 256;
+  private static final int DESCRIPTOR_LIMIT = 256;
 
   private final List<Socket> sockets = new ArrayList<>();
-  @TempDir private Path dir;
+  @TempDir private Path directory;
   private ServerSocket appServer;
   private ServerSocket counter;
   private ServerSocket discovery;
@@ -37,15 +37,15 @@
   private int port;
 
   @BeforeEach
-  void start() throws Exception {
+  void startProcess() throws Exception {
     appServer = NodeHarness.openServerSocket();
     counter = NodeHarness.openServerSocket();
     discovery = NodeHarness.openServerSocket();
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+    try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      port = freePort.getLocalPort();
     }
     String config = Files.readString(Path.of("deploy/sample.json"))
-        .replace("\"sockets\":1024", "\"sockets\":" + DESCRIPTORS)
+        .replace("\"sockets\":1024", "\"sockets\":" + DESCRIPTOR_LIMIT)
         .replace("\"countLimit\":30", "\"countLimit\":5000")
         .replace("\"listen\":\"127.0.0.1:16379\"", "\"listen\":\"127.0.0.1:" + port + "\"")
         .replace("\"peer_listen\":\"127.0.0.1:16379\"",
@@ -56,77 +56,78 @@
         .replace("\"counter\":\"127.0.0.1:16379\"",
             "\"counter\":\"127.0.0.1:" + counter.getLocalPort() + "\"")
         .replace("\"address\":\"127.0.0.1:16379\"", "\"address\":\"127.0.0.1:9\"");
-    Path file = Files.writeString(dir.resolve("config.json"), config);
+    Path configFile = Files.writeString(directory.resolve("config.json"), config);
     ProcessBuilder command = new ProcessBuilder("sh", "-c",
-        "ulimit -n " + DESCRIPTORS + "; exec "
+        "ulimit -n " + DESCRIPTOR_LIMIT + "; exec "
             + Path.of(System.getProperty("java.home"), "bin", "java")
             + " -XX:+UseSerialGC -Xmx64m -jar target/saltlatch.jar serve");
-    command.environment().put("LB_CONFIG", file.toString());
-    process = command.redirectErrorStream(true).redirectOutput(dir.resolve("log.txt").toFile())
-        .start();
+    command.environment().put("LB_CONFIG", configFile.toString());
+    process = command.redirectErrorStream(true)
+        .redirectOutput(directory.resolve("log.txt").toFile()).start();
   }
 
   @AfterEach
-  void end() throws Exception {
+  void stopProcess() throws Exception {
     process.destroyForcibly().waitFor();
-    for (Socket s : sockets) s.close();
+    for (Socket connection : sockets) connection.close();
     appServer.close();
     counter.close();
     discovery.close();
   }
 
-  private Socket client() throws IOException {
-    Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-    s.setSoTimeout(20_000);
-    sockets.add(s);
-    return s;
+  private Socket connectClient() throws IOException {
+    Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
+    client.setSoTimeout(20_000);
+    sockets.add(client);
+    return client;
   }
 
-  private Socket accept(ServerSocket at) throws IOException {
-    Socket s = at.accept();
-    s.setSoTimeout(20_000);
-    sockets.add(s);
-    return s;
+  private Socket accept(ServerSocket server) throws IOException {
+    Socket connection = server.accept();
+    connection.setSoTimeout(20_000);
+    sockets.add(connection);
+    return connection;
   }
 
-  private void ready() throws Exception {
+  private void awaitReady() throws Exception {
     while (true) {
       assertTrue(process.isAlive());
       try {
-        Socket c = client();
-        NodeHarness.send(c, PING);
-        if (NodeHarness.readLine(c).equals("+PONG")) return;
+        Socket client = connectClient();
+        NodeHarness.send(client, PING);
+        if (NodeHarness.readLine(client).equals("+PONG")) return;
       } catch (IOException e) {
         Thread.sleep(20); // not listening yet
       }
     }
   }
 
-  private int descriptors() throws IOException {
-    try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
-      return (int) open.count();
+  private int openDescriptors() throws IOException {
+    try (Stream<Path> descriptors = Files
+        .list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
+      return (int) descriptors.count();
     }
   }
 
   /**
-   * Idle clients fill all that clients may have while discovery is silent: at its return all
-   * partners are still reached.
+   * Idle clients use all connections that clients may have while discovery does not respond. When
+   * it responds again, the node must still reach discovery, the counter and an app server.
    */
   @Test
-  void idleClientsWhileDiscoveryIsDown() throws Exception {
-    ready();
+  void idleClientsDoNotBlockOtherConnections() throws Exception {
+    awaitReady();
     for (int i = 0; i < 400; i++) {
-      Socket c = client();
-      NodeHarness.send(c, i % 2 == 0 ? PING : "*1\r\n");
+      Socket client = connectClient();
+      NodeHarness.send(client, i % 2 == 0 ? PING : "*1\r\n");
     }
-    long back = System.nanoTime();
+    long discoveryBackNanos = System.nanoTime();
     Socket watch = accept(discovery);
     discovery.setSoTimeout(200);
     try {
-      // the newest: earlier ones were given up, each 2 s behind the last
+      // takes the newest watch: the node gave up the earlier ones, one every 2 s
       while (true) watch = accept(discovery);
     } catch (java.net.SocketTimeoutException e) {
-      // the one in hand is waited for still
+      // no newer watch: the node still waits for a response on this one
     }
     NodeHarness.readLine(watch);
     NodeHarness.sendFirstChunk(watch,
@@ -134,59 +135,59 @@
             + appServer.getLocalPort()
             + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,"
             + "\"since_ms\":0}]}\n");
-    Socket c = client();
-    NodeHarness.send(c, PING);
-    assertEquals("+PONG", NodeHarness.readLine(c));
-    Socket count = counted(c);
-    NodeHarness.readLine(count);
-    NodeHarness.send(count, "ok 0\r\n");
-    Socket s = accept(appServer);
-    NodeHarness.readLines(s, 9);
-    NodeHarness.send(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
-    assertEquals("$2 hi", NodeHarness.readLines(c, 2));
-    assertTrue(descriptors() < DESCRIPTORS - 16, descriptors() + " descriptors");
-    assertTrue(System.nanoTime() - back < 30_000_000_000L);
+    Socket client = connectClient();
+    NodeHarness.send(client, PING);
+    assertEquals("+PONG", NodeHarness.readLine(client));
+    Socket counterConnection = acceptCounterConnection(client);
+    NodeHarness.readLine(counterConnection);
+    NodeHarness.send(counterConnection, "ok 0\r\n");
+    Socket connection = accept(appServer);
+    NodeHarness.readLines(connection, 9);
+    NodeHarness.send(connection, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
+    assertEquals("$2 hi", NodeHarness.readLines(client, 2));
+    assertTrue(openDescriptors() < DESCRIPTOR_LIMIT - 16, openDescriptors() + " descriptors");
+    assertTrue(System.nanoTime() - discoveryBackNanos < 30_000_000_000L);
   }
 
   /**
-   * The counter's first connection; a node that was starved of its core denies reqs that lay
-   * unread: then it asks again.
+   * Sends requests until the node connects to the counter, and accepts that connection. A node that
+   * got no CPU time for a while rejects requests that waited unread; then the next one is sent.
    */
-  private Socket counted(Socket c) throws IOException {
+  private Socket acceptCounterConnection(Socket client) throws IOException {
     counter.setSoTimeout(2_000);
     for (int id = 1; id <= 10; id++) {
-      NodeHarness.send(c,
+      NodeHarness.send(client,
           NodeHarness.queryCommand(id).replace("d=900", "d=9000").replace("$39", "$40"));
       try {
         return accept(counter);
       } catch (java.net.SocketTimeoutException e) {
-        assertEquals("-BUSY", NodeHarness.readLine(c).substring(0, 5));
+        assertEquals("-BUSY", NodeHarness.readLine(client).substring(0, 5));
       }
     }
-    throw new IOException("no count call");
+    throw new IOException("no counter connection after 10 requests");
   }
 
   /**
-   * SIGTERM in the instant of readiness and once more: what is asked is still answered, and the
-   * process ends by itself.
+   * SIGTERM comes twice as soon as the node is ready. The node still answers commands, and the
+   * process exits by itself.
    */
   @Test
-  void endsWhenJustReady() throws Exception {
-    ready();
-    Socket c = client();
+  void exitsAfterSigtermRightAfterReadiness() throws Exception {
+    awaitReady();
+    Socket client = connectClient();
     process.destroy();
     process.destroy();
-    long since = System.nanoTime();
+    long startNanos = System.nanoTime();
     int answered = 0;
-    NodeHarness.send(c, PING);
-    while (NodeHarness.readLine(c).equals("+PONG")) {
+    NodeHarness.send(client, PING);
+    while (NodeHarness.readLine(client).equals("+PONG")) {
       answered++;
-      NodeHarness.send(c, PING);
+      NodeHarness.send(client, PING);
     }
     assertTrue(answered > 0);
     assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     assertEquals(143, process.exitValue());
-    assertTrue(System.nanoTime() - since < 4_500_000_000L,
-        Files.readString(dir.resolve("log.txt")));
+    assertTrue(System.nanoTime() - startNanos < 4_500_000_000L,
+        Files.readString(directory.resolve("log.txt")));
   }
 }
--- a/src/test/java/saltlatch/node/ShutdownTest.java
+++ b/src/test/java/saltlatch/node/ShutdownTest.java
@@ -22,8 +22,8 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * A planned end that crosses with what clients do just then. Nothing that was read goes unanswered,
- * or is sent on afterwards.
+ * A planned shutdown that coincides with client activity. The node answers every request that it
+ * has read, and forwards none after it has ended.
  */
 @Timeout(60)
 class ShutdownTest extends NodeHarness {
@@ -35,159 +35,164 @@
   }
 
   /**
-   * Hundreds of connections wait to be accepted, each with a req, when the end begins: all are
+   * When the shutdown begins, 300 connections with a request each wait to be accepted. All are
    * served.
    */
   @Test
-  void connectionsInTheBacklog() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
-    eventHandler = e -> {
-      if (!(e instanceof GatewayEvent.RequestArrived)) return;
-      held.countDown();
+  void servesConnectionsInTheAcceptBacklog() throws Exception {
+    CountDownLatch loopBlocked = new CountDownLatch(1);
+    CountDownLatch releaseLoop = new CountDownLatch(1);
+    eventHandler = event -> {
+      if (!(event instanceof GatewayEvent.RequestArrived)) return;
+      loopBlocked.countDown();
       try {
-        assertTrue(go.await(20, TimeUnit.SECONDS));
-      } catch (InterruptedException i) {
-        throw new IllegalStateException(i);
+        assertTrue(releaseLoop.await(20, TimeUnit.SECONDS));
+      } catch (InterruptedException interrupted) {
+        throw new IllegalStateException(interrupted);
       }
-      actions.reject(requestIdOf(e), 0);
+      actions.reject(requestIdOf(event), 0);
     };
-    Socket first = connectClient();
-    send(first, queryCommand(0));
-    assertTrue(held.await(20, TimeUnit.SECONDS));
-    List<Socket> crowd = new ArrayList<>();
+    Socket blockingClient = connectClient();
+    send(blockingClient, queryCommand(0));
+    assertTrue(loopBlocked.await(20, TimeUnit.SECONDS));
+    List<Socket> waitingClients = new ArrayList<>();
     for (int i = 1; i <= 300; i++) {
-      Socket c = connectClient();
-      send(c, queryCommand(i));
-      crowd.add(c);
+      Socket client = connectClient();
+      send(client, queryCommand(i));
+      waitingClients.add(client);
     }
-    CompletableFuture<Void> done = stopNode();
-    go.countDown();
-    for (Socket c : crowd) assertEquals("-BUSY", readLine(c));
-    for (Socket c : crowd) assertEquals("closed", readLine(c));
-    done.get(5, TimeUnit.SECONDS);
+    CompletableFuture<Void> stopFuture = stopNode();
+    releaseLoop.countDown();
+    for (Socket client : waitingClients) assertEquals("-BUSY", readLine(client));
+    for (Socket client : waitingClients) assertEquals("closed", readLine(client));
+    stopFuture.get(5, TimeUnit.SECONDS);
   }
 
   /**
-   * Clients that go on asking until their connection ends: each answer but none of the unanswered
-   * was read.
+   * Clients send requests until their connections end. Every request that the node read is
+   * answered; one without an answer was not read.
    */
   @Test
-  void requestsUpToTheLastTurn() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
+  void answersEveryRequestThatItReads() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(event), 0);
     };
     List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 20; i++) clients.add(answeredClient());
     eventTexts.clear();
-    CompletableFuture<Void> done = stopNode();
+    CompletableFuture<Void> stopFuture = stopNode();
     int answered = 0;
     for (int round = 0; !clients.isEmpty(); round++) {
       for (int i = 0; i < clients.size(); i++) send(clients.get(i), queryCommand(100 * round + i));
-      for (Socket c : List.copyOf(clients)) {
-        if (readLine(c).equals("-BUSY")) answered++;
-        else clients.remove(c);
+      for (Socket client : List.copyOf(clients)) {
+        if (readLine(client).equals("-BUSY")) answered++;
+        else clients.remove(client);
       }
     }
-    done.get(5, TimeUnit.SECONDS);
+    stopFuture.get(5, TimeUnit.SECONDS);
     long arrived = eventTexts.stream().filter(text -> text.startsWith("arrived")).count();
-    // the last ones the listener denies itself
+    // the listener itself rejects the last requests, so that these do not reach the policy
     assertTrue(arrived <= answered, arrived + " read and " + answered + " answered");
   }
 
   /**
-   * Answers that a client has not taken yet when the end comes still reach it, whole, before its
-   * connection ends.
+   * Replies that a client has not yet read when the shutdown begins still reach it completely
+   * before its connection ends.
    */
   @Test
-  void answersInTheWriteQueue() throws Exception {
-    Socket c = connectClient();
-    String info = "*1\r\n$4\r\nINFO\r\n";
-    for (int i = 0; i < 2_000; i++) send(c, info);
-    CompletableFuture<Void> done = stopNode();
-    int got = 0;
-    for (String line = readLine(c); !line.equals("closed"); line = readLine(c))
-      if (line.startsWith("held=")) got++;
-    assertEquals(2_000, got);
-    done.get(5, TimeUnit.SECONDS);
+  void deliversQueuedRepliesBeforeClosing() throws Exception {
+    Socket client = connectClient();
+    String infoCommand = "*1\r\n$4\r\nINFO\r\n";
+    for (int i = 0; i < 2_000; i++) send(client, infoCommand);
+    CompletableFuture<Void> stopFuture = stopNode();
+    int replies = 0;
+    for (String line = readLine(client); !line.equals("closed"); line = readLine(client))
+      if (line.startsWith("held=")) replies++;
+    assertEquals(2_000, replies);
+    stopFuture.get(5, TimeUnit.SECONDS);
   }
 
   /**
-   * An app srv that hangs just then: the req is aborted in time, and its late answer is nobody's.
+   * An app server hangs during the shutdown. The request is aborted in time, and the late reply is
+   * ignored.
    */
   @Test
-  void appServerHangs() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.startAttempt(requestIdOf(e), 0, 80_000);
+  void abortsInTimeIfAnAppServerHangs() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived)
+        actions.startAttempt(requestIdOf(event), 0, 80_000);
     };
-    Socket c = connectClient();
-    send(c, queryCommand(0));
-    Socket s = accept(appServer);
-    readLines(s, 9);
-    long since = System.nanoTime();
-    CompletableFuture<Void> done = stopNode();
-    assertEquals("-ERR aborted closed", readLines(c, 2));
-    long took = (System.nanoTime() - since) / 1_000_000;
-    // SIGKILL comes 1.7 s after SIGTERM at the soonest, 3.7 s where deadlines are long
-    assertTrue(took < 3_400, took + " ms");
-    send(s, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
-    done.get(5, TimeUnit.SECONDS);
+    Socket client = connectClient();
+    send(client, queryCommand(0));
+    Socket connection = accept(appServer);
+    readLines(connection, 9);
+    long startNanos = System.nanoTime();
+    CompletableFuture<Void> stopFuture = stopNode();
+    assertEquals("-ERR aborted closed", readLines(client, 2));
+    long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+    // SIGKILL comes at least 1.7 s after SIGTERM, and 3.7 s after it if deadlines are long
+    assertTrue(elapsedMs < 3_400, elapsedMs + " ms");
+    send(connection, "*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n");
+    stopFuture.get(5, TimeUnit.SECONDS);
   }
 
-  /** The end is told before the node is ready: it never gets ready, and is over at once. */
+  /** A node that is stopped before it is ready never becomes ready, and ends at once. */
   @Test
-  void beforeItIsReady() throws Exception {
-    EdgeNode early = new EdgeNode(NodeConfigurationReader.read(configurationJson()));
-    CompletableFuture<Void> done = early.stop().toCompletionStage().toCompletableFuture();
-    CompletableFuture<Void> open = early.start((now, site, out) -> (at, events) -> {})
+  void stopBeforeTheStartPreventsReadiness() throws Exception {
+    EdgeNode unstartedNode = new EdgeNode(NodeConfigurationReader.read(configurationJson()));
+    CompletableFuture<Void> stopFuture = unstartedNode.stop().toCompletionStage()
+        .toCompletableFuture();
+    CompletableFuture<Void> startFuture = unstartedNode
+        .start((nowTicks, settings, policyActions) -> (eventTicks, events) -> {})
         .toCompletionStage().toCompletableFuture();
-    assertThrows(ExecutionException.class, () -> open.get(5, TimeUnit.SECONDS));
-    done.get(5, TimeUnit.SECONDS);
+    assertThrows(ExecutionException.class, () -> startFuture.get(5, TimeUnit.SECONDS));
+    stopFuture.get(5, TimeUnit.SECONDS);
   }
 
-  /** Half a command waits for its rest while the node ends: whole, it is answered. */
+  /** Part of a command waits for the rest during the shutdown; once complete, it is answered. */
   @Test
-  void halfACommand() throws Exception {
-    eventHandler = e -> {
-      if (e instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(e), 0);
+  void answersACommandCompletedDuringTheShutdown() throws Exception {
+    eventHandler = event -> {
+      if (event instanceof GatewayEvent.RequestArrived) actions.reject(requestIdOf(event), 0);
     };
-    Socket c = connectClient();
-    String two = PING + queryCommand(1);
-    int half = two.length() - 20;
-    CompletableFuture<Void> done = stopNode();
-    long answers = 0;
+    Socket client = connectClient();
+    String commands = PING + queryCommand(1);
+    int firstPartLength = commands.length() - 20;
+    CompletableFuture<Void> stopFuture = stopNode();
+    long answeredCommands = 0;
     while (true) {
-      send(c, two.substring(0, half));
-      String pong = readLine(c);
-      if (pong.equals("closed")) break;
-      assertEquals("+PONG", pong);
-      send(c, two.substring(half));
-      String busy = readLine(c);
-      if (busy.equals("closed")) break; // refusing: half a command is not waited for any more
-      assertEquals("-BUSY", busy);
-      answers++;
+      send(client, commands.substring(0, firstPartLength));
+      String firstReply = readLine(client);
+      if (firstReply.equals("closed")) break;
+      assertEquals("+PONG", firstReply);
+      send(client, commands.substring(firstPartLength));
+      String secondReply = readLine(client);
+      // the node now rejects requests and no longer waits for the rest of a command
+      if (secondReply.equals("closed")) break;
+      assertEquals("-BUSY", secondReply);
+      answeredCommands++;
     }
-    assertTrue(answers > 0);
-    done.get(5, TimeUnit.SECONDS);
+    assertTrue(answeredCommands > 0);
+    stopFuture.get(5, TimeUnit.SECONDS);
   }
 
   /**
-   * What a client sends on a connection that this node has just ended stays unread: a reset tells
-   * that it was not taken.
+   * A request that a client sends on a connection that the node has just closed stays unread. A
+   * reset shows the client that the node did not process it.
    */
   @Test
-  void requestBehindTheEnd() throws Exception {
-    try (SocketChannel c = SocketChannel
+  void leavesARequestAfterTheCloseUnread() throws Exception {
+    try (SocketChannel client = SocketChannel
         .open(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()))) {
-      ByteBuffer got = ByteBuffer.allocate(64);
-      c.write(ByteBuffer.wrap(PING.getBytes(StandardCharsets.ISO_8859_1)));
-      assertEquals(7, c.read(got));
-      CompletableFuture<Void> done = stopNode();
-      assertEquals(-1, c.read(got));
-      c.write(ByteBuffer.wrap(queryCommand(0).getBytes(StandardCharsets.ISO_8859_1)));
-      done.get(5, TimeUnit.SECONDS);
-      // else the system takes it: no reset has come
-      assertThrows(IOException.class, () -> c.write(ByteBuffer.allocate(1)));
+      ByteBuffer reply = ByteBuffer.allocate(64);
+      client.write(ByteBuffer.wrap(PING.getBytes(StandardCharsets.ISO_8859_1)));
+      assertEquals(7, client.read(reply));
+      CompletableFuture<Void> stopFuture = stopNode();
+      assertEquals(-1, client.read(reply));
+      client.write(ByteBuffer.wrap(queryCommand(0).getBytes(StandardCharsets.ISO_8859_1)));
+      stopFuture.get(5, TimeUnit.SECONDS);
+      // without a reset the kernel would accept the byte
+      assertThrows(IOException.class, () -> client.write(ByteBuffer.allocate(1)));
     }
   }
 }
--- a/src/test/java/saltlatch/node/StallDetectorTest.java
+++ b/src/test/java/saltlatch/node/StallDetectorTest.java
@@ -10,16 +10,16 @@
 import saltlatch.state.RequestContext;
 
 /**
- * A process is stopped, or loses its core, for longer than the policy puts up with. Its timer is
- * then overdue, and requests read right afterwards have lain unread for up to that long. On a fake
- * clock.
+ * Tests stall detection on a fake clock. A process is stopped, or loses its core, for longer than
+ * the policy's threshold. Its timer is then overdue, and requests read right afterwards may have
+ * waited unread for as long as the stall took.
  */
 class StallDetectorTest {
   private static final long THRESHOLD_TICKS = 500;
 
   private long nowTicks = 10_000;
   private long timerDueTicks = Long.MAX_VALUE;
-  private long clientUnreadTicks;
+  private long clientReadDelayTicks;
   private final NodeMetrics metrics = new NodeMetrics();
   private final List<Long> stallsMs = new ArrayList<>();
   private final StallDetector detector = new StallDetector(() -> nowTicks, () -> timerDueTicks,
@@ -41,7 +41,7 @@
 
     @Override
     public long readDelayTicks() {
-      return clientUnreadTicks;
+      return clientReadDelayTicks;
     }
   };
 
@@ -53,20 +53,20 @@
   }
 
   @Test
-  void noticesATimerOverdueByMoreThanTheThreshold() {
+  void reportsATimerOverdueByMoreThanTheThreshold() {
     stallFor(THRESHOLD_TICKS + 1);
     assertEquals(List.of(50L), stallsMs);
     assertTrue(metrics.infoText().contains("\naway=1\naway_ms=50\n"), metrics.infoText());
   }
 
   @Test
-  void aTimerOverdueByTheThresholdIsNoStall() {
+  void ignoresATimerOverdueByExactlyTheThreshold() {
     stallFor(THRESHOLD_TICKS);
     assertEquals(List.of(), stallsMs);
   }
 
   @Test
-  void withoutATimerNothingIsOverdue() {
+  void reportsNoStallWithoutATimer() {
     detector.start();
     nowTicks += 100 * THRESHOLD_TICKS;
     detector.check();
@@ -74,12 +74,12 @@
   }
 
   @Test
-  void ageIsAskedOnlyInTheWakeOfAStall() {
-    clientUnreadTicks = 700;
+  void readsTheRequestDelayOnlyAfterAStall() {
+    clientReadDelayTicks = 700;
     assertEquals(0, detector.readDelayTicks(client));
     stallFor(2_000);
     assertEquals(700, detector.readDelayTicks(client));
-    clientUnreadTicks = 9_000; // more than the stall took: the client itself waited
+    clientReadDelayTicks = 9_000; // longer than the stall: the rest is the client's own delay
     assertEquals(2_000, detector.readDelayTicks(client));
     assertTrue(metrics.infoText().contains("\nread_late=2\n"), metrics.infoText());
     nowTicks += 2_001;
