--- a/src/test/java/saltlatch/node/ConnectionCloseTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -40,7 +40,7 @@
 
   /**
    * An attempt times out while its command is partly written. The app server must never get the
-   * complete command, since the policy was told that the attempt did not start.
+   * complete command, since CONNECT_FAILED means that the attempt did not start.
    */
   @Test
   void partlyWrittenCommandNeverArrivesCompletely() throws Exception {
--- a/src/test/java/saltlatch/node/EventOrderTest.java
+++ b/src/test/java/saltlatch/node/EventOrderTest.java
@@ -151,10 +151,10 @@
 
   /**
    * A client closes while 64 of its requests are unanswered. The node has then stopped reading from
-   * it, so that the close is behind unread bytes; it must be noticed nevertheless.
+   * it, so that the close follows unread bytes; it must be noticed nevertheless.
    */
   @Test
-  void noticesACloseBehindUnreadBytes() throws Exception {
+  void noticesACloseAfterUnreadBytes() throws Exception {
     Socket client = acceptedClient();
     StringBuilder commands = new StringBuilder();
     for (int i = 0; i < 64; i++) commands.append(queryCommand(i));
@@ -167,7 +167,7 @@
 
   /** Like the test above, with a reset and with a half close. */
   @Test
-  void noticesAResetOrHalfCloseBehindUnreadBytes() throws Exception {
+  void noticesAResetOrHalfCloseAfterUnreadBytes() throws Exception {
     for (boolean reset : new boolean[] {true, false}) {
       Socket client = acceptedClient();
       StringBuilder commands = new StringBuilder();
