--- a/src/main/java/saltlatch/cli/EmulateCommand.java
+++ b/src/main/java/saltlatch/cli/EmulateCommand.java
@@ -39,7 +39,7 @@
         + "; configs in " + configs);
     Thread.sleep((long) ((s.seconds() + linger) * 1000));
     System.out
-        .println(e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        .println(e.metrics().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
     e.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     return 0;
   }
--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.load.LoadRunner;
-import saltlatch.lab.plan.Offered;
+import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
@@ -59,12 +59,12 @@
       System.err.println("saltlatch load: --ports or --echo");
       return 2;
     }
-    List<Offered.Arrival> schedule = Offered.of(s);
-    System.out.println("schedule " + Offered.digest(schedule) + ": " + schedule.size() + " reqs");
+    List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(s);
+    System.out.println("schedule " + OpenLoopSchedule.digest(schedule) + ": " + schedule.size() + " reqs");
     LoadRunner load = new LoadRunner(s, schedule, ports, new LabClock());
     load.run().toCompletionStage().toCompletableFuture()
         .get((long) (s.seconds() + s.load().deadlineMs() / 1000 + 30), TimeUnit.SECONDS);
-    System.out.println("tries " + load.tries() + ", outcomes " + load.outcomes() + ", latency us "
+    System.out.println("tries " + load.attempts() + ", outcomes " + load.outcomes() + ", latency us "
         + load.latency() + ", sender late us " + load.senderLate());
     load.close();
     if (echoes != null) echoes.close();
--- a/src/main/java/saltlatch/lab/check/Line.java
+++ b/src/main/java/saltlatch/lab/check/HistoryEvent.java
@@ -18,7 +18,7 @@
  * One event of a history: which process, in which incarnation, when on the machine's monotonic
  * clock, what, and its fields; {@code at} is where it stands (file and line).
  */
-public record Line(String name, String incarnation, long monoNs, String kind,
+public record HistoryEvent(String name, String incarnation, long monoNs, String kind,
     Map<String, String> fields, String at) {
 
   public String get(String field) {
@@ -34,8 +34,8 @@
    * Every {@code *.jsonl} of a directory as one history in order of time. A torn last line, as
    * SIGKILL leaves, is passed over.
    */
-  public static List<Line> readAll(Path dir) throws IOException {
-    List<Line> all = new ArrayList<>();
+  public static List<HistoryEvent> readAll(Path dir) throws IOException {
+    List<HistoryEvent> all = new ArrayList<>();
     List<Path> files;
     try (Stream<Path> found = Files.list(dir)) {
       files = found.filter(p -> p.toString().endsWith(".jsonl")).sorted().toList();
@@ -54,12 +54,12 @@
         }
       }
     }
-    all.sort(Comparator.comparingLong(Line::monoNs)); // stable: a file's own order holds
+    all.sort(Comparator.comparingLong(HistoryEvent::monoNs)); // stable: a file's own order holds
     return all;
   }
 
   /** One line of JSON; throws what the parser throws for a torn one. */
-  public static Line parse(String json, String at) {
+  public static HistoryEvent parse(String json, String at) {
     JsonObject o = JsonParser.parseString(json).getAsJsonObject();
     Map<String, String> fields = new HashMap<>();
     for (JsonElement pair : o.getAsJsonArray("kvpList")) {
@@ -69,6 +69,6 @@
     String name = fields.remove("name");
     String incarnation = fields.remove("inc");
     long mono = Long.parseLong(fields.remove("mono_ns"));
-    return new Line(name, incarnation, mono, o.get("message").getAsString(), fields, at);
+    return new HistoryEvent(name, incarnation, mono, o.get("message").getAsString(), fields, at);
   }
 }
--- a/src/main/java/saltlatch/lab/check/MemberTimes.java
+++ b/src/main/java/saltlatch/lab/check/MemberTimes.java
@@ -19,10 +19,10 @@
     int falselyFailed) {
 
   /** Null where no node knows another. */
-  public static MemberTimes of(List<Line> history) {
+  public static MemberTimes of(List<HistoryEvent> history) {
     if (history.stream().noneMatch(l -> l.kind().equals("member"))) return null;
     Run run = new Run();
-    for (Line l : history) run.see(l);
+    for (HistoryEvent l : history) run.see(l);
     return new MemberTimes(run.failed, run.back, run.equal, run.falselyFailed);
   }
 
@@ -56,7 +56,7 @@
     private final List<long[]> cuts = new ArrayList<>();
     private final Set<Long> heals = new HashSet<>(); // whose views are not equal yet
 
-    void see(Line l) {
+    void see(HistoryEvent l) {
       switch (l.kind()) {
         case "planned" -> {
           if (l.get("what").contains(" - ") || l.get("what").contains(" > ")) {
@@ -83,7 +83,7 @@
       }
     }
 
-    private void fault(Line l, String node) {
+    private void fault(HistoryEvent l, String node) {
       switch (l.get("kind")) {
         case "kill", "term" -> {
           views.remove(node);
@@ -101,7 +101,7 @@
       }
     }
 
-    private void news(Line l, String before) {
+    private void news(HistoryEvent l, String before) {
       String member = l.get("member");
       String state = l.get("state");
       if (state.equals("failed") && killedAt.containsKey(member)) {
@@ -124,7 +124,7 @@
      * From then on no cut, and the observer itself was not away: a stated time counts from a fault
      * that stands alone.
      */
-    private boolean undisturbed(Line l, long fromNs) {
+    private boolean undisturbed(HistoryEvent l, long fromNs) {
       for (long[] c : cuts) if (c[0] <= l.monoNs() && c[1] >= fromNs) return false;
       return !stopped.contains(l.name())
           && continuedAt.getOrDefault(l.name(), Long.MIN_VALUE) < fromNs;
@@ -147,7 +147,7 @@
       return true;
     }
 
-    private static double since(Line l, long ns) {
+    private static double since(HistoryEvent l, long ns) {
       return (l.monoNs() - ns) / 1e9;
     }
   }
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -20,15 +20,15 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
+    public List<Violation> check(List<HistoryEvent> history) {
       List<Violation> out = new ArrayList<>();
-      Map<String, Line> answered = new HashMap<>();
-      Map<String, Line> got = new HashMap<>();
-      for (Line l : history) {
+      Map<String, HistoryEvent> answered = new HashMap<>();
+      Map<String, HistoryEvent> got = new HashMap<>();
+      for (HistoryEvent l : history) {
         if (!l.kind().equals("answered") && !l.kind().equals("got")) continue;
-        Line first = (l.kind().equals("got") ? got : answered).putIfAbsent(l.get("id"), l);
+        HistoryEvent first = (l.kind().equals("got") ? got : answered).putIfAbsent(l.get("id"), l);
         if (first != null) out.add(
-            broken("req " + l.get("id") + " ended " + first.get("how") + " and " + l.get("how"),
+            violation("req " + l.get("id") + " ended " + first.get("how") + " and " + l.get("how"),
                 first, l));
       }
       return out;
@@ -46,10 +46,10 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
-      Map<String, Line> open = new TreeMap<>();
+    public List<Violation> check(List<HistoryEvent> history) {
+      Map<String, HistoryEvent> open = new TreeMap<>();
       List<Violation> out = new ArrayList<>();
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (l.kind().equals("arrived")) open.put(l.get("id"), l);
         if (l.kind().equals("answered")) open.remove(l.get("id"));
         boolean ended = l.kind().equals("fault")
@@ -61,13 +61,13 @@
         open.values().removeIf(a -> {
           boolean lost = a.name().equals(l.name()) && !a.incarnation().equals(l.incarnation());
           if (lost)
-            out.add(broken("req " + a.get("id") + " was open when " + a.name() + " ended by itself",
+            out.add(violation("req " + a.get("id") + " was open when " + a.name() + " ended by itself",
                 a, l));
           return lost;
         });
       }
-      for (Line a : open.values())
-        out.add(broken("req " + a.get("id") + " of " + a.name() + " has no answer", a));
+      for (HistoryEvent a : open.values())
+        out.add(violation("req " + a.get("id") + " of " + a.name() + " has no answer", a));
       return out;
     }
   }
@@ -94,10 +94,10 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
-      Map<String, Line> sent = new HashMap<>();
+    public List<Violation> check(List<HistoryEvent> history) {
+      Map<String, HistoryEvent> sent = new HashMap<>();
       Map<String, List<long[]>> faults = new HashMap<>(); // node, or all, and from when to when
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (l.kind().equals("sent")) sent.put(l.get("id"), l);
         if (!l.kind().equals("planned")) continue;
         faults.computeIfAbsent(l.get("node"), k -> new ArrayList<>())
@@ -105,11 +105,11 @@
                 Long.parseLong(l.get("until_ns")) + (long) (slackMs * 1e6)});
       }
       List<Violation> out = new ArrayList<>();
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (!l.kind().equals("got")
             || (!l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT")))
           continue;
-        Line s = sent.get(l.get("id"));
+        HistoryEvent s = sent.get(l.get("id"));
         long from = s == null ? l.monoNs() : s.monoNs();
         boolean explained = false;
         for (String who : List.of(l.get("node"), "all")) {
@@ -117,7 +117,7 @@
             explained |= f[0] <= l.monoNs() && f[1] >= from;
         }
         if (!explained)
-          out.add(broken("req " + l.get("id") + " to " + l.get("node") + " " + l.get("how"),
+          out.add(violation("req " + l.get("id") + " to " + l.get("node") + " " + l.get("how"),
               s == null ? l : s, l));
       }
       return out;
@@ -134,13 +134,13 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
-      Map<String, Line> ran = new HashMap<>();
+    public List<Violation> check(List<HistoryEvent> history) {
+      Map<String, HistoryEvent> ran = new HashMap<>();
       List<Violation> out = new ArrayList<>();
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (!l.kind().equals("command") || !l.get("submit").equals("true")) continue;
-        Line first = ran.get(l.get("id"));
-        if (first != null) out.add(broken("req " + l.get("id") + " came again", first, l));
+        HistoryEvent first = ran.get(l.get("id"));
+        if (first != null) out.add(violation("req " + l.get("id") + " came again", first, l));
         if (!l.get("verdict").equals("BUSY")) ran.putIfAbsent(l.get("id"), l);
       }
       return out;
@@ -158,20 +158,20 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
-      Map<String, Line> served = new HashMap<>();
+    public List<Violation> check(List<HistoryEvent> history) {
+      Map<String, HistoryEvent> served = new HashMap<>();
       Set<String> submits = new HashSet<>();
       List<Violation> out = new ArrayList<>();
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (l.kind().equals("command") && l.get("submit").equals("true")) submits.add(l.get("id"));
         if (l.kind().equals("served")) {
-          Line first = served.putIfAbsent(l.get("id"), l);
+          HistoryEvent first = served.putIfAbsent(l.get("id"), l);
           if (first != null && submits.contains(l.get("id")))
-            out.add(broken("req " + l.get("id") + " ran twice", first, l));
+            out.add(violation("req " + l.get("id") + " ran twice", first, l));
         }
         if (l.kind().equals("got") && l.get("how").equals("PASSED")
             && !served.containsKey(l.get("id"))) {
-          out.add(broken("req " + l.get("id") + " passed and never ran", l));
+          out.add(violation("req " + l.get("id") + " passed and never ran", l));
         }
       }
       return out;
@@ -200,10 +200,10 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
+    public List<Violation> check(List<HistoryEvent> history) {
       Map<String, double[]> use = new HashMap<>(); // first ns, units, worst
-      Map<String, Line> worst = new TreeMap<>();
-      for (Line l : history) {
+      Map<String, HistoryEvent> worst = new TreeMap<>();
+      for (HistoryEvent l : history) {
         if (!l.kind().equals("served")) continue;
         double[] u = use.computeIfAbsent(l.get("customer"),
             k -> new double[] {l.monoNs(), 0, bound});
@@ -216,7 +216,7 @@
       }
       List<Violation> out = new ArrayList<>();
       worst.forEach((c,
-          l) -> out.add(broken(String.format(java.util.Locale.ROOT,
+          l) -> out.add(violation(String.format(java.util.Locale.ROOT,
               "customer %s was charged %.1f units beyond its quota, %.1f are stated", c,
               use.get(c)[2], bound), l)));
       return out;
@@ -237,16 +237,16 @@
     }
 
     @Override
-    public List<Violation> check(List<Line> history) {
-      Map<String, Line> last = new TreeMap<>();
+    public List<Violation> check(List<HistoryEvent> history) {
+      Map<String, HistoryEvent> last = new TreeMap<>();
       List<Violation> out = new ArrayList<>();
-      for (Line l : history) {
+      for (HistoryEvent l : history) {
         if (l.kind().equals("started") || l.kind().equals("ends")) last.remove(l.name());
         if (l.kind().equals("fault") && l.get("kind").equals("kill")) last.remove(l.get("node"));
         if (!l.kind().equals("share")) continue;
         last.put(l.name(), l);
         double sum = 0;
-        for (Line s : last.values()) sum += part(s, (l.monoNs() - s.monoNs()) / 1e6);
+        for (HistoryEvent s : last.values()) sum += part(s, (l.monoNs() - s.monoNs()) / 1e6);
         if (sum > 1 + ROUNDING) {
           out.add(
               new Violation(name(), String.format(java.util.Locale.ROOT, "%.3f quotas in use", sum),
@@ -257,7 +257,7 @@
     }
 
     /** What a process may use so long after it told this. */
-    private static double part(Line s, double laterMs) {
+    private static double part(HistoryEvent s, double laterMs) {
       if (laterMs >= s.number("holds_ms") && !s.get("is").equals("floor")) return s.number("floor");
       return s.get("is").equals("more") && laterMs >= s.number("takes_ms") ? s.number("whole")
           : s.number("part");
--- a/src/main/java/saltlatch/lab/check/Recovery.java
+++ b/src/main/java/saltlatch/lab/check/Recovery.java
@@ -22,12 +22,12 @@
    * By how many units the worst customer's standing beyond {@code burst + rate * t} (t from its
    * first charge) grew between two moments over what it had been before; 0 if none grew.
    */
-  public static double beyond(List<Line> history, double rate, double burst, long fromNs,
+  public static double beyond(List<HistoryEvent> history, double rate, double burst, long fromNs,
       long untilNs) {
     // first ns, units, most beyond before, most beyond meanwhile
     Map<String, double[]> use = new HashMap<>();
     double worst = 0;
-    for (Line l : history) {
+    for (HistoryEvent l : history) {
       if (!l.kind().equals("served") || l.monoNs() > untilNs) continue;
       double[] u = use.computeIfAbsent(l.get("customer"), k -> new double[] {l.monoNs(), 0, 0, 0});
       u[1] += l.number("units");
@@ -43,11 +43,11 @@
    * nine tenths of its mean before the fault, for two seconds in a row; -1: not before
    * {@code endS}; 0: it never fell.
    */
-  public static double seconds(List<Line> history, long beginNs, double faultS, double endS,
+  public static double seconds(List<HistoryEvent> history, long beginNs, double faultS, double endS,
       Set<String> nodes) {
     Map<String, Integer> second = new HashMap<>();
     Map<Integer, double[]> rows = new HashMap<>(); // passed, all; by the second of sending
-    for (Line l : history) {
+    for (HistoryEvent l : history) {
       if (l.kind().equals("sent") && nodes.contains(l.get("node"))) {
         second.put(l.get("id"), (int) Math.floor((l.monoNs() - beginNs) / 1e9));
       }
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
-import saltlatch.lab.plan.Box;
-import saltlatch.lab.plan.Truth;
+import saltlatch.lab.plan.AppServerModel;
+import saltlatch.lab.plan.GroundTruth;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.NamedNumbers;
@@ -27,8 +27,8 @@
  * Stand-in app servers speaking RESP2 as the protocol page says:
  * {@code SVC.QUERY}/{@code SVC.SUBMIT} answered with an array of value, figures on use
  * ({@code cost=UNITS}) and load report; {@code -BUSY} when full; {@code -ERR failed}; answers in
- * the order of a connection's commands. What each command meets is {@link Box}'s decision; what ran
- * is written to {@link Truth}. All on the one event loop of the emulator's Vert.x.
+ * the order of a connection's commands. What each command meets is {@link AppServerModel}'s decision; what ran
+ * is written to {@link GroundTruth}. All on the one event loop of the emulator's Vert.x.
  */
 public final class AppServers {
   // how often idle connections are looked at: finer than any idle time used
@@ -36,20 +36,20 @@
 
   private final Vertx vertx;
   private final LabClock clock;
-  private final Truth truth;
+  private final GroundTruth truth;
   private final List<Server> servers = new ArrayList<>();
   private long commands;
   private long spoilt;
 
   /** One stand-in server, listening on a port of its own. */
   static final class Server {
-    final Box box;
+    final AppServerModel model;
     final Set<Conn> conns = new LinkedHashSet<>();
     NetServer net;
     int inProgress;
 
-    Server(Box box) {
-      this.box = box;
+    Server(AppServerModel model) {
+      this.model = model;
     }
 
     int port() {
@@ -85,13 +85,13 @@
 
   private final HistoryWriter history; // null: none is kept
 
-  AppServers(Vertx vertx, LabClock clock, Truth truth, Scenario s, HistoryWriter history) {
+  AppServers(Vertx vertx, LabClock clock, GroundTruth truth, Scenario s, HistoryWriter history) {
     this.history = history;
     this.vertx = vertx;
     this.clock = clock;
     this.truth = truth;
     for (int i = 0; i < s.servers().count(); i++)
-      servers.add(new Server(new Box(i, s.servers(), s.seed())));
+      servers.add(new Server(new AppServerModel(i, s.servers(), s.seed())));
   }
 
   /** Listens on loopback, a port each; done when all listen. */
@@ -121,7 +121,7 @@
 
   private void accept(Server srv, NetSocket socket) {
     double now = clock.nowMs();
-    if (!srv.box.accepts(now)) {
+    if (!srv.model.accepts(now)) {
       socket.close();
       return;
     }
@@ -149,7 +149,7 @@
   private void sweep() {
     double now = clock.nowMs();
     for (Server srv : servers) {
-      double idle = srv.box.idleCloseMs(now);
+      double idle = srv.model.idleCloseMs(now);
       if (idle <= 0) continue;
       for (Conn c : List.copyOf(srv.conns)) {
         if (c.pending.isEmpty() && now - c.lastMs >= idle) c.socket.close();
@@ -193,32 +193,32 @@
     }
     String id = words.get(2);
     int units = (int) Math.max(1, NamedNumbers.find(words.get(3), "units"));
-    truth.dispatched(id, customer, submit, units);
+    truth.recordAttempt(id, customer, submit, units);
     Server srv = c.server;
-    Box.Turn turn = srv.box.take(now, srv.inProgress);
-    if (turn.verdict() != Box.Verdict.BUSY) truth.mayHaveRun(id);
+    AppServerModel.Decision decision = srv.model.decide(now, srv.inProgress);
+    if (decision.verdict() != AppServerModel.Verdict.BUSY) truth.recordPossibleRun(id);
     if (history != null) {
-      history.add("command", "id", id, "srv", "s-" + srv.box.index(), "submit", submit, "verdict",
-          turn.verdict().name(), "units", units, "customer", customer);
+      history.add("command", "id", id, "srv", "s-" + srv.model.index(), "submit", submit, "verdict",
+          decision.verdict().name(), "units", units, "customer", customer);
     }
-    switch (turn.verdict()) {
+    switch (decision.verdict()) {
       case BUSY -> c.ready(slot, line("-BUSY"));
       case FAIL -> c.ready(slot, line("-ERR failed"));
       case SPOIL, SERVE -> {
         srv.inProgress++;
-        double at = Math.max(now + turn.latencyMs(), turn.heldUntilMs());
+        double at = Math.max(now + decision.latencyMs(), decision.heldUntilMs());
         vertx.setTimer(Math.max(1, (long) Math.ceil(at - now)), t -> {
           srv.inProgress--;
-          truth.served(id, (long) clock.nowMs());
+          truth.recordServed(id, (long) clock.nowMs());
           if (history != null)
             history.add("served", "id", id, "units", units, "customer", customer);
-          if (turn.verdict() == Box.Verdict.SPOIL) {
+          if (decision.verdict() == AppServerModel.Verdict.SPOIL) {
             spoilt++;
             c.ready(slot, line("+spoilt"));
             return;
           }
           String load = "inflight=" + srv.inProgress + ",util=" + String.format(
-              java.util.Locale.ROOT, "%.2f", srv.inProgress / srv.box.capacity(clock.nowMs()));
+              java.util.Locale.ROOT, "%.2f", srv.inProgress / srv.model.capacity(clock.nowMs()));
           c.ready(slot, array("v:" + id, "cost=" + units, load));
         });
       }
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -16,24 +16,24 @@
 import java.util.Map;
 import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
-import saltlatch.lab.plan.Truth;
-import saltlatch.lab.rig.Relays;
+import saltlatch.lab.plan.GroundTruth;
+import saltlatch.lab.rig.LinkProxies;
 import saltlatch.lab.scenario.Scenario;
 
 /**
  * The systems an edge node serves, emulated on loopback from one scenario: app servers, the
  * counter, discovery's agent and the datagrams between nodes. All on one event loop of its own,
- * which also owns {@link Truth}. {@link #nodeConfig(int)} writes the JSON configuration a node is
+ * which also owns {@link GroundTruth}. {@link #nodeConfig(int)} writes the JSON configuration a node is
  * started with, as the platform would give it.
  */
 public final class Emulator {
   private final Scenario s;
   private final Vertx vertx;
   private final LabClock clock;
-  private final Truth truth = new Truth();
+  private final GroundTruth truth = new GroundTruth();
   private final AppServers servers;
   private final CounterStub counter;
-  private final Relays relays;
+  private final LinkProxies relays;
   private final String historyDir; // null: nodes keep none
   private final PeerRelay relay;
   private DiscoveryStub discovery;
@@ -48,7 +48,7 @@
    * With relays for the links that faults touch, a history of the stand-ins, and a directory for
    * the nodes'.
    */
-  public Emulator(Scenario s, LabClock clock, Relays relays, HistoryWriter history,
+  public Emulator(Scenario s, LabClock clock, LinkProxies relays, HistoryWriter history,
       String historyDir) {
     this.relays = relays;
     this.historyDir = historyDir;
@@ -172,14 +172,14 @@
   }
 
   /** Reads the ledger on the emulator's loop. */
-  public <T> Future<T> read(java.util.function.Function<Truth, T> what) {
+  public <T> Future<T> read(java.util.function.Function<GroundTruth, T> what) {
     Promise<T> out = Promise.promise();
     vertx.runOnContext(v -> out.complete(what.apply(truth)));
     return out.future();
   }
 
   /** The stand-ins' own counts, for the run file. */
-  public Future<Map<String, Long>> figures() {
+  public Future<Map<String, Long>> metrics() {
     return read(t -> {
       Map<String, Long> m = new LinkedHashMap<>();
       m.put("server_commands", servers.commands());
--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import saltlatch.api.GatewayPolicy;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 
 /**
  * One run of a {@link HollowFleet}: starts it, reports until its time is over or it is ended, and
@@ -100,8 +100,8 @@
     HollowFleet.Progress at = fleet.progress();
     HollowFleet.Datagrams datagrams = fleet.datagrams();
     long pid = ProcessHandle.current().pid();
-    write(new Sample(System.nanoTime(), ProcessFigures.cpu(pid).processMs(), heapBytes(),
-        ProcessFigures.rssBytes(pid), at.nodes(), at.withList(), at.leastIndex(), at.newestIndex(),
+    write(new Sample(System.nanoTime(), ProcessMetrics.cpu(pid).processMs(), heapBytes(),
+        ProcessMetrics.rssBytes(pid), at.nodes(), at.withList(), at.leastIndex(), at.newestIndex(),
         datagrams.out(), datagrams.in()));
     progress.println(
         "hollow: " + at.withList() + " of " + at.nodes() + " nodes have a list, all of them index "
@@ -111,9 +111,9 @@
   private Summary summary() throws IOException {
     HollowFleet.Progress at = fleet.progress();
     long pid = ProcessHandle.current().pid();
-    long cpuMs = ProcessFigures.cpu(pid).processMs();
+    long cpuMs = ProcessMetrics.cpu(pid).processMs();
     System.gc();
-    return new Summary(at.nodes(), cpuMs, heapBytes(), ProcessFigures.rssBytes(pid), at.withList(),
+    return new Summary(at.nodes(), cpuMs, heapBytes(), ProcessMetrics.rssBytes(pid), at.withList(),
         at.leastIndex(), at.newestIndex(), at.entries(), fleet.counters());
   }
 
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -19,8 +19,8 @@
 import org.HdrHistogram.Histogram;
 import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
-import saltlatch.lab.plan.Front;
-import saltlatch.lab.plan.Offered.Arrival;
+import saltlatch.lab.plan.LoadBalancer;
+import saltlatch.lab.plan.OpenLoopSchedule.Arrival;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
@@ -121,7 +121,7 @@
     }
   }
 
-  private final Front front; // null: reqs go round all nodes, dead ones too
+  private final LoadBalancer loadBalancer; // null: reqs go round all nodes, dead ones too
   private final Pinger[] pingers;
   private final HistoryWriter history; // null: none is kept
 
@@ -132,9 +132,9 @@
   public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock,
       HistoryWriter history) {
     this.history = history;
-    this.front = s.front().noticeS() > 0 ? new Front(nodePorts.size(), s.front().noticeS() * 1000)
+    this.loadBalancer = s.front().noticeS() > 0 ? new LoadBalancer(nodePorts.size(), s.front().noticeS() * 1000)
         : null;
-    this.pingers = new Pinger[front == null ? 0 : nodePorts.size()];
+    this.pingers = new Pinger[loadBalancer == null ? 0 : nodePorts.size()];
     this.s = s;
     this.schedule = schedule;
     this.nodePorts = nodePorts;
@@ -169,7 +169,7 @@
         if (r.failed()) return;
         socket = r.result();
         socket.handler(b -> {
-          if (b.toString().startsWith("+PONG")) front.pong(node, frontMs());
+          if (b.toString().startsWith("+PONG")) loadBalancer.recordPong(node, frontMs());
         });
         socket.closeHandler(v -> socket = null);
         ping();
@@ -185,13 +185,13 @@
   /** Done once the front has taken every node in; at once where there is none. */
   public Future<Void> ready() {
     Promise<Void> in = Promise.promise();
-    if (front == null) return Future.succeededFuture();
+    if (loadBalancer == null) return Future.succeededFuture();
     vertx.getOrCreateContext().runOnContext(v -> {
       for (int i = 0; i < pingers.length; i++) pingers[i] = new Pinger(i);
       vertx.setPeriodic(PING_MS, t -> {
         for (Pinger p : pingers) p.ping();
         boolean all = true;
-        for (int i = 0; i < pingers.length; i++) all &= front.isIn(i, frontMs());
+        for (int i = 0; i < pingers.length; i++) all &= loadBalancer.isHealthy(i, frontMs());
         if (all) in.tryComplete();
       });
     });
@@ -257,7 +257,7 @@
   private int nodeFor(long customer) {
     int k = nodePorts.size();
     int first = (int) (customer % k);
-    if (front != null) return front.deal(first, k, frontMs());
+    if (loadBalancer != null) return loadBalancer.route(first, k, frontMs());
     return (first + turn[first]++ % k) % k;
   }
 
@@ -278,12 +278,12 @@
       history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units",
           a.units(), "submit", a.submit(), "wait_ms", a.deadlineMs());
     }
-    conn(t.node, a.leaveUs() > 0).send(t, b);
+    conn(t.node, a.abandonUs() > 0).send(t, b);
     long nowMs = (clock.nowUs() - startUs) / 1000;
     long deadlineMs = Math.max(1, t.dueUs / 1000 + a.deadlineMs() - nowMs);
     vertx.setTimer(deadlineMs, x -> expire(t, Outcome.TIMED_OUT));
-    if (a.leaveUs() > 0) {
-      vertx.setTimer(Math.max(1, (t.dueUs + a.leaveUs()) / 1000 - nowMs),
+    if (a.abandonUs() > 0) {
+      vertx.setTimer(Math.max(1, (t.dueUs + a.abandonUs()) / 1000 - nowMs),
           x -> expire(t, Outcome.LEFT));
     }
   }
@@ -299,7 +299,7 @@
         if (best == null || c.queue.size() < best.queue.size()) best = c;
       }
       if (best != null
-          && list.size() >= (front != null ? FRONT_LINKS : s.load().connectionsPerNode()))
+          && list.size() >= (loadBalancer != null ? FRONT_LINKS : s.load().connectionsPerNode()))
         return best;
     }
     Conn c = new Conn(node, own);
@@ -402,7 +402,7 @@
 
   // ---- what the run file takes; read after run() is done
 
-  public long tries() {
+  public long attempts() {
     return tries;
   }
 
--- a/src/main/java/saltlatch/lab/load/RunResult.java
+++ b/src/main/java/saltlatch/lab/load/RunResult.java
@@ -12,7 +12,7 @@
 public record RunResult(String scenario, String scenarioJson, long seed, String scheduleDigest,
     double seconds, int nodes, int servers, long offered, long tries, Map<Outcome, Long> outcomes,
     long deniedWithRetryAfter, long deniedWithRoom, Map<String, Long> latencyUs,
-    Map<String, Long> senderLateUs, List<long[]> perSecond, Truth truth, Map<String, Long> emulator,
+    Map<String, Long> senderLateUs, List<long[]> perSecond, GroundTruth truth, Map<String, Long> emulator,
     List<Map<String, Long>> nodeCounters, List<Customer> customers, ProcessUsage process,
     List<Check> checks, List<Fault> faults, Map<String, Long> relayDelayUs, List<String> violations,
     double recoveryS, MemberTimes members) {
@@ -26,7 +26,7 @@
       double beyondUnits) {}
 
   /** The emulator's ledger summed. */
-  public record Truth(long reqs, long dispatches, long served, long unitsCharged,
+  public record GroundTruth(long reqs, long dispatches, long served, long unitsCharged,
       long doubleCharges, long repeatedNonReplayable, long passedNotRun, double unitsBeyondPlan) {}
 
   /**
--- a/src/main/java/saltlatch/lab/plan/Box.java
+++ b/src/main/java/saltlatch/lab/plan/AppServerModel.java
@@ -12,7 +12,7 @@
  * whole over {@code ramp_s}; a cold box with more than {@link #FALL_MULTIPLE} times its capacity in
  * progress falls over and fails everything for {@link #FALL_MS}.
  */
-public final class Box {
+public final class AppServerModel {
   /** What becomes of one command. */
   public enum Verdict {
     SERVE,
@@ -25,7 +25,7 @@
    * The verdict, and for {@code SERVE} the latency in ms, and whether answers are held until a
    * pause ends.
    */
-  public record Turn(Verdict verdict, double latencyMs, double heldUntilMs) {}
+  public record Decision(Verdict verdict, double latencyMs, double heldUntilMs) {}
 
   // in progress over capacity at which a cold box tips; a stand-in's choice
   static final double FALL_MULTIPLE = 2.0;
@@ -41,7 +41,7 @@
   private final SplittableRandom chance;
   private double fallenUntil = -1;
 
-  public Box(int index, Scenario.Servers s, long seed) {
+  public AppServerModel(int index, Scenario.Servers s, long seed) {
     this.index = index;
     this.concurrency = s.concurrency();
     this.idleCloseMs = s.idleCloseMs();
@@ -91,15 +91,15 @@
    * Decides a command that came whole at {@code nowMs} with {@code inProgress} others begun and not
    * answered.
    */
-  public Turn take(double nowMs, int inProgress) {
-    if (nowMs < fallenUntil) return new Turn(Verdict.FAIL, 0, 0);
+  public Decision decide(double nowMs, int inProgress) {
+    if (nowMs < fallenUntil) return new Decision(Verdict.FAIL, 0, 0);
     double cap = capacity(nowMs);
     if (cold(nowMs) && inProgress + 1 > cap * FALL_MULTIPLE) {
       fallenUntil = nowMs + FALL_MS;
-      return new Turn(Verdict.FAIL, 0, 0);
+      return new Decision(Verdict.FAIL, 0, 0);
     }
     if (inProgress + 1 > cap * FALL_MULTIPLE || inProgress >= concurrency)
-      return new Turn(Verdict.BUSY, 0, 0);
+      return new Decision(Verdict.BUSY, 0, 0);
     double latency = Math.exp(mu + sigma * gaussian());
     // a cold box over its share queues the rest
     if (inProgress + 1 > cap) latency *= (inProgress + 1) / cap;
@@ -108,17 +108,17 @@
       if (!f.holds(nowMs)) continue;
       switch (f.kind()) {
         case "fail_fast" -> {
-          return new Turn(Verdict.FAIL, 0, 0);
+          return new Decision(Verdict.FAIL, 0, 0);
         }
         case "spoil" -> {
-          return new Turn(Verdict.SPOIL, latency, 0);
+          return new Decision(Verdict.SPOIL, latency, 0);
         }
         case "slow" -> latency += f.extraMs();
         case "pause" -> held = Math.max(held, (f.atS() + f.forS()) * 1000);
         default -> {}
       }
     }
-    return new Turn(Verdict.SERVE, latency, held);
+    return new Decision(Verdict.SERVE, latency, held);
   }
 
   public int index() {
--- a/src/main/java/saltlatch/lab/plan/Truth.java
+++ b/src/main/java/saltlatch/lab/plan/GroundTruth.java
@@ -12,20 +12,20 @@
  * reference the nodes' own counters and the load tool's outcomes are checked against. No I/O; fed
  * from one event loop.
  */
-public final class Truth {
+public final class GroundTruth {
   /**
    * One req as the app servers saw it: dispatches that came whole, of them served, and its customer
    * and units.
    */
-  public static final class Seen {
+  public static final class TrackedRequest {
     public final long customer;
     public final boolean submit;
     public final int units;
-    public int dispatches;
+    public int attempts;
     public int served;
     public boolean mayHaveRun; // a dispatch was taken in, failed or spoilt: not a plain -BUSY
 
-    Seen(long customer, boolean submit, int units) {
+    TrackedRequest(long customer, boolean submit, int units) {
       this.customer = customer;
       this.submit = submit;
       this.units = units;
@@ -33,13 +33,13 @@
   }
 
   /** What a run's checks read: counts over all reqs seen. */
-  public record Sums(long reqs, long dispatches, long served, long unitsCharged, long doubleCharges,
+  public record Totals(long requests, long attempts, long served, long unitsCharged, long doubleCharges,
       long repeatedNonReplayable) {}
 
-  private final Map<String, Seen> byId = new HashMap<>();
+  private final Map<String, TrackedRequest> byId = new HashMap<>();
   // customer -> second -> units
   private final TreeMap<Long, TreeMap<Long, Long>> unitsBySecond = new TreeMap<>();
-  private long dispatches;
+  private long attempts;
   private long served;
   private long units;
   private long doubles;
@@ -50,10 +50,10 @@
    * may have run: an earlier dispatch of it was not answered {@code -BUSY} (the one answer that
    * says it never ran).
    */
-  public boolean dispatched(String id, long customer, boolean submit, int unitsAsked) {
-    dispatches++;
-    Seen s = byId.computeIfAbsent(id, k -> new Seen(customer, submit, unitsAsked));
-    s.dispatches++;
+  public boolean recordAttempt(String id, long customer, boolean submit, int unitsAsked) {
+    attempts++;
+    TrackedRequest s = byId.computeIfAbsent(id, k -> new TrackedRequest(customer, submit, unitsAsked));
+    s.attempts++;
     boolean repeat = s.submit && s.mayHaveRun;
     if (repeat) repeats++;
     return repeat;
@@ -63,8 +63,8 @@
    * The dispatch just told was not turned away: it runs, or failed or spoilt in a way that may have
    * run.
    */
-  public void mayHaveRun(String id) {
-    Seen s = byId.get(id);
+  public void recordPossibleRun(String id) {
+    TrackedRequest s = byId.get(id);
     if (s != null) s.mayHaveRun = true;
   }
 
@@ -72,8 +72,8 @@
    * The app server ran it and charged its units at {@code ms}. A second charge of one req is a
    * double charge.
    */
-  public void served(String id, long ms) {
-    Seen s = byId.get(id);
+  public void recordServed(String id, long ms) {
+    TrackedRequest s = byId.get(id);
     if (s == null) return;
     s.served++;
     served++;
@@ -86,11 +86,11 @@
         Long::sum);
   }
 
-  public Sums sums() {
-    return new Sums(byId.size(), dispatches, served, units, doubles, repeats);
+  public Totals totals() {
+    return new Totals(byId.size(), attempts, served, units, doubles, repeats);
   }
 
-  public Seen seen(String id) {
+  public TrackedRequest request(String id) {
     return byId.get(id);
   }
 
@@ -98,7 +98,7 @@
    * Units each customer was charged beyond its plan: the most, over time, by which the running
    * total exceeded {@code burst + rate * seconds}. Customers in order of number.
    */
-  public Map<Long, Double> beyondPlan(double rate, double burst) {
+  public Map<Long, Double> overshoot(double rate, double burst) {
     Map<Long, Double> out = new TreeMap<>();
     for (var e : unitsBySecond.entrySet()) {
       double total = 0;
@@ -114,7 +114,7 @@
   }
 
   /** A customer's charged units a second, from its first second on, for plots. */
-  public List<long[]> perSecond(long customer) {
+  public List<long[]> unitsPerSecond(long customer) {
     List<long[]> out = new ArrayList<>();
     TreeMap<Long, Long> m = unitsBySecond.get(customer);
     if (m != null) for (var e : m.entrySet()) out.add(new long[] {e.getKey(), e.getValue()});
--- a/src/main/java/saltlatch/lab/plan/Front.java
+++ b/src/main/java/saltlatch/lab/plan/LoadBalancer.java
@@ -7,35 +7,35 @@
  * the nodes of its set that are in. A node is in from its first answer to PING on, and out once it
  * has answered none for the time to notice. No I/O, no clock.
  */
-public final class Front {
-  private final double noticeMs;
+public final class LoadBalancer {
+  private final double detectionMs;
   private final double[] answeredMs;
   private final int[] turn;
 
-  public Front(int nodes, double noticeMs) {
-    this.noticeMs = noticeMs;
+  public LoadBalancer(int nodes, double detectionMs) {
+    this.detectionMs = detectionMs;
     answeredMs = new double[nodes];
     Arrays.fill(answeredMs, Double.NEGATIVE_INFINITY);
     turn = new int[nodes];
   }
 
   /** Node {@code node} has answered PING with PONG. */
-  public void pong(int node, double ms) {
+  public void recordPong(int node, double ms) {
     answeredMs[node] = ms;
   }
 
-  public boolean isIn(int node, double ms) {
-    return ms - answeredMs[node] <= noticeMs;
+  public boolean isHealthy(int node, double ms) {
+    return ms - answeredMs[node] <= detectionMs;
   }
 
   /**
    * The node for the next req of a customer whose set is {@code spread} nodes from {@code first}
    * on; below 0: none is in.
    */
-  public int deal(int first, int spread, double ms) {
+  public int route(int first, int spread, double ms) {
     for (int i = 0; i < spread; i++) {
       int node = (first + turn[first]++ % spread) % answeredMs.length;
-      if (isIn(node, ms)) return node;
+      if (isHealthy(node, ms)) return node;
     }
     return -1;
   }
--- a/src/main/java/saltlatch/lab/plan/Offered.java
+++ b/src/main/java/saltlatch/lab/plan/OpenLoopSchedule.java
@@ -15,18 +15,18 @@
  * rate times any burst factor, customers drawn by Zipf, from one {@link SplittableRandom} of the
  * scenario's seed. No I/O, no clock.
  */
-public final class Offered {
+public final class OpenLoopSchedule {
   /**
    * One req to send: at {@code atUs} microseconds from the start; {@code leaveUs} 0 if the client
    * waits it out.
    */
   public record Arrival(long atUs, long customer, String id, boolean submit, int units,
-      long deadlineMs, long leaveUs, int eagerTries) {}
+      long deadlineMs, long abandonUs, int eagerTries) {}
 
   // arrivals at most in one run: 2M of 80 B each stay within 160 MB
   private static final int LONGEST = 2_000_000;
 
-  private Offered() {}
+  private OpenLoopSchedule() {}
 
   /** The whole schedule, in order of time; the same scenario and seed give the same list. */
   public static List<Arrival> of(Scenario s) {
@@ -62,7 +62,7 @@
       for (Arrival a : arrivals) {
         b.clear();
         b.putLong(a.atUs).putLong(a.customer).putLong(a.id.hashCode())
-            .put((byte) (a.submit ? 1 : 0)).putInt(a.units).putLong(a.deadlineMs).putLong(a.leaveUs)
+            .put((byte) (a.submit ? 1 : 0)).putInt(a.units).putLong(a.deadlineMs).putLong(a.abandonUs)
             .putInt(a.eagerTries);
         md.update(b.array(), 0, b.position());
       }
--- a/src/main/java/saltlatch/lab/plan/Drawn.java
+++ b/src/main/java/saltlatch/lab/plan/RandomFaults.java
@@ -11,17 +11,17 @@
  * splits follow each other, of any number of nodes from the others, for 8 to 14 s each. No I/O; one
  * seed, one schedule.
  */
-public final class Drawn {
+public final class RandomFaults {
   private static final double SPREAD_S = 3; // s over which kills and stops are drawn
   private static final double LEAST_S = 8; // s that a stop or a split lasts at least
   private static final double RANGE_S = 6; // s that it may last longer
   private static final double APART_S = 6; // s between splits
   private static final long OWN = 0xD7A3L; // the draws are not those of the load
 
-  private Drawn() {}
+  private RandomFaults() {}
 
-  public static Scenario into(Scenario s) {
-    Scenario.Drawn d = s.drawn();
+  public static Scenario addTo(Scenario s) {
+    Scenario.RandomFaults d = s.drawn();
     if (d == null) return s;
     SplittableRandom chance = new SplittableRandom(s.seed() ^ OWN);
     List<Integer> nodes = new ArrayList<>();
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -12,7 +12,7 @@
  */
 public final class Timeline {
   /** What is done to a process. */
-  public enum Act {
+  public enum Action {
     KILL,
     TERM,
     STOP,
@@ -22,7 +22,7 @@
   }
 
   /** At {@code atMs} from the load's start, to these nodes at once. */
-  public record Step(double atMs, Act act, List<Integer> nodes) {}
+  public record Step(double atMs, Action action, List<Integer> nodes) {}
 
   private Timeline() {}
 
@@ -44,14 +44,14 @@
 
   private static void add(List<Step> steps, ProcessFault f, double at, List<Integer> hit) {
     switch (f.kind()) {
-      case "kill" -> steps.add(new Step(at, Act.KILL, hit));
-      case "term" -> steps.add(new Step(at, Act.TERM, hit));
+      case "kill" -> steps.add(new Step(at, Action.KILL, hit));
+      case "term" -> steps.add(new Step(at, Action.TERM, hit));
       default -> {
-        steps.add(new Step(at, Act.STOP, hit));
-        if (f.forS() > 0) steps.add(new Step(at + f.forS() * 1000, Act.CONT, hit));
+        steps.add(new Step(at, Action.STOP, hit));
+        if (f.forS() > 0) steps.add(new Step(at + f.forS() * 1000, Action.CONT, hit));
       }
     }
     if (f.restart())
-      steps.add(new Step(at + f.backS() * 1000, f.oldConfig() ? Act.START_OLD : Act.START, hit));
+      steps.add(new Step(at + f.backS() * 1000, f.oldConfig() ? Action.START_OLD : Action.START, hit));
   }
 }
--- a/src/main/java/saltlatch/lab/report/Report.java
+++ b/src/main/java/saltlatch/lab/report/Report.java
@@ -137,7 +137,7 @@
   }
 
   /** The figures a run is compared by, in order. */
-  public static Map<String, Double> figures(RunResult r) {
+  public static Map<String, Double> metrics(RunResult r) {
     Map<String, Double> m = new java.util.LinkedHashMap<>();
     m.put("offered", (double) r.offered());
     m.put("tries", (double) r.tries());
@@ -164,8 +164,8 @@
     StringBuilder o = new StringBuilder("<table><tr><th>figure</th><th>this run</th>");
     if (base != null) o.append("<th>baseline</th><th>ratio</th>");
     o.append("</tr>");
-    Map<String, Double> now = figures(r);
-    Map<String, Double> before = base == null ? Map.of() : figures(base);
+    Map<String, Double> now = metrics(r);
+    Map<String, Double> before = base == null ? Map.of() : metrics(base);
     for (var e : now.entrySet()) {
       o.append("<tr><td style=\"text-align:left\">").append(esc(e.getKey())).append("</td><td>")
           .append(fmt(e.getValue())).append("</td>");
--- a/src/main/java/saltlatch/lab/rig/Relays.java
+++ b/src/main/java/saltlatch/lab/rig/LinkProxies.java
@@ -30,7 +30,7 @@
  * of the relay's own and the system then drops what asks for more. What each byte meets is
  * {@link Links}'s decision.
  */
-public final class Relays implements AutoCloseable {
+public final class LinkProxies implements AutoCloseable {
   // connections not taken yet; one more each fills a cut listener
   private static final int BACKLOG = 32;
   private static final int CHUNK = 16_384; // bytes read at once
@@ -239,7 +239,7 @@
   private volatile boolean closed;
   private volatile Exception failure; // the relays have stopped: the run is worth nothing
 
-  public Relays(Links links, LabClock clock) throws IOException {
+  public LinkProxies(Links links, LabClock clock) throws IOException {
     this.links = links;
     this.clock = clock;
     selector = Selector.open();
--- a/src/main/java/saltlatch/lab/rig/ProcessFigures.java
+++ b/src/main/java/saltlatch/lab/rig/ProcessMetrics.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 
 /** What a process has used, from Linux' {@code /proc}, and what a JVM holds, from {@code jcmd}. */
-public final class ProcessFigures {
+public final class ProcessMetrics {
   private static final Path PROC = Path.of("/proc");
   private static final double NANOS = 1e6; // in a ms
   private static final int TICK_MS = 10; // of the clock in which /proc/PID/stat counts
@@ -42,7 +42,7 @@
     }
   }
 
-  private ProcessFigures() {}
+  private ProcessMetrics() {}
 
   /** CPU time that the process has used; fails once it is gone. */
   public static Cpu cpu(long pid) throws IOException {
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -24,7 +24,7 @@
 import saltlatch.history.HistoryWriter;
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.plan.Timeline;
-import saltlatch.lab.plan.Timeline.Act;
+import saltlatch.lab.plan.Timeline.Action;
 import saltlatch.wire.FramingException;
 import saltlatch.wire.resp.RespDecoder;
 import saltlatch.wire.resp.RespValue;
@@ -143,16 +143,16 @@
   }
 
   /** Plays the schedule on a thread of its own; {@code faults} tells each step as it is done. */
-  public void play(List<Timeline.Step> steps, LabClock clock, HistoryWriter faults) {
+  public void runTimeline(List<Timeline.Step> steps, LabClock clock, HistoryWriter faults) {
     director = new Thread(() -> {
       try {
         for (Timeline.Step s : steps) {
           double wait = s.atMs() - clock.nowMs();
           if (wait > 0) Thread.sleep((long) wait, (int) (wait % 1 * 1e6));
           if (closed) return;
-          act(s.act(), s.nodes());
+          apply(s.action(), s.nodes());
           for (int n : s.nodes())
-            faults.add("fault", "kind", s.act().name().toLowerCase(Locale.ROOT), "node", "n" + n);
+            faults.add("fault", "kind", s.action().name().toLowerCase(Locale.ROOT), "node", "n" + n);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -165,9 +165,9 @@
   }
 
   /** Does it to all of them in one call, so that it is one instant. */
-  public void act(Act act, List<Integer> nodes) throws IOException, InterruptedException {
+  public void apply(Action action, List<Integer> nodes) throws IOException, InterruptedException {
     synchronized (processes) {
-      switch (act) {
+      switch (action) {
         case KILL -> signal("-KILL", nodes);
         case TERM -> signal("-TERM", nodes);
         case STOP -> {
@@ -182,7 +182,7 @@
           for (int n : nodes) {
             Process old = processes.get(n);
             if (!old.waitFor(END_MS, TimeUnit.MILLISECONDS)) old.destroyForcibly().waitFor();
-            processes.set(n, launch(n, act == Act.START_OLD));
+            processes.set(n, launch(n, action == Action.START_OLD));
           }
         }
       }
@@ -209,7 +209,7 @@
    * The node's INFO counters, with its CPU ms and resident KB from /proc; empty for one that is
    * gone or hangs.
    */
-  public Map<String, Long> figures(int i) {
+  public Map<String, Long> metrics(int i) {
     Map<String, Long> m = new LinkedHashMap<>();
     if (!alive(i) || stopped.contains(i)) return m;
     try {
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import saltlatch.history.HistoryWriter;
-import saltlatch.lab.check.Line;
+import saltlatch.lab.check.HistoryEvent;
 import saltlatch.lab.check.MemberTimes;
 import saltlatch.lab.check.Properties;
 import saltlatch.lab.check.Property;
@@ -25,13 +25,13 @@
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
-import saltlatch.lab.plan.Drawn;
+import saltlatch.lab.plan.RandomFaults;
 import saltlatch.lab.plan.Links;
-import saltlatch.lab.plan.Offered;
+import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.plan.Timeline;
-import saltlatch.lab.plan.Truth;
+import saltlatch.lab.plan.GroundTruth;
 import saltlatch.lab.rig.Processes;
-import saltlatch.lab.rig.Relays;
+import saltlatch.lab.rig.LinkProxies;
 import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.node.EmbeddedNode;
@@ -59,7 +59,7 @@
   interface Node {
     int port();
 
-    Map<String, Long> figures() throws Exception;
+    Map<String, Long> metrics() throws Exception;
 
     void stop() throws Exception;
   }
@@ -77,7 +77,7 @@
    */
   public static RunResult run(Scenario scenario, int nodes, Processes.Program program)
       throws Exception {
-    Scenario s = Drawn.into(nodes > 0 ? scenario.withNodes(nodes) : scenario);
+    Scenario s = RandomFaults.addTo(nodes > 0 ? scenario.withNodes(nodes) : scenario);
     if (program == null && !s.processes().faults().isEmpty()) {
       throw new IllegalArgumentException("scenario: faults on processes want --processes");
     }
@@ -87,8 +87,8 @@
     HistoryWriter standIns = dir == null ? null : new HistoryWriter(dir, "stand-ins", "1");
     HistoryWriter clients = dir == null ? null : new HistoryWriter(dir, "clients", "1");
     HistoryWriter director = dir == null ? null : new HistoryWriter(dir, "director", "1");
-    Relays relays = s.links().faults().isEmpty() ? null
-        : new Relays(new Links(s.links().faults(), s.seed()), clock);
+    LinkProxies relays = s.links().faults().isEmpty() ? null
+        : new LinkProxies(new Links(s.links().faults(), s.seed()), clock);
     Emulator emulator = new Emulator(s, clock, relays, standIns,
         dir == null ? null : dir.toAbsolutePath().toString());
     Processes processes = program == null ? null : new Processes(program, emulator::nodeConfig);
@@ -104,7 +104,7 @@
         int port = started.get(i).port();
         ports.add(relays == null ? port : relays.port("clients", "n" + i, port));
       }
-      List<Offered.Arrival> schedule = Offered.of(s);
+      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(s);
       LOG.info("{}: {} nodes, {} app servers, {} reqs offered over {} s", s.name(), s.nodes(),
           s.servers().count(), schedule.size(), s.seconds());
       OperatingSystemMXBean os = (OperatingSystemMXBean) ManagementFactory
@@ -119,28 +119,28 @@
           director.add("planned", "what", f.what(), "node", node, "from_ns",
               clock.monoNs(f.fromS() * 1000), "until_ns", clock.monoNs(f.untilS() * 1000));
         }
-        processes.play(Timeline.of(s.processes().faults(), s.nodes()), clock, director);
+        processes.runTimeline(Timeline.of(s.processes().faults(), s.nodes()), clock, director);
       }
       load.run().toCompletionStage().toCompletableFuture()
           .get((long) (s.seconds() + s.load().deadlineMs() / 1000 + START_S), TimeUnit.SECONDS);
       double cpu = (os.getProcessCpuTime() - cpuBefore) / 1e9;
       List<Map<String, Long>> nodeCounters = new ArrayList<>();
-      for (Node n : started) nodeCounters.add(n.figures());
+      for (Node n : started) nodeCounters.add(n.metrics());
       LoadRunner l = load;
-      RunResult.Truth truth = emulator.read(t -> truth(t, l.passedIds(), s)).toCompletionStage()
+      RunResult.GroundTruth truth = emulator.read(t -> truth(t, l.passedIds(), s)).toCompletionStage()
           .toCompletableFuture().get(5, TimeUnit.SECONDS);
       List<RunResult.Customer> customers = emulator.read(t -> customers(t, s)).toCompletionStage()
           .toCompletableFuture().get(5, TimeUnit.SECONDS);
-      Map<String, Long> emu = emulator.figures().toCompletionStage().toCompletableFuture().get(5,
+      Map<String, Long> emu = emulator.metrics().toCompletionStage().toCompletableFuture().get(5,
           TimeUnit.SECONDS);
       RunResult.ProcessUsage process = new RunResult.ProcessUsage(cpu, rssMb(),
           Thread.activeCount());
       List<RunResult.Check> checks = checks(truth, load, nodeCounters, !faults.isEmpty());
       if (processes != null) processes.close();
-      List<Line> history = dir == null ? List.of() : Line.readAll(dir);
+      List<HistoryEvent> history = dir == null ? List.of() : HistoryEvent.readAll(dir);
       List<String> violations = new ArrayList<>();
       if (dir != null) {
-        Set<String> told = new java.util.TreeSet<>(history.stream().map(Line::name).toList());
+        Set<String> told = new java.util.TreeSet<>(history.stream().map(HistoryEvent::name).toList());
         boolean all = told.containsAll(List.of("clients", "stand-ins"));
         checks.add(new RunResult.Check("histories were kept", all, "of " + told));
       }
@@ -151,7 +151,7 @@
                 + (found.isEmpty() ? "" : ", first: " + found.get(0).what())));
         for (Property.Violation v : found)
           violations.add(
-              v.property() + ": " + v.what() + " " + v.proof().stream().map(Line::at).toList());
+              v.property() + ": " + v.what() + " " + v.evidence().stream().map(HistoryEvent::at).toList());
       }
       if (dir != null) faults = faults.stream()
           .map(f -> new RunResult.Fault(f.what(), f.nodes(), f.fromS(), f.untilS(),
@@ -160,8 +160,8 @@
           .toList();
       double recovery = faults.isEmpty() || dir == null ? 0 : Recovery.seconds(history,
           clock.monoNs(0), faults.get(0).fromS(), s.seconds(), survivors(s));
-      return new RunResult(s.name(), s.json(), s.seed(), Offered.digest(schedule), s.seconds(),
-          s.nodes(), s.servers().count(), schedule.size(), load.tries(), load.outcomes(),
+      return new RunResult(s.name(), s.json(), s.seed(), OpenLoopSchedule.digest(schedule), s.seconds(),
+          s.nodes(), s.servers().count(), schedule.size(), load.attempts(), load.outcomes(),
           load.retryAfter(), load.deniedWithRoom(), load.latency(), load.senderLate(),
           load.perSecond(), truth, emu, nodeCounters, customers, process, checks, faults,
           relays == null ? Map.of() : relays.delayUs(), violations, recovery,
@@ -256,8 +256,8 @@
       }
 
       @Override
-      public Map<String, Long> figures() {
-        return processes.figures(i);
+      public Map<String, Long> metrics() {
+        return processes.metrics(i);
       }
 
       @Override
@@ -275,7 +275,7 @@
       }
 
       @Override
-      public Map<String, Long> figures() throws Exception {
+      public Map<String, Long> metrics() throws Exception {
         Map<String, Long> m = Processes.counters(
             e.infoText().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
         m.put("loop_cpu_ms",
@@ -301,31 +301,31 @@
     return GSON.fromJson(Files.readString(from), RunResult.class);
   }
 
-  static RunResult.Truth truth(Truth t, List<String> passedIds, Scenario s) {
-    Truth.Sums sums = t.sums();
+  static RunResult.GroundTruth truth(GroundTruth t, List<String> passedIds, Scenario s) {
+    GroundTruth.Totals totals = t.totals();
     long notRun = 0;
     for (String id : passedIds) {
-      Truth.Seen seen = t.seen(id);
-      if (seen == null || seen.served == 0) notRun++;
+      GroundTruth.TrackedRequest request = t.request(id);
+      if (request == null || request.served == 0) notRun++;
     }
     double beyond = 0;
-    for (double b : t.beyondPlan(s.plan().rate(), s.plan().burst()).values())
+    for (double b : t.overshoot(s.plan().rate(), s.plan().burst()).values())
       beyond += Math.max(0, b);
-    return new RunResult.Truth(sums.reqs(), sums.dispatches(), sums.served(), sums.unitsCharged(),
-        sums.doubleCharges(), sums.repeatedNonReplayable(), notRun, beyond);
+    return new RunResult.GroundTruth(totals.requests(), totals.attempts(), totals.served(), totals.unitsCharged(),
+        totals.doubleCharges(), totals.repeatedNonReplayable(), notRun, beyond);
   }
 
-  static List<RunResult.Customer> customers(Truth t, Scenario s) {
-    Map<Long, Double> beyond = t.beyondPlan(s.plan().rate(), s.plan().burst());
+  static List<RunResult.Customer> customers(GroundTruth t, Scenario s) {
+    Map<Long, Double> beyond = t.overshoot(s.plan().rate(), s.plan().burst());
     List<RunResult.Customer> out = new ArrayList<>();
     for (long c : t.heaviest(8)) {
-      out.add(new RunResult.Customer(c, t.perSecond(c), s.plan().rate(), s.plan().burst(),
+      out.add(new RunResult.Customer(c, t.unitsPerSecond(c), s.plan().rate(), s.plan().burst(),
           beyond.getOrDefault(c, 0.0)));
     }
     return out;
   }
 
-  static List<RunResult.Check> checks(RunResult.Truth truth, LoadRunner load,
+  static List<RunResult.Check> checks(RunResult.GroundTruth truth, LoadRunner load,
       List<Map<String, Long>> nodes, boolean faults) {
     List<RunResult.Check> out = new ArrayList<>();
     // A replayable req may run again after a dispatch that a fault cut off; its units are a figure
--- a/src/main/java/saltlatch/lab/scale/FleetScale.java
+++ b/src/main/java/saltlatch/lab/scale/FleetScale.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 
 /**
  * Hollow nodes of {@value #PROCESSES} processes on one discovery stand-in, no relay between, before
@@ -104,8 +104,8 @@
 
   private Map<String, Values> window(SourceProcess source, List<ChildJvm> processes, long size)
       throws Exception {
-    List<ProcessFigures.Cpu> before = new ArrayList<>();
-    for (ChildJvm process : processes) before.add(ProcessFigures.cpu(process.pid()));
+    List<ProcessMetrics.Cpu> before = new ArrayList<>();
+    for (ChildJvm process : processes) before.add(ProcessMetrics.cpu(process.pid()));
     Readings from = Readings.of(source.pid(), source);
     source.rate(CHANGES_PER_SECOND);
     Thread.sleep(WINDOW_MS);
@@ -115,8 +115,8 @@
     double nodesCpu = 0;
     double heap = 0;
     for (int i = 0; i < processes.size(); i++) {
-      nodesCpu += ProcessFigures.cpu(processes.get(i).pid()).msSince(before.get(i));
-      heap += ProcessFigures.heldHeapBytes(processes.get(i).pid());
+      nodesCpu += ProcessMetrics.cpu(processes.get(i).pid()).msSince(before.get(i));
+      heap += ProcessMetrics.heldHeapBytes(processes.get(i).pid());
     }
     double[] times = times(source.puts());
     return Map.of("fleet.change",
--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import saltlatch.lab.hollow.NodeConfig;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 
 /**
@@ -103,8 +103,8 @@
       SourceProcess.Sent start = awaitLists(source, nodes);
       Thread.sleep(SETTLE_MS);
       source.rate(CHANGES_PER_SECOND);
-      List<ProcessFigures.Cpu> cpu = new ArrayList<>();
-      for (long pid : started.pids()) cpu.add(ProcessFigures.cpu(pid));
+      List<ProcessMetrics.Cpu> cpu = new ArrayList<>();
+      for (long pid : started.pids()) cpu.add(ProcessMetrics.cpu(pid));
       Datagrams datagrams = started.datagrams();
       SourceProcess.Sent sent = source.sent();
       long from = System.nanoTime();
@@ -116,8 +116,8 @@
       double cpuMs = 0;
       double rss = 0;
       for (int i = 0; i < cpu.size(); i++) {
-        cpuMs += ProcessFigures.cpu(started.pids().get(i)).msSince(cpu.get(i));
-        rss += ProcessFigures.rssBytes(started.pids().get(i)) / MIB;
+        cpuMs += ProcessMetrics.cpu(started.pids().get(i)).msSince(cpu.get(i));
+        rss += ProcessMetrics.rssBytes(started.pids().get(i)) / MIB;
       }
       return new Cost(start.bytesOut() / (double) nodes, start.messages() / (double) nodes,
           (now.bytesOut() - sent.bytesOut()) / units, (now.messages() - sent.messages()) / units,
@@ -160,9 +160,9 @@
         long out = 0;
         long in = 0;
         for (int i = 0; i < count; i++) {
-          Map<String, Long> figures = processes.figures(i);
-          out += figures.get("peers_told");
-          in += figures.get("peers_heard");
+          Map<String, Long> metrics = processes.metrics(i);
+          out += metrics.get("peers_told");
+          in += metrics.get("peers_heard");
         }
         return new Datagrams(out, in, System.nanoTime());
       }
--- a/src/main/java/saltlatch/lab/scale/HollowScale.java
+++ b/src/main/java/saltlatch/lab/scale/HollowScale.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 
 /**
  * Hollow nodes of one process, all started at once before a list of {@value #ENTRIES} app servers:
@@ -71,14 +71,14 @@
             bench.dir().resolve("hollow.log"))) {
       double seconds = awaitLists(report, size);
       Values start = Values
-          .of(Quantity.CPU_MS, (double) ProcessFigures.cpu(process.pid()).processMs())
+          .of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(process.pid()).processMs())
           .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut());
       Thread.sleep(SETTLE_MS);
       Readings.Used rest = window(process.pid(), source, 0);
       Readings.Used changes = window(process.pid(), source, CHANGES_PER_SECOND);
       double atRest = rest.cpuMs() / rest.seconds();
-      start.and(Quantity.RSS_BYTES, (double) ProcessFigures.rssBytes(process.pid()))
-          .and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(process.pid()));
+      start.and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(process.pid()))
+          .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(process.pid()));
       measured.put("hollow.start", start);
       measured.put("hollow.rest", Values.of(Quantity.CPU_MS, atRest));
       measured.put("hollow.change",
--- a/src/main/java/saltlatch/lab/scale/ListScale.java
+++ b/src/main/java/saltlatch/lab/scale/ListScale.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.lab.hollow.NodeConfig;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 
 /**
@@ -67,8 +67,8 @@
       if (start.map().get(Quantity.COUNT) > 0) {
         measured.put("list.change", change(rest, window(nodes.pid(0), source, CHANGES_PER_SECOND)));
       }
-      start.and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(nodes.pid(0)));
-      start.and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(nodes.pid(0)));
+      start.and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(nodes.pid(0)));
+      start.and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(nodes.pid(0)));
     }
     return measured;
   }
@@ -81,13 +81,13 @@
       Thread.sleep(LOOK_MS);
     double seconds = (System.nanoTime() - from) / NANOS;
     Thread.sleep(APPLY_MS);
-    return Values.of(Quantity.CPU_MS, (double) ProcessFigures.cpu(nodes.pid(0)).processMs())
+    return Values.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(nodes.pid(0)).processMs())
         .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut())
         .and(Quantity.COUNT, (double) lists(nodes));
   }
 
   private static long lists(Processes nodes) {
-    return nodes.figures(0).getOrDefault("lists", 0L);
+    return nodes.metrics(0).getOrDefault("lists", 0L);
   }
 
   private static Readings.Used window(long pid, SourceProcess source, double changesPerSecond)
--- a/src/main/java/saltlatch/lab/scale/LoadTrial.java
+++ b/src/main/java/saltlatch/lab/scale/LoadTrial.java
@@ -6,8 +6,8 @@
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
 import saltlatch.lab.load.LoadRunner;
-import saltlatch.lab.plan.Offered;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.plan.OpenLoopSchedule;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.scenario.Scenario;
 
@@ -64,14 +64,14 @@
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     try (Processes nodes = started(emulator)) {
-      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario), nodes.ports(), clock);
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(), clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
       Thread.sleep(WARM_MS);
-      ProcessFigures.Cpu cpu = ProcessFigures.cpu(nodes.pid(0));
+      ProcessMetrics.Cpu cpu = ProcessMetrics.cpu(nodes.pid(0));
       Counts before = Counts.of(nodes, emulator);
       Thread.sleep((long) (SECONDS * THOUSAND) - WARM_MS);
-      double used = ProcessFigures.cpu(nodes.pid(0)).msSince(cpu);
+      double used = ProcessMetrics.cpu(nodes.pid(0)).msSince(cpu);
       Counts after = Counts.of(nodes, emulator);
       done.get(START_S, TimeUnit.SECONDS);
       double window = SECONDS - WARM_MS / THOUSAND;
@@ -99,7 +99,7 @@
     Emulator emulator = new Emulator(scenario, clock);
     try {
       emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario),
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario),
           List.copyOf(emulator.serverPorts()), clock);
       clock.begin();
       load.run().toCompletionStage().toCompletableFuture().get((long) SECONDS + START_S,
@@ -117,15 +117,15 @@
     Map<String, Long> late = load.senderLate();
     return new Latency(latency.get("passed_p50") / THOUSAND, latency.get("passed_p99") / THOUSAND,
         late.get("p50") / THOUSAND, late.get("p99") / THOUSAND,
-        load.outcomes().getOrDefault(saltlatch.lab.load.Outcome.PASSED, 0L), load.tries());
+        load.outcomes().getOrDefault(saltlatch.lab.load.Outcome.PASSED, 0L), load.attempts());
   }
 
   /** What the node and the counter's stand-in have counted by now. */
   private record Counts(long requests, long calls, long callBytes, long answerBytes) {
     static Counts of(Processes nodes, Emulator emulator) throws Exception {
-      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture()
+      Map<String, Long> standIns = emulator.metrics().toCompletionStage().toCompletableFuture()
           .get(START_S, TimeUnit.SECONDS);
-      return new Counts(nodes.figures(0).get("reqs"), standIns.get("counter_calls"),
+      return new Counts(nodes.metrics(0).get("reqs"), standIns.get("counter_calls"),
           standIns.get("counter_bytes_in"), standIns.get("counter_bytes_out"));
     }
   }
--- a/src/main/java/saltlatch/lab/scale/Machine.java
+++ b/src/main/java/saltlatch/lab/scale/Machine.java
@@ -1,7 +1,7 @@
 package saltlatch.lab.scale;
 
 import java.util.Locale;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 
 /**
  * The limits that a scale test keeps on a shared machine: half of its memory, and some hundred
@@ -25,7 +25,7 @@
 
   /** This machine, from {@code /proc/meminfo}. */
   public static Machine here() {
-    return new Machine(ProcessFigures.machineBytes());
+    return new Machine(ProcessMetrics.machineBytes());
   }
 
   /** Fails where the size would exceed half of the memory or the processes. */
--- a/src/main/java/saltlatch/lab/scale/PlansScale.java
+++ b/src/main/java/saltlatch/lab/scale/PlansScale.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.List;
 import saltlatch.lab.hollow.NodeConfig;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 
 /**
@@ -72,10 +72,10 @@
       }
       started = Math.max(started, size);
       long pid = nodes.pid(0);
-      return Values.of(Quantity.CPU_MS, (double) ProcessFigures.cpu(pid).processMs())
+      return Values.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(pid).processMs())
           .and(Quantity.SECONDS, (System.nanoTime() - from) / NANOS)
-          .and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(pid))
-          .and(Quantity.HEAP_BYTES, (double) ProcessFigures.heldHeapBytes(pid))
+          .and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(pid))
+          .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(pid))
           .and(Quantity.COUNT, 1);
     }
   }
--- a/src/main/java/saltlatch/lab/scale/Readings.java
+++ b/src/main/java/saltlatch/lab/scale/Readings.java
@@ -1,7 +1,7 @@
 package saltlatch.lab.scale;
 
 import java.io.IOException;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 
 /** What one process and one source have used between two instants. */
 final class Readings {
@@ -9,7 +9,7 @@
 
   private final long pid;
   private final SourceProcess source;
-  private final ProcessFigures.Cpu cpu;
+  private final ProcessMetrics.Cpu cpu;
   private final SourceProcess.Sent sent;
   private final long at = System.nanoTime();
 
@@ -17,7 +17,7 @@
     this.pid = pid;
     this.source = source;
     sent = source.sent();
-    cpu = ProcessFigures.cpu(pid);
+    cpu = ProcessMetrics.cpu(pid);
   }
 
   /** Reads both now. */
--- a/src/main/java/saltlatch/lab/scale/SumsScale.java
+++ b/src/main/java/saltlatch/lab/scale/SumsScale.java
@@ -6,8 +6,8 @@
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
 import saltlatch.lab.load.LoadRunner;
-import saltlatch.lab.plan.Offered;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.plan.OpenLoopSchedule;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.scenario.Scenario;
 
@@ -86,7 +86,7 @@
     emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
     try (Processes nodes = bench.nodes(emulator::nodeConfig)) {
       nodes.start((int) size);
-      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario), nodes.ports(), clock);
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(), clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
       Thread.sleep(WARM_MS);
@@ -114,12 +114,12 @@
       long heard = 0;
       double cpu = 0;
       for (int i = 0; i < nodes.ports().size(); i++) {
-        Map<String, Long> figures = nodes.figures(i);
-        told += figures.get("peers_told");
-        heard += figures.get("peers_heard");
-        cpu += ProcessFigures.cpu(nodes.pid(i)).processMs();
+        Map<String, Long> metrics = nodes.metrics(i);
+        told += metrics.get("peers_told");
+        heard += metrics.get("peers_heard");
+        cpu += ProcessMetrics.cpu(nodes.pid(i)).processMs();
       }
-      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture()
+      Map<String, Long> standIns = emulator.metrics().toCompletionStage().toCompletableFuture()
           .get(START_S, TimeUnit.SECONDS);
       return new Counts(told, heard, standIns.get("peer_bytes_in"), standIns.get("peer_bytes_out"),
           cpu);
--- a/src/main/java/saltlatch/lab/scale/WatchersScale.java
+++ b/src/main/java/saltlatch/lab/scale/WatchersScale.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.wire.transport.TcpConnector;
 
 /**
@@ -116,7 +116,7 @@
     measured.put("watchers.rest",
         Values.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
             .and(Quantity.BYTES_OUT, rest.bytes() / rest.seconds())
-            .and(Quantity.RSS_BYTES, (double) ProcessFigures.rssBytes(source.pid())));
+            .and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(source.pid())));
     double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
     double[] times = times(source.puts(), watchers.reads());
     measured.put("watchers.change",
@@ -146,7 +146,7 @@
   }
 
   private static Values whole(SourceProcess source, Watchers watchers, long size) throws Exception {
-    ProcessFigures.Cpu before = ProcessFigures.cpu(source.pid());
+    ProcessMetrics.Cpu before = ProcessMetrics.cpu(source.pid());
     SourceProcess.Sent already = source.sent();
     long from = System.nanoTime();
     watchers.open(address(source), (int) size, 0);
@@ -159,10 +159,10 @@
       sent = source.sent();
     }
     double seconds = (System.nanoTime() - from) / NANOS;
-    return Values.of(Quantity.CPU_MS, ProcessFigures.cpu(source.pid()).msSince(before))
+    return Values.of(Quantity.CPU_MS, ProcessMetrics.cpu(source.pid()).msSince(before))
         .and(Quantity.BYTES_OUT, (double) (sent.bytesOut() - already.bytesOut()))
         .and(Quantity.MESSAGES_OUT, (double) (sent.snapshots() - already.snapshots()))
         .and(Quantity.SECONDS, seconds)
-        .and(Quantity.RSS_BYTES, (double) ProcessFigures.peakRssBytes(source.pid()));
+        .and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(source.pid()));
   }
 }
--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -21,13 +21,13 @@
  */
 public record Scenario(String name, long seed, double seconds, int nodes, Servers servers,
     Counter counter, Discovery discovery, Peers peers, Load load, Plan plan, Plan oldPlan,
-    Front front, Processes processes, Links links, Bounds bounds, Drawn drawn) {
+    LoadBalancer front, Processes processes, Links links, Bounds bounds, RandomFaults drawn) {
 
   /**
    * Faults drawn from the seed: nodes killed and stopped from {@code at_s} on, then splits
    * (lab.plan.Drawn).
    */
-  public record Drawn(int kills, int pauses, int splits, double atS) {}
+  public record RandomFaults(int kills, int pauses, int splits, double atS) {}
 
   /**
    * Stated bounds that a run is checked against: units beyond its quota for any customer; 0: not
@@ -39,7 +39,7 @@
    * A stand-in for the operators' front, which notices {@code notice_s} late that a node has died
    * or hangs; 0: none.
    */
-  public record Front(double noticeS) {}
+  public record LoadBalancer(double noticeS) {}
 
   /** Faults on the nodes' processes; child processes only. */
   public record Processes(List<ProcessFault> faults) {}
@@ -207,7 +207,7 @@
     Plan q = plan == null ? new Plan(20, 100, 1000, 3000) : plan;
     Scenario out = new Scenario(name == null ? "unnamed" : name, seed, seconds > 0 ? seconds : 20,
         pos(nodes, 1), s, c, d, p, l, q, oldPlan == null ? q : oldPlan,
-        front == null ? new Front(0) : front,
+        front == null ? new LoadBalancer(0) : front,
         new Processes(processes == null || processes.faults == null ? List.of()
             : List.copyOf(processes.faults)),
         new Links(links == null || links.faults == null ? List.of() : List.copyOf(links.faults)),
--- a/src/main/java/saltlatch/lab/tiers/HollowGroup.java
+++ b/src/main/java/saltlatch/lab/tiers/HollowGroup.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.tiers.InForce.Applied;
 
 /** A process of hollow nodes and the report that it writes. */
@@ -42,11 +42,11 @@
   }
 
   long cpuMs() throws IOException {
-    return ProcessFigures.cpu(process.pid()).processMs();
+    return ProcessMetrics.cpu(process.pid()).processMs();
   }
 
   long rssBytes() throws IOException {
-    return ProcessFigures.rssBytes(process.pid());
+    return ProcessMetrics.rssBytes(process.pid());
   }
 
   /** Whether all of its nodes have applied this index or a later one, as it last said. */
--- a/src/main/java/saltlatch/lab/tiers/TierProcesses.java
+++ b/src/main/java/saltlatch/lab/tiers/TierProcesses.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import saltlatch.lab.rig.AgentForwarder;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.tiers.InForce.Put;
 
 /**
@@ -29,11 +29,11 @@
     }
 
     long cpuMs() throws IOException {
-      return ProcessFigures.cpu(process.pid()).processMs();
+      return ProcessMetrics.cpu(process.pid()).processMs();
     }
 
     long rssBytes() throws IOException {
-      return ProcessFigures.rssBytes(process.pid());
+      return ProcessMetrics.rssBytes(process.pid());
     }
   }
 
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import saltlatch.history.HistoryWriter;
-import saltlatch.lab.check.Line;
+import saltlatch.lab.check.HistoryEvent;
 import saltlatch.lab.check.MemberTimes;
 import saltlatch.lab.check.Properties;
 import saltlatch.lab.check.Property;
@@ -27,13 +27,13 @@
  * violation planted.
  */
 class CheckTest {
-  private final List<Line> history = new ArrayList<>();
+  private final List<HistoryEvent> history = new ArrayList<>();
   private long ms;
 
-  private Line add(String name, String kind, String... fields) {
+  private HistoryEvent add(String name, String kind, String... fields) {
     Map<String, String> m = new HashMap<>();
     for (int i = 0; i < fields.length; i += 2) m.put(fields[i], fields[i + 1]);
-    Line l = new Line(name, "1", ++ms * 1_000_000, kind, m, name + ":" + ms);
+    HistoryEvent l = new HistoryEvent(name, "1", ++ms * 1_000_000, kind, m, name + ":" + ms);
     history.add(l);
     return l;
   }
@@ -68,7 +68,7 @@
     finds(new Properties.Answered(), 0);
     add("n0", "arrived", "id", "b");
     finds(new Properties.Answered(), 1);
-    history.add(new Line("n0", "2", ++ms * 1_000_000, "started", Map.of(), "n0:x"));
+    history.add(new HistoryEvent("n0", "2", ++ms * 1_000_000, "started", Map.of(), "n0:x"));
     finds(new Properties.Answered(), 1); // it ended by itself
   }
 
@@ -81,7 +81,7 @@
     add("n0", "arrived", "id", "b");
     add("clients", "got", "id", "b", "node", "n0", "how", "PASSED");
     add("director", "fault", "kind", "kill", "node", "n0");
-    history.add(new Line("n0", "2", ++ms * 1_000_000, "started", Map.of(), "n0:x"));
+    history.add(new HistoryEvent("n0", "2", ++ms * 1_000_000, "started", Map.of(), "n0:x"));
     finds(new Properties.Answered(), 0);
     add("director", "fault", "kind", "kill", "node", "n1");
     add("n0", "arrived", "id", "c");
@@ -161,14 +161,14 @@
       h.add("started");
     }
     Files.writeString(file, Files.readString(file) + "{\"timesta"); // killed again
-    List<Line> all = Line.readAll(dir);
-    assertEquals(List.of("started", "arrived", "started"), all.stream().map(Line::kind).toList());
+    List<HistoryEvent> all = HistoryEvent.readAll(dir);
+    assertEquals(List.of("started", "arrived", "started"), all.stream().map(HistoryEvent::kind).toList());
     assertEquals("a \"quoted\"\n", all.get(1).get("id"));
     assertEquals("2", all.get(2).incarnation());
     assertTrue(all.get(0).monoNs() > 0 && all.get(0).monoNs() <= all.get(2).monoNs());
     Files.writeString(file, Files.readString(file).replaceFirst("\n", "\nnot an event\n"));
     // torn where nothing ended: not passed over
-    assertThrows(IOException.class, () -> Line.readAll(dir));
+    assertThrows(IOException.class, () -> HistoryEvent.readAll(dir));
   }
 
   private void share(String node, String is, String part, String holdsMs) {
--- a/src/test/java/saltlatch/lab/EmulatorTest.java
+++ b/src/test/java/saltlatch/lab/EmulatorTest.java
@@ -138,7 +138,7 @@
       for (int i = 0; i < 8; i++) seen.append(one.in.readLine()).append(' ');
       assertEquals("ok 1 ok 2 ok 3 busy busy busy busy busy ", seen.toString());
       assertTrue(clock.nowMs() - from >= 300, "in turn");
-      assertEquals(5L, e.figures().toCompletionStage().toCompletableFuture()
+      assertEquals(5L, e.metrics().toCompletionStage().toCompletableFuture()
           .get(5, TimeUnit.SECONDS).get("counter_turned_away"));
     } finally {
       e.stop();
--- a/src/test/java/saltlatch/lab/LabTest.java
+++ b/src/test/java/saltlatch/lab/LabTest.java
@@ -12,7 +12,7 @@
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
-import saltlatch.lab.plan.Offered;
+import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.report.Report;
 import saltlatch.lab.run.Lab;
 import saltlatch.lab.scenario.Scenario;
@@ -106,10 +106,10 @@
           deadline_ms = 500
           connections_per_node = 16
           """);
-      List<Offered.Arrival> schedule = Offered.of(s);
+      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(s);
       LoadRunner load = new LoadRunner(s, schedule, List.of(port), new LabClock());
       load.run().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-      assertEquals(schedule.size(), load.tries());
+      assertEquals(schedule.size(), load.attempts());
       assertEquals(schedule.size(),
           (long) load.outcomes().get(Outcome.TIMED_OUT) + load.outcomes().get(Outcome.BROKEN));
       assertTrue(load.senderLate().get("p99") < 20_000, "sender late " + load.senderLate());
--- a/src/test/java/saltlatch/lab/MembersIT.java
+++ b/src/test/java/saltlatch/lab/MembersIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
-import saltlatch.lab.check.Line;
+import saltlatch.lab.check.HistoryEvent;
 import saltlatch.lab.load.RunResult;
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.run.Lab;
@@ -71,7 +71,7 @@
 
   @TempDir Path dir;
 
-  private List<Line> history;
+  private List<HistoryEvent> history;
   private long zero; // when the load began
   private Map<String, Long> info; // of a node that lived to the end
 
@@ -79,23 +79,23 @@
     RunResult r = Lab.run(Scenario.parse(COMMON.formatted(seconds, nodes) + faults), 0,
         Processes.Program.of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"),
             dir));
-    history = Line.readAll(dir.resolve("history"));
+    history = HistoryEvent.readAll(dir.resolve("history"));
     assertTrue(r.passed(), r.checks() + " " + r.violations());
     assertTrue(history.stream().anyMatch(l -> l.kind().equals("share")), "no node told its share");
-    Line first = history.stream().filter(l -> l.kind().equals("planned")).findFirst().orElseThrow();
+    HistoryEvent first = history.stream().filter(l -> l.kind().equals("planned")).findFirst().orElseThrow();
     zero = (long) (Long.parseLong(first.get("from_ns")) - firstAtS * 1e9);
     info = r.nodeCounters().get(0);
     return r;
   }
 
-  private double seconds(Line l) {
+  private double seconds(HistoryEvent l) {
     return (l.monoNs() - zero) / 1e9;
   }
 
   /** What an observer last held the member to be at that time. */
   private String held(String observer, String member, double atS) {
     String state = "unknown";
-    for (Line l : history) {
+    for (HistoryEvent l : history) {
       if (l.kind().equals("member") && l.name().equals(observer) && l.get("member").equals(member)
           && seconds(l) <= atS) {
         // a suspect counts as live
@@ -105,7 +105,7 @@
     return state;
   }
 
-  private double first(String kind, Predicate<Line> which, double afterS) {
+  private double first(String kind, Predicate<HistoryEvent> which, double afterS) {
     return history.stream()
         .filter(l -> l.kind().equals(kind) && seconds(l) >= afterS && which.test(l))
         .mapToDouble(this::seconds).findFirst().orElse(Double.POSITIVE_INFINITY);
@@ -262,7 +262,7 @@
         for_s = 24
         nodes = "n4"
         """, 0);
-    for (Line l : history) {
+    for (HistoryEvent l : history) {
       if (!l.kind().equals("member") || !l.get("state").equals("failed")) continue;
       assertTrue(l.get("member").equals("n4") && seconds(l) >= 14 && !l.name().equals("n4"),
           "failed: " + l);
--- a/src/test/java/saltlatch/lab/PlanTest.java
+++ b/src/test/java/saltlatch/lab/PlanTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
-import saltlatch.lab.plan.Box;
-import saltlatch.lab.plan.Offered;
-import saltlatch.lab.plan.Truth;
+import saltlatch.lab.plan.AppServerModel;
+import saltlatch.lab.plan.OpenLoopSchedule;
+import saltlatch.lab.plan.GroundTruth;
 import saltlatch.lab.scenario.Scenario;
 
 /** The lab's decisions without I/O: the offered schedule, a stand-in box's verdicts, the ledger. */
@@ -54,16 +54,16 @@
 
   @Test
   void oneSeedOneSchedule() throws IOException {
-    List<Offered.Arrival> a = Offered.of(Scenario.parse(BASE));
-    List<Offered.Arrival> b = Offered.of(Scenario.parse(BASE));
-    assertEquals(Offered.digest(a), Offered.digest(b));
-    assertNotEquals(Offered.digest(a),
-        Offered.digest(Offered.of(Scenario.parse(BASE.replace("seed = 11", "seed = 12")))));
+    List<OpenLoopSchedule.Arrival> a = OpenLoopSchedule.of(Scenario.parse(BASE));
+    List<OpenLoopSchedule.Arrival> b = OpenLoopSchedule.of(Scenario.parse(BASE));
+    assertEquals(OpenLoopSchedule.digest(a), OpenLoopSchedule.digest(b));
+    assertNotEquals(OpenLoopSchedule.digest(a),
+        OpenLoopSchedule.digest(OpenLoopSchedule.of(Scenario.parse(BASE.replace("seed = 11", "seed = 12")))));
   }
 
   @Test
   void burstsRaiseTheOfferedRate() throws IOException {
-    List<Offered.Arrival> a = Offered.of(Scenario.parse(BASE));
+    List<OpenLoopSchedule.Arrival> a = OpenLoopSchedule.of(Scenario.parse(BASE));
     long calm = a.stream().filter(x -> x.atUs() < 5_000_000).count(); // 5 s at 500/s
     // 5 s at 1500/s
     long burst = a.stream().filter(x -> x.atUs() >= 10_000_000 && x.atUs() < 15_000_000).count();
@@ -86,16 +86,16 @@
   @Test
   void coldBoxTrace() throws IOException {
     Scenario s = Scenario.parse(BASE);
-    Box box = new Box(1, s.servers(), s.seed());
+    AppServerModel box = new AppServerModel(1, s.servers(), s.seed());
     StringBuilder trace = new StringBuilder();
     int inProgress = 0;
     for (double ms = 1_000; ms <= 9_000; ms += 500) {
       int load = ms < 2_000 ? 1 : ms < 3_000 ? 20 : 2; // twenty nodes at once, then they back off
       StringBuilder verdicts = new StringBuilder();
       for (int k = 0; k < load; k++) {
-        Box.Turn t = box.take(ms, inProgress + k);
+        AppServerModel.Decision t = box.decide(ms, inProgress + k);
         verdicts.append(t.verdict().name().charAt(0));
-        if (k == 0 && t.verdict() == Box.Verdict.SERVE)
+        if (k == 0 && t.verdict() == AppServerModel.Verdict.SERVE)
           verdicts.append(String.format(Locale.ROOT, "(%.0fms)", t.latencyMs()));
       }
       trace.append(
@@ -106,22 +106,22 @@
 
   @Test
   void ledgerFindsDoubleChargesAndRepeats() {
-    Truth t = new Truth();
-    t.dispatched("a", 1, false, 2);
-    t.served("a", 100);
-    t.dispatched("a", 1, false, 2); // a hedged copy of a replayable req that also ran
-    t.served("a", 120);
-    assertTrue(!t.dispatched("b", 1, true, 1));
-    assertTrue(!t.dispatched("b", 1, true, 1)); // the first was turned away: it never ran
-    t.mayHaveRun("b");
-    assertTrue(t.dispatched("b", 1, true, 1)); // sent again after it may have run
-    t.served("b", 1_500);
-    Truth.Sums sums = t.sums();
-    assertEquals(1, sums.doubleCharges());
-    assertEquals(1, sums.repeatedNonReplayable());
-    assertEquals(3, sums.unitsCharged());
-    assertEquals(0.0, t.beyondPlan(1, 2).get(1L)); // 2 units in s0, 1 in s1: inside burst 2 + 1/s
-    assertEquals(1.0, t.beyondPlan(0.5, 1).get(1L)); // by s1: 3 units against 1 + 2 * 0.5
+    GroundTruth t = new GroundTruth();
+    t.recordAttempt("a", 1, false, 2);
+    t.recordServed("a", 100);
+    t.recordAttempt("a", 1, false, 2); // a hedged copy of a replayable req that also ran
+    t.recordServed("a", 120);
+    assertTrue(!t.recordAttempt("b", 1, true, 1));
+    assertTrue(!t.recordAttempt("b", 1, true, 1)); // the first was turned away: it never ran
+    t.recordPossibleRun("b");
+    assertTrue(t.recordAttempt("b", 1, true, 1)); // sent again after it may have run
+    t.recordServed("b", 1_500);
+    GroundTruth.Totals totals = t.totals();
+    assertEquals(1, totals.doubleCharges());
+    assertEquals(1, totals.repeatedNonReplayable());
+    assertEquals(3, totals.unitsCharged());
+    assertEquals(0.0, t.overshoot(1, 2).get(1L)); // 2 units in s0, 1 in s1: inside burst 2 + 1/s
+    assertEquals(1.0, t.overshoot(0.5, 1).get(1L)); // by s1: 3 units against 1 + 2 * 0.5
   }
 
   static String kept(String name) throws IOException {
--- a/src/test/java/saltlatch/lab/ProcessesIT.java
+++ b/src/test/java/saltlatch/lab/ProcessesIT.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import saltlatch.lab.check.Line;
+import saltlatch.lab.check.HistoryEvent;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
 import saltlatch.lab.rig.Processes;
@@ -45,12 +45,12 @@
 
   @TempDir Path dir;
 
-  private List<Line> history;
+  private List<HistoryEvent> history;
 
   private RunResult run(String faults) throws Exception {
     RunResult r = Lab.run(Scenario.parse(COMMON + faults), 0, Processes.Program
         .of(Path.of("deploy/balancer.toml"), Path.of("target/saltlatch.jar"), dir));
-    history = Line.readAll(dir.resolve("history"));
+    history = HistoryEvent.readAll(dir.resolve("history"));
     assertTrue(r.passed(), r.checks() + " " + r.violations());
     // Faults take one node of four for half the run, 0.125 of the tries, if the front did not
     // notice: 0.7 leaves as much.
@@ -58,7 +58,7 @@
     return r;
   }
 
-  private List<Line> of(String name, String kind) {
+  private List<HistoryEvent> of(String name, String kind) {
     return history.stream().filter(l -> l.name().equals(name) && l.kind().equals(kind)).toList();
   }
 
@@ -69,19 +69,19 @@
   @Test
   void pausedNodeSendsOutNothingThatNobodyWaitsFor() throws Exception {
     run("[[processes.faults]]\nkind = \"pause\"\nat_s = 2\nfor_s = 8\nnodes = \"n1\"\n");
-    List<Line> away = of("n1", "away");
+    List<HistoryEvent> away = of("n1", "away");
     assertTrue(!away.isEmpty(), "n1 does not know that it was away");
     double longest = away.stream().mapToDouble(l -> l.number("for_ms")).max().orElse(0);
     // 8 s, a round and a busy machine
     assertTrue(longest > 7_800 && longest < 9_500, "away for " + longest + " ms");
-    Map<String, Line> late = new HashMap<>();
-    for (Line l : of("n1", "arrived"))
+    Map<String, HistoryEvent> late = new HashMap<>();
+    for (HistoryEvent l : of("n1", "arrived"))
       if (l.number("age_ms") >= l.number("wait_ms")) late.put(l.get("id"), l);
     // The front deals it a quarter of 60 reqs/s for the 2 s until it notices; half of those is far
     // below that.
     assertTrue(late.size() >= 15,
         late.size() + " reqs were read too late: the test did not cause its failure");
-    for (Line l : of("n1", "dispatched")) {
+    for (HistoryEvent l : of("n1", "dispatched")) {
       assertTrue(!late.containsKey(l.get("id")),
           "sent out too late: " + late.get(l.get("id")) + " " + l);
     }
@@ -108,7 +108,7 @@
         """);
     assertTrue(Files.readString(dir.resolve("n2.json")).contains("\"refill\":19.0"),
         "not the older configuration");
-    List<Line> started = of("n2", "started");
+    List<HistoryEvent> started = of("n2", "started");
     assertEquals(2, started.size());
     assertTrue(!started.get(0).incarnation().equals(started.get(1).incarnation()));
     double took = (of("n2", "ready").get(1).monoNs() - of("director", "fault").get(0).monoNs())
--- a/src/test/java/saltlatch/lab/RigTest.java
+++ b/src/test/java/saltlatch/lab/RigTest.java
@@ -18,11 +18,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import saltlatch.lab.clock.LabClock;
-import saltlatch.lab.plan.Front;
+import saltlatch.lab.plan.LoadBalancer;
 import saltlatch.lab.plan.Links;
 import saltlatch.lab.plan.Timeline;
-import saltlatch.lab.plan.Timeline.Act;
-import saltlatch.lab.rig.Relays;
+import saltlatch.lab.plan.Timeline.Action;
+import saltlatch.lab.rig.LinkProxies;
 import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.lab.scenario.Scenario.LinkFault;
@@ -91,23 +91,23 @@
     assertEquals(
         List.of("2000 TERM [0]", "3000 STOP [0, 1, 2]", "6500 START_OLD [0]", "7000 TERM [1]",
             "11000 CONT [0, 1, 2]", "11500 START_OLD [1]", "12000 TERM [2]", "16500 START_OLD [2]"),
-        t.stream().map(s -> (long) s.atMs() + " " + s.act() + " " + s.nodes()).toList());
-    assertEquals(Act.KILL, Timeline
-        .of(List.of(new ProcessFault("kill", 0, 0, "n1", 0, false, 0, false)), 3).get(0).act());
+        t.stream().map(s -> (long) s.atMs() + " " + s.action() + " " + s.nodes()).toList());
+    assertEquals(Action.KILL, Timeline
+        .of(List.of(new ProcessFault("kill", 0, 0, "n1", 0, false, 0, false)), 3).get(0).action());
   }
 
   @Test
   void frontNoticesLate() {
-    Front f = new Front(3, 2_000);
-    assertEquals(-1, f.deal(0, 3, 0)); // none has answered yet
-    for (int n = 0; n < 3; n++) f.pong(n, 0);
+    LoadBalancer f = new LoadBalancer(3, 2_000);
+    assertEquals(-1, f.route(0, 3, 0)); // none has answered yet
+    for (int n = 0; n < 3; n++) f.recordPong(n, 0);
     List<Integer> dealt = new ArrayList<>();
-    for (int i = 0; i < 4; i++) dealt.add(f.deal(1, 2, 1_999));
+    for (int i = 0; i < 4; i++) dealt.add(f.route(1, 2, 1_999));
     assertEquals(List.of(1, 2, 1, 2), dealt); // in turn, within the customer's set
-    f.pong(2, 1_500);
-    assertEquals(List.of(2, 2), List.of(f.deal(1, 2, 2_001), f.deal(1, 2, 2_001))); // n1 has died
-    f.pong(1, 4_000);
-    assertTrue(f.isIn(1, 4_000) && !f.isIn(2, 4_000));
+    f.recordPong(2, 1_500);
+    assertEquals(List.of(2, 2), List.of(f.route(1, 2, 2_001), f.route(1, 2, 2_001))); // n1 has died
+    f.recordPong(1, 4_000);
+    assertTrue(f.isHealthy(1, 4_000) && !f.isHealthy(2, 4_000));
   }
 
   /**
@@ -120,7 +120,7 @@
     double cutAt = clock.nowMs() / 1000 + 0.5;
     Links links = new Links(List.of(link("cut", cutAt, 1.5, "n0", "counter", false, 0, 0, 0)), 1);
     try (ServerSocket target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Relays relays = new Relays(links, clock);
+        LinkProxies relays = new LinkProxies(links, clock);
         Socket s = new Socket(InetAddress.getLoopbackAddress(),
             relays.port("n0", "counter", target.getLocalPort()));
         Socket t = target.accept()) {
@@ -160,7 +160,7 @@
     double cutAt = clock.nowMs() / 1000 + 0.3;
     Links links = new Links(List.of(link("cut", cutAt, 0.8, "counter", "n0", true, 0, 0, 0),
         link("delay", 0, 0, "n1", "counter", false, 0, 1, 0)), 1);
-    try (Relays relays = new Relays(links, clock);
+    try (LinkProxies relays = new LinkProxies(links, clock);
         ServerSocket target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       int port = target.getLocalPort();
       try (
