--- a/src/main/java/saltlatch/cli/CapacityReportCommand.java
+++ b/src/main/java/saltlatch/cli/CapacityReportCommand.java
@@ -39,22 +39,22 @@
     } catch (NoSuchFileException e) {
       System.err.println("saltlatch lab scale report: no such file: " + e.getFile());
       return 2;
-    } catch (IOException | CapacityPage.Misfit e) {
+    } catch (IOException | CapacityPage.PageMismatchException e) {
       System.err.println("saltlatch lab scale report: " + e.getMessage());
       return 2;
     }
   }
 
   private int check(String text, List<Table> tables) {
-    List<String> different = CapacityPage.different(text, tables);
+    List<String> different = CapacityPage.outdatedTables(text, tables);
     different
         .forEach(table -> System.out.println(page + ": table " + table + " differs from the data"));
     return different.isEmpty() ? 0 : 1;
   }
 
   private int write(String text, List<Table> tables) throws IOException {
-    List<String> different = CapacityPage.different(text, tables);
-    Files.writeString(page, CapacityPage.with(text, tables));
+    List<String> different = CapacityPage.outdatedTables(text, tables);
+    Files.writeString(page, CapacityPage.withTables(text, tables));
     System.out
         .println(page + ": " + different.size() + " of " + tables.size() + " tables written anew");
     return 0;
--- a/src/main/java/saltlatch/cli/HollowCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCommand.java
@@ -20,7 +20,7 @@
 import saltlatch.lab.hollow.HollowRun;
 import saltlatch.lab.hollow.NodeConfig;
 import saltlatch.lab.scale.Machine;
-import saltlatch.lab.scale.Needs;
+import saltlatch.lab.scale.ResourceRequirements;
 import saltlatch.policy.PolicyEngine;
 
 /**
@@ -71,8 +71,9 @@
           "--nodes N from 1, --discovery HOST:PORT, --loops from 1");
     }
     try {
-      Machine.here().admit("lab hollow", nodes, new Needs(Runtime.getRuntime().maxMemory(), 0));
-    } catch (Machine.TooMuch e) {
+      Machine.here().admit("lab hollow", nodes,
+          new ResourceRequirements(Runtime.getRuntime().maxMemory(), 0));
+    } catch (Machine.ResourceLimitException e) {
       System.err.println("saltlatch " + e.getMessage() + " (-Xmx sets it)");
       return REFUSED;
     }
--- a/src/main/java/saltlatch/cli/HollowCompareCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCompareCommand.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import saltlatch.lab.scale.Bench;
 import saltlatch.lab.scale.HollowComparison;
 import saltlatch.lab.scale.HollowTable;
+import saltlatch.lab.scale.TestEnvironment;
 
 /**
  * {@code lab hollow compare}: whether hollow nodes send and read what real ones do, as a table of
@@ -34,7 +34,7 @@
   public Integer call() throws Exception {
     Path jar = ScaleCommand.ownJar();
     HollowComparison comparison = new HollowComparison(
-        Bench.of(Path.of("deploy/balancer.toml"), jar, jar, dir));
+        TestEnvironment.of(Path.of("deploy/balancer.toml"), jar, jar, dir));
     List<HollowComparison.Row> rows = new ArrayList<>();
     for (int nodes : sizes) {
       System.err.println("hollow compare: " + nodes + " real nodes, then as many hollow ones");
--- a/src/main/java/saltlatch/cli/RelayScaleCommand.java
+++ b/src/main/java/saltlatch/cli/RelayScaleCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltlatch.lab.scale.Machine;
-import saltlatch.lab.scale.Needs;
+import saltlatch.lab.scale.ResourceRequirements;
 import saltlatch.lab.tiers.RelayScale;
 import saltlatch.lab.tiers.TierPlan;
 
@@ -61,8 +61,9 @@
     TierPlan plan;
     try {
       plan = new TierPlan(upper, lower, entries, nodes, atOnce, processes);
-      Machine.here().admit("relay", nodes, new Needs(plan.bytes(), upper + lower + processes + 1));
-    } catch (Machine.TooMuch | IllegalArgumentException e) {
+      Machine.here().admit("relay", nodes,
+          new ResourceRequirements(plan.bytes(), upper + lower + processes + 1));
+    } catch (Machine.ResourceLimitException | IllegalArgumentException e) {
       System.err.println("saltlatch lab scale relay: " + e.getMessage());
       return REFUSED;
     }
--- a/src/main/java/saltlatch/cli/ScaleCommand.java
+++ b/src/main/java/saltlatch/cli/ScaleCommand.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import saltlatch.lab.scale.Bench;
 import saltlatch.lab.scale.Machine;
 import saltlatch.lab.scale.ScaleRun;
 import saltlatch.lab.scale.ScaleTest;
 import saltlatch.lab.scale.ScaleTests;
+import saltlatch.lab.scale.TestEnvironment;
 
 /**
  * {@code lab scale TEST}: what the parts cost as one thing grows; and the stand-ins that this is
@@ -58,10 +58,11 @@
   @Override
   public Integer call() throws Exception {
     Path own = ownJar();
-    Bench bench = Bench.of(Path.of("deploy/balancer.toml"), jar == null ? own : jar, own, dir);
-    ScaleTest chosen = ScaleTests.named(test == null ? "" : test, bench)
+    TestEnvironment environment = TestEnvironment.of(Path.of("deploy/balancer.toml"),
+        jar == null ? own : jar, own, dir);
+    ScaleTest chosen = ScaleTests.named(test == null ? "" : test, environment)
         .orElseThrow(() -> new ParameterException(spec.commandLine(), "TEST is one of " + ScaleTests
-            .all(bench).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
+            .all(environment).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
     List<Long> chosenSizes = sizes == null ? chosen.sizes()
         : sizes.stream().sorted().distinct().toList();
     Path file = out == null ? Path.of("docs/capacity", test + ".jsonl") : out;
@@ -71,7 +72,7 @@
       new ScaleRun(Machine.here(), writer, System.out, System.err, commit).run(chosen, chosenSizes,
           repeats);
       return 0;
-    } catch (Machine.TooMuch e) {
+    } catch (Machine.ResourceLimitException e) {
       System.err.println("saltlatch lab scale: " + e.getMessage());
       return REFUSED;
     }
--- a/src/main/java/saltlatch/lab/capacity/AppServer.java
+++ b/src/main/java/saltlatch/lab/capacity/AppServer.java
@@ -14,26 +14,24 @@
   }
 
   @Override
-  public List<Row> rows(Basis basis) {
+  public List<Row> rows(CapacityModel model) {
     List<Row> rows = new ArrayList<>();
-    Figure nodes = basis.in(Input.EDGE_NODES);
-    Figure appServers = basis.in(Input.APP_SERVERS);
-    Figure requests = new Rates(basis).peakRequestsPerAppServer();
-    Figure idle = basis.in(Input.IDLE_CLOSE_SECONDS);
-    Figure kept = nodes.times(new Rates(basis).pairsPerNode()).over(appServers);
-    rows.add(Row.of("requests", Moment.PEAK, requests, "requests/s", ANY));
-    rows.add(Row.of("nodes that send to it, all", Moment.PEAK, nodes, "nodes", ANY));
-    rows.add(
-        Row.of("a request of one of these nodes, each", Moment.PEAK, nodes.over(requests), "s", ANY)
-            .within(idle));
-    rows.add(Row.of("nodes that send to it, subsets", Moment.PEAK, kept, "nodes", SUBSET));
-    rows.add(Row
-        .of("a request of one of these nodes, each", Moment.PEAK, kept.over(requests), "s", SUBSET)
-        .within(idle));
-    rows.add(Row.of("nodes at which connections just stay open", Moment.PEAK, requests.times(idle),
-        "nodes", "subsets of app servers and of services for a node"));
-    rows.add(Row.of("new connections of the nodes", Moment.ZONE_STARTS,
-        basis.in(Input.ZONE_STARTS).times(new Rates(basis).pairsPerNode()).over(appServers),
+    Figure nodes = model.input(Input.EDGE_NODES);
+    Figure appServers = model.input(Input.APP_SERVERS);
+    Figure requests = new Rates(model).peakRequestsPerAppServer();
+    Figure idle = model.input(Input.IDLE_CLOSE_SECONDS);
+    Figure kept = nodes.times(new Rates(model).pairsPerNode()).dividedBy(appServers);
+    rows.add(Row.of("requests", LoadCondition.PEAK, requests, "requests/s", ANY));
+    rows.add(Row.of("nodes that send to it, all", LoadCondition.PEAK, nodes, "nodes", ANY));
+    rows.add(Row.of("a request of one of these nodes, each", LoadCondition.PEAK,
+        nodes.dividedBy(requests), "s", ANY).withBudget(idle));
+    rows.add(Row.of("nodes that send to it, subsets", LoadCondition.PEAK, kept, "nodes", SUBSET));
+    rows.add(Row.of("a request of one of these nodes, each", LoadCondition.PEAK,
+        kept.dividedBy(requests), "s", SUBSET).withBudget(idle));
+    rows.add(Row.of("nodes at which connections just stay open", LoadCondition.PEAK,
+        requests.times(idle), "nodes", "subsets of app servers and of services for a node"));
+    rows.add(Row.of("new connections of the nodes", LoadCondition.ZONE_STARTS,
+        model.input(Input.ZONE_STARTS).times(new Rates(model).pairsPerNode()).dividedBy(appServers),
         "connections", SUBSET));
     return rows;
   }
--- a/src/main/java/saltlatch/lab/capacity/CapacityData.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityData.java
@@ -26,10 +26,10 @@
   private static final String LINES = ".jsonl";
 
   /** A file that can't be used; the message names file and line or key. */
-  public static final class Unreadable extends IOException {
+  public static final class UnreadableDataException extends IOException {
     private static final long serialVersionUID = 1;
 
-    Unreadable(String message, Exception cause) {
+    UnreadableDataException(String message, Exception cause) {
       super(message, cause);
     }
   }
@@ -57,15 +57,15 @@
   }
 
   /** What the formulas use. */
-  public Basis basis() {
-    return Basis.of(inputs, measurements);
+  public CapacityModel model() {
+    return CapacityModel.of(inputs, measurements);
   }
 
   private static Inputs inputs(Path file) throws IOException {
     try {
       return Inputs.parse(Files.readString(file));
-    } catch (Inputs.Unusable e) {
-      throw new Unreadable(file + ": " + e.getMessage(), e);
+    } catch (Inputs.InvalidInputException e) {
+      throw new UnreadableDataException(file + ": " + e.getMessage(), e);
     }
   }
 
@@ -85,7 +85,7 @@
       try {
         all.add(parse.apply(line));
       } catch (RuntimeException e) {
-        throw new Unreadable(file + ": line " + number + ": no measurement", e);
+        throw new UnreadableDataException(file + ": line " + number + ": no measurement", e);
       }
     }
     return all;
--- a/src/main/java/saltlatch/lab/capacity/Basis.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityModel.java
@@ -11,34 +11,34 @@
  * @param fits   lines through the measurements
  * @param runs   runs of relays at size
  */
-public record Basis(Inputs inputs, Fits fits, RelayRuns runs) {
+public record CapacityModel(Inputs inputs, Fits fits, RelayRuns runs) {
 
   /** All of it, from these measurements. */
-  public static Basis of(Inputs inputs, Collection<Measurement> measurements) {
-    return new Basis(inputs, Fits.of(measurements), RelayRuns.of(measurements));
+  public static CapacityModel of(Inputs inputs, Collection<Measurement> measurements) {
+    return new CapacityModel(inputs, Fits.of(measurements), RelayRuns.of(measurements));
   }
 
   /** The same with one input changed. */
-  public Basis with(Input input, double value) {
-    return new Basis(inputs.with(input, value), fits, runs);
+  public CapacityModel with(Input input, double value) {
+    return new CapacityModel(inputs.with(input, value), fits, runs);
   }
 
   /** An input as a figure. */
-  public Figure in(Input input) {
+  public Figure input(Input input) {
     return inputs.figure(input);
   }
 
   /** What a series' line gives at the size of an input. */
   public Figure at(Series series, Quantity quantity, Input size) {
-    return at(series, quantity, in(size));
+    return at(series, quantity, input(size));
   }
 
   /** What a series' line gives at a computed size; the size's own error goes in by the slope. */
   public Figure at(Series series, Quantity quantity, Figure size) {
-    if (!size.known()) return fits.at(series.id(), quantity, 0).withStanding(Standing.MISSING);
+    if (!size.known()) return fits.at(series.id(), quantity, 0).withConfidence(Confidence.MISSING);
     Figure there = fits.at(series.id(), quantity, size.value());
     Figure bySize = fits.slope(series.id(), quantity)
-        .times(new Figure(0, size.error(), size.standing(), size.sources()));
+        .times(new Figure(0, size.error(), size.confidence(), size.sources()));
     return there.plus(bySize);
   }
 
--- a/src/main/java/saltlatch/lab/capacity/CapacityPage.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityPage.java
@@ -18,38 +18,38 @@
   private CapacityPage() {}
 
   /** A page whose markers don't fit the tables; the message names the table. */
-  public static final class Misfit extends IllegalArgumentException {
+  public static final class PageMismatchException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    Misfit(String message) {
+    PageMismatchException(String message) {
       super(message);
     }
   }
 
   /**
    * The page with these tables in their places; each has one place and each place one table, or
-   * {@link Misfit}.
+   * {@link PageMismatchException}.
    */
-  public static String with(String page, List<Table> tables) {
+  public static String withTables(String page, List<Table> tables) {
     Map<String, Table> left = new LinkedHashMap<>();
     for (Table table : tables) left.put(table.name(), table);
     Matcher place = PLACE.matcher(page);
     StringBuilder text = new StringBuilder();
     while (place.find()) {
       Table table = left.remove(place.group(1));
-      if (table == null)
-        throw new Misfit("table:" + place.group(1) + ": no such table, or placed twice");
+      if (table == null) throw new PageMismatchException(
+          "table:" + place.group(1) + ": no such table, or placed twice");
       place.appendReplacement(text, Matcher.quoteReplacement(placed(table)));
     }
     place.appendTail(text);
-    if (!left.isEmpty())
-      throw new Misfit("table:" + left.keySet().iterator().next() + ": the page has no place");
+    if (!left.isEmpty()) throw new PageMismatchException(
+        "table:" + left.keySet().iterator().next() + ": the page has no place");
     return text.toString();
   }
 
   /** Tables whose text on the page is another than these would give. */
-  public static List<String> different(String page, List<Table> tables) {
-    with(page, tables);
+  public static List<String> outdatedTables(String page, List<Table> tables) {
+    withTables(page, tables);
     Map<String, String> there = new TreeMap<>();
     Matcher place = PLACE.matcher(page);
     while (place.find()) there.put(place.group(1), place.group());
--- a/src/main/java/saltlatch/lab/capacity/CapacityTables.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityTables.java
@@ -18,11 +18,11 @@
   private static final String NONE = "";
 
   private final CapacityData data;
-  private final Basis basis;
+  private final CapacityModel model;
 
   private CapacityTables(CapacityData data) {
     this.data = data;
-    this.basis = data.basis();
+    this.model = data.model();
   }
 
   /** The tables. */
@@ -30,10 +30,10 @@
     CapacityTables tables = new CapacityTables(data);
     List<Table> all = new ArrayList<>();
     all.add(tables.inputs("target", Input.Kind.TARGET));
-    all.add(MeasurementTables.slopes(tables.basis.fits()));
+    all.add(MeasurementTables.slopes(tables.model.fits()));
     all.add(MeasurementTables.tests(data.measurements()));
     for (Role role : Role.all()) all.add(tables.role(role));
-    List<Wall> walls = Walls.of(tables.basis, data.benchDays());
+    List<ScalingLimit> walls = ScalingLimits.of(tables.model, data.benchDays());
     all.add(walls(walls));
     all.add(mechanisms(walls));
     all.add(MeasurementTables.runs(data.measurements()));
@@ -50,15 +50,15 @@
     List<List<String>> rows = new ArrayList<>();
     for (Input input : Input.values()) {
       if (input.kind() != kind) continue;
-      Inputs.Given given = data.inputs().given(input);
-      rows.add(List.of("`" + input.key() + "`", Numbers.inFull(given.value()), given.unit(),
+      Inputs.InputValue given = data.inputs().inputValue(input);
+      rows.add(List.of("`" + input.key() + "`", Numbers.unrounded(given.value()), given.unit(),
           given.reason()));
     }
     return new Table(name, List.of("name", "value", "unit", "from"), rows);
   }
 
   private Table role(Role role) {
-    List<List<String>> rows = role.rows(basis).stream().map(this::row).toList();
+    List<List<String>> rows = role.rows(model).stream().map(this::row).toList();
     return new Table(role.table(),
         List.of("what", "when", "figure", "budget", "within", "stands", "from", "carried by"),
         rows);
@@ -67,9 +67,9 @@
   private List<String> row(Row row) {
     Figure figure = row.figure();
     String budget = row.budget() == null ? NONE
-        : Numbers.show(row.budget().value()) + " " + row.unit();
-    return List.of(row.what(), row.moment().title(), shown(figure, row.unit()), budget, within(row),
-        figure.standing().toString(), sources(figure), row.mechanism());
+        : Numbers.format(row.budget().value()) + " " + row.unit();
+    return List.of(row.what(), row.condition().title(), shown(figure, row.unit()), budget,
+        within(row), figure.confidence().toString(), sources(figure), row.mechanism());
   }
 
   private static String within(Row row) {
@@ -86,13 +86,13 @@
     return figure.sources().isEmpty() ? "target" : String.join(", ", figure.sources());
   }
 
-  private static Table walls(List<Wall> walls) {
+  private static Table walls(List<ScalingLimit> walls) {
     List<List<String>> rows = new ArrayList<>();
-    for (Wall wall : walls) {
-      Figure part = wall.part();
-      rows.add(List.of(part.known() ? Numbers.show(part.value()) : "missing", wall.term(),
-          wall.then().title(), shown(wall.holds(), wall.unit()),
-          Numbers.show(wall.target().value()), part.standing().toString(), sources(part),
+    for (ScalingLimit wall : walls) {
+      Figure part = wall.fractionOfTarget();
+      rows.add(List.of(part.known() ? Numbers.format(part.value()) : "missing", wall.term(),
+          wall.consequence().title(), shown(wall.limit(), wall.unit()),
+          Numbers.format(wall.target().value()), part.confidence().toString(), sources(part),
           wall.mechanism().title()));
     }
     return new Table("walls", List.of("part of the target", "what breaks", "then", "holds up to",
@@ -103,39 +103,39 @@
    * The mechanisms: those first without which nodes stop working, then by the first wall that each
    * takes away.
    */
-  private static Table mechanisms(List<Wall> walls) {
-    Map<Mechanism, List<Wall>> byMechanism = new EnumMap<>(Mechanism.class);
-    for (Wall wall : walls)
+  private static Table mechanisms(List<ScalingLimit> walls) {
+    Map<Mechanism, List<ScalingLimit>> byMechanism = new EnumMap<>(Mechanism.class);
+    for (ScalingLimit wall : walls)
       byMechanism.computeIfAbsent(wall.mechanism(), m -> new ArrayList<>()).add(wall);
     List<Mechanism> order = new ArrayList<>(byMechanism.keySet());
     order.sort(Comparator.comparing((Mechanism mechanism) -> !stops(byMechanism.get(mechanism)))
         .thenComparingInt(mechanism -> walls.indexOf(byMechanism.get(mechanism).get(0))));
     List<List<String>> rows = new ArrayList<>();
     for (Mechanism mechanism : order) {
-      Figure first = byMechanism.get(mechanism).get(0).part();
+      Figure first = byMechanism.get(mechanism).get(0).fractionOfTarget();
       String terms = String.join("; ",
-          byMechanism.get(mechanism).stream().map(Wall::term).toList());
+          byMechanism.get(mechanism).stream().map(ScalingLimit::term).toList());
       rows.add(List.of(Integer.toString(rows.size() + 1), mechanism.title(), mechanism.state(),
-          first.known() ? Numbers.show(first.value()) : "missing", terms));
+          first.known() ? Numbers.format(first.value()) : "missing", terms));
     }
     return new Table("mechanisms",
         List.of("order", "mechanism", "state", "needed from this part on", "walls"), rows);
   }
 
   /** Whether one of these walls stands below the target and stops nodes. */
-  private static boolean stops(List<Wall> walls) {
-    return walls.stream().anyMatch(
-        wall -> wall.then() == Consequence.STOPS && wall.part().known() && wall.part().value() < 1);
+  private static boolean stops(List<ScalingLimit> walls) {
+    return walls.stream().anyMatch(wall -> wall.consequence() == Consequence.STOPS
+        && wall.fractionOfTarget().known() && wall.fractionOfTarget().value() < 1);
   }
 
   private Table bench() {
     List<List<String>> rows = new ArrayList<>();
     for (BenchDay day : data.benchDays()) {
       String beyond = day.beyondMost() == 0 ? "none told"
-          : Numbers.show(day.beyondLeast()) + " to " + Numbers.show(day.beyondMost());
+          : Numbers.format(day.beyondLeast()) + " to " + Numbers.format(day.beyondMost());
       rows.add(List.of(day.deployment(), day.day(), Integer.toString(day.nodes()),
           day.seed() == null ? "not told" : day.seed().toString(), day.commit(),
-          Numbers.show(day.overQuota()), beyond, day.source()));
+          Numbers.format(day.overQuota()), beyond, day.source()));
     }
     return new Table("bench", List.of("deployment", "day", "nodes", "seed", "commit",
         "price `over_quota`", "part of units beyond quotas, steps of 5 s", "from"), rows);
@@ -153,9 +153,9 @@
       List<Double> sizes = points.stream().map(LineFit.Point::size).distinct().sorted().toList();
       if (sizes.size() < 2) return;
       LineFit line = LineFit.of(points);
-      rows.add(List.of(deployment, String.join(" / ", sizes.stream().map(Numbers::show).toList()),
-          Integer.toString(points.size()), Numbers.show(line.slope()),
-          Numbers.show(line.residual())));
+      rows.add(List.of(deployment, String.join(" / ", sizes.stream().map(Numbers::format).toList()),
+          Integer.toString(points.size()), Numbers.format(line.slope()),
+          Numbers.format(line.residual())));
     });
     return new Table("bench-slopes", List.of("deployment", "nodes", "plays",
         "price `over_quota` for each more node", "residual"), rows);
@@ -168,7 +168,7 @@
     List<List<String>> rows = new ArrayList<>();
     for (int servers : SERVICE_SIZES) {
       for (SubsetPolicy policy : SubsetPolicy.values()) {
-        rows.add(subset(SubsetSimulation.play(policy, nodes, servers, kept, seed)));
+        rows.add(subset(SubsetSimulation.simulate(policy, nodes, servers, kept, seed)));
       }
     }
     return new Table("subsets", List.of("app servers", "kept by a node", "policy", "load p50",
@@ -177,8 +177,8 @@
 
   private static List<String> subset(SubsetSimulation.Outcome outcome) {
     return List.of(Integer.toString(outcome.servers()), Integer.toString(outcome.kept()),
-        outcome.policy().title(), Numbers.show(outcome.p50()), Numbers.show(outcome.p99()),
-        Numbers.show(outcome.max()), Numbers.show(outcome.connections()),
-        Numbers.show(outcome.moved()), Numbers.show(outcome.least()));
+        outcome.policy().title(), Numbers.format(outcome.p50()), Numbers.format(outcome.p99()),
+        Numbers.format(outcome.max()), Numbers.format(outcome.connections()),
+        Numbers.format(outcome.moved()), Numbers.format(outcome.least()));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Standing.java
+++ b/src/main/java/saltlatch/lab/capacity/Confidence.java
@@ -6,7 +6,7 @@
  * What a figure rests on, the firmest first; a computed figure stands no firmer than the weakest of
  * its inputs.
  */
-public enum Standing {
+public enum Confidence {
   /** A figure of the operators' letter or a constant of the text, or arithmetic on such alone. */
   GIVEN,
   /** Measured at that size or a larger one. */
@@ -19,7 +19,7 @@
   MISSING;
 
   /** The weaker of two. */
-  public Standing and(Standing other) {
+  public Confidence and(Confidence other) {
     return compareTo(other) >= 0 ? this : other;
   }
 
--- a/src/main/java/saltlatch/lab/capacity/CounterService.java
+++ b/src/main/java/saltlatch/lab/capacity/CounterService.java
@@ -14,33 +14,33 @@
   }
 
   @Override
-  public List<Row> rows(Basis basis) {
+  public List<Row> rows(CapacityModel model) {
     List<Row> rows = new ArrayList<>();
-    rows.add(Row.of("counts held", Moment.ORDINARY,
-        basis.in(Input.TENANTS).times(basis.in(Input.COUNTER_BYTES_PER_TENANT)), "B", ONE));
-    rows.add(Row.of("connections of nodes", Moment.ORDINARY, basis.in(Input.EDGE_NODES),
+    rows.add(Row.of("counts held", LoadCondition.ORDINARY,
+        model.input(Input.TENANTS).times(model.input(Input.COUNTER_BYTES_PER_TENANT)), "B", ONE));
+    rows.add(Row.of("connections of nodes", LoadCondition.ORDINARY, model.input(Input.EDGE_NODES),
         "connections", ONE));
-    load(basis, Moment.ORDINARY, rows);
-    load(basis, Moment.PEAK, rows);
-    rows.add(Row.of("processor time for a call", Moment.PEAK,
+    load(model, LoadCondition.ORDINARY, rows);
+    load(model, LoadCondition.PEAK, rows);
+    rows.add(Row.of("processor time for a call", LoadCondition.PEAK,
         Figure.missing("a counter of the operators' kind: the stand-in says nothing of it"), "ms",
         DIVIDED));
-    rows.add(Row.of("counts that begin anew", Moment.COUNTER_EMPTY, basis.in(Input.TENANTS),
-        "counts", "nodes tell each other what they passed, `Gossip`"));
+    rows.add(Row.of("counts that begin anew", LoadCondition.COUNTER_EMPTY,
+        model.input(Input.TENANTS), "counts", "nodes tell each other what they passed, `Gossip`"));
     return rows;
   }
 
-  private static void load(Basis basis, Moment moment, List<Row> rows) {
-    Rates rates = new Rates(basis);
-    Figure perNode = moment == Moment.PEAK ? rates.peakRequestsPerNode()
+  private static void load(CapacityModel model, LoadCondition condition, List<Row> rows) {
+    Rates rates = new Rates(model);
+    Figure perNode = condition == LoadCondition.PEAK ? rates.peakRequestsPerNode()
         : rates.dayRequestsPerNode();
-    Figure nodes = basis.in(Input.EDGE_NODES);
+    Figure nodes = model.input(Input.EDGE_NODES);
     Figure calls = rates.counterCalls(perNode).times(nodes);
-    rows.add(Row.of("calls", moment, calls, "calls/s", DIVIDED)
-        .within(basis.in(Input.COUNTER_CALLS_PER_PROCESS)));
-    rows.add(Row.of("bytes, both ways", moment, rates.counterBytes(perNode).times(nodes), "B/s",
+    rows.add(Row.of("calls", condition, calls, "calls/s", DIVIDED)
+        .withBudget(model.input(Input.COUNTER_CALLS_PER_PROCESS)));
+    rows.add(Row.of("bytes, both ways", condition, rates.counterBytes(perNode).times(nodes), "B/s",
         DIVIDED));
-    rows.add(Row.of("processes that the calls want", moment,
-        calls.over(basis.in(Input.COUNTER_CALLS_PER_PROCESS)), "processes", DIVIDED));
+    rows.add(Row.of("processes that the calls want", condition,
+        calls.dividedBy(model.input(Input.COUNTER_CALLS_PER_PROCESS)), "processes", DIVIDED));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Figure.java
+++ b/src/main/java/saltlatch/lab/capacity/Figure.java
@@ -11,33 +11,33 @@
  *
  * @param value    in a unit that the user of the figure knows; 0 if missing
  * @param error    standard error in the same unit
- * @param standing the weakest of the inputs
+ * @param confidence the weakest of the inputs
  * @param sources  tests and assumptions that went in, in alphabetical order
  */
-public record Figure(double value, double error, Standing standing, List<String> sources) {
+public record Figure(double value, double error, Confidence confidence, List<String> sources) {
 
   /** A figure without an error: an operators' figure or a constant of the text. */
   public static Figure exact(double value) {
-    return new Figure(value, 0, Standing.GIVEN, List.of());
+    return new Figure(value, 0, Confidence.GIVEN, List.of());
   }
 
   /** A figure of a stated assumption. */
   public static Figure assumed(double value, String source) {
-    return new Figure(value, 0, Standing.ASSUMED, List.of(source));
+    return new Figure(value, 0, Confidence.ASSUMED, List.of(source));
   }
 
   /** Nothing is known; {@code source} names the test or mechanism that would tell. */
   public static Figure missing(String source) {
-    return new Figure(0, 0, Standing.MISSING, List.of(source));
+    return new Figure(0, 0, Confidence.MISSING, List.of(source));
   }
 
   /** False if nothing is known. */
   public boolean known() {
-    return standing != Standing.MISSING;
+    return confidence != Confidence.MISSING;
   }
 
   /** This, or the other where nothing is known of this. */
-  public Figure or(Figure other) {
+  public Figure orElse(Figure other) {
     return known() ? this : other;
   }
 
@@ -58,12 +58,12 @@
 
   /** The product with a pure number. */
   public Figure times(double factor) {
-    return new Figure(value * factor, error * Math.abs(factor), standing, sources);
+    return new Figure(value * factor, error * Math.abs(factor), confidence, sources);
   }
 
   /** The quotient; a divisor of 0 or less means that nothing is known. */
-  public Figure over(Figure other) {
-    if (known() && other.known() && other.value <= 0) return withStanding(Standing.MISSING);
+  public Figure dividedBy(Figure other) {
+    if (known() && other.known() && other.value <= 0) return withConfidence(Confidence.MISSING);
     double quotient = other.value == 0 ? 0 : value / other.value;
     double relative = other.value == 0 ? 0 : other.error / other.value;
     return with(other, (a, b) -> quotient,
@@ -71,21 +71,21 @@
   }
 
   /** The same, standing no firmer than this. */
-  public Figure withStanding(Standing weakest) {
-    Standing weaker = standing.and(weakest);
-    return weaker == Standing.MISSING ? new Figure(0, 0, weaker, sources)
+  public Figure withConfidence(Confidence weakest) {
+    Confidence weaker = confidence.and(weakest);
+    return weaker == Confidence.MISSING ? new Figure(0, 0, weaker, sources)
         : new Figure(value, error, weaker, sources);
   }
 
   /** The same with one more source. */
-  public Figure from(String source) {
-    return new Figure(value, error, standing, union(List.of(source)));
+  public Figure withSource(String source) {
+    return new Figure(value, error, confidence, union(List.of(source)));
   }
 
   private Figure with(Figure other, DoubleBinaryOperator operation, double newError) {
-    Standing weaker = standing.and(other.standing);
+    Confidence weaker = confidence.and(other.confidence);
     List<String> all = union(other.sources);
-    if (weaker == Standing.MISSING) return new Figure(0, 0, weaker, all);
+    if (weaker == Confidence.MISSING) return new Figure(0, 0, weaker, all);
     return new Figure(operation.applyAsDouble(value, other.value), newError, weaker, all);
   }
 
--- a/src/main/java/saltlatch/lab/capacity/Fit.java
+++ b/src/main/java/saltlatch/lab/capacity/Fit.java
@@ -67,32 +67,32 @@
     List<Double> repeats = points.stream().filter(p -> Math.abs(p.size() - size) <= SAME * size)
         .map(Point::value).toList();
     if (!repeats.isEmpty()) {
-      return cost(mean(repeats), meanError(repeats), Standing.MEASURED);
+      return cost(mean(repeats), meanError(repeats), Confidence.MEASURED);
     }
     if (line == null) return withoutLine();
     return cost(line.at(size), errorAt(size),
-        size <= largest() ? Standing.MEASURED : Standing.EXTRAPOLATED);
+        size <= largest() ? Confidence.MEASURED : Confidence.EXTRAPOLATED);
   }
 
   /**
    * Nothing costs less than nothing: where a difference of two readings is below 0, nothing is
    * known.
    */
-  private Figure cost(double value, double error, Standing standing) {
+  private Figure cost(double value, double error, Confidence confidence) {
     if (value < 0) return Figure.missing(name() + " (below 0 there)");
-    return new Figure(value, error, standing, List.of(name()));
+    return new Figure(value, error, confidence, List.of(name()));
   }
 
   /** The line's value at size 0, which may be below 0. */
   public Figure intercept() {
     if (line == null) return withoutLine();
-    return new Figure(line.intercept(), errorAt(0), Standing.MEASURED, List.of(name()));
+    return new Figure(line.intercept(), errorAt(0), Confidence.MEASURED, List.of(name()));
   }
 
   /** What one more adds. */
   public Figure slope() {
     if (line == null) return withoutLine();
-    return new Figure(line.slope(), slopeError(), Standing.MEASURED, List.of(name()));
+    return new Figure(line.slope(), slopeError(), Confidence.MEASURED, List.of(name()));
   }
 
   private Figure withoutLine() {
--- a/src/main/java/saltlatch/lab/capacity/Fits.java
+++ b/src/main/java/saltlatch/lab/capacity/Fits.java
@@ -104,7 +104,7 @@
   public Figure end(String test) {
     Double least = leastCounts.get(test);
     if (least == null) return Figure.missing(name(test, Quantity.COUNT));
-    return new Figure(least, 0, Standing.MEASURED, List.of(name(test, Quantity.COUNT)));
+    return new Figure(least, 0, Confidence.MEASURED, List.of(name(test, Quantity.COUNT)));
   }
 
   static String name(String test, Quantity quantity) {
--- a/src/main/java/saltlatch/lab/capacity/Inputs.java
+++ b/src/main/java/saltlatch/lab/capacity/Inputs.java
@@ -17,63 +17,63 @@
    * @param unit   of the figure
    * @param reason who gave it, or why it is assumed
    */
-  public record Given(double value, String unit, String reason) {}
+  public record InputValue(double value, String unit, String reason) {}
 
   /** A file of inputs that can't be used; the message names the key. */
-  public static final class Unusable extends IllegalArgumentException {
+  public static final class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    Unusable(String message) {
+    InvalidInputException(String message) {
       super(message);
     }
   }
 
-  private final Map<Input, Given> given;
+  private final Map<Input, InputValue> given;
 
-  private Inputs(Map<Input, Given> given) {
+  private Inputs(Map<Input, InputValue> given) {
     this.given = given;
   }
 
-  /** Reads the file's text: a section for each input and no other, or {@link Unusable}. */
+  /** Reads the file's text: a section for each input and no other, or {@link InvalidInputException}. */
   public static Inputs parse(String toml) {
-    Map<String, Given> sections = sections(toml);
-    Map<Input, Given> given = new EnumMap<>(Input.class);
+    Map<String, InputValue> sections = sections(toml);
+    Map<Input, InputValue> given = new EnumMap<>(Input.class);
     for (Input input : Input.values()) {
-      Given one = sections.remove(input.key());
+      InputValue one = sections.remove(input.key());
       if (one == null || one.unit == null || one.reason == null) {
-        throw new Unusable(input.key() + ": wants value, unit and reason");
+        throw new InvalidInputException(input.key() + ": wants value, unit and reason");
       }
       if (!Double.isFinite(one.value) || one.value <= 0)
-        throw new Unusable(input.key() + ": not above 0: " + one.value);
+        throw new InvalidInputException(input.key() + ": not above 0: " + one.value);
       given.put(input, one);
     }
     if (!sections.isEmpty())
-      throw new Unusable(sections.keySet().iterator().next() + ": no such input");
+      throw new InvalidInputException(sections.keySet().iterator().next() + ": no such input");
     return new Inputs(given);
   }
 
-  private static Map<String, Given> sections(String toml) {
+  private static Map<String, InputValue> sections(String toml) {
     TomlMapper mapper = TomlMapper.builder()
         .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
         .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
         .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
     try {
-      return mapper.readValue(toml, new TypeReference<java.util.TreeMap<String, Given>>() {});
+      return mapper.readValue(toml, new TypeReference<java.util.TreeMap<String, InputValue>>() {});
     } catch (JsonProcessingException e) {
-      throw new Unusable(e.getOriginalMessage());
+      throw new InvalidInputException(e.getOriginalMessage());
     }
   }
 
   /** The same with one value changed. */
   public Inputs with(Input input, double value) {
-    Map<Input, Given> changed = new EnumMap<>(given);
-    Given before = given.get(input);
-    changed.put(input, new Given(value, before.unit, before.reason));
+    Map<Input, InputValue> changed = new EnumMap<>(given);
+    InputValue before = given.get(input);
+    changed.put(input, new InputValue(value, before.unit, before.reason));
     return new Inputs(changed);
   }
 
   /** Value, unit and reason. */
-  public Given given(Input input) {
+  public InputValue inputValue(Input input) {
     return given.get(input);
   }
 
@@ -86,7 +86,7 @@
   public Figure figure(Input input) {
     return switch (input.kind()) {
       case TARGET -> Figure.exact(value(input));
-      case CONSTANT -> Figure.exact(value(input)).from(input.key());
+      case CONSTANT -> Figure.exact(value(input)).withSource(input.key());
       case ASSUMPTION -> Figure.assumed(value(input), input.key());
     };
   }
--- a/src/main/java/saltlatch/lab/capacity/Moment.java
+++ b/src/main/java/saltlatch/lab/capacity/LoadCondition.java
@@ -1,7 +1,7 @@
 package saltlatch.lab.capacity;
 
 /** When a figure is looked at. */
-public enum Moment {
+public enum LoadCondition {
   ORDINARY("ordinary day"),
   PEAK("peak"),
   ZONE_STARTS("nodes of a zone start at once"),
@@ -11,7 +11,7 @@
 
   private final String title;
 
-  Moment(String title) {
+  LoadCondition(String title) {
     this.title = title;
   }
 
--- a/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
+++ b/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
@@ -36,14 +36,14 @@
   }
 
   private static List<String> slope(Fit fit) {
-    String sizes = String.join(" / ", fit.sizes().stream().map(Numbers::show).toList());
+    String sizes = String.join(" / ", fit.sizes().stream().map(Numbers::format).toList());
     Double predicted = fit.predictedLargest();
     return List.of(fit.name(), fit.grows(), sizes + " (" + fit.points().size() + ")",
-        Numbers.show(fit.line().intercept()),
+        Numbers.format(fit.line().intercept()),
         Numbers.withError(fit.line().slope(), fit.slopeError()),
-        Numbers.show(fit.line().residual()),
-        predicted == null ? "too few sizes" : Numbers.show(predicted),
-        Numbers.show(fit.measuredLargest()), offBy(predicted, fit.measuredLargest()),
+        Numbers.format(fit.line().residual()),
+        predicted == null ? "too few sizes" : Numbers.format(predicted),
+        Numbers.format(fit.measuredLargest()), offBy(predicted, fit.measuredLargest()),
         String.join(", ", fit.commits()));
   }
 
@@ -57,7 +57,7 @@
     List<List<String>> rows = new ArrayList<>();
     for (Series series : Series.values()) {
       boolean there = measurements.stream().anyMatch(one -> one.what().equals(series.id()));
-      rows.add(List.of("`" + series.id() + "`", series.counts(), there ? "yes" : "missing"));
+      rows.add(List.of("`" + series.id() + "`", series.description(), there ? "yes" : "missing"));
     }
     return new Table("tests", List.of("test", "one value counts", "run"), rows);
   }
@@ -94,11 +94,11 @@
           .toArray();
       if (all.length == 0) continue;
       double mean = Arrays.stream(all).average().orElseThrow();
-      values.add(quantity.name().toLowerCase(Locale.ROOT) + " " + Numbers.show(mean));
+      values.add(quantity.name().toLowerCase(Locale.ROOT) + " " + Numbers.format(mean));
     }
     Measurement first = repeats.get(0);
     List<String> commits = repeats.stream().map(Measurement::commit).distinct().sorted().toList();
-    return List.of(first.what(), Numbers.show((double) first.size()) + " " + first.grows(),
+    return List.of(first.what(), Numbers.format((double) first.size()) + " " + first.grows(),
         Integer.toString(repeats.size()), String.join(", ", values), String.join(", ", commits));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Numbers.java
+++ b/src/main/java/saltlatch/lab/capacity/Numbers.java
@@ -18,7 +18,7 @@
   private Numbers() {}
 
   /** A value to three significant digits. */
-  static String show(double value) {
+  static String format(double value) {
     if (!Double.isFinite(value))
       throw new IllegalArgumentException("not a number to show: " + value);
     if (value == 0) return "0";
@@ -30,11 +30,11 @@
 
   /** A value and its standard error, where it has one. */
   static String withError(double value, double error) {
-    return error == 0 ? show(value) : show(value) + " ± " + show(error);
+    return error == 0 ? format(value) : format(value) + " ± " + format(error);
   }
 
   /** A value given as such, every digit of it. */
-  static String inFull(double value) {
+  static String unrounded(double value) {
     if (value == 0) return "0";
     return grouped(BigDecimal.valueOf(value).stripTrailingZeros().toPlainString());
   }
--- a/src/main/java/saltlatch/lab/capacity/RelayRuns.java
+++ b/src/main/java/saltlatch/lab/capacity/RelayRuns.java
@@ -70,8 +70,8 @@
       boolean enough) {
     String name = Fits.name(series.id(), quantity);
     if (largest == null) return Figure.missing(name);
-    String source = name + " (" + Numbers.inFull((double) largest.nodes) + " nodes, "
-        + Numbers.inFull((double) largest.entries) + " app servers)";
+    String source = name + " (" + Numbers.unrounded((double) largest.nodes) + " nodes, "
+        + Numbers.unrounded((double) largest.entries) + " app servers)";
     if (!enough) return Figure.missing(source);
     List<Double> repeats = told(series, quantity).stream()
         .filter(run -> run.nodes == largest.nodes && run.entries == largest.entries)
@@ -79,6 +79,6 @@
     boolean whole = largest.nodes >= target.value(Input.EDGE_NODES)
         && largest.entries >= target.value(Input.APP_SERVERS);
     return new Figure(Fit.mean(repeats), Fit.meanError(repeats),
-        whole ? Standing.MEASURED : Standing.EXTRAPOLATED, List.of(source));
+        whole ? Confidence.MEASURED : Confidence.EXTRAPOLATED, List.of(source));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Role.java
+++ b/src/main/java/saltlatch/lab/capacity/Role.java
@@ -8,11 +8,11 @@
   String table();
 
   /** Its figures, in the order of the page. */
-  List<Row> rows(Basis basis);
+  List<Row> rows(CapacityModel model);
 
   /** All roles, in the order of the page. */
   static List<Role> all() {
     return List.of(new EdgeNode(), new CounterService(), new ControlMachines(), new AppServer(),
-        new Front());
+        new LoadBalancer());
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Series.java
+++ b/src/main/java/saltlatch/lab/capacity/Series.java
@@ -40,11 +40,11 @@
   RELAY_DIRECT_START("relay.direct.start300", "nodes that start at once on the source itself");
 
   private final String id;
-  private final String counts;
+  private final String description;
 
-  Series(String id, String counts) {
+  Series(String id, String description) {
     this.id = id;
-    this.counts = counts;
+    this.description = description;
   }
 
   /** Its name in the measurements. */
@@ -53,7 +53,7 @@
   }
 
   /** What one value counts. */
-  public String counts() {
-    return counts;
+  public String description() {
+    return description;
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
+++ b/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
@@ -29,7 +29,7 @@
   private SubsetSimulation() {}
 
   /** Plays one service of so many app servers before so many nodes. */
-  public static Outcome play(SubsetPolicy policy, int nodes, int servers, int kept, long seed) {
+  public static Outcome simulate(SubsetPolicy policy, int nodes, int servers, int kept, long seed) {
     int[] all = IntStream.range(0, servers).toArray();
     int each = Math.min(kept, servers);
     int[][] before = policy.choose(nodes, all, each, seed);
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -60,9 +60,8 @@
         // that explains it.
         open.values().removeIf(a -> {
           boolean lost = a.name().equals(l.name()) && !a.incarnation().equals(l.incarnation());
-          if (lost)
-            out.add(violation("req " + a.get("id") + " was open when " + a.name() + " ended by itself",
-                a, l));
+          if (lost) out.add(violation(
+              "req " + a.get("id") + " was open when " + a.name() + " ended by itself", a, l));
           return lost;
         });
       }
--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -27,8 +27,9 @@
  * Stand-in app servers speaking RESP2 as the protocol page says:
  * {@code SVC.QUERY}/{@code SVC.SUBMIT} answered with an array of value, figures on use
  * ({@code cost=UNITS}) and load report; {@code -BUSY} when full; {@code -ERR failed}; answers in
- * the order of a connection's commands. What each command meets is {@link AppServerModel}'s decision; what ran
- * is written to {@link GroundTruth}. All on the one event loop of the emulator's Vert.x.
+ * the order of a connection's commands. What each command meets is {@link AppServerModel}'s
+ * decision; what ran is written to {@link GroundTruth}. All on the one event loop of the emulator's
+ * Vert.x.
  */
 public final class AppServers {
   // how often idle connections are looked at: finer than any idle time used
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -132,8 +132,8 @@
   public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock,
       HistoryWriter history) {
     this.history = history;
-    this.loadBalancer = s.front().noticeS() > 0 ? new LoadBalancer(nodePorts.size(), s.front().noticeS() * 1000)
-        : null;
+    this.loadBalancer = s.front().noticeS() > 0
+        ? new LoadBalancer(nodePorts.size(), s.front().noticeS() * 1000) : null;
     this.pingers = new Pinger[loadBalancer == null ? 0 : nodePorts.size()];
     this.s = s;
     this.schedule = schedule;
--- a/src/main/java/saltlatch/lab/load/RunResult.java
+++ b/src/main/java/saltlatch/lab/load/RunResult.java
@@ -12,10 +12,10 @@
 public record RunResult(String scenario, String scenarioJson, long seed, String scheduleDigest,
     double seconds, int nodes, int servers, long offered, long tries, Map<Outcome, Long> outcomes,
     long deniedWithRetryAfter, long deniedWithRoom, Map<String, Long> latencyUs,
-    Map<String, Long> senderLateUs, List<long[]> perSecond, GroundTruth truth, Map<String, Long> emulator,
-    List<Map<String, Long>> nodeCounters, List<Customer> customers, ProcessUsage process,
-    List<Check> checks, List<Fault> faults, Map<String, Long> relayDelayUs, List<String> violations,
-    double recoveryS, MemberTimes members) {
+    Map<String, Long> senderLateUs, List<long[]> perSecond, GroundTruth truth,
+    Map<String, Long> emulator, List<Map<String, Long>> nodeCounters, List<Customer> customers,
+    ProcessUsage process, List<Check> checks, List<Fault> faults, Map<String, Long> relayDelayUs,
+    List<String> violations, double recoveryS, MemberTimes members) {
 
   /**
    * A fault of the schedule on a process or a link, for the time line: seconds since the load's
--- a/src/main/java/saltlatch/lab/plan/GroundTruth.java
+++ b/src/main/java/saltlatch/lab/plan/GroundTruth.java
@@ -33,8 +33,8 @@
   }
 
   /** What a run's checks read: counts over all reqs seen. */
-  public record Totals(long requests, long attempts, long served, long unitsCharged, long doubleCharges,
-      long repeatedNonReplayable) {}
+  public record Totals(long requests, long attempts, long served, long unitsCharged,
+      long doubleCharges, long repeatedNonReplayable) {}
 
   private final Map<String, TrackedRequest> byId = new HashMap<>();
   // customer -> second -> units
@@ -52,7 +52,8 @@
    */
   public boolean recordAttempt(String id, long customer, boolean submit, int unitsAsked) {
     attempts++;
-    TrackedRequest s = byId.computeIfAbsent(id, k -> new TrackedRequest(customer, submit, unitsAsked));
+    TrackedRequest s = byId.computeIfAbsent(id,
+        k -> new TrackedRequest(customer, submit, unitsAsked));
     s.attempts++;
     boolean repeat = s.submit && s.mayHaveRun;
     if (repeat) repeats++;
--- a/src/main/java/saltlatch/lab/plan/OpenLoopSchedule.java
+++ b/src/main/java/saltlatch/lab/plan/OpenLoopSchedule.java
@@ -62,8 +62,8 @@
       for (Arrival a : arrivals) {
         b.clear();
         b.putLong(a.atUs).putLong(a.customer).putLong(a.id.hashCode())
-            .put((byte) (a.submit ? 1 : 0)).putInt(a.units).putLong(a.deadlineMs).putLong(a.abandonUs)
-            .putInt(a.eagerTries);
+            .put((byte) (a.submit ? 1 : 0)).putInt(a.units).putLong(a.deadlineMs)
+            .putLong(a.abandonUs).putInt(a.eagerTries);
         md.update(b.array(), 0, b.position());
       }
       return HexFormat.of().formatHex(md.digest());
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -51,7 +51,7 @@
         if (f.forS() > 0) steps.add(new Step(at + f.forS() * 1000, Action.CONT, hit));
       }
     }
-    if (f.restart())
-      steps.add(new Step(at + f.backS() * 1000, f.oldConfig() ? Action.START_OLD : Action.START, hit));
+    if (f.restart()) steps
+        .add(new Step(at + f.backS() * 1000, f.oldConfig() ? Action.START_OLD : Action.START, hit));
   }
 }
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -152,7 +152,8 @@
           if (closed) return;
           apply(s.action(), s.nodes());
           for (int n : s.nodes())
-            faults.add("fault", "kind", s.action().name().toLowerCase(Locale.ROOT), "node", "n" + n);
+            faults.add("fault", "kind", s.action().name().toLowerCase(Locale.ROOT), "node",
+                "n" + n);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -25,13 +25,13 @@
 import saltlatch.lab.load.LoadRunner;
 import saltlatch.lab.load.Outcome;
 import saltlatch.lab.load.RunResult;
-import saltlatch.lab.plan.RandomFaults;
+import saltlatch.lab.plan.GroundTruth;
 import saltlatch.lab.plan.Links;
 import saltlatch.lab.plan.OpenLoopSchedule;
+import saltlatch.lab.plan.RandomFaults;
 import saltlatch.lab.plan.Timeline;
-import saltlatch.lab.plan.GroundTruth;
-import saltlatch.lab.rig.Processes;
 import saltlatch.lab.rig.LinkProxies;
+import saltlatch.lab.rig.Processes;
 import saltlatch.lab.scenario.Group;
 import saltlatch.lab.scenario.Scenario;
 import saltlatch.node.EmbeddedNode;
@@ -127,8 +127,8 @@
       List<Map<String, Long>> nodeCounters = new ArrayList<>();
       for (Node n : started) nodeCounters.add(n.metrics());
       LoadRunner l = load;
-      RunResult.GroundTruth truth = emulator.read(t -> truth(t, l.passedIds(), s)).toCompletionStage()
-          .toCompletableFuture().get(5, TimeUnit.SECONDS);
+      RunResult.GroundTruth truth = emulator.read(t -> truth(t, l.passedIds(), s))
+          .toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
       List<RunResult.Customer> customers = emulator.read(t -> customers(t, s)).toCompletionStage()
           .toCompletableFuture().get(5, TimeUnit.SECONDS);
       Map<String, Long> emu = emulator.metrics().toCompletionStage().toCompletableFuture().get(5,
@@ -140,7 +140,8 @@
       List<HistoryEvent> history = dir == null ? List.of() : HistoryEvent.readAll(dir);
       List<String> violations = new ArrayList<>();
       if (dir != null) {
-        Set<String> told = new java.util.TreeSet<>(history.stream().map(HistoryEvent::name).toList());
+        Set<String> told = new java.util.TreeSet<>(
+            history.stream().map(HistoryEvent::name).toList());
         boolean all = told.containsAll(List.of("clients", "stand-ins"));
         checks.add(new RunResult.Check("histories were kept", all, "of " + told));
       }
@@ -150,8 +151,8 @@
             found.size() + " violations in " + history.size() + " events"
                 + (found.isEmpty() ? "" : ", first: " + found.get(0).what())));
         for (Property.Violation v : found)
-          violations.add(
-              v.property() + ": " + v.what() + " " + v.evidence().stream().map(HistoryEvent::at).toList());
+          violations.add(v.property() + ": " + v.what() + " "
+              + v.evidence().stream().map(HistoryEvent::at).toList());
       }
       if (dir != null) faults = faults.stream()
           .map(f -> new RunResult.Fault(f.what(), f.nodes(), f.fromS(), f.untilS(),
@@ -160,11 +161,11 @@
           .toList();
       double recovery = faults.isEmpty() || dir == null ? 0 : Recovery.seconds(history,
           clock.monoNs(0), faults.get(0).fromS(), s.seconds(), survivors(s));
-      return new RunResult(s.name(), s.json(), s.seed(), OpenLoopSchedule.digest(schedule), s.seconds(),
-          s.nodes(), s.servers().count(), schedule.size(), load.attempts(), load.outcomes(),
-          load.retryAfter(), load.deniedWithRoom(), load.latency(), load.senderLate(),
-          load.perSecond(), truth, emu, nodeCounters, customers, process, checks, faults,
-          relays == null ? Map.of() : relays.delayUs(), violations, recovery,
+      return new RunResult(s.name(), s.json(), s.seed(), OpenLoopSchedule.digest(schedule),
+          s.seconds(), s.nodes(), s.servers().count(), schedule.size(), load.attempts(),
+          load.outcomes(), load.retryAfter(), load.deniedWithRoom(), load.latency(),
+          load.senderLate(), load.perSecond(), truth, emu, nodeCounters, customers, process, checks,
+          faults, relays == null ? Map.of() : relays.delayUs(), violations, recovery,
           MemberTimes.of(history));
     } finally {
       if (processes != null) processes.close();
@@ -311,8 +312,9 @@
     double beyond = 0;
     for (double b : t.overshoot(s.plan().rate(), s.plan().burst()).values())
       beyond += Math.max(0, b);
-    return new RunResult.GroundTruth(totals.requests(), totals.attempts(), totals.served(), totals.unitsCharged(),
-        totals.doubleCharges(), totals.repeatedNonReplayable(), notRun, beyond);
+    return new RunResult.GroundTruth(totals.requests(), totals.attempts(), totals.served(),
+        totals.unitsCharged(), totals.doubleCharges(), totals.repeatedNonReplayable(), notRun,
+        beyond);
   }
 
   static List<RunResult.Customer> customers(GroundTruth t, Scenario s) {
--- a/src/main/java/saltlatch/lab/scale/CounterScale.java
+++ b/src/main/java/saltlatch/lab/scale/CounterScale.java
@@ -12,8 +12,8 @@
 final class CounterScale implements ScaleTest {
   private final LoadTrial trial;
 
-  CounterScale(Bench bench) {
-    trial = new LoadTrial(bench);
+  CounterScale(TestEnvironment environment) {
+    trial = new LoadTrial(environment);
   }
 
   @Override
@@ -32,15 +32,15 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(Bench.NODE_BYTES, 1);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(TestEnvironment.NODE_BYTES, 1);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     LoadTrial.Node node = trial.node(size, repeat);
     return Map.of("counter.calls",
-        Values.of(Quantity.MESSAGES_OUT, node.callsPerSecond())
+        MetricValues.of(Quantity.MESSAGES_OUT, node.callsPerSecond())
             .and(Quantity.BYTES_OUT, node.callBytesPerSecond())
             .and(Quantity.BYTES_IN, node.answerBytesPerSecond())
             .and(Quantity.COUNT, node.requestsPerSecond()));
--- a/src/main/java/saltlatch/lab/scale/FleetScale.java
+++ b/src/main/java/saltlatch/lab/scale/FleetScale.java
@@ -35,10 +35,10 @@
   private static final double CHANGES_PER_SECOND = 2;
   private static final double MILLION = 1e6; // ns in a ms
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  FleetScale(Bench bench) {
-    this.bench = bench;
+  FleetScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -57,15 +57,16 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(size * NODE_BYTES + PROCESSES * PROCESS_BYTES + Bench.SOURCE_BYTES,
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(
+        size * NODE_BYTES + PROCESSES * PROCESS_BYTES + TestEnvironment.SOURCE_BYTES,
         PROCESSES + 1);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     List<ChildJvm> processes = new ArrayList<>();
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       for (int i = 0; i < PROCESSES; i++) processes.add(process(source, i, size));
       awaitLists(source, size);
       Thread.sleep(SETTLE_MS);
@@ -83,15 +84,15 @@
     return new ChildJvm(
         List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
             "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
-        bench.tools(),
+        environment.tools(),
         List.of("lab", "hollow", "--nodes", "" + nodes, "--first", "" + first, "--of", "" + size,
             "--discovery", source.address(), "--start-over-seconds", "" + size / STARTS_PER_SECOND,
             "--report", report(number).toString()),
-        bench.dir().resolve("fleet-" + number + ".log"));
+        environment.dir().resolve("fleet-" + number + ".log"));
   }
 
   private Path report(int number) {
-    return bench.dir().resolve("fleet-" + number + ".jsonl");
+    return environment.dir().resolve("fleet-" + number + ".jsonl");
   }
 
   private static void awaitLists(SourceProcess source, long size) throws Exception {
@@ -102,16 +103,16 @@
     }
   }
 
-  private Map<String, Values> window(SourceProcess source, List<ChildJvm> processes, long size)
-      throws Exception {
+  private Map<String, MetricValues> window(SourceProcess source, List<ChildJvm> processes,
+      long size) throws Exception {
     List<ProcessMetrics.Cpu> before = new ArrayList<>();
     for (ChildJvm process : processes) before.add(ProcessMetrics.cpu(process.pid()));
-    Readings from = Readings.of(source.pid(), source);
+    ResourceSnapshot from = ResourceSnapshot.of(source.pid(), source);
     source.rate(CHANGES_PER_SECOND);
     Thread.sleep(WINDOW_MS);
     source.rate(0);
     Thread.sleep(DRAIN_MS);
-    Readings.Used used = from.until();
+    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
     double nodesCpu = 0;
     double heap = 0;
     for (int i = 0; i < processes.size(); i++) {
@@ -120,14 +121,14 @@
     }
     double[] times = times(source.puts());
     return Map.of("fleet.change",
-        Values.of(Quantity.CPU_MS, used.cpuMs() / used.changes())
+        MetricValues.of(Quantity.CPU_MS, used.cpuMs() / used.changes())
             .and(Quantity.BYTES_OUT, (double) used.bytes() / used.changes())
             .and(Quantity.MESSAGES_OUT, (double) size * used.changes())
             .and(Quantity.COUNT, times.length).and(Quantity.P50_MS, Percentiles.of(times, 0.5))
             .and(Quantity.P99_MS, Percentiles.of(times, 0.99))
             .and(Quantity.MAX_MS, Percentiles.of(times, 1)),
         "fleet.node",
-        Values.of(Quantity.CPU_MS, nodesCpu / used.seconds() / size)
+        MetricValues.of(Quantity.CPU_MS, nodesCpu / used.seconds() / size)
             .and(Quantity.BYTES_IN, used.bytes() / used.seconds() / size)
             .and(Quantity.HEAP_BYTES, heap / size));
   }
--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -66,20 +66,20 @@
     void close();
   }
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  public HollowComparison(Bench bench) {
-    this.bench = bench;
+  public HollowComparison(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   /** All rows of so many nodes. */
   public List<Row> compare(int nodes) throws Exception {
     Cost real;
     Cost hollow;
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       real = cost(source, nodes, real(source, nodes));
     }
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       hollow = cost(source, nodes, hollow(source, nodes));
     }
     List<Row> rows = new ArrayList<>();
@@ -139,7 +139,7 @@
   }
 
   private Nodes real(SourceProcess source, int count) throws Exception {
-    Processes processes = bench.nodes(
+    Processes processes = environment.nodes(
         number -> NodeConfig.of(number, count, source.address()).withMembership(true).json());
     try {
       processes.start(count);
@@ -175,11 +175,11 @@
   }
 
   private Nodes hollow(SourceProcess source, int count) throws IOException {
-    Path report = bench.dir().resolve("hollow.jsonl");
-    ChildJvm process = new ChildJvm(
-        HOLLOW_FLAGS, bench.tools(), List.of("lab", "hollow", "--nodes", "" + count, "--discovery",
-            source.address(), "--membership", "--report", report.toString()),
-        bench.dir().resolve("hollow.log"));
+    Path report = environment.dir().resolve("hollow.jsonl");
+    ChildJvm process = new ChildJvm(HOLLOW_FLAGS, environment.tools(),
+        List.of("lab", "hollow", "--nodes", "" + count, "--discovery", source.address(),
+            "--membership", "--report", report.toString()),
+        environment.dir().resolve("hollow.log"));
     return new Nodes() {
       @Override
       public List<Long> pids() {
--- a/src/main/java/saltlatch/lab/scale/HollowScale.java
+++ b/src/main/java/saltlatch/lab/scale/HollowScale.java
@@ -30,10 +30,10 @@
   private static final double CHANGES_PER_SECOND = 5;
   private static final double NANOS = 1e9; // in a second
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  HollowScale(Bench bench) {
-    this.bench = bench;
+  HollowScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -52,37 +52,38 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(size * NODE_BYTES + PROCESS_BYTES + Bench.SOURCE_BYTES, 2);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(
+        size * NODE_BYTES + PROCESS_BYTES + TestEnvironment.SOURCE_BYTES, 2);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
-    Path report = bench.dir().resolve("hollow.jsonl");
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
+    Path report = environment.dir().resolve("hollow.jsonl");
     Files.deleteIfExists(report); // of the size before
     long heapMb = (size * NODE_BYTES + PROCESS_BYTES) >> 20;
-    Map<String, Values> measured = new LinkedHashMap<>();
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES);
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES);
         ChildJvm process = new ChildJvm(
             List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
                 "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn"),
-            bench.tools(), List.of("lab", "hollow", "--nodes", "" + size, "--discovery",
+            environment.tools(), List.of("lab", "hollow", "--nodes", "" + size, "--discovery",
                 source.address(), "--report", report.toString()),
-            bench.dir().resolve("hollow.log"))) {
+            environment.dir().resolve("hollow.log"))) {
       double seconds = awaitLists(report, size);
-      Values start = Values
+      MetricValues start = MetricValues
           .of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(process.pid()).processMs())
           .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut());
       Thread.sleep(SETTLE_MS);
-      Readings.Used rest = window(process.pid(), source, 0);
-      Readings.Used changes = window(process.pid(), source, CHANGES_PER_SECOND);
+      ResourceSnapshot.ResourceUsage rest = window(process.pid(), source, 0);
+      ResourceSnapshot.ResourceUsage changes = window(process.pid(), source, CHANGES_PER_SECOND);
       double atRest = rest.cpuMs() / rest.seconds();
       start.and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(process.pid()))
           .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(process.pid()));
       measured.put("hollow.start", start);
-      measured.put("hollow.rest", Values.of(Quantity.CPU_MS, atRest));
+      measured.put("hollow.rest", MetricValues.of(Quantity.CPU_MS, atRest));
       measured.put("hollow.change",
-          Values
+          MetricValues
               .of(Quantity.CPU_MS,
                   (changes.cpuMs() - atRest * changes.seconds()) / changes.changes())
               .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes()));
@@ -90,12 +91,12 @@
     return measured;
   }
 
-  private static Readings.Used window(long pid, SourceProcess source, double changesPerSecond)
-      throws Exception {
+  private static ResourceSnapshot.ResourceUsage window(long pid, SourceProcess source,
+      double changesPerSecond) throws Exception {
     source.rate(changesPerSecond);
-    Readings from = Readings.of(pid, source);
+    ResourceSnapshot from = ResourceSnapshot.of(pid, source);
     Thread.sleep(WINDOW_MS);
-    Readings.Used used = from.until();
+    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
     source.rate(0);
     return used;
   }
--- a/src/main/java/saltlatch/lab/scale/ListScale.java
+++ b/src/main/java/saltlatch/lab/scale/ListScale.java
@@ -24,10 +24,10 @@
   private static final double CHANGES_PER_SECOND = 10;
   private static final double NANOS = 1e9; // in a second
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  ListScale(Bench bench) {
-    this.bench = bench;
+  ListScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -46,22 +46,22 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(Bench.NODE_BYTES + Bench.SOURCE_BYTES, 2);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(TestEnvironment.NODE_BYTES + TestEnvironment.SOURCE_BYTES, 2);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
-    Map<String, Values> measured = new LinkedHashMap<>();
-    try (SourceProcess source = new SourceProcess(bench, size);
-        Processes nodes = bench
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
+    try (SourceProcess source = new SourceProcess(environment, size);
+        Processes nodes = environment
             .nodes(number -> NodeConfig.of(number, 1, source.address()).json())) {
-      Values start = start(nodes, source);
+      MetricValues start = start(nodes, source);
       measured.put("list.start", start);
       Thread.sleep(SETTLE_MS);
-      Readings.Used rest = window(nodes.pid(0), source, 0);
+      ResourceSnapshot.ResourceUsage rest = window(nodes.pid(0), source, 0);
       measured.put("list.rest",
-          Values.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
+          MetricValues.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
               .and(Quantity.BYTES_IN, rest.bytes() / rest.seconds())
               .and(Quantity.MESSAGES_IN, rest.messages() / rest.seconds()));
       if (start.map().get(Quantity.COUNT) > 0) {
@@ -73,7 +73,7 @@
     return measured;
   }
 
-  private Values start(Processes nodes, SourceProcess source)
+  private MetricValues start(Processes nodes, SourceProcess source)
       throws IOException, InterruptedException {
     long from = System.nanoTime();
     nodes.start(1);
@@ -81,7 +81,7 @@
       Thread.sleep(LOOK_MS);
     double seconds = (System.nanoTime() - from) / NANOS;
     Thread.sleep(APPLY_MS);
-    return Values.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(nodes.pid(0)).processMs())
+    return MetricValues.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(nodes.pid(0)).processMs())
         .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut())
         .and(Quantity.COUNT, (double) lists(nodes));
   }
@@ -90,19 +90,20 @@
     return nodes.metrics(0).getOrDefault("lists", 0L);
   }
 
-  private static Readings.Used window(long pid, SourceProcess source, double changesPerSecond)
-      throws IOException, InterruptedException {
+  private static ResourceSnapshot.ResourceUsage window(long pid, SourceProcess source,
+      double changesPerSecond) throws IOException, InterruptedException {
     source.rate(changesPerSecond);
-    Readings from = Readings.of(pid, source);
+    ResourceSnapshot from = ResourceSnapshot.of(pid, source);
     Thread.sleep(WINDOW_MS);
-    Readings.Used used = from.until();
+    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
     source.rate(0);
     return used;
   }
 
-  private static Values change(Readings.Used rest, Readings.Used changes) {
+  private static MetricValues change(ResourceSnapshot.ResourceUsage rest,
+      ResourceSnapshot.ResourceUsage changes) {
     double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
-    return Values.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
+    return MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
         .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes())
         .and(Quantity.MESSAGES_IN, (double) changes.messages() / changes.changes());
   }
--- a/src/main/java/saltlatch/lab/scale/LoadTrial.java
+++ b/src/main/java/saltlatch/lab/scale/LoadTrial.java
@@ -47,10 +47,10 @@
   /** Of the whole load, ms; {@code late}: by which the load tool itself sent too late. */
   record Latency(double p50, double p99, double lateP50, double lateP99, long passed, long tries) {}
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  LoadTrial(Bench bench) {
-    this.bench = bench;
+  LoadTrial(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   private static Scenario scenario(long requestsPerSecond, long seed) throws Exception {
@@ -64,7 +64,8 @@
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     try (Processes nodes = started(emulator)) {
-      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(), clock);
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(),
+          clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
       Thread.sleep(WARM_MS);
@@ -87,7 +88,7 @@
 
   private Processes started(Emulator emulator) throws Exception {
     emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-    Processes nodes = bench.nodes(emulator::nodeConfig);
+    Processes nodes = environment.nodes(emulator::nodeConfig);
     nodes.start(1);
     return nodes;
   }
--- a/src/main/java/saltlatch/lab/scale/Machine.java
+++ b/src/main/java/saltlatch/lab/scale/Machine.java
@@ -15,10 +15,10 @@
   private static final double GIB = 1L << 30;
 
   /** What was asked for exceeds the limits; the message says by how much. */
-  public static final class TooMuch extends Exception {
+  public static final class ResourceLimitException extends Exception {
     private static final long serialVersionUID = 1;
 
-    TooMuch(String message) {
+    ResourceLimitException(String message) {
       super(message);
     }
   }
@@ -29,16 +29,18 @@
   }
 
   /** Fails where the size would exceed half of the memory or the processes. */
-  public void admit(String test, long size, Needs needs) throws TooMuch {
+  public void admit(String test, long size, ResourceRequirements requirements)
+      throws ResourceLimitException {
     double most = memoryBytes * MEMORY_PART;
-    if (needs.bytes() > most) {
-      throw new TooMuch(String.format(Locale.ROOT,
+    if (requirements.bytes() > most) {
+      throw new ResourceLimitException(String.format(Locale.ROOT,
           "%s at %d may take %.1f GiB of memory; half of this machine's is %.1f GiB", test, size,
-          needs.bytes() / GIB, most / GIB));
+          requirements.bytes() / GIB, most / GIB));
     }
-    if (needs.processes() > MOST_PROCESSES) {
-      throw new TooMuch(String.format(Locale.ROOT, "%s at %d wants %d processes; the most is %d",
-          test, size, needs.processes(), MOST_PROCESSES));
+    if (requirements.processes() > MOST_PROCESSES) {
+      throw new ResourceLimitException(
+          String.format(Locale.ROOT, "%s at %d wants %d processes; the most is %d", test, size,
+              requirements.processes(), MOST_PROCESSES));
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -19,7 +19,7 @@
  * caller; the same seed gives the same run.
  */
 final class MemberNetwork {
-  static final long SECOND = 10_000;
+  static final long TICKS_PER_SECOND = 10_000;
   // datagrams a second that a node takes in, as in the lab's scenarios
   private static final int INTAKE = 60;
   private static final double MOST_DELAY = 20; // 2 ms: within a region
@@ -27,7 +27,7 @@
 
   private record Step(long at, long order, Runnable then) {}
 
-  private final MembershipTimings terms;
+  private final MembershipTimings timings;
   private final Membership[] members;
   private final MembershipChanged[] told; // as each node has last told its module
   private final boolean[] dead;
@@ -41,13 +41,13 @@
   private boolean looking;
 
   MemberNetwork(int count, long seed) {
-    terms = MembershipTimings.of(count, INTAKE);
+    timings = MembershipTimings.of(count, INTAKE);
     members = new Membership[count];
     told = new MembershipChanged[count];
     dead = new boolean[count];
     chance = new SplittableRandom(seed);
     for (int i = 0; i < count; i++) {
-      members[i] = new Membership(terms, i, 1, seed * count + i, now, out(i));
+      members[i] = new Membership(timings, i, 1, seed * count + i, now, out(i));
       tick(i);
     }
   }
@@ -100,7 +100,7 @@
    * Whether members are looked at as nodes do, which costs most: left out where only the protocol's
    * time is wanted.
    */
-  void look(boolean on) {
+  void readMembers(boolean on) {
     looking = on;
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Lets time pass. */
-  void pass(long time) {
+  void advance(long time) {
     long until = now + time;
     while (!steps.isEmpty() && steps.peek().at <= until) {
       Step step = steps.poll();
@@ -124,7 +124,7 @@
     long from = now;
     while (!condition.getAsBoolean()) {
       if (now - from >= most) return -1;
-      pass(LOOK);
+      advance(LOOK);
     }
     return now - from;
   }
@@ -139,7 +139,7 @@
   }
 
   /** How many of the running members hold that one failed. */
-  int holdFailed(int member) {
+  int countFailedViews(int member) {
     int holding = 0;
     for (int i = 0; i < members.length; i++) {
       if (!dead[i] && members[i].state(member) == State.FAILED) holding++;
@@ -147,8 +147,8 @@
     return holding;
   }
 
-  MembershipTimings terms() {
-    return terms;
+  MembershipTimings timings() {
+    return timings;
   }
 
   long datagrams() {
--- a/src/main/java/saltlatch/lab/scale/MembersScale.java
+++ b/src/main/java/saltlatch/lab/scale/MembersScale.java
@@ -14,7 +14,7 @@
  * memory, no socket's.
  */
 final class MembersScale implements ScaleTest {
-  private static final long LONGEST = 3_600 * MemberNetwork.SECOND; // virtual: an hour
+  private static final long LONGEST = 3_600 * MemberNetwork.TICKS_PER_SECOND; // virtual: an hour
   private static final long WINDOW_S = 5; // virtual seconds of rest
   private static final double SECOND_MS = 1_000;
   private static final double MILLION = 1e6; // ns in a ms
@@ -39,52 +39,53 @@
 
   /** Each knows all of the others: memory grows with the square. */
   @Override
-  public Needs needs(long size) {
-    return new Needs(MEMBER_BYTES * size * Math.max(size, MOST_MEMBERS) / MOST_MEMBERS, 0);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(
+        MEMBER_BYTES * size * Math.max(size, MOST_MEMBERS) / MOST_MEMBERS, 0);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) {
-    Map<String, Values> measured = new LinkedHashMap<>();
+  public Map<String, MetricValues> measure(long size, int repeat) {
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
     long heapBefore = heldHeap();
     MemberNetwork network = new MemberNetwork((int) size, repeat);
     long begin = network.until(network::agree, LONGEST);
-    measured.put("members.begin", Values.of(Quantity.SECONDS, seconds(begin)));
+    measured.put("members.begin", MetricValues.of(Quantity.SECONDS, seconds(begin)));
     measured.put("members.rest",
         rest(network, size).and(Quantity.HEAP_BYTES, (heldHeap() - heapBefore) / (double) size));
     measured.put("members.failure", failure(network, (int) size));
     return measured;
   }
 
-  private static Values rest(MemberNetwork network, long size) {
-    network.look(true);
-    network.pass(MemberNetwork.SECOND); // each has been looked at once
+  private static MetricValues rest(MemberNetwork network, long size) {
+    network.readMembers(true);
+    network.advance(MemberNetwork.TICKS_PER_SECOND); // each has been looked at once
     long datagrams = network.datagrams();
     long bytes = network.bytes();
     long cpu = cpuNanos();
-    network.pass(WINDOW_S * MemberNetwork.SECOND);
+    network.advance(WINDOW_S * MemberNetwork.TICKS_PER_SECOND);
     double units = size * (double) WINDOW_S;
     double used = (cpuNanos() - cpu) / MILLION / units;
-    network.look(false);
+    network.readMembers(false);
     double sent = (network.datagrams() - datagrams) / units;
     double written = (network.bytes() - bytes) / units;
-    return Values.of(Quantity.CPU_MS, used).and(Quantity.MESSAGES_IN, sent)
+    return MetricValues.of(Quantity.CPU_MS, used).and(Quantity.MESSAGES_IN, sent)
         .and(Quantity.MESSAGES_OUT, sent).and(Quantity.BYTES_IN, written)
         .and(Quantity.BYTES_OUT, written);
   }
 
-  private static Values failure(MemberNetwork network, int size) {
+  private static MetricValues failure(MemberNetwork network, int size) {
     int victim = size / 2;
     network.kill(victim);
-    long first = network.until(() -> network.holdFailed(victim) > 0, LONGEST);
-    long half = first + network.until(() -> network.holdFailed(victim) >= size / 2, LONGEST);
-    long all = half + network.until(() -> network.holdFailed(victim) == size - 1, LONGEST);
-    return Values.of(Quantity.SECONDS, seconds(all)).and(Quantity.P50_MS,
+    long first = network.until(() -> network.countFailedViews(victim) > 0, LONGEST);
+    long half = first + network.until(() -> network.countFailedViews(victim) >= size / 2, LONGEST);
+    long all = half + network.until(() -> network.countFailedViews(victim) == size - 1, LONGEST);
+    return MetricValues.of(Quantity.SECONDS, seconds(all)).and(Quantity.P50_MS,
         seconds(half) * SECOND_MS);
   }
 
   private static double seconds(long time) {
-    return time < 0 ? Double.NaN : (double) time / MemberNetwork.SECOND;
+    return time < 0 ? Double.NaN : (double) time / MemberNetwork.TICKS_PER_SECOND;
   }
 
   private static long cpuNanos() {
--- a/src/main/java/saltlatch/lab/scale/Values.java
+++ b/src/main/java/saltlatch/lab/scale/MetricValues.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /** Measured values by quantity, put together one after the other. */
-public final class Values {
+public final class MetricValues {
   private final Map<Quantity, Double> all = new EnumMap<>(Quantity.class);
 
   /** The first of them. */
-  public static Values of(Quantity quantity, double value) {
-    return new Values().and(quantity, value);
+  public static MetricValues of(Quantity quantity, double value) {
+    return new MetricValues().and(quantity, value);
   }
 
   /** One more. */
-  public Values and(Quantity quantity, double value) {
+  public MetricValues and(Quantity quantity, double value) {
     all.put(quantity, value);
     return this;
   }
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -47,20 +47,20 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(size * ENTRY_BYTES, 0);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(size * ENTRY_BYTES, 0);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) {
+  public Map<String, MetricValues> measure(long size, int repeat) {
     Play play = new Play((int) size, repeat);
     play.requests(WARM);
     play.changes(WARM);
-    Map<String, Values> measured = new LinkedHashMap<>();
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
     measured.put("module.request",
-        Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.requests(COUNTED))));
+        MetricValues.of(Quantity.CPU_MS, play.cpuMs(() -> play.requests(COUNTED))));
     measured.put("module.change",
-        Values.of(Quantity.CPU_MS, play.cpuMs(() -> play.changes(COUNTED))));
+        MetricValues.of(Quantity.CPU_MS, play.cpuMs(() -> play.changes(COUNTED))));
     if (play.dispatched() != WARM + COUNTED) {
       throw new IllegalStateException(
           play.dispatched() + " of " + (WARM + COUNTED) + " requests dispatched");
--- a/src/main/java/saltlatch/lab/scale/PlansScale.java
+++ b/src/main/java/saltlatch/lab/scale/PlansScale.java
@@ -1,8 +1,8 @@
 package saltlatch.lab.scale;
 
 import java.io.IOException;
-import java.util.Map;
 import java.util.List;
+import java.util.Map;
 import saltlatch.lab.hollow.NodeConfig;
 import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
@@ -18,12 +18,12 @@
   private static final double NANOS = 1e9; // in a second
   private static final double PRECISION = 0.05;
 
-  private final Bench bench;
+  private final TestEnvironment environment;
   private long started; // the largest that did
   private long failed = Long.MAX_VALUE; // the smallest that did not
 
-  PlansScale(Bench bench) {
-    this.bench = bench;
+  PlansScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -42,37 +42,37 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(Bench.NODE_BYTES + Bench.SOURCE_BYTES, 2);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(TestEnvironment.NODE_BYTES + TestEnvironment.SOURCE_BYTES, 2);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     return Map.of("plans.start", start(size));
   }
 
   /** Halves the range between a number that started and one that did not. */
   @Override
-  public Map<String, Long> ends() throws Exception {
+  public Map<String, Long> measuredLimits() throws Exception {
     if (failed == Long.MAX_VALUE) return Map.of();
     while (failed - started > started * PRECISION) start((started + failed) / 2);
     return Map.of("plans.ends", started);
   }
 
-  private Values start(long size) throws Exception {
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES);
-        Processes nodes = bench.nodes(
+  private MetricValues start(long size) throws Exception {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES);
+        Processes nodes = environment.nodes(
             number -> NodeConfig.of(number, 1, source.address()).withPlans((int) size).json())) {
       long from = System.nanoTime();
       try {
         nodes.start(1);
       } catch (IOException e) {
         failed = Math.min(failed, size);
-        return Values.of(Quantity.COUNT, 0);
+        return MetricValues.of(Quantity.COUNT, 0);
       }
       started = Math.max(started, size);
       long pid = nodes.pid(0);
-      return Values.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(pid).processMs())
+      return MetricValues.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(pid).processMs())
           .and(Quantity.SECONDS, (System.nanoTime() - from) / NANOS)
           .and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(pid))
           .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(pid))
--- a/src/main/java/saltlatch/lab/scale/RequestsScale.java
+++ b/src/main/java/saltlatch/lab/scale/RequestsScale.java
@@ -14,8 +14,8 @@
   private final LoadTrial trial;
   private boolean warm;
 
-  RequestsScale(Bench bench) {
-    trial = new LoadTrial(bench);
+  RequestsScale(TestEnvironment environment) {
+    trial = new LoadTrial(environment);
   }
 
   @Override
@@ -34,28 +34,28 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(Bench.NODE_BYTES, 1);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(TestEnvironment.NODE_BYTES, 1);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     // so that the load tool's and the stand-ins' code is compiled
     if (!warm) trial.direct(size, repeat);
     warm = true;
     LoadTrial.Latency direct = trial.direct(size, repeat);
     LoadTrial.Node node = trial.node(size, repeat);
     LoadTrial.Latency through = node.latency();
-    Map<String, Values> measured = new LinkedHashMap<>();
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
     measured.put("requests.rate",
-        Values.of(Quantity.CPU_MS, node.cpuMsPerSecond())
+        MetricValues.of(Quantity.CPU_MS, node.cpuMsPerSecond())
             .and(Quantity.COUNT, node.requestsPerSecond())
             .and(Quantity.P50_MS, through.p50() - direct.p50())
             .and(Quantity.P99_MS, through.p99() - direct.p99()));
     measured.put("requests.direct",
-        Values.of(Quantity.P50_MS, direct.p50()).and(Quantity.P99_MS, direct.p99()));
-    measured.put("requests.late",
-        Values.of(Quantity.P50_MS, through.lateP50()).and(Quantity.P99_MS, through.lateP99()));
+        MetricValues.of(Quantity.P50_MS, direct.p50()).and(Quantity.P99_MS, direct.p99()));
+    measured.put("requests.late", MetricValues.of(Quantity.P50_MS, through.lateP50())
+        .and(Quantity.P99_MS, through.lateP99()));
     return measured;
   }
 
--- a/src/main/java/saltlatch/lab/scale/Needs.java
+++ b/src/main/java/saltlatch/lab/scale/ResourceRequirements.java
@@ -6,4 +6,4 @@
  * @param bytes     of memory, over all processes
  * @param processes started beside this one
  */
-public record Needs(long bytes, int processes) {}
+public record ResourceRequirements(long bytes, int processes) {}
--- a/src/main/java/saltlatch/lab/scale/Readings.java
+++ b/src/main/java/saltlatch/lab/scale/ResourceSnapshot.java
@@ -4,7 +4,7 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /** What one process and one source have used between two instants. */
-final class Readings {
+final class ResourceSnapshot {
   private static final double NANOS = 1e9; // in a second
 
   private final long pid;
@@ -13,7 +13,8 @@
   private final SourceProcess.Sent sent;
   private final long at = System.nanoTime();
 
-  private Readings(long pid, SourceProcess source) throws IOException, InterruptedException {
+  private ResourceSnapshot(long pid, SourceProcess source)
+      throws IOException, InterruptedException {
     this.pid = pid;
     this.source = source;
     sent = source.sent();
@@ -21,20 +22,21 @@
   }
 
   /** Reads both now. */
-  static Readings of(long pid, SourceProcess source) throws IOException, InterruptedException {
-    return new Readings(pid, source);
+  static ResourceSnapshot of(long pid, SourceProcess source)
+      throws IOException, InterruptedException {
+    return new ResourceSnapshot(pid, source);
   }
 
   /**
    * Since a reading: CPU of the process, seconds, bytes and messages of the source, changes that it
    * put.
    */
-  record Used(double cpuMs, double seconds, long bytes, long messages, long changes) {}
+  record ResourceUsage(double cpuMs, double seconds, long bytes, long messages, long changes) {}
 
   /** What was used from then until now. */
-  Used until() throws IOException, InterruptedException {
-    Readings now = of(pid, source);
-    return new Used(now.cpu.msSince(cpu), (now.at - at) / NANOS,
+  ResourceUsage usageUntilNow() throws IOException, InterruptedException {
+    ResourceSnapshot now = of(pid, source);
+    return new ResourceUsage(now.cpu.msSince(cpu), (now.at - at) / NANOS,
         now.sent.bytesOut() - sent.bytesOut(), now.sent.messages() - sent.messages(),
         now.sent.index() - sent.index());
   }
--- a/src/main/java/saltlatch/lab/scale/ScaleRun.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleRun.java
@@ -38,11 +38,11 @@
   }
 
   /**
-   * Fails with {@link Machine.TooMuch} before anything runs where one of the sizes is beyond the
-   * machine's limits.
+   * Fails with {@link Machine.ResourceLimitException} before anything runs where one of the sizes
+   * is beyond the machine's limits.
    */
   public void run(ScaleTest test, List<Long> sizes, int repeats) throws Exception {
-    for (long size : sizes) machine.admit(test.name(), size, test.needs(size));
+    for (long size : sizes) machine.admit(test.name(), size, test.requirements(size));
     long largest = sizes.get(sizes.size() - 1);
     int done = 0;
     for (long size : sizes) {
@@ -53,15 +53,15 @@
       }
       for (int repeat = 1; repeat <= repeats; repeat++) {
         show(test, size, repeat, done++, sizes.size() * repeats);
-        for (Map.Entry<String, Values> one : test.measure(size, repeat).entrySet()) {
+        for (Map.Entry<String, MetricValues> one : test.measure(size, repeat).entrySet()) {
           write(new Measurement(one.getKey(), test.grows(), size, repeat, one.getValue().map(),
               commit));
         }
       }
     }
-    for (Map.Entry<String, Long> end : test.ends().entrySet()) {
+    for (Map.Entry<String, Long> end : test.measuredLimits().entrySet()) {
       write(new Measurement(end.getKey(), test.grows(), end.getValue(), 1,
-          Values.of(Quantity.COUNT, end.getValue()).map(), commit));
+          MetricValues.of(Quantity.COUNT, end.getValue()).map(), commit));
       table.println(end.getKey() + ": " + end.getValue() + " " + test.grows());
     }
     progress.println();
--- a/src/main/java/saltlatch/lab/scale/ScaleTest.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTest.java
@@ -18,19 +18,19 @@
   List<Long> sizes();
 
   /** What a size takes of the machine at the most. */
-  Needs needs(long size);
+  ResourceRequirements requirements(long size);
 
   /**
    * Measures one repeat of one size: the values by the name of the measurement, such as
    * {@code list.start}.
    */
-  Map<String, Values> measure(long size, int repeat) throws Exception;
+  Map<String, MetricValues> measure(long size, int repeat) throws Exception;
 
   /**
    * The size at which it ends, by the name of the measurement, once all sizes were measured; none
    * for most tests.
    */
-  default Map<String, Long> ends() throws Exception {
+  default Map<String, Long> measuredLimits() throws Exception {
     return Map.of();
   }
 
--- a/src/main/java/saltlatch/lab/scale/ScaleTests.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTests.java
@@ -8,14 +8,15 @@
   private ScaleTests() {}
 
   /** In the order of their importance. */
-  public static List<ScaleTest> all(Bench bench) {
-    return List.of(new ListScale(bench), new WatchersScale(bench), new PlansScale(bench),
-        new CounterScale(bench), new MembersScale(), new RequestsScale(bench), new SumsScale(bench),
-        new HollowScale(bench), new FleetScale(bench), new ModuleScale());
+  public static List<ScaleTest> all(TestEnvironment environment) {
+    return List.of(new ListScale(environment), new WatchersScale(environment),
+        new PlansScale(environment), new CounterScale(environment), new MembersScale(),
+        new RequestsScale(environment), new SumsScale(environment), new HollowScale(environment),
+        new FleetScale(environment), new ModuleScale());
   }
 
   /** The one of that name. */
-  public static Optional<ScaleTest> named(String name, Bench bench) {
-    return all(bench).stream().filter(test -> test.name().equals(name)).findFirst();
+  public static Optional<ScaleTest> named(String name, TestEnvironment environment) {
+    return all(environment).stream().filter(test -> test.name().equals(name)).findFirst();
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Source.java
+++ b/src/main/java/saltlatch/lab/scale/Source.java
@@ -75,7 +75,7 @@
     void advance(Buffer change, long from) {
       if (position == list.index() || response.writeQueueFull()) return;
       quiet = false;
-      if (!list.reaches(position)) {
+      if (!list.hasChangesSince(position)) {
         snapshots++;
         response.write(wholeLine());
       } else {
@@ -149,7 +149,7 @@
 
   private void change() {
     long from = list.index();
-    long index = list.change();
+    long index = list.nextChange();
     long now = System.nanoTime();
     newest = line(list.changesAfter(from));
     put(index, now);
@@ -188,7 +188,7 @@
 
   private Buffer wholeLine() {
     if (whole == null || wholeIndex != list.index()) {
-      whole = line(list.whole());
+      whole = line(list.snapshot());
       wholeIndex = list.index();
     }
     return whole;
--- a/src/main/java/saltlatch/lab/scale/SourceList.java
+++ b/src/main/java/saltlatch/lab/scale/SourceList.java
@@ -52,7 +52,7 @@
   }
 
   /** Changes one entry, drawn from the seed; returns the new index. */
-  public long change() {
+  public long nextChange() {
     int entry = chance.nextInt(draining.length);
     draining[entry] = !draining[entry];
     index++;
@@ -64,22 +64,24 @@
    * Whether {@link #changesAfter} can answer: the index was reached, and the log still holds all
    * that came after it.
    */
-  public boolean reaches(long since) {
+  public boolean hasChangesSince(long since) {
     return since >= FIRST_INDEX && since <= index && index - since <= LOG;
   }
 
   /**
-   * What changed after an index that {@link #reaches} holds for, each entry once in its state now.
+   * What changed after an index that {@link #hasChangesSince} holds for, each entry once in its
+   * state now.
    */
   public String changesAfter(long since) {
-    if (!reaches(since)) throw new IllegalArgumentException("no changes are known after " + since);
+    if (!hasChangesSince(since))
+      throw new IllegalArgumentException("no changes are known after " + since);
     LinkedHashSet<Integer> entries = new LinkedHashSet<>();
     for (long at = since + 1; at <= index; at++) entries.add(changed[(int) (at % LOG)]);
     return message(false, List.copyOf(entries));
   }
 
   /** Every entry. */
-  public String whole() {
+  public String snapshot() {
     List<Integer> all = new ArrayList<>();
     for (int entry = 0; entry < draining.length; entry++) all.add(entry);
     return message(true, all);
--- a/src/main/java/saltlatch/lab/scale/SourceProcess.java
+++ b/src/main/java/saltlatch/lab/scale/SourceProcess.java
@@ -30,13 +30,14 @@
     }
   }
 
-  SourceProcess(Bench bench, long entries) throws IOException, InterruptedException {
-    Files.createDirectories(bench.dir());
-    puts = bench.dir().resolve("puts.jsonl");
+  SourceProcess(TestEnvironment environment, long entries)
+      throws IOException, InterruptedException {
+    Files.createDirectories(environment.dir());
+    puts = environment.dir().resolve("puts.jsonl");
     process = new ChildJvm(
-        Bench.SOURCE_FLAGS, bench.tools(), List.of("lab", "scale", "source", "--entries",
-            "" + entries, "--listen", "127.0.0.1:0", "--puts", puts.toString()),
-        bench.dir().resolve("source.log"));
+        TestEnvironment.SOURCE_FLAGS, environment.tools(), List.of("lab", "scale", "source",
+            "--entries", "" + entries, "--listen", "127.0.0.1:0", "--puts", puts.toString()),
+        environment.dir().resolve("source.log"));
     address = process.await("source of " + entries + " entries on ");
   }
 
--- a/src/main/java/saltlatch/lab/scale/SumsScale.java
+++ b/src/main/java/saltlatch/lab/scale/SumsScale.java
@@ -46,10 +46,10 @@
       burst = %d
       """;
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  SumsScale(Bench bench) {
-    this.bench = bench;
+  SumsScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -72,21 +72,22 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(size * Bench.NODE_BYTES, (int) size);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(size * TestEnvironment.NODE_BYTES, (int) size);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     long rate = RATE * size;
     Scenario scenario = Scenario
         .parse(SCENARIO.formatted(repeat, SECONDS, size, rate, rate, 4 * rate));
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-    try (Processes nodes = bench.nodes(emulator::nodeConfig)) {
+    try (Processes nodes = environment.nodes(emulator::nodeConfig)) {
       nodes.start((int) size);
-      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(), clock);
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(),
+          clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
       Thread.sleep(WARM_MS);
@@ -125,8 +126,8 @@
           cpu);
     }
 
-    Values since(Counts before, double units) {
-      return Values.of(Quantity.MESSAGES_OUT, (told - before.told) / units)
+    MetricValues since(Counts before, double units) {
+      return MetricValues.of(Quantity.MESSAGES_OUT, (told - before.told) / units)
           .and(Quantity.MESSAGES_IN, (heard - before.heard) / units)
           .and(Quantity.BYTES_OUT, (bytesTold - before.bytesTold) / units)
           .and(Quantity.BYTES_IN, (bytesHeard - before.bytesHeard) / units)
--- a/src/main/java/saltlatch/lab/scale/Bench.java
+++ b/src/main/java/saltlatch/lab/scale/TestEnvironment.java
@@ -14,7 +14,7 @@
  * @param tools   the jar of the stand-ins and hollow nodes, which is this text's also where an
  *     older text is measured
  */
-public record Bench(Processes.Program program, Path tools) {
+public record TestEnvironment(Processes.Program program, Path tools) {
   /** Heap 64, direct 24, metaspace 48 and code 24 MB as in the run line, and some for stacks. */
   static final long NODE_BYTES = 192L << 20;
   static final long SOURCE_BYTES = 768L << 20; // its heap, and as much of direct memory at the most
@@ -22,8 +22,9 @@
       "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn");
 
   /** With the deployment's run line. */
-  public static Bench of(Path balancer, Path jar, Path tools, Path dir) throws IOException {
-    return new Bench(Processes.Program.of(balancer, jar, dir), tools);
+  public static TestEnvironment of(Path balancer, Path jar, Path tools, Path dir)
+      throws IOException {
+    return new TestEnvironment(Processes.Program.of(balancer, jar, dir), tools);
   }
 
   Path dir() {
--- a/src/main/java/saltlatch/lab/scale/WatchersScale.java
+++ b/src/main/java/saltlatch/lab/scale/WatchersScale.java
@@ -30,10 +30,10 @@
   private static final double MILLION = 1e6; // ns in a ms
   private static final double NANOS = 1e9; // in a second
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  WatchersScale(Bench bench) {
-    this.bench = bench;
+  WatchersScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -52,21 +52,21 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(2 * Bench.SOURCE_BYTES, 1);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(2 * TestEnvironment.SOURCE_BYTES, 1);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
-    Map<String, Values> measured = new LinkedHashMap<>();
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES);
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
+    Map<String, MetricValues> measured = new LinkedHashMap<>();
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES);
         Watchers watchers = new Watchers()) {
       watchers.open(address(source), (int) size, source.sent().index());
       awaitOpen(source, size);
       warmUp(source);
       changes(source, watchers, measured);
     }
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       try (Watchers warmUp = new Watchers()) {
         whole(source, warmUp, WARM_UP_WATCHERS);
       }
@@ -107,20 +107,20 @@
     Thread.sleep(DRAIN_MS);
   }
 
-  private static void changes(SourceProcess source, Watchers watchers, Map<String, Values> measured)
-      throws Exception {
-    Readings.Used rest = window(source, 0);
-    Readings.Used changes = window(source, CHANGES_PER_SECOND);
+  private static void changes(SourceProcess source, Watchers watchers,
+      Map<String, MetricValues> measured) throws Exception {
+    ResourceSnapshot.ResourceUsage rest = window(source, 0);
+    ResourceSnapshot.ResourceUsage changes = window(source, CHANGES_PER_SECOND);
     if (watchers.failed() > 0)
       throw new IllegalStateException(watchers.failed() + " watches have ended");
     measured.put("watchers.rest",
-        Values.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
+        MetricValues.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
             .and(Quantity.BYTES_OUT, rest.bytes() / rest.seconds())
             .and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(source.pid())));
     double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
     double[] times = times(source.puts(), watchers.reads());
     measured.put("watchers.change",
-        Values.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
+        MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
             .and(Quantity.BYTES_OUT, (double) changes.bytes() / changes.changes())
             .and(Quantity.MESSAGES_OUT, (double) changes.messages() / changes.changes())
             .and(Quantity.P50_MS, Percentiles.of(times, 0.5))
@@ -128,14 +128,14 @@
             .and(Quantity.MAX_MS, Percentiles.of(times, 1)));
   }
 
-  private static Readings.Used window(SourceProcess source, double changesPerSecond)
-      throws Exception {
+  private static ResourceSnapshot.ResourceUsage window(SourceProcess source,
+      double changesPerSecond) throws Exception {
     source.rate(changesPerSecond);
-    Readings from = Readings.of(source.pid(), source);
+    ResourceSnapshot from = ResourceSnapshot.of(source.pid(), source);
     Thread.sleep(WINDOW_MS);
     source.rate(0);
     Thread.sleep(DRAIN_MS);
-    return from.until();
+    return from.usageUntilNow();
   }
 
   /** ms from each put to each read of it, ascending. */
@@ -145,7 +145,8 @@
         .toArray();
   }
 
-  private static Values whole(SourceProcess source, Watchers watchers, long size) throws Exception {
+  private static MetricValues whole(SourceProcess source, Watchers watchers, long size)
+      throws Exception {
     ProcessMetrics.Cpu before = ProcessMetrics.cpu(source.pid());
     SourceProcess.Sent already = source.sent();
     long from = System.nanoTime();
@@ -159,7 +160,7 @@
       sent = source.sent();
     }
     double seconds = (System.nanoTime() - from) / NANOS;
-    return Values.of(Quantity.CPU_MS, ProcessMetrics.cpu(source.pid()).msSince(before))
+    return MetricValues.of(Quantity.CPU_MS, ProcessMetrics.cpu(source.pid()).msSince(before))
         .and(Quantity.BYTES_OUT, (double) (sent.bytesOut() - already.bytesOut()))
         .and(Quantity.MESSAGES_OUT, (double) (sent.snapshots() - already.snapshots()))
         .and(Quantity.SECONDS, seconds)
--- a/src/main/java/saltlatch/lab/tiers/HollowGroup.java
+++ b/src/main/java/saltlatch/lab/tiers/HollowGroup.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import saltlatch.lab.rig.ChildJvm;
 import saltlatch.lab.rig.ProcessMetrics;
-import saltlatch.lab.tiers.InForce.Applied;
+import saltlatch.lab.tiers.PropagationDelay.Applied;
 
 /** A process of hollow nodes and the report that it writes. */
 final class HollowGroup implements AutoCloseable {
--- a/src/main/java/saltlatch/lab/tiers/InForce.java
+++ b/src/main/java/saltlatch/lab/tiers/PropagationDelay.java
@@ -9,7 +9,7 @@
  * When changes were in force: for each change and node the time from its put at the source until
  * the node had applied it, itself or within a later index. Times are of one monotonic clock, ns.
  */
-final class InForce {
+final class PropagationDelay {
   /** A change of the list at its source. */
   record Put(long index, long atNanos) {}
 
@@ -24,7 +24,7 @@
 
   private static final double NANOS_PER_MS = 1e6;
 
-  private InForce() {}
+  private PropagationDelay() {}
 
   /** Of these puts, which ascend, at all nodes; each node's indexes in the order of their times. */
   static Times of(List<Put> puts, Map<String, List<Applied>> nodes) {
--- a/src/main/java/saltlatch/lab/tiers/RelayScale.java
+++ b/src/main/java/saltlatch/lab/tiers/RelayScale.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import saltlatch.lab.scale.Measurement;
+import saltlatch.lab.scale.MetricValues;
 import saltlatch.lab.scale.Quantity;
-import saltlatch.lab.scale.Values;
-import saltlatch.lab.tiers.InForce.Applied;
-import saltlatch.lab.tiers.InForce.Put;
-import saltlatch.lab.tiers.InForce.Times;
+import saltlatch.lab.tiers.PropagationDelay.Applied;
+import saltlatch.lab.tiers.PropagationDelay.Put;
+import saltlatch.lab.tiers.PropagationDelay.Times;
 import saltlatch.lab.tiers.TierProcesses.Server;
 
 /**
@@ -92,7 +92,7 @@
     Usage after = usage();
     Map<String, List<Applied>> applied = new HashMap<>();
     for (HollowGroup group : started) applied.putAll(group.applied());
-    Times times = InForce.ofStarts(applied);
+    Times times = PropagationDelay.ofStarts(applied);
     write(what, values(times).and(Quantity.SECONDS, seconds(before, after)));
     servers(what, before, after);
   }
@@ -130,7 +130,7 @@
     double bytes = bytesToNodes(what, before, after) / seconds(before, after) / plan.nodes();
     double cpu = (after.nodeCpuMs - before.nodeCpuMs) / seconds(before, after) / plan.nodes();
     write(what,
-        values(InForce.of(puts, applied)).and(Quantity.SECONDS, seconds(before, after))
+        values(PropagationDelay.of(puts, applied)).and(Quantity.SECONDS, seconds(before, after))
             .and(Quantity.MESSAGES_IN, puts.size()).and(Quantity.BYTES_IN, bytes)
             .and(Quantity.CPU_MS, cpu).and(Quantity.RSS_BYTES, nodeRssBytes()));
     servers(what, before, after);
@@ -145,12 +145,12 @@
     return bytes;
   }
 
-  private Values values(Times times) {
+  private MetricValues values(Times times) {
     if (times.missing() > 0 || times.backwards() > 0) {
       say("FAILED: " + times.missing() + " never in force, " + times.backwards()
           + " went backwards");
     }
-    Values values = Values.of(Quantity.COUNT, times.count());
+    MetricValues values = MetricValues.of(Quantity.COUNT, times.count());
     if (times.count() == 0) return values;
     return values.and(Quantity.P50_MS, times.p50Ms()).and(Quantity.P99_MS, times.p99Ms())
         .and(Quantity.MAX_MS, times.maxMs());
@@ -174,7 +174,7 @@
       rss = Math.max(rss, (double) server.rssBytes());
     }
     double each = tier.size() * seconds(before, after);
-    write(what, Values.of(Quantity.CPU_MS, cpu / each).and(Quantity.BYTES_OUT, bytes / each)
+    write(what, MetricValues.of(Quantity.CPU_MS, cpu / each).and(Quantity.BYTES_OUT, bytes / each)
         .and(Quantity.RSS_BYTES, rss).and(Quantity.COUNT, tier.size()));
   }
 
@@ -216,7 +216,7 @@
     }
   }
 
-  private void write(String what, Values values) throws IOException {
+  private void write(String what, MetricValues values) throws IOException {
     Measurement made = new Measurement(what,
         "hollow nodes before " + plan.entries() + " app servers", plan.nodes(), repeat,
         values.map(), commit);
--- a/src/main/java/saltlatch/lab/tiers/TierProcesses.java
+++ b/src/main/java/saltlatch/lab/tiers/TierProcesses.java
@@ -15,7 +15,7 @@
 import saltlatch.lab.rig.AgentForwarder;
 import saltlatch.lab.rig.ChildJvm;
 import saltlatch.lab.rig.ProcessMetrics;
-import saltlatch.lab.tiers.InForce.Put;
+import saltlatch.lab.tiers.PropagationDelay.Put;
 
 /**
  * The source and the relays of a run as processes of the built jar, and the agent that the nodes
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -162,7 +162,8 @@
     }
     Files.writeString(file, Files.readString(file) + "{\"timesta"); // killed again
     List<HistoryEvent> all = HistoryEvent.readAll(dir);
-    assertEquals(List.of("started", "arrived", "started"), all.stream().map(HistoryEvent::kind).toList());
+    assertEquals(List.of("started", "arrived", "started"),
+        all.stream().map(HistoryEvent::kind).toList());
     assertEquals("a \"quoted\"\n", all.get(1).get("id"));
     assertEquals("2", all.get(2).incarnation());
     assertTrue(all.get(0).monoNs() > 0 && all.get(0).monoNs() <= all.get(2).monoNs());
--- a/src/test/java/saltlatch/lab/MembersIT.java
+++ b/src/test/java/saltlatch/lab/MembersIT.java
@@ -82,7 +82,8 @@
     history = HistoryEvent.readAll(dir.resolve("history"));
     assertTrue(r.passed(), r.checks() + " " + r.violations());
     assertTrue(history.stream().anyMatch(l -> l.kind().equals("share")), "no node told its share");
-    HistoryEvent first = history.stream().filter(l -> l.kind().equals("planned")).findFirst().orElseThrow();
+    HistoryEvent first = history.stream().filter(l -> l.kind().equals("planned")).findFirst()
+        .orElseThrow();
     zero = (long) (Long.parseLong(first.get("from_ns")) - firstAtS * 1e9);
     info = r.nodeCounters().get(0);
     return r;
--- a/src/test/java/saltlatch/lab/PlanTest.java
+++ b/src/test/java/saltlatch/lab/PlanTest.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 import saltlatch.lab.plan.AppServerModel;
-import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.plan.GroundTruth;
+import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.scenario.Scenario;
 
 /** The lab's decisions without I/O: the offered schedule, a stand-in box's verdicts, the ledger. */
@@ -57,8 +57,8 @@
     List<OpenLoopSchedule.Arrival> a = OpenLoopSchedule.of(Scenario.parse(BASE));
     List<OpenLoopSchedule.Arrival> b = OpenLoopSchedule.of(Scenario.parse(BASE));
     assertEquals(OpenLoopSchedule.digest(a), OpenLoopSchedule.digest(b));
-    assertNotEquals(OpenLoopSchedule.digest(a),
-        OpenLoopSchedule.digest(OpenLoopSchedule.of(Scenario.parse(BASE.replace("seed = 11", "seed = 12")))));
+    assertNotEquals(OpenLoopSchedule.digest(a), OpenLoopSchedule
+        .digest(OpenLoopSchedule.of(Scenario.parse(BASE.replace("seed = 11", "seed = 12")))));
   }
 
   @Test
--- a/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
@@ -36,8 +36,8 @@
   @Test
   void thePageIsWhatTheDataGive() throws Exception {
     String page = Files.readString(Sample.PAGE);
-    assertEquals(List.of(), CapacityPage.different(page, tables()), "run: lab scale report");
-    assertEquals(CapacityPage.with(page, tables()), page);
+    assertEquals(List.of(), CapacityPage.outdatedTables(page, tables()), "run: lab scale report");
+    assertEquals(CapacityPage.withTables(page, tables()), page);
   }
 
   @Test
@@ -46,7 +46,7 @@
     Path inputs = copy.resolve("assumptions.toml");
     String changed = Files.readString(inputs).replace("value = 650000", "value = 650001");
     Files.writeString(inputs, changed);
-    List<String> different = CapacityPage.different(Files.readString(Sample.PAGE),
+    List<String> different = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
         CapacityTables.of(CapacityData.read(copy)));
     assertTrue(different.contains("target"), different.toString());
     assertFalse(different.contains("subsets"), different.toString());
@@ -57,7 +57,7 @@
     copyData();
     Files.writeString(copy.resolve("more.jsonl"), Sample.one("list.start", 123_456, 99).toJson()
         + "\n" + Sample.one("list.start", 234_567, 98).toJson() + "\n");
-    List<String> different = CapacityPage.different(Files.readString(Sample.PAGE),
+    List<String> different = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
         CapacityTables.of(CapacityData.read(copy)));
     assertTrue(different.containsAll(List.of("slopes", "edge-node")), different.toString());
   }
@@ -67,7 +67,7 @@
     String page = Files.readString(Sample.PAGE);
     String changed = page.replace("650,000", "660,000");
     assertFalse(page.equals(changed));
-    assertTrue(CapacityPage.different(changed, tables()).contains("target"));
+    assertTrue(CapacityPage.outdatedTables(changed, tables()).contains("target"));
   }
 
   @Test
@@ -103,10 +103,13 @@
     Table table = new Table("one", List.of("a"), List.of(List.of("1")));
     String place = "<!-- table:one -->\nold\n<!-- end:one -->";
     assertEquals("x <!-- table:one -->\n| a |\n| --- |\n| 1 |\n<!-- end:one --> y",
-        CapacityPage.with("x " + place + " y", List.of(table)));
-    assertThrows(CapacityPage.Misfit.class, () -> CapacityPage.with("no place", List.of(table)));
-    assertThrows(CapacityPage.Misfit.class, () -> CapacityPage.with(place + place, List.of(table)));
-    assertThrows(CapacityPage.Misfit.class, () -> CapacityPage.with(place, List.of()));
+        CapacityPage.withTables("x " + place + " y", List.of(table)));
+    assertThrows(CapacityPage.PageMismatchException.class,
+        () -> CapacityPage.withTables("no place", List.of(table)));
+    assertThrows(CapacityPage.PageMismatchException.class,
+        () -> CapacityPage.withTables(place + place, List.of(table)));
+    assertThrows(CapacityPage.PageMismatchException.class,
+        () -> CapacityPage.withTables(place, List.of()));
   }
 
   @Test
--- a/src/test/java/saltlatch/lab/capacity/FitsTest.java
+++ b/src/test/java/saltlatch/lab/capacity/FitsTest.java
@@ -39,8 +39,8 @@
   @Test
   void beyondTheLargestSizeRunAFigureIsExtrapolated() {
     Fits fits = Fits.of(bent);
-    assertEquals(Standing.MEASURED, fits.at("t", Quantity.CPU_MS, 4).standing());
-    assertEquals(Standing.EXTRAPOLATED, fits.at("t", Quantity.CPU_MS, 4.5).standing());
+    assertEquals(Confidence.MEASURED, fits.at("t", Quantity.CPU_MS, 4).confidence());
+    assertEquals(Confidence.EXTRAPOLATED, fits.at("t", Quantity.CPU_MS, 4.5).confidence());
     assertEquals(List.of("t cpu_ms"), fits.at("t", Quantity.CPU_MS, 4).sources());
   }
 
@@ -52,7 +52,8 @@
     assertEquals(9, there.value(), EXACT);
     assertEquals(1, there.error(), EXACT); // sqrt((1 + 1) / 1 / 2)
     assertEquals(there, Fits.of(more).at("t", Quantity.CPU_MS, 4.01));
-    assertEquals(Standing.EXTRAPOLATED, Fits.of(more).at("t", Quantity.CPU_MS, 4.03).standing());
+    assertEquals(Confidence.EXTRAPOLATED,
+        Fits.of(more).at("t", Quantity.CPU_MS, 4.03).confidence());
   }
 
   @Test
@@ -94,33 +95,35 @@
 
   @Test
   void aComputedFigureStandsNoFirmerThanItsWeakestInput() {
-    Figure measured = new Figure(10, 3, Standing.MEASURED, List.of("b"));
+    Figure measured = new Figure(10, 3, Confidence.MEASURED, List.of("b"));
     Figure assumed = Figure.assumed(5, "a");
-    assertEquals(new Figure(50, 15, Standing.ASSUMED, List.of("a", "b")), measured.times(assumed));
-    assertEquals(new Figure(2, 0.6, Standing.ASSUMED, List.of("a", "b")), measured.over(assumed));
-    assertEquals(5, measured.plus(new Figure(1, 4, Standing.EXTRAPOLATED, List.of())).error(),
+    assertEquals(new Figure(50, 15, Confidence.ASSUMED, List.of("a", "b")),
+        measured.times(assumed));
+    assertEquals(new Figure(2, 0.6, Confidence.ASSUMED, List.of("a", "b")),
+        measured.dividedBy(assumed));
+    assertEquals(5, measured.plus(new Figure(1, 4, Confidence.EXTRAPOLATED, List.of())).error(),
         EXACT);
     assertFalse(measured.plus(Figure.missing("c")).known());
-    assertFalse(measured.over(Figure.exact(0)).known());
+    assertFalse(measured.dividedBy(Figure.exact(0)).known());
   }
 
   @Test
   void aSizesOwnErrorGoesIntoTheFigureBySlope() throws Exception {
-    Figure size = new Figure(100, 8, Standing.ASSUMED, List.of("size"));
+    Figure size = new Figure(100, 8, Confidence.ASSUMED, List.of("size"));
     Figure there = Sample.whole().at(Series.LIST_REST, Quantity.CPU_MS, size);
     assertEquals(Sample.AT_ZERO + Sample.SLOPE * 100, there.value(), EXACT);
     assertEquals(Sample.SLOPE * 8, there.error(), EXACT);
-    assertEquals(Standing.ASSUMED, there.standing());
+    assertEquals(Confidence.ASSUMED, there.confidence());
   }
 
   @Test
   void numbersHaveThreeDigitsAndNoLocale() {
-    assertEquals("1,230,000", Numbers.show(1_234_567));
-    assertEquals("2,700", Numbers.show(2700));
-    assertEquals("2,701", Numbers.show(2701));
-    assertEquals("-0.00123", Numbers.show(-0.001234));
-    assertEquals("12.3", Numbers.show(12.34));
-    assertEquals("34,000", Numbers.inFull(34_000));
-    assertEquals("0.017", Numbers.inFull(0.017));
+    assertEquals("1,230,000", Numbers.format(1_234_567));
+    assertEquals("2,700", Numbers.format(2700));
+    assertEquals("2,701", Numbers.format(2701));
+    assertEquals("-0.00123", Numbers.format(-0.001234));
+    assertEquals("12.3", Numbers.format(12.34));
+    assertEquals("34,000", Numbers.unrounded(34_000));
+    assertEquals("0.017", Numbers.unrounded(0.017));
   }
 }
--- a/src/test/java/saltlatch/lab/capacity/RolesTest.java
+++ b/src/test/java/saltlatch/lab/capacity/RolesTest.java
@@ -19,76 +19,82 @@
 class RolesTest {
   private static final double CLOSE = 1e-9;
 
-  private static Row row(Role role, Basis basis, String what, Moment moment) {
-    return role.rows(basis).stream()
-        .filter(row -> row.what().equals(what) && row.moment() == moment).findFirst().orElseThrow();
+  private static Row row(Role role, CapacityModel model, String what, LoadCondition condition) {
+    return role.rows(model).stream()
+        .filter(row -> row.what().equals(what) && row.condition() == condition).findFirst()
+        .orElseThrow();
   }
 
   /** How much a figure grows when an input doubles. */
-  private static double growth(Basis basis, Role role, String what, Moment moment, Input doubled) {
-    Basis more = basis.with(doubled, 2 * basis.inputs().value(doubled));
-    Figure before = row(role, basis, what, moment).figure();
-    return row(role, more, what, moment).figure().value() / before.value();
+  private static double growth(CapacityModel model, Role role, String what, LoadCondition condition,
+      Input doubled) {
+    CapacityModel more = model.with(doubled, 2 * model.inputs().value(doubled));
+    Figure before = row(role, model, what, condition).figure();
+    return row(role, more, what, condition).figure().value() / before.value();
   }
 
-  private static double growth(Role role, String what, Moment moment, Input doubled)
+  private static double growth(Role role, String what, LoadCondition condition, Input doubled)
       throws Exception {
-    return growth(Sample.whole(), role, what, moment, doubled);
+    return growth(Sample.whole(), role, what, condition, doubled);
   }
 
   @Test
   void whatANodeServesIsSharedOutOverTheNodes() throws Exception {
     Role node = new EdgeNode();
     String calls = "calls to the counter, by the assumptions alone";
-    assertEquals(0.5, growth(node, calls, Moment.PEAK, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(node, calls, Moment.PEAK, Input.REQUESTS_PER_SECOND), CLOSE);
-    assertEquals(2, growth(node, calls, Moment.ORDINARY, Input.DAY_MEAN_OVER_PEAK), CLOSE);
-    assertEquals(2, growth(node, "list of app servers, heap", Moment.ORDINARY, Input.APP_SERVERS),
+    assertEquals(0.5, growth(node, calls, LoadCondition.PEAK, Input.EDGE_NODES), CLOSE);
+    assertEquals(2, growth(node, calls, LoadCondition.PEAK, Input.REQUESTS_PER_SECOND), CLOSE);
+    assertEquals(2, growth(node, calls, LoadCondition.ORDINARY, Input.DAY_MEAN_OVER_PEAK), CLOSE);
+    assertEquals(2,
+        growth(node, "list of app servers, heap", LoadCondition.ORDINARY, Input.APP_SERVERS),
+        CLOSE);
+    assertEquals(2, growth(node, "plans of tenants, heap", LoadCondition.ORDINARY, Input.TENANTS),
         CLOSE);
-    assertEquals(2, growth(node, "plans of tenants, heap", Moment.ORDINARY, Input.TENANTS), CLOSE);
   }
 
   @Test
   void whatAllNodesAskOfTheCounterIsThatOfTheRequests() throws Exception {
     Role counter = new CounterService();
-    Basis assumed = Sample.withoutMeasurements();
-    assertEquals(2 * 650_000, row(counter, assumed, "calls", Moment.PEAK).figure().value(), 1e-3);
-    assertEquals(1, growth(assumed, counter, "calls", Moment.PEAK, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(assumed, counter, "calls", Moment.PEAK, Input.REQUESTS_PER_SECOND),
-        CLOSE);
+    CapacityModel assumed = Sample.withoutMeasurements();
+    assertEquals(2 * 650_000, row(counter, assumed, "calls", LoadCondition.PEAK).figure().value(),
+        1e-3);
+    assertEquals(1, growth(assumed, counter, "calls", LoadCondition.PEAK, Input.EDGE_NODES), CLOSE);
+    assertEquals(2,
+        growth(assumed, counter, "calls", LoadCondition.PEAK, Input.REQUESTS_PER_SECOND), CLOSE);
     double perNode = Sample.AT_ZERO + Sample.SLOPE * 650_000 / 2700;
     assertEquals(2700 * perNode,
-        row(counter, Sample.whole(), "calls", Moment.PEAK).figure().value(), 1e-3);
-    assertEquals(0.5, growth(counter, "processes that the calls want", Moment.PEAK,
+        row(counter, Sample.whole(), "calls", LoadCondition.PEAK).figure().value(), 1e-3);
+    assertEquals(0.5, growth(counter, "processes that the calls want", LoadCondition.PEAK,
         Input.COUNTER_CALLS_PER_PROCESS), CLOSE);
   }
 
   @Test
   void watchersAndTheirMessagesGrowWithTheNodes() throws Exception {
     Role control = new ControlMachines();
-    assertEquals(2, growth(control, "watchers of a relay", Moment.ORDINARY, Input.EDGE_NODES),
-        CLOSE);
+    assertEquals(2,
+        growth(control, "watchers of a relay", LoadCondition.ORDINARY, Input.EDGE_NODES), CLOSE);
     // fewer restarts are app servers'
-    double changes = growth(new EdgeNode(), "changes", Moment.PEAK, Input.EDGE_NODES);
+    double changes = growth(new EdgeNode(), "changes", LoadCondition.PEAK, Input.EDGE_NODES);
     assertEquals(2 * changes,
-        growth(control, "messages to watchers", Moment.PEAK, Input.EDGE_NODES), CLOSE);
-    assertEquals(2,
-        growth(control, "whole lists sent by a relay", Moment.ZONE_STARTS, Input.ZONE_STARTS),
-        CLOSE);
-    Basis basis = Sample.whole();
-    double lost = row(control, basis, "watchers of each relay left", Moment.MACHINE_LOST).figure()
-        .value();
-    assertEquals(basis.inputs().value(Input.EDGE_NODES) / 4, lost, CLOSE);
+        growth(control, "messages to watchers", LoadCondition.PEAK, Input.EDGE_NODES), CLOSE);
+    assertEquals(2, growth(control, "whole lists sent by a relay", LoadCondition.ZONE_STARTS,
+        Input.ZONE_STARTS), CLOSE);
+    CapacityModel model = Sample.whole();
+    double lost = row(control, model, "watchers of each relay left", LoadCondition.MACHINE_LOST)
+        .figure().value();
+    assertEquals(model.inputs().value(Input.EDGE_NODES) / 4, lost, CLOSE);
   }
 
   @Test
   void whatConnectionsWantDependsOnPairsAndRequests() throws Exception {
     Role server = new AppServer();
-    assertEquals(2, growth(server, "nodes that send to it, subsets", Moment.PEAK,
+    assertEquals(2, growth(server, "nodes that send to it, subsets", LoadCondition.PEAK,
         Input.SERVERS_KEPT_PER_SERVICE), CLOSE);
     assertEquals(0.5,
-        growth(server, "nodes that send to it, subsets", Moment.PEAK, Input.APP_SERVERS), CLOSE);
-    Row all = row(server, Sample.whole(), "a request of one of these nodes, each", Moment.PEAK);
+        growth(server, "nodes that send to it, subsets", LoadCondition.PEAK, Input.APP_SERVERS),
+        CLOSE);
+    Row all = row(server, Sample.whole(), "a request of one of these nodes, each",
+        LoadCondition.PEAK);
     assertEquals(2700 / (650_000 / 34_000.0), all.figure().value(), CLOSE);
   }
 
@@ -102,9 +108,10 @@
 
   @Test
   void whatWasNotMeasuredIsMissingAndNeverANumber() throws Exception {
-    Basis nothing = Sample.withoutMeasurements();
-    assertFalse(row(new EdgeNode(), nothing,
-        "process with list and plans, resident, at its highest", Moment.ORDINARY).figure().known());
+    CapacityModel nothing = Sample.withoutMeasurements();
+    assertFalse(
+        row(new EdgeNode(), nothing, "process with list and plans, resident, at its highest",
+            LoadCondition.ORDINARY).figure().known());
     CapacityData data = new CapacityData(nothing.inputs(), List.of(), List.of(), List.of());
     for (Table table : CapacityTables.of(data))
       assertFalse(table.markdown().contains("NaN"), table.name());
@@ -123,24 +130,25 @@
 
   @Test
   void whatIsMeasuredAtTheTargetStandsFirmerThanWhatIsNot() throws Exception {
-    Basis basis = Sample.whole();
-    assertEquals(Standing.MEASURED,
-        basis.at(Series.MEMBERS_REST, Quantity.CPU_MS, Input.EDGE_NODES).standing());
-    assertEquals(Standing.EXTRAPOLATED,
-        basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.APP_SERVERS).standing());
-    assertEquals(Standing.ASSUMED,
-        basis.at(Series.LIST_REST, Quantity.CPU_MS, Input.ZONE_STARTS).standing());
+    CapacityModel model = Sample.whole();
+    assertEquals(Confidence.MEASURED,
+        model.at(Series.MEMBERS_REST, Quantity.CPU_MS, Input.EDGE_NODES).confidence());
+    assertEquals(Confidence.EXTRAPOLATED,
+        model.at(Series.LIST_REST, Quantity.CPU_MS, Input.APP_SERVERS).confidence());
+    assertEquals(Confidence.ASSUMED,
+        model.at(Series.LIST_REST, Quantity.CPU_MS, Input.ZONE_STARTS).confidence());
   }
 
   @Test
   void wallsAscendAndWhatIsMissingStandsLast() throws Exception {
-    for (Basis basis : List.of(Sample.whole(), Sample.withoutMeasurements())) {
-      List<Wall> walls = Walls.of(basis, List.of());
+    for (CapacityModel model : List.of(Sample.whole(), Sample.withoutMeasurements())) {
+      List<ScalingLimit> walls = ScalingLimits.of(model, List.of());
       List<Double> known = new ArrayList<>();
-      for (Wall wall : walls) if (wall.part().known()) known.add(wall.part().value());
+      for (ScalingLimit wall : walls)
+        if (wall.fractionOfTarget().known()) known.add(wall.fractionOfTarget().value());
       assertEquals(known.stream().sorted().toList(), known);
       for (int i = 0; i < walls.size(); i++)
-        assertEquals(i < known.size(), walls.get(i).part().known());
+        assertEquals(i < known.size(), walls.get(i).fractionOfTarget().known());
     }
   }
 
@@ -155,55 +163,57 @@
     assertEquals(Mechanism.RUNNING_SETTINGS.title(), mechanisms.rows().get(1).get(1));
   }
 
-  private static Wall wall(Basis basis, List<BenchDay> days, String term) {
-    return Walls.of(basis, days).stream().filter(wall -> wall.term().equals(term)).findFirst()
-        .orElseThrow();
+  private static ScalingLimit wall(CapacityModel model, List<BenchDay> days, String term) {
+    return ScalingLimits.of(model, days).stream().filter(wall -> wall.term().equals(term))
+        .findFirst().orElseThrow();
   }
 
   @Test
   void membershipsWallsAreThoseOfItsOwnFormulas() throws Exception {
-    Basis basis = Sample.withoutMeasurements();
-    double datagrams = basis.inputs().value(Input.DATAGRAMS_PER_SECOND);
-    long bound = (long) (10_000 * basis.inputs().value(Input.TAKEOVER_WITHIN_SECONDS));
-    int holds = (int) wall(basis, List.of(), "a dead node's share is in use again in time").holds()
+    CapacityModel model = Sample.withoutMeasurements();
+    double datagrams = model.inputs().value(Input.DATAGRAMS_PER_SECOND);
+    long bound = (long) (10_000 * model.inputs().value(Input.TAKEOVER_WITHIN_SECONDS));
+    int holds = (int) wall(model, List.of(), "a dead node's share is in use again in time").limit()
         .value();
     assertTrue(MembershipTimings.of(holds, datagrams).takeoverTicks() <= bound);
     assertTrue(MembershipTimings.of(holds + 1, datagrams).takeoverTicks() > bound);
     assertEquals(GossipMessage.MAX_NODES_WITH_REACHABILITY,
-        wall(basis, List.of(), "a datagram tells whom a node hears").holds().value());
+        wall(model, List.of(), "a datagram tells whom a node hears").limit().value());
   }
 
   @Test
   void aHeapIsFullWhereItsLineReachesIt() throws Exception {
-    Basis basis = Sample.whole();
-    Wall wall = wall(basis, List.of(), "the list fills the heap");
-    double heap = basis.inputs().value(Input.HEAP_BYTES);
-    assertEquals(heap, Sample.AT_ZERO + Sample.SLOPE * wall.holds().value(), 1e-3);
-    assertEquals(Standing.EXTRAPOLATED, wall.holds().standing());
+    CapacityModel model = Sample.whole();
+    ScalingLimit wall = wall(model, List.of(), "the list fills the heap");
+    double heap = model.inputs().value(Input.HEAP_BYTES);
+    assertEquals(heap, Sample.AT_ZERO + Sample.SLOPE * wall.limit().value(), 1e-3);
+    assertEquals(Confidence.EXTRAPOLATED, wall.limit().confidence());
   }
 
   @Test
   void whatIsTooMuchAtTheSmallestSizeHoldsNowhere() throws Exception {
-    Basis late = Basis.of(Sample.inputs(),
+    CapacityModel late = CapacityModel.of(Sample.inputs(),
         List.of(Sample.one("requests.late", 24, 3), Sample.one("requests.late", 240, 2)));
     String term = "the load tool's own lateness hides the added latency";
-    Figure holds = wall(late, List.of(), term).holds();
+    Figure holds = wall(late, List.of(), term).limit();
     assertEquals(0, holds.value());
     assertEquals(List.of("lateness_part", "requests.late p99_ms"), holds.sources());
   }
 
   @Test
   void sumsAreBoundedByWhatNodesTakeIn() throws Exception {
-    Basis basis = Sample.whole();
+    CapacityModel model = Sample.whole();
     String bytes = "sums told and taken in, at the most";
-    assertEquals(1, growth(new EdgeNode(), bytes, Moment.COUNTER_EMPTY, Input.EDGE_NODES), CLOSE);
-    assertEquals(2, growth(new EdgeNode(), bytes, Moment.COUNTER_EMPTY, Input.DATAGRAMS_PER_SECOND),
+    assertEquals(1, growth(new EdgeNode(), bytes, LoadCondition.COUNTER_EMPTY, Input.EDGE_NODES),
+        CLOSE);
+    assertEquals(2,
+        growth(new EdgeNode(), bytes, LoadCondition.COUNTER_EMPTY, Input.DATAGRAMS_PER_SECOND),
         CLOSE);
     assertEquals(2 * 0.5 * 60,
-        row(new EdgeNode(), basis, bytes, Moment.COUNTER_EMPTY).figure().value(), CLOSE);
+        row(new EdgeNode(), model, bytes, LoadCondition.COUNTER_EMPTY).figure().value(), CLOSE);
     String round = "a round of sums, if all nodes share customers";
     assertEquals(2700 / (0.5 * 60),
-        row(new EdgeNode(), basis, round, Moment.COUNTER_EMPTY).figure().value(), CLOSE);
+        row(new EdgeNode(), model, round, LoadCondition.COUNTER_EMPTY).figure().value(), CLOSE);
   }
 
   private static Measurement run(String what, long nodes, int entries, double value) {
@@ -214,48 +224,49 @@
 
   @Test
   void aRelaysFigureComesFromTheRunThatIsLargestInWhatItDependsOn() throws Exception {
-    Basis basis = Basis.of(Sample.inputs(),
+    CapacityModel model = CapacityModel.of(Sample.inputs(),
         List.of(run("relay.change", 2700, 3500, 5000), run("relay.change", 330, 34_000, 70),
             run("relay.start300", 2700, 3500, 9), run("relay.start300", 330, 34_000, 80)));
     Role control = new ControlMachines();
-    Figure changes = row(control, basis, "a change until in force, everywhere", Moment.PEAK)
+    Figure changes = row(control, model, "a change until in force, everywhere", LoadCondition.PEAK)
         .figure();
     assertEquals(5000, changes.value());
-    assertEquals(Standing.EXTRAPOLATED, changes.standing());
+    assertEquals(Confidence.EXTRAPOLATED, changes.confidence());
     assertEquals(List.of("relay.change max_ms (2,700 nodes, 3,500 app servers)"),
         changes.sources());
-    assertEquals(80, row(control, basis, "a start until the last of these nodes has the list",
-        Moment.ZONE_STARTS).figure().value());
-    Basis small = Basis.of(Sample.inputs(),
+    assertEquals(80, row(control, model, "a start until the last of these nodes has the list",
+        LoadCondition.ZONE_STARTS).figure().value());
+    CapacityModel small = CapacityModel.of(Sample.inputs(),
         List.of(run("relay.start300", 2700, 3500, 9), run("relay.change", 330, 34_000, 7)));
-    assertFalse(
-        row(control, small, "a change until in force, everywhere", Moment.PEAK).figure().known());
+    assertFalse(row(control, small, "a change until in force, everywhere", LoadCondition.PEAK)
+        .figure().known());
     assertFalse(row(control, small, "a start until the last of these nodes has the list",
-        Moment.ZONE_STARTS).figure().known());
-    Basis whole = Basis.of(Sample.inputs(), List.of(run("relay.change", 2700, 34_000, 70)));
-    assertEquals(Standing.MEASURED,
-        row(control, whole, "a change until in force, everywhere", Moment.PEAK).figure()
-            .standing());
+        LoadCondition.ZONE_STARTS).figure().known());
+    CapacityModel whole = CapacityModel.of(Sample.inputs(),
+        List.of(run("relay.change", 2700, 34_000, 70)));
+    assertEquals(Confidence.MEASURED,
+        row(control, whole, "a change until in force, everywhere", LoadCondition.PEAK).figure()
+            .confidence());
   }
 
   @Test
   void plansEndWhereTheSmallestMeasuredEndIs() throws Exception {
-    Basis basis = Basis.of(Sample.inputs(), List.of(Sample.one("plans.ends", 30_000, 30_000),
-        Sample.one("plans.ends", 29_000, 29_000)));
-    Wall wall = wall(basis, List.of(), "plans in the settings fill the heap");
-    assertEquals(new Figure(29_000, 0, Standing.MEASURED, List.of("plans.ends count")),
-        wall.holds());
+    CapacityModel model = CapacityModel.of(Sample.inputs(), List
+        .of(Sample.one("plans.ends", 30_000, 30_000), Sample.one("plans.ends", 29_000, 29_000)));
+    ScalingLimit wall = wall(model, List.of(), "plans in the settings fill the heap");
+    assertEquals(new Figure(29_000, 0, Confidence.MEASURED, List.of("plans.ends count")),
+        wall.limit());
   }
 
   @Test
   void quotasHoldUpToTheLargestFleetBelowTheFirstThatSlipped() throws Exception {
-    Basis basis = Sample.withoutMeasurements();
+    CapacityModel model = Sample.withoutMeasurements();
     String term = "units beyond quotas on a calm day, on the bench";
     List<BenchDay> days = List.of(day(6, 0.02), day(20, 0.01), day(100, 0.07), day(60, 0.04),
         day(120, 0.02));
-    assertEquals(20, wall(basis, days, term).holds().value());
-    assertFalse(wall(basis, List.of(), term).holds().known());
-    assertEquals(0, wall(basis, List.of(day(6, 0.5)), term).holds().value());
+    assertEquals(20, wall(model, days, term).limit().value());
+    assertFalse(wall(model, List.of(), term).limit().known());
+    assertEquals(0, wall(model, List.of(day(6, 0.5)), term).limit().value());
   }
 
   private static BenchDay day(int nodes, double overQuota) {
--- a/src/test/java/saltlatch/lab/capacity/Sample.java
+++ b/src/test/java/saltlatch/lab/capacity/Sample.java
@@ -24,17 +24,17 @@
   }
 
   /** No test was run. */
-  static Basis withoutMeasurements() throws Exception {
-    return Basis.of(inputs(), List.of());
+  static CapacityModel withoutMeasurements() throws Exception {
+    return CapacityModel.of(inputs(), List.of());
   }
 
   /** Every test was run. */
-  static Basis whole() throws Exception {
+  static CapacityModel whole() throws Exception {
     List<Measurement> all = new ArrayList<>();
     for (Series test : Series.values()) {
       for (int size : SIZES) all.add(one(test.id(), size, AT_ZERO + SLOPE * size));
     }
-    return Basis.of(inputs(), all);
+    return CapacityModel.of(inputs(), all);
   }
 
   /** A measurement with the same value for every quantity. */
--- a/src/test/java/saltlatch/lab/capacity/SubsetTest.java
+++ b/src/test/java/saltlatch/lab/capacity/SubsetTest.java
@@ -27,8 +27,8 @@
   @ParameterizedTest
   @EnumSource(SubsetPolicy.class)
   void theSameSeedGivesTheSameOutcomeAndAnotherAnother(SubsetPolicy policy) {
-    SubsetSimulation.Outcome once = SubsetSimulation.play(policy, NODES, 60, KEPT, SEED);
-    assertEquals(once, SubsetSimulation.play(policy, NODES, 60, KEPT, SEED));
+    SubsetSimulation.Outcome once = SubsetSimulation.simulate(policy, NODES, 60, KEPT, SEED);
+    assertEquals(once, SubsetSimulation.simulate(policy, NODES, 60, KEPT, SEED));
     int[] servers = IntStream.range(0, 60).toArray();
     assertTrue(!Arrays.deepEquals(policy.choose(NODES, servers, KEPT, SEED),
         policy.choose(NODES, servers, KEPT, SEED + 1)));
@@ -36,7 +36,7 @@
 
   @Test
   void deterministicSubsetsAreEvenWhereRoundsAreWhole() {
-    SubsetSimulation.Outcome even = SubsetSimulation.play(SubsetPolicy.DETERMINISTIC, NODES, 60,
+    SubsetSimulation.Outcome even = SubsetSimulation.simulate(SubsetPolicy.DETERMINISTIC, NODES, 60,
         KEPT, SEED);
     assertEquals(1, even.max(), 1e-9);
     assertEquals(NODES * KEPT / 60, even.connections());
@@ -44,16 +44,16 @@
 
   @Test
   void rendezvousMovesNoMoreThanItMust() {
-    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.RENDEZVOUS, NODES, 60,
+    SubsetSimulation.Outcome outcome = SubsetSimulation.simulate(SubsetPolicy.RENDEZVOUS, NODES, 60,
         KEPT, SEED);
     assertEquals(outcome.least(), outcome.moved(), 1e-12);
-    assertTrue(SubsetSimulation.play(SubsetPolicy.RANDOM, NODES, 60, KEPT, SEED).moved() > 0.5);
+    assertTrue(SubsetSimulation.simulate(SubsetPolicy.RANDOM, NODES, 60, KEPT, SEED).moved() > 0.5);
   }
 
   @Test
   void theBoundedRingKeepsItsBound() {
-    SubsetSimulation.Outcome outcome = SubsetSimulation.play(SubsetPolicy.BOUNDED_RING, NODES, 60,
-        KEPT, SEED);
+    SubsetSimulation.Outcome outcome = SubsetSimulation.simulate(SubsetPolicy.BOUNDED_RING, NODES,
+        60, KEPT, SEED);
     assertTrue(outcome.connections() <= Math.ceil(SubsetPolicy.BOUND * NODES * KEPT / 60));
     assertTrue(outcome.moved() < 0.2, "moved " + outcome.moved());
   }
@@ -61,7 +61,7 @@
   @Test
   void ofNoMoreServersThanAreKeptAllAreKept() {
     for (SubsetPolicy policy : SubsetPolicy.values()) {
-      SubsetSimulation.Outcome outcome = SubsetSimulation.play(policy, NODES, KEPT, KEPT, SEED);
+      SubsetSimulation.Outcome outcome = SubsetSimulation.simulate(policy, NODES, KEPT, KEPT, SEED);
       assertEquals(NODES, outcome.connections(), policy.title());
       assertEquals(1, outcome.max(), 1e-9);
     }
--- a/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
+++ b/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
@@ -16,13 +16,13 @@
 
   @Test
   void measuresWhatTheTermsState() {
-    MembershipTimings terms = new MemberNetwork(MEMBERS, 1).terms();
-    Map<String, Values> measured = new MembersScale().measure(MEMBERS, 1);
-    double failedWithin = (double) terms.failureDetectionTicks() / MemberNetwork.SECOND;
+    MembershipTimings timings = new MemberNetwork(MEMBERS, 1).timings();
+    Map<String, MetricValues> measured = new MembersScale().measure(MEMBERS, 1);
+    double failedWithin = (double) timings.failureDetectionTicks() / MemberNetwork.TICKS_PER_SECOND;
     double failed = measured.get("members.failure").map().get(Quantity.SECONDS);
     assertTrue(failed > 0 && failed <= failedWithin, failed + " s, stated " + failedWithin);
     Map<Quantity, Double> rest = measured.get("members.rest").map();
-    assertTrue(rest.get(Quantity.MESSAGES_IN) <= terms.datagramsPerSecond(), rest.toString());
+    assertTrue(rest.get(Quantity.MESSAGES_IN) <= timings.datagramsPerSecond(), rest.toString());
     assertTrue(rest.get(Quantity.BYTES_IN) <= 256 * rest.get(Quantity.MESSAGES_IN),
         rest.toString());
   }
@@ -31,8 +31,8 @@
   void playsOneSeedTheSame() {
     MemberNetwork one = new MemberNetwork(MEMBERS, 7);
     MemberNetwork other = new MemberNetwork(MEMBERS, 7);
-    assertEquals(one.until(one::agree, 600 * MemberNetwork.SECOND),
-        other.until(other::agree, 600 * MemberNetwork.SECOND));
+    assertEquals(one.until(one::agree, 600 * MemberNetwork.TICKS_PER_SECOND),
+        other.until(other::agree, 600 * MemberNetwork.TICKS_PER_SECOND));
     assertTrue(one.agree());
     assertEquals(one.datagrams(), other.datagrams());
     assertEquals(one.bytes(), other.bytes());
@@ -40,7 +40,7 @@
 
   @Test
   void refusesMoreMembersThanTheMemoryHolds() {
-    Needs many = new MembersScale().needs(20_000);
+    ResourceRequirements many = new MembersScale().requirements(20_000);
     assertTrue(many.bytes() > 60L << 30, many.toString());
   }
 }
--- a/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
+++ b/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
@@ -45,20 +45,20 @@
     }
 
     @Override
-    public Needs needs(long size) {
-      return new Needs(size << 20, (int) size);
+    public ResourceRequirements requirements(long size) {
+      return new ResourceRequirements(size << 20, (int) size);
     }
 
     @Override
-    public Map<String, Values> measure(long size, int repeat) {
+    public Map<String, MetricValues> measure(long size, int repeat) {
       measured.add(size);
       shownBefore.add(table.toString(StandardCharsets.UTF_8));
       return Map.of("made.thing",
-          Values.of(Quantity.CPU_MS, (double) (size <= 100 ? 5 + 2 * size : 4_010)));
+          MetricValues.of(Quantity.CPU_MS, (double) (size <= 100 ? 5 + 2 * size : 4_010)));
     }
 
     @Override
-    public Map<String, Long> ends() {
+    public Map<String, Long> measuredLimits() {
       return Map.of("made.ends", 777L);
     }
   }
@@ -89,7 +89,7 @@
 
   @Test
   void refusesWhatExceedsHalfOfTheMemoryBeforeAnythingRuns() {
-    Machine.TooMuch refused = assertThrows(Machine.TooMuch.class,
+    Machine.ResourceLimitException refused = assertThrows(Machine.ResourceLimitException.class,
         () -> run(new Made(), GIB / 2, List.of(1L, 100L, 257L)));
     assertTrue(refused.getMessage().contains("half of this machine's is 0.3 GiB"),
         refused.getMessage());
@@ -98,7 +98,7 @@
 
   @Test
   void refusesMoreProcessesThanAMachineShares() {
-    Machine.TooMuch refused = assertThrows(Machine.TooMuch.class,
+    Machine.ResourceLimitException refused = assertThrows(Machine.ResourceLimitException.class,
         () -> run(new Made(), 16 * GIB, List.of(301L)));
     assertTrue(refused.getMessage().contains("301 processes; the most is 300"),
         refused.getMessage());
--- a/src/test/java/saltlatch/lab/scale/SourceListTest.java
+++ b/src/test/java/saltlatch/lab/scale/SourceListTest.java
@@ -13,18 +13,18 @@
   @Test
   void logReachesSoFarAndNoFarther() {
     SourceList list = new SourceList(ENTRIES, 1, 0);
-    for (int i = 0; i < SourceList.LOG + 10; i++) list.change();
-    assertFalse(list.reaches(10));
-    assertTrue(list.reaches(11));
-    assertTrue(list.reaches(list.index()));
-    assertFalse(list.reaches(list.index() + 1));
+    for (int i = 0; i < SourceList.LOG + 10; i++) list.nextChange();
+    assertFalse(list.hasChangesSince(10));
+    assertTrue(list.hasChangesSince(11));
+    assertTrue(list.hasChangesSince(list.index()));
+    assertFalse(list.hasChangesSince(list.index() + 1));
   }
 
   /** An entry of the protocol page's form, about 125 bytes. */
   @Test
   void entryIsOfTheSizeOfTheProtocolPage() {
     int entries = 1_000;
-    double each = new SourceList(entries, 1, 0).whole().length() / (double) entries;
+    double each = new SourceList(entries, 1, 0).snapshot().length() / (double) entries;
     assertEquals(125, each, 10);
   }
 }
--- a/src/test/java/saltlatch/lab/tiers/InForceTest.java
+++ b/src/test/java/saltlatch/lab/tiers/PropagationDelayTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import saltlatch.lab.tiers.InForce.Applied;
-import saltlatch.lab.tiers.InForce.Put;
-import saltlatch.lab.tiers.InForce.Times;
+import saltlatch.lab.tiers.PropagationDelay.Applied;
+import saltlatch.lab.tiers.PropagationDelay.Put;
+import saltlatch.lab.tiers.PropagationDelay.Times;
 
-class InForceTest {
+class PropagationDelayTest {
   private static final long MS = 1_000_000;
   private static final List<Put> PUTS = List.of(new Put(5, 100 * MS), new Put(6, 200 * MS));
 
@@ -22,7 +22,7 @@
     nodes.put("each",
         List.of(new Applied(4, 0), new Applied(5, 110 * MS), new Applied(6, 202 * MS)));
     nodes.put("both in one", List.of(new Applied(4, 0), new Applied(7, 300 * MS)));
-    assertEquals(new Times(4, 0, 0, 100, 200, 200), InForce.of(PUTS, nodes));
+    assertEquals(new Times(4, 0, 0, 100, 200, 200), PropagationDelay.of(PUTS, nodes));
   }
 
   @Test
@@ -31,7 +31,7 @@
     nodes.put("late", List.of(new Applied(5, 101 * MS)));
     nodes.put("back", List.of(new Applied(6, 250 * MS), new Applied(5, 260 * MS)));
     nodes.put("nothing", List.of());
-    Times times = InForce.of(PUTS, nodes);
+    Times times = PropagationDelay.of(PUTS, nodes);
     assertEquals(3, times.missing());
     assertEquals(1, times.backwards());
     assertEquals(150, times.maxMs());
@@ -43,7 +43,7 @@
     nodes.put("a",
         List.of(new Applied(0, 10 * MS), new Applied(9, 30 * MS), new Applied(10, 90 * MS)));
     nodes.put("b", List.of(new Applied(0, 10 * MS)));
-    assertEquals(new Times(1, 1, 0, 20, 20, 20), InForce.ofStarts(nodes));
+    assertEquals(new Times(1, 1, 0, 20, 20, 20), PropagationDelay.ofStarts(nodes));
   }
 
   /**
