--- a/src/main/java/saltlatch/lab/capacity/Inputs.java
+++ b/src/main/java/saltlatch/lab/capacity/Inputs.java
@@ -34,7 +34,9 @@
     this.given = given;
   }
 
-  /** Reads the file's text: a section for each input and no other, or {@link InvalidInputException}. */
+  /**
+   * Reads the file's text: a section for each input and no other, or {@link InvalidInputException}.
+   */
   public static Inputs parse(String toml) {
     Map<String, InputValue> sections = sections(toml);
     Map<Input, InputValue> given = new EnumMap<>(Input.class);
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -23,8 +23,8 @@
 /**
  * The systems an edge node serves, emulated on loopback from one scenario: app servers, the
  * counter, discovery's agent and the datagrams between nodes. All on one event loop of its own,
- * which also owns {@link GroundTruth}. {@link #nodeConfig(int)} writes the JSON configuration a node is
- * started with, as the platform would give it.
+ * which also owns {@link GroundTruth}. {@link #nodeConfig(int)} writes the JSON configuration a
+ * node is started with, as the platform would give it.
  */
 public final class Emulator {
   private final Scenario s;
