--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import saltlatch.lab.hollow.NodeConfig;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 
 /**
@@ -66,20 +66,20 @@
     void close();
   }
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  public HollowComparison(Bench bench) {
-    this.bench = bench;
+  public HollowComparison(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   /** All rows of so many nodes. */
   public List<Row> compare(int nodes) throws Exception {
     Cost real;
     Cost hollow;
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       real = cost(source, nodes, real(source, nodes));
     }
-    try (SourceProcess source = new SourceProcess(bench, ENTRIES)) {
+    try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       hollow = cost(source, nodes, hollow(source, nodes));
     }
     List<Row> rows = new ArrayList<>();
@@ -103,8 +103,8 @@
       SourceProcess.Sent start = awaitLists(source, nodes);
       Thread.sleep(SETTLE_MS);
       source.rate(CHANGES_PER_SECOND);
-      List<ProcessFigures.Cpu> cpu = new ArrayList<>();
-      for (long pid : started.pids()) cpu.add(ProcessFigures.cpu(pid));
+      List<ProcessMetrics.Cpu> cpu = new ArrayList<>();
+      for (long pid : started.pids()) cpu.add(ProcessMetrics.cpu(pid));
       Datagrams datagrams = started.datagrams();
       SourceProcess.Sent sent = source.sent();
       long from = System.nanoTime();
@@ -116,8 +116,8 @@
       double cpuMs = 0;
       double rss = 0;
       for (int i = 0; i < cpu.size(); i++) {
-        cpuMs += ProcessFigures.cpu(started.pids().get(i)).msSince(cpu.get(i));
-        rss += ProcessFigures.rssBytes(started.pids().get(i)) / MIB;
+        cpuMs += ProcessMetrics.cpu(started.pids().get(i)).msSince(cpu.get(i));
+        rss += ProcessMetrics.rssBytes(started.pids().get(i)) / MIB;
       }
       return new Cost(start.bytesOut() / (double) nodes, start.messages() / (double) nodes,
           (now.bytesOut() - sent.bytesOut()) / units, (now.messages() - sent.messages()) / units,
@@ -139,7 +139,7 @@
   }
 
   private Nodes real(SourceProcess source, int count) throws Exception {
-    Processes processes = bench.nodes(
+    Processes processes = environment.nodes(
         number -> NodeConfig.of(number, count, source.address()).withMembership(true).json());
     try {
       processes.start(count);
@@ -160,9 +160,9 @@
         long out = 0;
         long in = 0;
         for (int i = 0; i < count; i++) {
-          Map<String, Long> figures = processes.figures(i);
-          out += figures.get("peers_told");
-          in += figures.get("peers_heard");
+          Map<String, Long> metrics = processes.metrics(i);
+          out += metrics.get("peers_told");
+          in += metrics.get("peers_heard");
         }
         return new Datagrams(out, in, System.nanoTime());
       }
@@ -175,11 +175,11 @@
   }
 
   private Nodes hollow(SourceProcess source, int count) throws IOException {
-    Path report = bench.dir().resolve("hollow.jsonl");
-    ChildJvm process = new ChildJvm(
-        HOLLOW_FLAGS, bench.tools(), List.of("lab", "hollow", "--nodes", "" + count, "--discovery",
-            source.address(), "--membership", "--report", report.toString()),
-        bench.dir().resolve("hollow.log"));
+    Path report = environment.dir().resolve("hollow.jsonl");
+    ChildJvm process = new ChildJvm(HOLLOW_FLAGS, environment.tools(),
+        List.of("lab", "hollow", "--nodes", "" + count, "--discovery", source.address(),
+            "--membership", "--report", report.toString()),
+        environment.dir().resolve("hollow.log"));
     return new Nodes() {
       @Override
       public List<Long> pids() {
--- a/src/main/java/saltlatch/lab/scale/SumsScale.java
+++ b/src/main/java/saltlatch/lab/scale/SumsScale.java
@@ -6,8 +6,8 @@
 import saltlatch.lab.clock.LabClock;
 import saltlatch.lab.emulator.Emulator;
 import saltlatch.lab.load.LoadRunner;
-import saltlatch.lab.plan.Offered;
-import saltlatch.lab.rig.ProcessFigures;
+import saltlatch.lab.plan.OpenLoopSchedule;
+import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.rig.Processes;
 import saltlatch.lab.scenario.Scenario;
 
@@ -46,10 +46,10 @@
       burst = %d
       """;
 
-  private final Bench bench;
+  private final TestEnvironment environment;
 
-  SumsScale(Bench bench) {
-    this.bench = bench;
+  SumsScale(TestEnvironment environment) {
+    this.environment = environment;
   }
 
   @Override
@@ -72,21 +72,22 @@
   }
 
   @Override
-  public Needs needs(long size) {
-    return new Needs(size * Bench.NODE_BYTES, (int) size);
+  public ResourceRequirements requirements(long size) {
+    return new ResourceRequirements(size * TestEnvironment.NODE_BYTES, (int) size);
   }
 
   @Override
-  public Map<String, Values> measure(long size, int repeat) throws Exception {
+  public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     long rate = RATE * size;
     Scenario scenario = Scenario
         .parse(SCENARIO.formatted(repeat, SECONDS, size, rate, rate, 4 * rate));
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-    try (Processes nodes = bench.nodes(emulator::nodeConfig)) {
+    try (Processes nodes = environment.nodes(emulator::nodeConfig)) {
       nodes.start((int) size);
-      LoadRunner load = new LoadRunner(scenario, Offered.of(scenario), nodes.ports(), clock);
+      LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(),
+          clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
       Thread.sleep(WARM_MS);
@@ -114,19 +115,19 @@
       long heard = 0;
       double cpu = 0;
       for (int i = 0; i < nodes.ports().size(); i++) {
-        Map<String, Long> figures = nodes.figures(i);
-        told += figures.get("peers_told");
-        heard += figures.get("peers_heard");
-        cpu += ProcessFigures.cpu(nodes.pid(i)).processMs();
+        Map<String, Long> metrics = nodes.metrics(i);
+        told += metrics.get("peers_told");
+        heard += metrics.get("peers_heard");
+        cpu += ProcessMetrics.cpu(nodes.pid(i)).processMs();
       }
-      Map<String, Long> standIns = emulator.figures().toCompletionStage().toCompletableFuture()
+      Map<String, Long> standIns = emulator.metrics().toCompletionStage().toCompletableFuture()
           .get(START_S, TimeUnit.SECONDS);
       return new Counts(told, heard, standIns.get("peer_bytes_in"), standIns.get("peer_bytes_out"),
           cpu);
     }
 
-    Values since(Counts before, double units) {
-      return Values.of(Quantity.MESSAGES_OUT, (told - before.told) / units)
+    MetricValues since(Counts before, double units) {
+      return MetricValues.of(Quantity.MESSAGES_OUT, (told - before.told) / units)
           .and(Quantity.MESSAGES_IN, (heard - before.heard) / units)
           .and(Quantity.BYTES_OUT, (bytesTold - before.bytesTold) / units)
           .and(Quantity.BYTES_IN, (bytesHeard - before.bytesHeard) / units)
--- a/src/main/java/saltlatch/lab/tiers/TierProcesses.java
+++ b/src/main/java/saltlatch/lab/tiers/TierProcesses.java
@@ -14,8 +14,8 @@
 import java.util.stream.Collectors;
 import saltlatch.lab.rig.AgentForwarder;
 import saltlatch.lab.rig.ChildJvm;
-import saltlatch.lab.rig.ProcessFigures;
-import saltlatch.lab.tiers.InForce.Put;
+import saltlatch.lab.rig.ProcessMetrics;
+import saltlatch.lab.tiers.PropagationDelay.Put;
 
 /**
  * The source and the relays of a run as processes of the built jar, and the agent that the nodes
@@ -29,11 +29,11 @@
     }
 
     long cpuMs() throws IOException {
-      return ProcessFigures.cpu(process.pid()).processMs();
+      return ProcessMetrics.cpu(process.pid()).processMs();
     }
 
     long rssBytes() throws IOException {
-      return ProcessFigures.rssBytes(process.pid());
+      return ProcessMetrics.rssBytes(process.pid());
     }
   }
 
