--- a/src/main/java/saltlatch/relay/EncodedMessage.java
+++ b/src/main/java/saltlatch/relay/EncodedMessage.java
@@ -11,15 +11,18 @@
 import saltlatch.distribution.Message;
 
 /**
- * A message as it goes over the wire, encoded once for all watchers, piece by piece as the first of
- * them gets there. The pieces lie outside the heap, since sockets would copy them for each watcher
- * otherwise, and are freed once nobody uses them.
+ * A message in its wire format, encoded once for all watchers. Each piece is encoded when the first
+ * watcher reaches it. The pieces are direct buffers, because a socket would copy a heap buffer for
+ * each watcher, and are freed when the last user releases the message.
  */
 final class EncodedMessage {
-  /** Bytes from which on a piece is full: the encoding of one takes a fraction of a ms. */
+  /**
+   * Bytes at which a piece is complete. Encoding one piece of this size takes a fraction of a
+   * millisecond of the event loop.
+   */
   static final int PIECE_BYTES = 64 * 1024;
 
-  private static final int HEAD_BYTES = 128; // room for what comes before and behind the entries
+  private static final int ENVELOPE_BYTES = 128; // room for the text around the entries
 
   private final Message message;
   private final List<ByteBuf> pieces = new ArrayList<>();
@@ -37,20 +40,20 @@
   }
 
   /**
-   * The piece of a place, null behind the last. It must not be released, and is there while its
-   * user is.
+   * Returns the piece at {@code index}, or null after the last one. The caller must not release the
+   * buffer, which is valid until the caller's {@link #removeUser}.
    */
-  ByteBuf piece(int place) {
-    if (place == pieces.size() && !complete) encodePiece();
-    return place < pieces.size() ? pieces.get(place) : null;
+  ByteBuf piece(int index) {
+    if (index == pieces.size() && !complete) encodePiece();
+    return index < pieces.size() ? pieces.get(index) : null;
   }
 
-  /** True if there is no piece behind this one. */
-  boolean isLast(int place) {
-    return complete && place == pieces.size() - 1;
+  /** Returns whether the piece at {@code index} is the last one. */
+  boolean isLast(int index) {
+    return complete && index == pieces.size() - 1;
   }
 
-  /** Bytes held outside the heap. */
+  /** Returns the bytes held outside the heap. */
   long bytes() {
     return bytes;
   }
@@ -59,7 +62,7 @@
     users++;
   }
 
-  /** Frees all once the last user is gone, and says whether it was. */
+  /** Removes a user; frees all pieces and returns true if it was the last one. */
   boolean removeUser() {
     if (--users > 0) return false;
     pieces.forEach(ByteBuf::release);
@@ -69,12 +72,12 @@
   }
 
   private void encodePiece() {
-    ByteBuf piece = Unpooled.directBuffer(sizeOfNext());
+    ByteBuf piece = Unpooled.directBuffer(capacityOfNextPiece());
     if (message.kind() == Message.Kind.KEEP_ALIVE) {
       piece.writeByte('\n');
       complete = true;
     } else {
-      if (pieces.isEmpty()) writeText(piece, head());
+      if (pieces.isEmpty()) writeText(piece, envelopeStart());
       while (nextEntry < message.entries().size() && piece.readableBytes() < PIECE_BYTES)
         writeEntry(piece);
       complete = nextEntry == message.entries().size();
@@ -84,16 +87,20 @@
     bytes += piece.capacity();
   }
 
-  /** Room for the entries up to the one that fills the piece, so that it need not grow. */
-  private int sizeOfNext() {
-    int size = HEAD_BYTES;
-    for (int i = nextEntry; i < message.entries().size() && size < PIECE_BYTES + HEAD_BYTES; i++) {
+  /**
+   * Returns the capacity for the entries up to the one that completes the piece, so that the buffer
+   * does not have to grow.
+   */
+  private int capacityOfNextPiece() {
+    int size = ENVELOPE_BYTES;
+    for (int i = nextEntry; i < message.entries().size()
+        && size < PIECE_BYTES + ENVELOPE_BYTES; i++) {
       size += message.entries().get(i).json().length() + 1;
     }
     return size;
   }
 
-  private String head() {
+  private String envelopeStart() {
     long series = message.version().series();
     return "{\"index\":" + message.version().index() + (series > 0 ? ",\"series\":" + series : "")
         + ",\"snapshot\":" + (message.kind() == Message.Kind.SNAPSHOT) + ",\"endpoints\":[";
@@ -102,15 +109,15 @@
   private void writeEntry(ByteBuf piece) {
     Entry entry = message.entries().get(nextEntry);
     if (nextEntry > 0) piece.writeByte(',');
-    writeText(piece, entry.removed() ? goneJson(entry) : entry.json());
+    writeText(piece, entry.removed() ? jsonWithStatusGone(entry) : entry.json());
     nextEntry++;
   }
 
   /**
-   * A removed entry says so, also where it was only missing in a whole list and its JSON is the
-   * last that was received.
+   * Returns the entry's JSON with the status Gone. An entry that was removed because a snapshot did
+   * not contain it still has the JSON, and so the status, that was last received.
    */
-  private static String goneJson(Entry entry) {
+  private static String jsonWithStatusGone(Entry entry) {
     JsonObject json = JsonParser.parseString(entry.json()).getAsJsonObject();
     if (json.get("status").getAsString().equalsIgnoreCase("Gone")) return entry.json();
     json.addProperty("status", "Gone");
--- a/src/main/java/saltlatch/relay/EncodedMessageCache.java
+++ b/src/main/java/saltlatch/relay/EncodedMessageCache.java
@@ -6,43 +6,44 @@
 import saltlatch.distribution.Message;
 
 /**
- * Gives the one encoded form of each message to all who send it. The latest of each kind is kept
- * between its watchers, so that those who come one after the other share it as well.
+ * Shares one encoded form of each message among all watchers that it is sent to. The latest encoded
+ * message of each kind is kept while no watcher uses it, so that watchers that connect one after
+ * the other share it too.
  */
 final class EncodedMessageCache {
-  private final IdentityHashMap<Message, EncodedMessage> used = new IdentityHashMap<>();
+  private final IdentityHashMap<Message, EncodedMessage> inUse = new IdentityHashMap<>();
   private final Map<Message.Kind, EncodedMessage> latest = new EnumMap<>(Message.Kind.class);
   private long encodings;
 
-  /** The encoded form, held until {@link #release}. */
-  EncodedMessage use(Message message) {
-    EncodedMessage encoded = hold(message);
-    EncodedMessage before = latest.get(message.kind());
-    if (before != encoded) {
-      latest.put(message.kind(), hold(message));
-      if (before != null) release(before);
+  /** Returns the message's encoded form, which the caller holds until {@link #release}. */
+  EncodedMessage acquire(Message message) {
+    EncodedMessage encoded = retain(message);
+    EncodedMessage previous = latest.get(message.kind());
+    if (previous != encoded) {
+      latest.put(message.kind(), retain(message));
+      if (previous != null) release(previous);
     }
     return encoded;
   }
 
   void release(EncodedMessage encoded) {
-    if (encoded.removeUser()) used.remove(encoded.message());
+    if (encoded.removeUser()) inUse.remove(encoded.message());
   }
 
-  /** Bytes outside the heap of all that are held. */
+  /** Returns the bytes that all cached messages hold outside the heap. */
   long bytes() {
-    return used.values().stream().mapToLong(EncodedMessage::bytes).sum();
+    return inUse.values().stream().mapToLong(EncodedMessage::bytes).sum();
   }
 
-  /** Messages encoded since the start. */
+  /** Returns the number of messages encoded since the start. */
   long encodings() {
     return encodings;
   }
 
-  private EncodedMessage hold(Message message) {
-    EncodedMessage encoded = used.computeIfAbsent(message, m -> {
+  private EncodedMessage retain(Message message) {
+    EncodedMessage encoded = inUse.computeIfAbsent(message, absent -> {
       encodings++;
-      return new EncodedMessage(m);
+      return new EncodedMessage(absent);
     });
     encoded.addUser();
     return encoded;
--- a/src/main/java/saltlatch/relay/EntryParser.java
+++ b/src/main/java/saltlatch/relay/EntryParser.java
@@ -9,25 +9,25 @@
 import saltlatch.distribution.Version;
 
 /**
- * Reads, with the JSON library's streaming parser, what a relay has to know of an entry and of a
- * line around its entries.
+ * Reads the fields of an entry, and of a line outside its entries, that a relay requires. Uses the
+ * streaming parser of the JSON library.
  */
 final class EntryParser {
-  /** What a line says beside its entries. */
-  record Envelope(Version version, boolean whole) {}
+  /** The fields of a line outside its entries; {@code snapshot} as in an update. */
+  record Envelope(Version version, boolean snapshot) {}
 
   private static final String GONE = "Gone";
 
   private final JsonFactory json = JsonFactory.builder()
-      // names come from outside: none is kept for good
+      // names come from outside the process: interning would keep them in memory forever
       .disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
 
-  /** An entry of the list: its JSON is checked as a whole and kept as it is. */
+  /** Parses an entry of the list: validates all of its JSON and keeps the text unchanged. */
   Entry entry(byte[] text, int length) throws MalformedWatchException {
     String name = null;
     String status = null;
     try (JsonParser parser = json.createParser(text, 0, length)) {
-      expect(parser.nextToken() == JsonToken.START_OBJECT, "an entry that is no object");
+      require(parser.nextToken() == JsonToken.START_OBJECT, "an entry must be a JSON object");
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String key = parser.currentName();
         JsonToken value = parser.nextToken();
@@ -35,62 +35,63 @@
         else if (key.equals("status")) status = string(parser, value, "status");
         else parser.skipChildren();
       }
-      expect(parser.nextToken() == null, "more than one object in an entry");
+      require(parser.nextToken() == null, "an entry must be a single JSON object");
     } catch (IOException e) {
-      throw new MalformedWatchException("an entry that is no JSON: " + firstLine(e));
+      throw new MalformedWatchException("an entry is not valid JSON: " + firstLine(e));
     }
-    expect(name != null && !name.isEmpty(), "an entry without a name");
-    expect(status != null, "an entry without a status");
+    require(name != null && !name.isEmpty(), "an entry must have a name that is not empty");
+    require(status != null, "an entry must have a status");
     return new Entry(name, GONE.equalsIgnoreCase(status),
         new String(text, 0, length, StandardCharsets.UTF_8));
   }
 
-  /** A line's object without its entries. */
+  /** Parses a line's object without its entries. */
   Envelope envelope(byte[] text, int length) throws MalformedWatchException {
     long index = -1;
     long series = 0;
-    Boolean whole = null;
-    boolean listed = false;
+    Boolean snapshot = null;
+    boolean hasEndpoints = false;
     try (JsonParser parser = json.createParser(text, 0, length)) {
-      expect(parser.nextToken() == JsonToken.START_OBJECT, "a line that is no object");
+      require(parser.nextToken() == JsonToken.START_OBJECT, "a line must be a JSON object");
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String key = parser.currentName();
         JsonToken value = parser.nextToken();
         if (key.equals("index")) index = count(parser, value, "index");
         else if (key.equals("series")) series = count(parser, value, "series");
-        else if (key.equals("snapshot")) whole = flag(value);
-        else if (key.equals("endpoints")) listed = true;
+        else if (key.equals("snapshot")) snapshot = flag(value);
+        else if (key.equals("endpoints")) hasEndpoints = true;
         parser.skipChildren();
       }
     } catch (IOException e) {
-      throw new MalformedWatchException("a line that is no JSON: " + firstLine(e));
+      throw new MalformedWatchException("a line is not valid JSON: " + firstLine(e));
     }
-    expect(index >= 0 && whole != null && listed, "a line without index, snapshot or endpoints");
-    return new Envelope(new Version(series, index), whole);
+    require(index >= 0 && snapshot != null && hasEndpoints,
+        "a line must have an index, snapshot and endpoints, but at least one is missing");
+    return new Envelope(new Version(series, index), snapshot);
   }
 
   private static String string(JsonParser parser, JsonToken value, String key)
       throws IOException, MalformedWatchException {
-    expect(value == JsonToken.VALUE_STRING, key + " that is no string");
+    require(value == JsonToken.VALUE_STRING, key + " must be a string, found " + value);
     return parser.getText();
   }
 
   private static long count(JsonParser parser, JsonToken value, String key)
       throws IOException, MalformedWatchException {
-    expect(value == JsonToken.VALUE_NUMBER_INT, key + " that is no whole number");
+    require(value == JsonToken.VALUE_NUMBER_INT, key + " must be an integer, found " + value);
     long count = parser.getLongValue();
-    expect(count >= 0, key + " below nought");
+    require(count >= 0, key + " must be at least 0, found " + count);
     return count;
   }
 
   private static boolean flag(JsonToken value) throws MalformedWatchException {
-    expect(value == JsonToken.VALUE_TRUE || value == JsonToken.VALUE_FALSE,
-        "snapshot that is no boolean");
+    require(value == JsonToken.VALUE_TRUE || value == JsonToken.VALUE_FALSE,
+        "snapshot must be true or false, found " + value);
     return value == JsonToken.VALUE_TRUE;
   }
 
-  private static void expect(boolean holds, String otherwise) throws MalformedWatchException {
-    if (!holds) throw new MalformedWatchException(otherwise);
+  private static void require(boolean condition, String message) throws MalformedWatchException {
+    if (!condition) throw new MalformedWatchException(message);
   }
 
   private static String firstLine(IOException e) {
--- a/src/main/java/saltlatch/relay/InboundConnection.java
+++ b/src/main/java/saltlatch/relay/InboundConnection.java
@@ -8,46 +8,52 @@
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.net.impl.ConnectionBase;
 
-/** A connection of the relay's listener, and what its other side may cost. */
+/**
+ * One accepted connection of the relay's listener. Limits the bytes that the client may send before
+ * its requests are answered.
+ */
 final class InboundConnection {
-  /**
-   * Bytes that may come before what was asked is answered: a request, or a few written one behind
-   * the other.
-   */
+  /** Bytes that may arrive before a response is complete: one request, or a few pipelined ones. */
   static final int MAX_UNANSWERED_BYTES = 16 * 1024;
 
-  private final ChannelHandlerContext first;
+  private final ChannelHandlerContext firstContext;
   private int unansweredBytes;
 
   InboundConnection(HttpConnection connection) {
     ChannelPipeline pipeline = ((ConnectionBase) connection).channel().pipeline();
     pipeline.addFirst(new InboundLimit());
-    first = pipeline.firstContext();
+    firstContext = pipeline.firstContext();
   }
 
-  /** What was asked is answered: as many bytes may come anew. A watch is never answered. */
+  /**
+   * Resets the count of unanswered bytes when a response is complete. This is never called while a
+   * watch is open, since its response does not end.
+   */
   void answered() {
     unansweredBytes = 0;
   }
 
   /**
-   * Ends it without waiting until what was written is taken, as Vert.x and a close of its channel
-   * do: whoever takes nothing would stay for ever. From the pipeline's first handler on, a close
-   * meets nobody that holds it up.
+   * Closes the connection without waiting for pending writes. A close through Vert.x or through the
+   * channel waits for them, so a client that never reads would keep its connection open forever. A
+   * close that starts at the pipeline's first handler passes no handler that could delay it.
    */
   void close() {
-    var unused = first.close();
+    var unused = firstContext.close();
   }
 
-  /** Guards against requests written without end behind a watch or answers that nobody reads. */
+  /**
+   * Closes the connection of a client that keeps sending requests after it opened a watch, or while
+   * it does not read the responses.
+   */
   private final class InboundLimit extends ChannelInboundHandlerAdapter {
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) {
-      unansweredBytes += ((ByteBuf) read).readableBytes();
+    public void channelRead(ChannelHandlerContext context, Object message) {
+      unansweredBytes += ((ByteBuf) message).readableBytes();
       if (unansweredBytes <= MAX_UNANSWERED_BYTES) {
-        context.fireChannelRead(read);
+        context.fireChannelRead(message);
       } else {
-        ReferenceCountUtil.release(read);
+        ReferenceCountUtil.release(message);
         close();
       }
     }
--- a/src/main/java/saltlatch/relay/MalformedWatchException.java
+++ b/src/main/java/saltlatch/relay/MalformedWatchException.java
@@ -1,6 +1,6 @@
 package saltlatch.relay;
 
-/** An upstream sent what is no list, or one beyond the bounds. */
+/** Thrown when an upstream sends a line that is not a valid list or exceeds a size limit. */
 final class MalformedWatchException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/saltlatch/relay/Relay.java
+++ b/src/main/java/saltlatch/relay/Relay.java
@@ -23,15 +23,16 @@
 import saltlatch.distribution.Version;
 
 /**
- * One relay on one event loop: turns sockets into events of a {@link Distributor} and its actions
- * into sockets. What to do is decided there alone.
+ * One relay on one event loop. Passes what happens on the sockets to a {@link Distributor} as
+ * events, and carries out the distributor's actions on the sockets. The distributor makes all
+ * decisions.
  */
 public final class Relay {
   private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
-  private static final int CONNECT_MS = 2_000; // an upstream is a machine or two away
-  // of an upstream's answer, read in one turn of the loop
-  private static final int MAX_CHUNK_BYTES = 64 * 1024;
-  private static final long FIGURES_MS = 60_000; // between lines of figures in the log
+  private static final int CONNECT_TIMEOUT_MS = 2_000; // an upstream is one or two hops away
+  // bytes of an upstream's response that are read in one turn of the loop
+  private static final int MAX_READ_BYTES = 64 * 1024;
+  private static final long METRICS_LOG_INTERVAL_MS = 60_000;
 
   private final RelayConfig config;
   private final LongSupplier clock;
@@ -40,19 +41,19 @@
   private final HttpClient client;
   private final Distributor distributor;
   private final WatcherServer server;
-  // those that came while another was being handled
+  // events that arrived while another one was being handled
   private final Deque<Runnable> events = new ArrayDeque<>();
   private boolean handling;
-  private UpstreamWatch watch; // null while none is open
+  private UpstreamWatch watch; // null while no watch is open
   private long timer = -1;
-  private long timerDue = Long.MAX_VALUE;
+  private long timerDueMs = Long.MAX_VALUE;
 
-  /** A relay that is not started yet. */
+  /** Creates a relay that is not started yet. */
   public Relay(RelayConfig config) {
     this(config, () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()));
   }
 
-  /** A relay by another clock: monotonic, in ms. */
+  /** Creates a relay with the given monotonic clock, in ms. */
   Relay(RelayConfig config, LongSupplier clock) {
     this.config = config;
     this.clock = clock;
@@ -62,49 +63,49 @@
             .setClassPathResolvingEnabled(false)));
     loop = vertx.getOrCreateContext();
     loop.exceptionHandler(e -> LOG.error("unexpected_exception", e));
-    client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS)
-        .setMaxChunkSize(MAX_CHUNK_BYTES).setDecompressionSupported(false).setIdleTimeout(0));
+    client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS)
+        .setMaxChunkSize(MAX_READ_BYTES).setDecompressionSupported(false).setIdleTimeout(0));
     distributor = new Distributor(config.limits(), config.upstreams().size(), config.seed(),
         actions);
-    server = new WatcherServer(vertx, loop, config.limits().watchers(), clock, this::figures,
+    server = new WatcherServer(vertx, loop, config.limits().watchers(), clock, this::metricsText,
         watcherEvents);
   }
 
-  /** Listens, then follows; failed if it can't listen. */
+  /** Starts to listen, then to follow an upstream; the future fails if the relay can't listen. */
   public Future<Void> start() {
     Promise<Void> listening = Promise.promise();
     loop.runOnContext(v -> server.listen(config.listen()).onComplete(listening));
-    return listening.future().onSuccess(v -> loop.runOnContext(x -> {
+    return listening.future().onSuccess(v -> loop.runOnContext(ignored -> {
       LOG.info("{} serves on port {}", config.name(), server.port());
-      vertx.setPeriodic(FIGURES_MS, t -> logFigures());
+      vertx.setPeriodic(METRICS_LOG_INTERVAL_MS, id -> logMetrics());
       handle(() -> distributor.start(now()));
     }));
   }
 
-  /** The port it listens on. */
+  /** Returns the port that the relay listens on. */
   public int port() {
     return server.port();
   }
 
-  /** Its figures, a {@code name=value} line each. */
+  /** Returns the relay's metrics, one {@code name=value} per line. */
   public Future<String> info() {
     Promise<String> text = Promise.promise();
-    loop.runOnContext(v -> text.complete(figures()));
+    loop.runOnContext(v -> text.complete(metricsText()));
     return text.future();
   }
 
-  /** Ends all watches, then the loop. */
+  /** Ends all watches, then stops the event loop. */
   public Future<Void> stop() {
     Promise<Void> stopped = Promise.promise();
     loop.runOnContext(v -> {
       handle(() -> distributor.stop(now()));
-      logFigures();
+      logMetrics();
       stopped.complete();
     });
     return stopped.future().compose(v -> vertx.close());
   }
 
-  /** Looks at the clock, as a timer would: for a clock that was put on. */
+  /** Runs a tick as a timer would; tests call it after they have advanced the clock. */
   void wake() {
     loop.runOnContext(v -> handle(() -> distributor.tick(now())));
   }
@@ -113,11 +114,11 @@
     return clock.getAsLong();
   }
 
-  private void logFigures() {
-    LOG.info("metrics {}", figures().strip().replace('\n', ' '));
+  private void logMetrics() {
+    LOG.info("metrics {}", metricsText().strip().replace('\n', ' '));
   }
 
-  private String figures() {
+  private String metricsText() {
     RelayStatus status = distributor.status(now());
     String upstream = status.upstream() < 0 ? "none"
         : config.upstreams().get(status.upstream()).toString();
@@ -125,8 +126,8 @@
   }
 
   /**
-   * Handles one event after the other: what an action brings about at once comes behind the event
-   * that caused it.
+   * Handles events one after the other. An event that an action raises immediately is handled after
+   * the event that caused the action.
    */
   private void handle(Runnable event) {
     events.add(event);
@@ -141,13 +142,13 @@
   }
 
   private void setTimer() {
-    long due = distributor.nextTickAtMs();
-    if (due >= timerDue) return;
+    long dueMs = distributor.nextTickAtMs();
+    if (dueMs >= timerDueMs) return;
     if (timer >= 0) vertx.cancelTimer(timer);
-    timerDue = due;
-    timer = vertx.setTimer(Math.max(1, due - now()), t -> {
+    timerDueMs = dueMs;
+    timer = vertx.setTimer(Math.max(1, dueMs - now()), id -> {
       timer = -1;
-      timerDue = Long.MAX_VALUE;
+      timerDueMs = Long.MAX_VALUE;
       handle(() -> distributor.tick(now()));
     });
   }
--- a/src/main/java/saltlatch/relay/RelayMetrics.java
+++ b/src/main/java/saltlatch/relay/RelayMetrics.java
@@ -6,13 +6,13 @@
 import java.util.stream.Collectors;
 import saltlatch.distribution.RelayStatus;
 
-/** What operators read of a relay; docs/relay.md has the meaning of each line. */
+/** Formats a relay's metrics for operators; docs/relay.md describes each line. */
 final class RelayMetrics {
   private static final long NANOS_PER_MS = 1_000_000;
 
   private RelayMetrics() {}
 
-  /** One {@code name=value} a line, in a fixed order. */
+  /** Returns one {@code name=value} per line, in a fixed order. */
   static String text(RelayStatus status, String upstream, WatcherServer server) {
     Map<String, Object> lines = new LinkedHashMap<>();
     lines.put("version", status.version().index());
--- a/src/main/java/saltlatch/relay/UpstreamWatch.java
+++ b/src/main/java/saltlatch/relay/UpstreamWatch.java
@@ -12,22 +12,22 @@
 import saltlatch.distribution.Version;
 
 /**
- * One watch at one upstream, from its opening to its end; it ends once, and gives no
- * event behind that.
+ * One watch at one upstream, from its opening to its end. It ends exactly once and raises no event
+ * after its end.
  */
 final class UpstreamWatch {
-  /** Gets its events, on the event loop. */
+  /** Receives the watch's events on the event loop. */
   interface Listener {
-    /** It was answered with status 200. */
+    /** Called when the upstream has answered with status 200. */
     void opened(int upstream);
 
-    /** A whole line has come. */
+    /** Called when a complete line with a list has been received. */
     void updateReceived(int upstream, Update update);
 
-    /** An empty line has come, or a part of a long one. */
+    /** Called when any bytes have been received: an empty line or a part of a line. */
     void alive(int upstream);
 
-    /** It has ended otherwise than by {@link UpstreamWatch#close()}. */
+    /** Called when the watch has ended, unless {@link UpstreamWatch#close()} ended it. */
     void failed(int upstream, Failure failure, String cause);
   }
 
@@ -35,72 +35,76 @@
 
   private final Context loop;
   private final int upstream;
-  private final Listener host;
+  private final Listener listener;
   private final WatchParser parser;
   private HttpClientRequest request;
   private HttpClientResponse response;
   private boolean ended;
 
-  UpstreamWatch(Context loop, int upstream, int maxEntries, Listener host) {
+  UpstreamWatch(Context loop, int upstream, int maxEntries, Listener listener) {
     this.loop = loop;
     this.upstream = upstream;
-    this.host = host;
+    this.listener = listener;
     this.parser = new WatchParser(maxEntries, new WatchParser.Listener() {
       @Override
       public void updateReceived(Update update) {
-        if (!ended) host.updateReceived(upstream, update);
+        if (!ended) listener.updateReceived(upstream, update);
       }
 
       @Override
       public void keptAlive() {
-        if (!ended) host.alive(upstream);
+        if (!ended) listener.alive(upstream);
       }
     });
   }
 
-  /** Asks for what comes after {@code since}. */
+  /** Opens the watch, which requests the changes after {@code since}. */
   void open(HttpClient client, SocketAddress address, Version since) {
     String series = since.series() > 0 ? "&series=" + since.series() : "";
     String path = "/api/targets?follow=1&since=" + since.index() + series;
-    client.request(HttpMethod.GET, address.port(), address.host(), path).onComplete(made -> {
-      if (made.failed()) {
-        fail(Failure.CONNECTION, made.cause().toString());
+    client.request(HttpMethod.GET, address.port(), address.host(), path).onComplete(created -> {
+      if (created.failed()) {
+        fail(Failure.CONNECTION, created.cause().toString());
       } else if (ended) {
-        made.result().reset();
+        created.result().reset();
       } else {
-        send(made.result());
+        sendRequest(created.result());
       }
     });
   }
 
-  /** Ends it from this side. */
+  /** Ends the watch without an event. */
   void close() {
     ended = true;
     if (request != null) request.reset();
   }
 
-  private void send(HttpClientRequest made) {
-    request = made;
+  private void sendRequest(HttpClientRequest created) {
+    request = created;
     request.exceptionHandler(e -> fail(Failure.CONNECTION, e.toString()));
-    request.send().onFailure(e -> fail(Failure.CONNECTION, e.toString())).onSuccess(this::answered);
+    request.send().onFailure(e -> fail(Failure.CONNECTION, e.toString()))
+        .onSuccess(this::responseReceived);
   }
 
-  private void answered(HttpClientResponse answer) {
+  private void responseReceived(HttpClientResponse received) {
     if (ended) return;
-    if (answer.statusCode() != OK) {
-      fail(Failure.STATUS, "status " + answer.statusCode());
+    if (received.statusCode() != OK) {
+      fail(Failure.STATUS, "expected status 200, found " + received.statusCode());
       return;
     }
-    response = answer;
+    response = received;
     response.exceptionHandler(e -> fail(Failure.CONNECTION, e.toString()));
-    response.endHandler(v -> fail(Failure.CONNECTION, "ended"));
+    response.endHandler(v -> fail(Failure.CONNECTION, "the upstream ended the response"));
     response.handler(this::read);
     response.pause();
-    host.opened(upstream);
+    listener.opened(upstream);
     response.fetch(1);
   }
 
-  /** One buffer a turn of the loop: a whole list must not keep all else waiting. */
+  /**
+   * Parses one buffer per turn of the event loop, so that a snapshot does not delay other
+   * connections.
+   */
   private void read(Buffer buffer) {
     if (ended) return;
     try {
@@ -110,7 +114,7 @@
       return;
     }
     if (ended) return;
-    host.alive(upstream);
+    listener.alive(upstream);
     loop.runOnContext(v -> {
       if (!ended) response.fetch(1);
     });
@@ -119,6 +123,6 @@
   private void fail(Failure failure, String cause) {
     if (ended) return;
     close();
-    host.failed(upstream, failure, cause);
+    listener.failed(upstream, failure, cause);
   }
 }
--- a/src/main/java/saltlatch/relay/WatchParser.java
+++ b/src/main/java/saltlatch/relay/WatchParser.java
@@ -7,77 +7,81 @@
 import saltlatch.distribution.Update;
 
 /**
- * Cuts the stream of a watch into entries as its bytes come, so that no more of a line is held than
- * its entries and one that has begun. A line may be spread over several, as when its sender
- * indents. Bounds hold from the first byte beyond.
+ * Parses the stream of a watch incrementally. Of an incomplete line it holds only the text around
+ * the list, the entries parsed so far and the current entry. A line's JSON object may contain line
+ * breaks, for example if its sender indents it. The first byte beyond a size limit makes the parser
+ * fail.
  */
 final class WatchParser {
-  /** Gets the stream's content, in its order. */
+  /** Receives the stream's content in its order. */
   interface Listener {
-    /** A whole line has come. */
+    /** Called when a complete line with a list has been received. */
     void updateReceived(Update update);
 
-    /** An empty line has come. */
+    /** Called when an empty line has been received. */
     void keptAlive();
   }
 
-  /** Bytes of one entry; discovery's have about 125. */
+  /** Limit in bytes of one entry; those of discovery have about 125. */
   static final int MAX_ENTRY_BYTES = 8 * 1024;
 
   /**
-   * Bytes of a line around its entries: index, snapshot, series and what a later version may add.
+   * Limit in bytes of a line's text outside its entries: index, snapshot, series and keys that a
+   * later version may add.
    */
   static final int MAX_ENVELOPE_BYTES = 8 * 1024;
 
   /**
-   * Mean bytes of an entry up to which as many as are allowed may come: bounds the memory that a
-   * line can take.
+   * Limit in bytes of the mean size of an entry in a line with the maximum number of entries. It
+   * bounds the memory that a line can take.
    */
   static final int MAX_MEAN_ENTRY_BYTES = 512;
 
   private static final byte[] ENTRIES_KEY = {'"', 'e', 'n', 'd', 'p', 'o', 'i', 'n', 't', 's', '"',
       ':'};
-  private static final int LIST_DEPTH = 2; // braces and brackets open around an entry
+  private static final int LIST_DEPTH = 2; // open braces and brackets around an entry
 
   private final int maxEntries;
   private final long maxLineBytes;
-  private final Listener sink;
-  private final EntryParser values = new EntryParser();
+  private final Listener listener;
+  private final EntryParser entryParser = new EntryParser();
   private final byte[] entry = new byte[MAX_ENTRY_BYTES];
   private int entryLength;
   private final byte[] envelope = new byte[MAX_ENVELOPE_BYTES];
   private int envelopeLength;
   private List<Entry> entries = new ArrayList<>();
   private long lineBytes;
-  private int depth; // of open braces and brackets
-  private boolean inList; // within the list of entries
-  private boolean separated = true; // a comma or the list's beginning came last
+  private int depth; // number of open braces and brackets
+  private boolean inList; // inside the list of entries
+  private boolean separated = true; // the last token in the list was a comma or its opening bracket
   private boolean quoted;
   private boolean escaped;
 
-  WatchParser(int maxEntries, Listener sink) {
+  WatchParser(int maxEntries, Listener listener) {
     this.maxEntries = maxEntries;
     this.maxLineBytes = MAX_ENVELOPE_BYTES + (long) maxEntries * MAX_MEAN_ENTRY_BYTES;
-    this.sink = sink;
+    this.listener = listener;
   }
 
-  /** Takes the stream's next bytes; the watch is of no further use after a failure. */
+  /** Parses the stream's next bytes; must not be called again after it has failed. */
   void feed(byte[] bytes) throws MalformedWatchException {
     for (byte b : bytes) {
-      if (depth == 0) between(b);
-      else if (inList && depth == LIST_DEPTH && !quoted) inList(b);
-      else within(b);
+      if (depth == 0) readBetweenLines(b);
+      else if (inList && depth == LIST_DEPTH && !quoted) readBetweenEntries(b);
+      else readContent(b);
     }
   }
 
-  /** Between lines. */
-  private void between(byte b) throws MalformedWatchException {
-    if (b == '{') begin(b);
-    else if (b == '\n') sink.keptAlive();
-    else if (!isSpace(b)) throw new MalformedWatchException("a line that is no object");
+  /** Reads a byte between two lines. */
+  private void readBetweenLines(byte b) throws MalformedWatchException {
+    if (b == '{') beginLine(b);
+    else if (b == '\n') listener.keptAlive();
+    else if (!isSpace(b))
+      throw new MalformedWatchException("expected a JSON object or an empty line, found byte 0x"
+          + Integer.toHexString(Byte.toUnsignedInt(b)));
   }
 
-  private void begin(byte b) throws MalformedWatchException {
+  private void beginLine(byte b) throws MalformedWatchException {
     depth = 1;
     lineBytes = 0;
     envelopeLength = 0;
@@ -85,13 +89,13 @@
     keep(b);
   }
 
-  /** In the list of entries, outside of each. */
-  private void inList(byte b) throws MalformedWatchException {
+  /** Reads a byte in the list of entries but outside each entry. */
+  private void readBetweenEntries(byte b) throws MalformedWatchException {
     countByte();
     if (isSpace(b)) return;
     if (b == '{' && separated) {
       if (entries.size() >= maxEntries)
-        throw new MalformedWatchException("more than " + maxEntries + " entries");
+        throw new MalformedWatchException("the list has more than " + maxEntries + " entries");
       depth++;
       entryLength = 0;
       separated = false;
@@ -103,12 +107,13 @@
       depth--;
       keep(b);
     } else {
-      throw new MalformedWatchException("a list that is not one of objects");
+      throw new MalformedWatchException("endpoints must be a list of JSON objects, found byte 0x"
+          + Integer.toHexString(Byte.toUnsignedInt(b)));
     }
   }
 
-  /** In an entry, or in the line around the list. */
-  private void within(byte b) throws MalformedWatchException {
+  /** Reads a byte in an entry, or in the line outside the list. */
+  private void readContent(byte b) throws MalformedWatchException {
     countByte();
     if (quoted) {
       keep(b);
@@ -139,17 +144,17 @@
   private void close() throws MalformedWatchException {
     depth--;
     if (inList && depth == LIST_DEPTH) {
-      entries.add(values.entry(entry, entryLength));
+      entries.add(entryParser.entry(entry, entryLength));
     } else if (depth == 0) {
-      EntryParser.Envelope line = values.envelope(envelope, envelopeLength);
-      sink.updateReceived(new Update(line.version(), line.whole(), entries));
+      EntryParser.Envelope line = entryParser.envelope(envelope, envelopeLength);
+      listener.updateReceived(new Update(line.version(), line.snapshot(), entries));
       entries = new ArrayList<>();
     }
   }
 
   /**
-   * True if what came before the bracket is the key of the entries, and no longer string that ends
-   * like it.
+   * Returns whether the key before the bracket is {@code endpoints}, as opposed to a longer string
+   * that ends with it.
    */
   private boolean endsWithEntriesKey() {
     int from = envelopeLength - 1 - ENTRIES_KEY.length;
@@ -162,21 +167,22 @@
   private void keep(byte b) throws MalformedWatchException {
     if (inList) {
       if (entryLength == MAX_ENTRY_BYTES) {
-        throw new MalformedWatchException("an entry of more than " + MAX_ENTRY_BYTES + " bytes");
+        throw new MalformedWatchException(
+            "an entry exceeds the limit of " + MAX_ENTRY_BYTES + " bytes");
       }
       entry[entryLength++] = b;
     } else {
       if (envelopeLength == MAX_ENVELOPE_BYTES) {
         throw new MalformedWatchException(
-            "more than " + MAX_ENVELOPE_BYTES + " bytes beside the entries");
+            "the line exceeds the limit of " + MAX_ENVELOPE_BYTES + " bytes outside its entries");
       }
       envelope[envelopeLength++] = b;
     }
   }
 
   /**
-   * Lines that were broken become one; around the entries as little is kept as separates two values
-   * apart.
+   * Replaces white space, which may include line breaks, by a space. Outside the entries a space is
+   * kept only where two values need a separator.
    */
   private void keepSpace() throws MalformedWatchException {
     if (inList || !isOneOf(envelope[envelopeLength - 1], " {[,:")) keep((byte) ' ');
@@ -192,7 +198,7 @@
 
   private void countByte() throws MalformedWatchException {
     if (++lineBytes > maxLineBytes)
-      throw new MalformedWatchException("more than " + maxLineBytes + " bytes");
+      throw new MalformedWatchException("the line exceeds the limit of " + maxLineBytes + " bytes");
   }
 
   private static boolean isSpace(byte b) {
--- a/src/main/java/saltlatch/relay/WatchResponse.java
+++ b/src/main/java/saltlatch/relay/WatchResponse.java
@@ -9,113 +9,115 @@
 import saltlatch.distribution.Message;
 
 /**
- * One watch of this relay, or one request for the whole list, which is a watch that ends behind it.
- * It writes one piece at a time and the next once the socket has taken it: a watcher that reads
- * nothing holds no bytes of its own but those that the system holds for its socket.
+ * The response to one watch, or to one request for a snapshot, which is handled as a watch that
+ * ends after the snapshot. It writes one piece at a time, and the next one when the socket has
+ * accepted it, so that a watcher that reads nothing costs no memory of its own besides the kernel's
+ * send buffer.
  */
 final class WatchResponse {
-  /** Gets its events, on the event loop. */
+  /** Receives the response's events on the event loop. */
   interface Listener {
-    /** The socket has taken all that was sent. */
-    void drained(WatchResponse watcher);
+    /** Called when the socket has accepted everything that was sent. */
+    void drained(WatchResponse response);
 
-    /** The socket has taken a piece of a message. */
-    void progressed(WatchResponse watcher);
+    /** Called when the socket has accepted a piece that is not the last of its message. */
+    void progressed(WatchResponse response);
 
-    /** A request for the whole list has been answered. */
-    void answered(WatchResponse watcher);
+    /** Called when a request for a snapshot has been answered or refused. */
+    void answered(WatchResponse response);
   }
 
   private static final int UNAVAILABLE = 503;
-  private static final int CHUNK_LINE_ENDS = 4; // bytes: two CRLFs
-  private static final String RETRY_AFTER_S = "1"; // seconds, the least that the header can say
+  private static final int CHUNK_DELIMITER_BYTES = 4; // two CRLFs
+  private static final String RETRY_AFTER_S = "1"; // the header's shortest delay
 
   private final long id;
   private final boolean follows;
   private final InboundConnection connection;
   private final HttpServerResponse response;
   private final Context loop;
-  private final EncodedMessageCache encoder;
-  private final Listener host;
-  private final Deque<EncodedMessage> unsent = new ArrayDeque<>(); // the first is being written
+  private final EncodedMessageCache encodedMessages;
+  private final Listener listener;
+  private final Deque<EncodedMessage> unsent = new ArrayDeque<>(); // the first one is being written
   private int nextPiece;
   private boolean ended;
-  private long bytesTaken;
+  private long bytesAccepted;
 
   WatchResponse(long id, boolean follows, InboundConnection connection, HttpServerResponse response,
-      Context loop, EncodedMessageCache encoder, Listener host) {
+      Context loop, EncodedMessageCache encodedMessages, Listener listener) {
     this.id = id;
     this.follows = follows;
     this.connection = connection;
     this.response = response;
     this.loop = loop;
-    this.encoder = encoder;
-    this.host = host;
+    this.encodedMessages = encodedMessages;
+    this.listener = listener;
   }
 
   long id() {
     return id;
   }
 
-  /** Bytes of the answer's body, as chunked, that the socket has taken. */
-  long bytesTaken() {
-    return bytesTaken;
+  /** Returns the bytes of the chunked response body that the socket has accepted. */
+  long bytesAccepted() {
+    return bytesAccepted;
   }
 
-  /** Sends a message; a request for the whole list is refused if that can't be had yet. */
+  /** Sends a message; a request for a snapshot is refused if no snapshot is available yet. */
   void send(Message message) {
     if (ended) return;
     if (!follows && message.kind() != Message.Kind.SNAPSHOT) {
       refuse();
-      host.answered(this);
+      listener.answered(this);
       return;
     }
-    if (!response.headWritten()) openHead();
-    unsent.add(encoder.use(message));
+    if (!response.headWritten()) writeHead();
+    unsent.add(encodedMessages.acquire(message));
     if (unsent.size() == 1) writePiece();
   }
 
-  /** Too much is asked of this relay: come again. */
+  /** Refuses the request with status 503 and a delay after which the client may retry. */
   void refuse() {
     ended = true;
     response.setStatusCode(UNAVAILABLE).putHeader("retry-after", RETRY_AFTER_S).end();
   }
 
   /**
-   * Ends it; a watch with nothing on the way ends as a whole answer does, else the connection does.
+   * Ends the response. If {@code graceful} is set and a watch has no unsent message, the response
+   * is completed before the connection is closed; otherwise the connection is closed at once.
    */
-  void close(boolean politely) {
-    boolean whole = follows && unsent.isEmpty();
+  void close(boolean graceful) {
+    boolean betweenMessages = follows && unsent.isEmpty();
     ended = true;
-    if (!politely || !whole) {
+    if (!graceful || !betweenMessages) {
       connection.close();
       return;
     }
-    if (!response.headWritten()) openHead();
+    if (!response.headWritten()) writeHead();
     response.end().onComplete(v -> connection.close());
   }
 
-  /** Its connection has ended. */
+  /** Stops writing, because the connection has been closed. */
   void connectionClosed() {
     ended = true;
   }
 
-  private void openHead() {
+  private void writeHead() {
     response.setChunked(true).putHeader("content-type", "application/json");
   }
 
   private void writePiece() {
     EncodedMessage message = unsent.peek();
     BufferInternal piece = BufferInternal.buffer(message.piece(nextPiece));
-    Future<Void> taken = response.write(piece);
-    int length = piece.length() + framing(piece.length());
-    taken.onComplete(result -> {
-      if (result.succeeded()) bytesTaken += length;
-      else ended = true; // the connection breaks, which has an event of its own
+    Future<Void> written = response.write(piece);
+    int length = piece.length() + framingBytes(piece.length());
+    written.onComplete(result -> {
+      if (result.succeeded()) bytesAccepted += length;
+      else ended = true; // the connection's close handler reports the failure
       if (!ended && !message.isLast(nextPiece)) {
         nextPiece++;
-        host.progressed(this);
-        // one piece a turn: others wait for no whole list
+        listener.progressed(this);
+        // one piece per turn of the loop, so that a snapshot does not delay other connections
         loop.runOnContext(v -> continueMessage());
       } else {
         finish(message);
@@ -123,9 +125,9 @@
     });
   }
 
-  /** Bytes that the chunk's head and end add. */
-  private static int framing(int length) {
-    return Integer.toHexString(length).length() + CHUNK_LINE_ENDS;
+  /** Returns the bytes that the chunk's size line and line ends add. */
+  private static int framingBytes(int length) {
+    return Integer.toHexString(length).length() + CHUNK_DELIMITER_BYTES;
   }
 
   private void continueMessage() {
@@ -135,19 +137,19 @@
 
   private void finish(EncodedMessage message) {
     unsent.remove();
-    encoder.release(message);
+    encodedMessages.release(message);
     nextPiece = 0;
     if (ended) {
-      unsent.forEach(encoder::release);
+      unsent.forEach(encodedMessages::release);
       unsent.clear();
     } else if (!unsent.isEmpty()) {
       writePiece();
     } else if (follows) {
-      host.drained(this);
+      listener.drained(this);
     } else {
       ended = true;
       response.end();
-      host.answered(this);
+      listener.answered(this);
     }
   }
 }
--- a/src/main/java/saltlatch/relay/WatcherServer.java
+++ b/src/main/java/saltlatch/relay/WatcherServer.java
@@ -21,77 +21,84 @@
 import saltlatch.distribution.Version;
 
 /**
- * The relay's listener: watches, whole lists and figures over HTTP/1.1, and what a connection may
- * cost.
+ * The relay's HTTP/1.1 listener. Serves watches, snapshots and metrics, and limits what a client
+ * connection may cost.
  */
 final class WatcherServer {
-  /** Gets its events, on the event loop. */
+  /** Receives the server's events on the event loop. */
   interface Listener {
-    /** A watcher asks for what comes after {@code since}. */
+    /** Called when a watcher requests the changes after {@code since}. */
     void opened(long watcher, Version since);
 
-    /** The socket has taken all that was sent to the watcher. */
+    /** Called when the socket has accepted everything that was sent to the watcher. */
     void drained(long watcher);
 
-    /** The socket has taken a part of what was sent to the watcher. */
+    /** Called when the socket has accepted a part of what was sent to the watcher. */
     void progressed(long watcher);
 
-    /** The watcher is gone, or has got the one list that it asked for. */
+    /**
+     * Called when the watcher's connection has been closed, or its request for a snapshot has been
+     * answered or refused.
+     */
     void closed(long watcher);
   }
 
-  /** Ms without a whole request after which a connection is closed, also between requests. */
+  /**
+   * Ms after which a connection is closed if no complete request has arrived, counted from the
+   * connection's start or from the end of the previous response.
+   */
   static final long IDLE_MS = 5_000;
 
   /**
-   * Connections beside those of the watchers: silent ones, and such as ask for lists or figures.
+   * Connections allowed in addition to the limit on watchers: for idle clients, and for requests
+   * for snapshots or metrics.
    */
   static final int SPARE_CONNECTIONS = 64;
 
-  private static final long SWEEP_MS = 250; // between looks for idle connections
+  private static final long IDLE_CHECK_INTERVAL_MS = 250;
   private static final int MAX_LINE_BYTES = 1_024; // of a request's first line
   private static final int MAX_HEADER_BYTES = 8 * 1_024; // of a request's headers
-  // the system's part of a watcher that reads nothing
+  // bounds the kernel memory that a watcher that reads nothing holds
   private static final int SEND_BUFFER_BYTES = 256 * 1_024;
-  private static final int BACKLOG = 1_024; // a zone of nodes that connects at once
+  private static final int BACKLOG = 1_024; // all nodes of a zone may connect at the same time
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
   private static final int METHOD_NOT_ALLOWED = 405;
 
   private final Vertx vertx;
   private final Context loop;
-  private final Listener host;
+  private final Listener listener;
   private final LongSupplier clock;
   private final int maxConnections;
-  private final Supplier<String> figures;
+  private final Supplier<String> metrics;
   private final HttpServer server;
-  private final EncodedMessageCache encoder = new EncodedMessageCache();
+  private final EncodedMessageCache encodedMessages = new EncodedMessageCache();
   private final Map<HttpConnection, InboundConnection> connections = new HashMap<>();
-  // since when (ms), oldest first
-  private final Map<InboundConnection, Long> idle = new LinkedHashMap<>();
-  private final Map<Long, WatchResponse> watchers = new HashMap<>();
+  // the ms at which each became idle, oldest first
+  private final Map<InboundConnection, Long> idleSinceMs = new LinkedHashMap<>();
+  private final Map<Long, WatchResponse> responses = new HashMap<>();
   private long lastId;
-  private long bytesOfClosed;
+  private long bytesOutOfRemoved;
   private long connectionsRefused;
 
   WatcherServer(Vertx vertx, Context loop, int maxWatchers, LongSupplier clock,
-      Supplier<String> figures, Listener host) {
+      Supplier<String> metrics, Listener listener) {
     this.vertx = vertx;
     this.loop = loop;
-    this.host = host;
+    this.listener = listener;
     this.clock = clock;
-    this.figures = figures;
+    this.metrics = metrics;
     this.maxConnections = maxWatchers + SPARE_CONNECTIONS;
     server = vertx.createHttpServer(
         new HttpServerOptions().setHttp2ClearTextEnabled(false).setTcpNoDelay(true)
             .setReuseAddress(true).setAcceptBacklog(BACKLOG).setSendBufferSize(SEND_BUFFER_BYTES)
             .setMaxInitialLineLength(MAX_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES));
     server.connectionHandler(this::accept);
-    server.requestHandler(this::request);
+    server.requestHandler(this::handleRequest);
   }
 
   Future<Void> listen(SocketAddress address) {
-    vertx.setPeriodic(SWEEP_MS, t -> closeIdle());
+    vertx.setPeriodic(IDLE_CHECK_INTERVAL_MS, id -> closeIdle());
     return server.listen(address).mapEmpty();
   }
 
@@ -100,33 +107,34 @@
   }
 
   void send(long watcher, Message message) {
-    WatchResponse to = watchers.get(watcher);
-    if (to != null) to.send(message);
+    WatchResponse response = responses.get(watcher);
+    if (response != null) response.send(message);
   }
 
-  /** The watcher is one too many. */
+  /** Refuses a watcher beyond the limit, with status 503. */
   void refuse(long watcher) {
-    WatchResponse to = remove(watcher);
-    if (to != null) to.refuse();
+    WatchResponse response = remove(watcher);
+    if (response != null) response.refuse();
   }
 
-  void close(long watcher, boolean politely) {
-    WatchResponse to = remove(watcher);
-    if (to != null) to.close(politely);
+  void close(long watcher, boolean graceful) {
+    WatchResponse response = remove(watcher);
+    if (response != null) response.close(graceful);
   }
 
-  /** Bytes of messages that sockets have taken. */
+  /** Returns the bytes of messages that sockets have accepted since the start. */
   long bytesOut() {
-    return bytesOfClosed + watchers.values().stream().mapToLong(WatchResponse::bytesTaken).sum();
+    return bytesOutOfRemoved
+        + responses.values().stream().mapToLong(WatchResponse::bytesAccepted).sum();
   }
 
-  /** Bytes of encoded messages that are held, whatever the number of watchers. */
+  /** Returns the bytes of encoded messages held in memory; all watchers share them. */
   long encodedBytes() {
-    return encoder.bytes();
+    return encodedMessages.bytes();
   }
 
   long encodings() {
-    return encoder.encodings();
+    return encodedMessages.encodings();
   }
 
   int connections() {
@@ -137,64 +145,64 @@
     return connectionsRefused;
   }
 
-  private void accept(HttpConnection made) {
-    InboundConnection connection = new InboundConnection(made);
-    connections.put(made, connection);
-    idle.put(connection, clock.getAsLong());
-    made.closeHandler(v -> {
-      connections.remove(made);
-      idle.remove(connection);
+  private void accept(HttpConnection httpConnection) {
+    InboundConnection connection = new InboundConnection(httpConnection);
+    connections.put(httpConnection, connection);
+    idleSinceMs.put(connection, clock.getAsLong());
+    httpConnection.closeHandler(v -> {
+      connections.remove(httpConnection);
+      idleSinceMs.remove(connection);
     });
     if (connections.size() > maxConnections) closeOldestIdle();
   }
 
   /**
-   * Guards against silent connections that keep watchers out: the oldest silent one goes, which
-   * may be the new one.
+   * Closes the connection that has been idle longest, which may be the new one. Otherwise idle
+   * connections could use up the limit and keep watchers from connecting.
    */
   private void closeOldestIdle() {
     connectionsRefused++;
-    InboundConnection oldest = idle.keySet().iterator().next();
-    idle.remove(oldest);
+    InboundConnection oldest = idleSinceMs.keySet().iterator().next();
+    idleSinceMs.remove(oldest);
     oldest.close();
   }
 
-  /** Oldest first, so that the first one in time ends the look. */
+  /** Closes idle connections, oldest first, and stops at the first one that is within its time. */
   private void closeIdle() {
-    long before = clock.getAsLong() - IDLE_MS;
-    for (Iterator<Map.Entry<InboundConnection, Long>> all = idle.entrySet().iterator(); all
-        .hasNext();) {
-      Map.Entry<InboundConnection, Long> next = all.next();
-      if (next.getValue() > before) return;
-      all.remove();
+    long latestExpiredMs = clock.getAsLong() - IDLE_MS;
+    for (Iterator<Map.Entry<InboundConnection, Long>> entries = idleSinceMs.entrySet()
+        .iterator(); entries.hasNext();) {
+      Map.Entry<InboundConnection, Long> next = entries.next();
+      if (next.getValue() > latestExpiredMs) return;
+      entries.remove();
       next.getKey().close();
     }
   }
 
-  private void request(HttpServerRequest request) {
+  private void handleRequest(HttpServerRequest request) {
     InboundConnection connection = connections.get(request.connection());
-    idle.remove(connection);
+    idleSinceMs.remove(connection);
     HttpServerResponse response = request.response();
-    response.endHandler(v -> answered(request.connection()));
+    response.endHandler(v -> responseEnded(request.connection()));
     if (!request.method().equals(HttpMethod.GET)) {
       response.putHeader("allow", "GET").putHeader("connection", "close")
           .setStatusCode(METHOD_NOT_ALLOWED).end();
     } else if (hasBody(request)) {
       response.putHeader("connection", "close").setStatusCode(BAD_REQUEST).end();
     } else if (request.path().equals("/info")) {
-      response.putHeader("content-type", "text/plain").end(figures.get());
+      response.putHeader("content-type", "text/plain").end(metrics.get());
     } else if (request.path().equals("/api/targets")) {
-      targets(request, connection);
+      handleTargets(request, connection);
     } else {
       response.setStatusCode(NOT_FOUND).end();
     }
   }
 
-  private void answered(HttpConnection made) {
-    InboundConnection connection = connections.get(made);
+  private void responseEnded(HttpConnection httpConnection) {
+    InboundConnection connection = connections.get(httpConnection);
     if (connection == null) return;
     connection.answered();
-    idle.put(connection, clock.getAsLong());
+    idleSinceMs.put(connection, clock.getAsLong());
   }
 
   private static boolean hasBody(HttpServerRequest request) {
@@ -203,55 +211,56 @@
         || request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
   }
 
-  private void targets(HttpServerRequest request, InboundConnection connection) {
+  private void handleTargets(HttpServerRequest request, InboundConnection connection) {
     Version since;
     boolean follows = "1".equals(request.getParam("follow"));
     try {
-      since = follows ? since(request) : Version.NONE;
+      since = follows ? parseSince(request) : Version.NONE;
     } catch (NumberFormatException e) {
       request.response().setStatusCode(BAD_REQUEST).end();
       return;
     }
-    WatchResponse watcher = new WatchResponse(++lastId, follows, connection, request.response(),
-        loop, encoder, events);
-    watchers.put(watcher.id(), watcher);
-    request.response().closeHandler(v -> lost(watcher));
-    host.opened(watcher.id(), since);
+    WatchResponse response = new WatchResponse(++lastId, follows, connection, request.response(),
+        loop, encodedMessages, responseEvents);
+    responses.put(response.id(), response);
+    request.response().closeHandler(v -> connectionLost(response));
+    listener.opened(response.id(), since);
   }
 
-  private static Version since(HttpServerRequest request) {
-    return new Version(count(request.getParam("series")), count(request.getParam("since")));
+  private static Version parseSince(HttpServerRequest request) {
+    return new Version(parseCount(request.getParam("series")),
+        parseCount(request.getParam("since")));
   }
 
-  private static long count(String text) {
+  private static long parseCount(String text) {
     return text == null ? 0 : Long.parseUnsignedLong(text) & Long.MAX_VALUE;
   }
 
-  private final WatchResponse.Listener events = new WatchResponse.Listener() {
+  private final WatchResponse.Listener responseEvents = new WatchResponse.Listener() {
     @Override
-    public void drained(WatchResponse watcher) {
-      host.drained(watcher.id());
+    public void drained(WatchResponse response) {
+      listener.drained(response.id());
     }
 
     @Override
-    public void progressed(WatchResponse watcher) {
-      host.progressed(watcher.id());
+    public void progressed(WatchResponse response) {
+      listener.progressed(response.id());
     }
 
     @Override
-    public void answered(WatchResponse watcher) {
-      if (remove(watcher.id()) != null) host.closed(watcher.id());
+    public void answered(WatchResponse response) {
+      if (remove(response.id()) != null) listener.closed(response.id());
     }
   };
 
-  private void lost(WatchResponse watcher) {
-    watcher.connectionClosed();
-    if (remove(watcher.id()) != null) host.closed(watcher.id());
+  private void connectionLost(WatchResponse response) {
+    response.connectionClosed();
+    if (remove(response.id()) != null) listener.closed(response.id());
   }
 
   private WatchResponse remove(long id) {
-    WatchResponse watcher = watchers.remove(id);
-    if (watcher != null) bytesOfClosed += watcher.bytesTaken();
-    return watcher;
+    WatchResponse response = responses.remove(id);
+    if (response != null) bytesOutOfRemoved += response.bytesAccepted();
+    return response;
   }
 }
--- a/src/test/java/saltlatch/relay/RelayConfigTest.java
+++ b/src/test/java/saltlatch/relay/RelayConfigTest.java
@@ -20,8 +20,9 @@
 import saltlatch.distribution.RelayLimits;
 import saltlatch.relay.RelayConfig.InvalidConfigException;
 
+/** Checks that configurations are parsed completely, and that errors name the invalid key. */
 class RelayConfigTest {
-  private static final String GOOD = "{'name':'r0','listen':'127.0.0.1:7000','upstreams':['127.0.0.1:7001','127.0.0.1:7002'],"
+  private static final String VALID = "{'name':'r0','listen':'127.0.0.1:7000','upstreams':['127.0.0.1:7001','127.0.0.1:7002'],"
       + "'limits':{'watchers':5,'entries':6,'log_changes':7,'snapshot_bytes_per_second':8},'seed':9}";
 
   private static RelayConfig parse(String text) throws InvalidConfigException {
@@ -29,8 +30,8 @@
   }
 
   @Test
-  void readsAll() throws Exception {
-    RelayConfig config = parse(GOOD);
+  void parsesEveryKeyAndDefaultLimits() throws Exception {
+    RelayConfig config = parse(VALID);
     assertEquals("r0", config.name());
     assertEquals(7000, config.listen().port());
     assertEquals(2, config.upstreams().size());
@@ -50,42 +51,42 @@
       "log_changes,log_change,limits.log_change is unknown",
       "'snapshot_bytes_per_second':8,'snapshot_bytes_per_second':1e99,limits.snapshot_bytes_per_second",
       "'seed':9,'seed':true,seed", "'name':'r0','name':{},name",
-      "upstreams,upstream,upstream is unknown", "'limits':{,'limits':[{,no JSON",
-      "'seed':9},'seed':9,no JSON"})
-  void namesTheKey(String part, String replacement, String named) {
-    assertTrue(GOOD.contains(part), part);
+      "upstreams,upstream,upstream is unknown", "'limits':{,'limits':[{,not valid JSON",
+      "'seed':9},'seed':9,not valid JSON"})
+  void errorNamesTheInvalidKeyOnOneLine(String part, String replacement, String expected) {
+    assertTrue(VALID.contains(part), part);
     InvalidConfigException e = assertThrows(InvalidConfigException.class,
-        () -> parse(GOOD.replace(part, replacement)));
-    assertTrue(e.getMessage().contains(named), e.getMessage());
+        () -> parse(VALID.replace(part, replacement)));
+    assertTrue(e.getMessage().contains(expected), e.getMessage());
     assertEquals(1, e.getMessage().lines().count(), e.getMessage());
   }
 
-  /** The command's codes, each with one line. */
+  /** The command ends with the exit code of each error and prints a line that names its cause. */
   @Test
-  void codes(@TempDir Path dir) throws Exception {
+  void commandEndsWithTheExitCodeOfEachError(@TempDir Path dir) throws Exception {
     assertEquals(2, run(dir.resolve("none.json"), "none.json"));
     Path bad = Files.writeString(dir.resolve("bad.json"),
-        GOOD.replace('\'', '"').replace(":5,", ":-5,"));
+        VALID.replace('\'', '"').replace(":5,", ":-5,"));
     assertEquals(2, run(bad, "limits.watchers"));
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      Path elsewhere = Files.writeString(dir.resolve("taken.json"),
-          GOOD.replace('\'', '"').replace("127.0.0.1:7000", "127.0.0.1:" + taken.getLocalPort()));
-      assertEquals(3, run(elsewhere, "can't listen on 127.0.0.1:" + taken.getLocalPort()));
+      Path portTaken = Files.writeString(dir.resolve("taken.json"),
+          VALID.replace('\'', '"').replace("127.0.0.1:7000", "127.0.0.1:" + taken.getLocalPort()));
+      assertEquals(3, run(portTaken, "can't listen on 127.0.0.1:" + taken.getLocalPort()));
     }
   }
 
-  private static int run(Path config, String named) {
-    PrintStream before = System.err;
-    ByteArrayOutputStream err = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
+  private static int run(Path config, String expected) {
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
     try {
       int code = new CommandLine(new RootCommand()).execute("relay", config.toString());
-      String said = err.toString(StandardCharsets.UTF_8).lines()
-          .filter(l -> l.startsWith("saltlatch relay:")).reduce("", String::concat);
-      assertTrue(said.contains(named), said);
+      String printed = capturedErr.toString(StandardCharsets.UTF_8).lines()
+          .filter(line -> line.startsWith("saltlatch relay:")).reduce("", String::concat);
+      assertTrue(printed.contains(expected), printed);
       return code;
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
   }
 }
--- a/src/test/java/saltlatch/relay/RelayHarness.java
+++ b/src/test/java/saltlatch/relay/RelayHarness.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * Relays on loopback sockets. The test's own thread is discovery and the watchers, each in its
- * turn, so that nothing races; the relays' clock can be put on.
+ * Runs relays on loopback sockets. The test's own thread acts as discovery and as every watcher,
+ * one after the other, so that there are no races between them. A test can advance the relays'
+ * clock.
  */
 abstract class RelayHarness {
   static final int MB = 1 << 20;
@@ -22,23 +23,23 @@
   TestUpstream upstream;
 
   @BeforeEach
-  void listen() throws IOException {
-    upstream = upstream();
+  void openUpstream() throws IOException {
+    upstream = newUpstream();
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (AutoCloseable one : closeables) one.close();
+  void closeAll() throws Exception {
+    for (AutoCloseable closeable : closeables) closeable.close();
     for (Relay relay : relays) stop(relay);
   }
 
-  TestUpstream upstream() throws IOException {
-    TestUpstream made = new TestUpstream();
-    closeables.add(made);
-    return made;
+  TestUpstream newUpstream() throws IOException {
+    TestUpstream created = new TestUpstream();
+    closeables.add(created);
+    return created;
   }
 
-  /** A relay of the one upstream that has answered with this. */
+  /** Starts a relay that follows {@link #upstream}, which answers with {@code firstLine}. */
   Relay relay(String limits, String firstLine) throws Exception {
     Relay relay = relay(limits, upstream);
     upstream.answer();
@@ -47,8 +48,8 @@
   }
 
   Relay relay(String limits, TestUpstream... upstreams) throws Exception {
-    String addresses = java.util.Arrays.stream(upstreams).map(u -> "'127.0.0.1:" + u.port() + "'")
-        .collect(Collectors.joining(","));
+    String addresses = java.util.Arrays.stream(upstreams)
+        .map(follows -> "'127.0.0.1:" + follows.port() + "'").collect(Collectors.joining(","));
     RelayConfig config = RelayConfig.parse(("{'listen':'127.0.0.1:0','upstreams':[" + addresses
         + "],'limits':{" + limits + "},'seed':1}").replace('\'', '"'));
     Relay relay = new Relay(config,
@@ -63,7 +64,8 @@
   }
 
   /**
-   * Puts the relay's clock on, once all that it has begun is told by the old one, and has it look.
+   * Advances the relay's clock and runs its timers. Reading a metric before and after waits for the
+   * relay's loop, so that events that are already queued are handled with the old time.
    */
   void advanceClock(Relay relay, long ms) throws Exception {
     metric(relay, "version");
@@ -86,13 +88,14 @@
   }
 
   static String metricText(Relay relay, String name) throws Exception {
-    String all = relay.info().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
-    return all.lines().filter(line -> line.startsWith(name + "=")).findFirst().orElseThrow()
+    String metrics = relay.info().toCompletionStage().toCompletableFuture().get(20,
+        TimeUnit.SECONDS);
+    return metrics.lines().filter(line -> line.startsWith(name + "=")).findFirst().orElseThrow()
         .substring(name.length() + 1);
   }
 
-  /** Waits for a figure that another thread brings about; the test's time-out ends the wait. */
-  static void await(Relay relay, String name, long value) throws Exception {
+  /** Waits until a metric has the value; the test's time-out limits the wait. */
+  static void awaitMetric(Relay relay, String name, long value) throws Exception {
     while (metric(relay, name) != value) Thread.onSpinWait();
   }
 }
--- a/src/test/java/saltlatch/relay/RelayTest.java
+++ b/src/test/java/saltlatch/relay/RelayTest.java
@@ -14,40 +14,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What goes through a relay, and what becomes of it when an upstream goes wrong, each way on a real
- * connection.
+ * Checks on real connections what a relay forwards to its watchers, and that it survives upstreams
+ * that fail, send malformed lines or fall back to an older version.
  */
 @Timeout(60)
 class RelayTest extends RelayHarness {
-  private static final String STRANGE = "{\"name\":\"s-\\\"1\",\"later\":{\"k\":[1.50]},\"status\":\"Ready\"}";
+  private static final String UNUSUAL_ENTRY = "{\"name\":\"s-\\\"1\",\"later\":{\"k\":[1.50]},\"status\":\"Ready\"}";
 
   @Test
-  void passesOnWhatCame() throws Exception {
+  void forwardsEntriesUnchanged() throws Exception {
     Relay relay = relay("", upstream);
     TestWatcher early = watcher(relay, 0);
-    assertEquals("", early.line()); // there is no list yet, and the watch is on
+    assertEquals("", early.line()); // a keep-alive: the watch is open although there is no list yet
     assertEquals("/api/targets?follow=1&since=0", upstream.answer());
-    upstream.sendChunk(snapshotLine(41, STRANGE, entry("s-2", "Ready")));
-    assertEquals(snapshotLine(41, STRANGE, entry("s-2", "Ready")).trim(), early.list().toString());
+    upstream.sendChunk(snapshotLine(41, UNUSUAL_ENTRY, entry("s-2", "Ready")));
+    assertEquals(snapshotLine(41, UNUSUAL_ENTRY, entry("s-2", "Ready")).trim(),
+        early.list().toString());
     upstream.sendChunk(changesLine(42, entry("s-2", "Gone")));
     assertEquals(changesLine(42, entry("s-2", "Gone")).trim(), early.list().toString());
     assertEquals(42, watcher(relay, 0).listAt(42).get("index").getAsLong());
     assertEquals(changesLine(42, entry("s-2", "Gone")).trim(),
         watcher(relay, 41).list().toString());
-    // what a whole list leaves out is told as gone, with all its fields
+    // an entry that a snapshot does not contain is sent as Gone with all its fields
     upstream.sendChunk(snapshotLine(50, entry("s-3", "Ready")));
-    assertEquals("[" + STRANGE.replace("Ready", "Gone") + "," + entry("s-3", "Ready") + "]",
+    assertEquals("[" + UNUSUAL_ENTRY.replace("Ready", "Gone") + "," + entry("s-3", "Ready") + "]",
         early.list().get("endpoints").toString());
   }
 
-  /** A relay may follow a relay: the series goes up and down with the index. */
+  /** A relay may follow another relay, so the series is sent to upstreams and to watchers. */
   @Test
-  void seriesGoesBothWays() throws Exception {
+  void seriesIsSentWithTheIndexInBothDirections() throws Exception {
     Relay relay = relay("", snapshotLine(5, entry("s-1", "Ready")).replace("\"snapshot\"",
         "\"series\":77,\"snapshot\""));
     TestWatcher watcher = closeAfterTest(
         new TestWatcher(relay.port(), 0).sendGet("/api/targets?follow=1&since=5&series=77"));
-    await(relay, "version", 5);
+    awaitMetric(relay, "version", 5);
     upstream.sendChunk(
         changesLine(6, entry("s-1", "Gone")).replace("\"snapshot\"", "\"series\":77,\"snapshot\""));
     assertEquals("{\"index\":6,\"series\":77,\"snapshot\":false",
@@ -57,29 +58,30 @@
   }
 
   @Test
-  void otherRequests() throws Exception {
+  void answersRequestsOtherThanWatches() throws Exception {
     Relay relay = relay("", upstream);
-    TestWatcher asks = closeAfterTest(new TestWatcher(relay.port(), 0));
-    assertTrue(asks.sendGet("/api/targets").answer()
+    TestWatcher client = closeAfterTest(new TestWatcher(relay.port(), 0));
+    assertTrue(client.sendGet("/api/targets").answer()
         .startsWith("HTTP/1.1 503 Service Unavailable\nretry-after: 1\n"));
-    assertTrue(asks.sendGet("/").answer().startsWith("HTTP/1.1 404 "));
-    assertTrue(asks.sendGet("/api/targets?follow=1&since=x").answer().startsWith("HTTP/1.1 400 "));
-    assertTrue(asks.sendGet("/info").answer()
+    assertTrue(client.sendGet("/").answer().startsWith("HTTP/1.1 404 "));
+    assertTrue(
+        client.sendGet("/api/targets?follow=1&since=x").answer().startsWith("HTTP/1.1 400 "));
+    assertTrue(client.sendGet("/info").answer()
         .contains("\nupstream=127.0.0.1:" + upstream.port() + "\nstale_ms="));
     upstream.answer();
-    upstream.sendChunk(snapshotLine(41, STRANGE));
-    await(relay, "version", 41);
-    assertEquals(snapshotLine(41, STRANGE).trim(), asks.sendGet("/api/targets").line());
-    assertNull(asks.line());
-    TestWatcher posts = closeAfterTest(new TestWatcher(relay.port(), 0));
-    assertTrue(posts.sendText("POST /api/targets HTTP/1.1\r\nContent-Length: 9\r\n\r\n").answer()
+    upstream.sendChunk(snapshotLine(41, UNUSUAL_ENTRY));
+    awaitMetric(relay, "version", 41);
+    assertEquals(snapshotLine(41, UNUSUAL_ENTRY).trim(), client.sendGet("/api/targets").line());
+    assertNull(client.line());
+    TestWatcher poster = closeAfterTest(new TestWatcher(relay.port(), 0));
+    assertTrue(poster.sendText("POST /api/targets HTTP/1.1\r\nContent-Length: 9\r\n\r\n").answer()
         .startsWith("HTTP/1.1 405 "));
     assertEquals(0, metric(relay, "watchers"));
   }
 
-  /** A whole list beyond the budget is refused, or waited for by one who watches. */
+  /** Beyond the budget for snapshots a plain request is refused, and a watch waits for its turn. */
   @Test
-  void listsAreAdmitted() throws Exception {
+  void snapshotsAreLimitedToTheBudget() throws Exception {
     Relay relay = relay("'snapshot_bytes_per_second':1000", snapshotLine(1, entries(100)));
     TestWatcher first = watcher(relay, 0);
     assertEquals(100, first.list().getAsJsonArray("endpoints").size());
@@ -91,9 +93,12 @@
     assertEquals(100, second.list().getAsJsonArray("endpoints").size());
   }
 
-  /** Silent, then reset, then back with less than was told before: watchers see none of it. */
+  /**
+   * An upstream falls silent, is reset and returns with an older list. A watcher must not receive
+   * the older list and must not lose its connection.
+   */
   @Test
-  void upstreamIsCut() throws Exception {
+  void watcherIsUnaffectedByAFailingUpstream() throws Exception {
     Relay relay = relay("", snapshotLine(5, entry("s-1", "Ready")));
     TestWatcher watcher = watcher(relay, 0);
     assertEquals(5, watcher.listAt(5).get("index").getAsLong());
@@ -106,7 +111,7 @@
     assertEquals("/api/targets?follow=1&since=5", upstream.answer());
     upstream.sendChunk(snapshotLine(3, entry("s-1", "Terminating")))
         .sendChunk(changesLine(4, entry("s-1", "Gone")));
-    await(relay, "older_passed_over", 2);
+    awaitMetric(relay, "older_passed_over", 2);
     upstream.reset();
     assertEquals("/api/targets?follow=1&since=5", upstream.answer());
     assertEquals(3, metric(relay, "upstream_failures"));
@@ -115,86 +120,87 @@
   }
 
   /**
-   * Refused by the first, the second is followed; both are tried in turn once that one is gone as
-   * well.
+   * If the first upstream answers with an error status, the relay follows the second one; when that
+   * one fails too, it returns to the first.
    */
   @Test
-  void anotherUpstreamIsFollowed() throws Exception {
-    TestUpstream second = upstream();
+  void followsAnotherUpstreamAfterAFailure() throws Exception {
+    TestUpstream second = newUpstream();
     Relay relay = relay("", upstream, second);
     upstream.accept();
-    // of no use: what comes with another status is no list
+    // a list that comes with a status other than 200 must be ignored
     String list = snapshotLine(9, entry("s-9", "Ready"));
     upstream.write(
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     second.answer();
     second.sendChunk(snapshotLine(7, entry("s-1", "Ready")));
-    await(relay, "version", 7);
+    awaitMetric(relay, "version", 7);
     assertEquals("127.0.0.1:" + second.port(), metricText(relay, "upstream"));
     second.reset();
     assertEquals("/api/targets?follow=1&since=7", upstream.answer());
   }
 
   /**
-   * Each costs the upstream that sent it, which is not asked again soon; the other one is followed.
+   * A malformed or endless line ends the watch at the upstream that sent it, and the relay follows
+   * the other upstream instead.
    */
   @ParameterizedTest
   @ValueSource(
       strings = {"all is well\n", "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":7}]}\n",
           "ENDLESS {\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "ENDLESS {",
           "ENDLESS {\"index\":1,\"snapshot\":true,\"x\":[[", "ENTRIES"})
-  void malformedUpstream(String sent) throws Exception {
-    TestUpstream second = upstream();
+  void leavesAnUpstreamThatSendsMalformedLines(String sent) throws Exception {
+    TestUpstream second = newUpstream();
     Relay relay = relay("'entries':500", upstream, second);
     upstream.answer();
     upstream.sendChunk(
         sent.equals("ENTRIES") ? snapshotLine(9, entries(501)) : sent.replace("ENDLESS ", ""));
-    if (sent.startsWith("ENDLESS")) repeatUntilLeft(sent.endsWith("[") ? "[" : " ");
+    if (sent.startsWith("ENDLESS")) repeatUntilClosed(sent.endsWith("[") ? "[" : " ");
     second.answer();
     second.sendChunk(snapshotLine(2, entries(500)));
-    await(relay, "entries", 500);
+    awaitMetric(relay, "entries", 500);
     assertEquals(1, metric(relay, "malformed"));
     assertTrue(upstream.isClosedByRelay());
   }
 
-  private void repeatUntilLeft(String text) {
+  private void repeatUntilClosed(String text) {
     String piece = text.repeat(4096);
     try {
-      // sixteen times what a line may have
+      // sixteen times the limit of a line
       for (int i = 0; i < 1_000; i++) upstream.sendChunk(piece);
     } catch (java.io.IOException e) {
-      // the relay has ended it, which is what was waited for
+      // the relay has closed the watch, as expected
     }
   }
 
   /**
-   * A watcher that moves to a relay which is behind hears nothing older, and goes on once that one
-   * has caught up.
+   * A watcher that moves to a relay with an older version receives nothing until that relay has
+   * passed the watcher's version.
    */
   @Test
-  void watcherMovesToOneThatIsBehind() throws Exception {
+  void watcherReceivesNothingOlderFromARelayThatLags() throws Exception {
     Relay ahead = relay("", snapshotLine(9, entry("s-1", "Terminating")));
-    TestUpstream late = upstream();
-    Relay behind = relay("", late);
-    late.answer();
-    late.sendChunk(snapshotLine(5, entry("s-1", "Ready")));
-    await(behind, "version", 5);
+    TestUpstream lateUpstream = newUpstream();
+    Relay lagging = relay("", lateUpstream);
+    lateUpstream.answer();
+    lateUpstream.sendChunk(snapshotLine(5, entry("s-1", "Ready")));
+    awaitMetric(lagging, "version", 5);
     TestWatcher watcher = watcher(ahead, 0);
     assertEquals(9, watcher.list().get("index").getAsLong());
     stop(ahead);
     relays.remove(ahead);
     assertNull(watcher.list());
-    watcher = watcher(behind, 9);
+    watcher = watcher(lagging, 9);
     assertEquals("", watcher.line());
-    late.sendChunk(changesLine(6, entry("s-1", "Terminating")))
+    lateUpstream.sendChunk(changesLine(6, entry("s-1", "Terminating")))
         .sendChunk(changesLine(9, entry("s-1", "Terminating")));
-    await(behind, "version", 9);
-    late.sendChunk(changesLine(10, entry("s-1", "Gone")));
+    awaitMetric(lagging, "version", 9);
+    lateUpstream.sendChunk(changesLine(10, entry("s-1", "Gone")));
     assertEquals(changesLine(10, entry("s-1", "Gone")).trim(), watcher.list().toString());
   }
 
   @Test
-  void stopEndsWatches() throws Exception {
+  void stopEndsAllWatches() throws Exception {
     Relay relay = relay("", snapshotLine(5, entry("s-1", "Ready")));
     TestWatcher watcher = watcher(relay, 0);
     assertEquals(5, watcher.list().get("index").getAsLong());
--- a/src/test/java/saltlatch/relay/TestUpstream.java
+++ b/src/test/java/saltlatch/relay/TestUpstream.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Discovery, or a relay above, of which the test's thread writes every byte. */
+/** Acts as discovery or as a relay of the tier above; the test's thread writes every byte. */
 final class TestUpstream implements AutoCloseable {
   private final ServerSocket server;
   private Socket watch;
@@ -28,23 +28,23 @@
     return server.getLocalPort();
   }
 
-  /** Takes the next watch, answers it, and gives the path asked for. */
+  /** Accepts the next watch, answers with status 200 and returns the requested path. */
   String answer() throws IOException {
     String path = accept();
     write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     return path;
   }
 
-  /** Takes the next watch and gives the path asked for. */
+  /** Accepts the next watch and returns the requested path. */
   String accept() throws IOException {
     watch = server.accept();
     watch.setSoTimeout(TestWatcher.WAIT_MS);
-    String request = line(watch.getInputStream());
-    for (String header = request; !header.isEmpty();) header = line(watch.getInputStream());
+    String request = readLine(watch.getInputStream());
+    for (String header = request; !header.isEmpty();) header = readLine(watch.getInputStream());
     return request.split(" ", 0)[1];
   }
 
-  /** Writes as one chunk. */
+  /** Writes the text as one chunk. */
   TestUpstream sendChunk(String text) throws IOException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     write(Integer.toHexString(bytes.length) + "\r\n");
@@ -57,13 +57,13 @@
     watch.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Resets the watch. */
+  /** Closes the watch's connection with a TCP reset. */
   void reset() throws IOException {
     watch.setSoLinger(true, 0);
     watch.close();
   }
 
-  /** True once the relay has ended the watch. */
+  /** Waits for the relay to close the watch and returns whether it did so in time. */
   boolean isClosedByRelay() throws IOException {
     try {
       return watch.getInputStream().read() < 0;
@@ -75,11 +75,11 @@
   }
 
   static String snapshotLine(long index, String... entries) {
-    return list(index, true, entries);
+    return line(index, true, entries);
   }
 
   static String changesLine(long index, String... entries) {
-    return list(index, false, entries);
+    return line(index, false, entries);
   }
 
   static String entry(String name, String status) {
@@ -88,18 +88,19 @@
         + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0}";
   }
 
-  /** Entries of the size that discovery's have. */
+  /** Returns entries of the same size as those of discovery. */
   static String[] entries(int count) {
     return IntStream.range(0, count).mapToObj(i -> entry("s-" + i, "Ready")).toArray(String[]::new);
   }
 
-  private static String list(long index, boolean whole, String... entries) {
-    String all = IntStream.range(0, entries.length).mapToObj(i -> entries[i])
+  private static String line(long index, boolean snapshot, String... entries) {
+    String joined = IntStream.range(0, entries.length).mapToObj(i -> entries[i])
         .collect(Collectors.joining(","));
-    return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + all + "]}\n";
+    return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + joined
+        + "]}\n";
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int b = in.read(); b >= 0 && b != '\n'; b = in.read()) {
       if (b != '\r') line.write(b);
--- a/src/test/java/saltlatch/relay/TestWatcher.java
+++ b/src/test/java/saltlatch/relay/TestWatcher.java
@@ -11,17 +11,17 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A watcher on a raw socket, which reads only when it is told to. */
+/** A watcher on a plain socket, which reads only when the test calls one of its methods. */
 final class TestWatcher implements AutoCloseable {
-  static final int WAIT_MS = 20_000; // a busy machine; nothing waits so long in a run that passes
+  static final int WAIT_MS = 20_000; // for a busy machine; a passing run does not reach it
 
   final Socket socket = new Socket();
   private final InputStream in;
   private final ByteArrayOutputStream text = new ByteArrayOutputStream();
-  private int leftOfChunk;
-  private boolean opened;
+  private int chunkBytesLeft;
+  private boolean headersRead;
 
-  /** Connects; {@code receiveBuffer} 0 leaves the system's own. */
+  /** Connects; a {@code receiveBuffer} of 0 leaves the system's default size. */
   TestWatcher(int port, int receiveBuffer) throws IOException {
     if (receiveBuffer > 0) socket.setReceiveBufferSize(receiveBuffer);
     socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), WAIT_MS);
@@ -43,20 +43,20 @@
     return this;
   }
 
-  /** The status line, headers and body of an answer with a length. */
+  /** Returns the status line, headers and body of a response that has a content length. */
   String answer() throws IOException {
     StringBuilder answer = new StringBuilder();
     int length = 0;
-    for (String line = plainLine(); !line.isEmpty(); line = plainLine()) {
+    for (String line = unframedLine(); !line.isEmpty(); line = unframedLine()) {
       answer.append(line).append('\n');
       if (line.startsWith("content-length: ")) length = Integer.parseInt(line.substring(16));
     }
     return answer + new String(in.readNBytes(length), StandardCharsets.UTF_8);
   }
 
-  /** The next line of the watch, empty for a keep-alive, null at its end. */
+  /** Returns the watch's next line: empty for a keep-alive, null at its end. */
   String line() throws IOException {
-    if (!opened) open();
+    if (!headersRead) readHeaders();
     text.reset();
     for (int b = bodyByte(); b != '\n'; b = bodyByte()) {
       if (b < 0) return null;
@@ -65,14 +65,14 @@
     return text.toString(StandardCharsets.UTF_8);
   }
 
-  /** The next line that is no keep-alive; null at the watch's end. */
+  /** Returns the next line that is not a keep-alive, or null at the watch's end. */
   JsonObject list() throws IOException {
     String line = line();
     while (line != null && line.isEmpty()) line = line();
     return line == null ? null : JsonParser.parseString(line).getAsJsonObject();
   }
 
-  /** Reads on until the list is at this version, and gives the last line. */
+  /** Reads lines until one has this index or a later one, and returns that line. */
   JsonObject listAt(long index) throws IOException {
     JsonObject list = list();
     while (list.get("index").getAsLong() < index) list = list();
@@ -80,13 +80,12 @@
   }
 
   /**
-   * True if the other side has ended the connection, in whichever way, with nothing more to be
-   * read.
+   * Reads up to the end of the connection and returns whether the relay closed or reset it in time.
    */
   boolean isClosedByRelay() throws IOException {
     try {
       while (in.read() >= 0) {
-        // what comes before the end is dropped
+        // bytes before the end are discarded
       }
     } catch (java.net.SocketTimeoutException e) {
       return false;
@@ -96,28 +95,28 @@
     return true;
   }
 
-  private void open() throws IOException {
-    opened = true;
-    String status = plainLine();
+  private void readHeaders() throws IOException {
+    headersRead = true;
+    String status = unframedLine();
     if (!status.equals("HTTP/1.1 200 OK")) throw new IOException(status);
-    while (!plainLine().isEmpty()) {
-      // headers
+    while (!unframedLine().isEmpty()) {
+      // the headers are not used
     }
   }
 
   private int bodyByte() throws IOException {
-    if (leftOfChunk == 0) {
-      String size = plainLine();
+    if (chunkBytesLeft == 0) {
+      String size = unframedLine();
       if (size == null) return -1;
-      leftOfChunk = Integer.parseInt(size, 16);
-      if (leftOfChunk == 0) return -1;
+      chunkBytesLeft = Integer.parseInt(size, 16);
+      if (chunkBytesLeft == 0) return -1;
     }
     int b = in.read();
-    if (--leftOfChunk == 0) plainLine();
+    if (--chunkBytesLeft == 0) unframedLine();
     return b;
   }
 
-  private String plainLine() throws IOException {
+  private String unframedLine() throws IOException {
     ByteArrayOutputStream line = new ByteArrayOutputStream();
     for (int b = in.read(); b != '\n'; b = in.read()) {
       if (b < 0) return null;
--- a/src/test/java/saltlatch/relay/WatchParserTest.java
+++ b/src/test/java/saltlatch/relay/WatchParserTest.java
@@ -15,16 +15,21 @@
 import saltlatch.distribution.Update;
 import saltlatch.distribution.Version;
 
+/**
+ * Checks that lines are parsed however the stream is split into pieces, and that malformed lines
+ * and lines beyond a limit are rejected.
+ */
 class WatchParserTest {
-  private static final String STRANGE = "{\"name\":\"s-\\\"}{ é\",\"status\":\"Ready\","
+  // braces, brackets, quotes and the key of the list in places where they have no meaning
+  private static final String UNUSUAL_ENTRY = "{\"name\":\"s-\\\"}{ é\",\"status\":\"Ready\","
       + "\"later\":[{\"endpoints\":[1]},\"]}\"],\"weight\":1.50}";
 
-  private final List<Update> told = new ArrayList<>();
+  private final List<Update> updates = new ArrayList<>();
   private int keptAlive;
   private final WatchParser parser = new WatchParser(10, new WatchParser.Listener() {
     @Override
     public void updateReceived(Update update) {
-      told.add(update);
+      updates.add(update);
     }
 
     @Override
@@ -33,10 +38,10 @@
     }
   });
 
-  private void feed(String text, int piece) throws MalformedWatchException {
+  private void feed(String text, int pieceBytes) throws MalformedWatchException {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    for (int i = 0; i < bytes.length; i += piece) {
-      parser.feed(Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + piece)));
+    for (int i = 0; i < bytes.length; i += pieceBytes) {
+      parser.feed(Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + pieceBytes)));
     }
   }
 
@@ -44,24 +49,24 @@
     return "{\"index\":7,\"snapshot\":true,\"endpoints\":[" + entries + "]}\n";
   }
 
-  /** Wherever the stream is cut, entries are the very text that came. */
+  /** An entry's JSON is the text that was received, wherever the stream is split. */
   @Test
-  void anyPieces() throws Exception {
+  void parsesLinesSplitAnywhere() throws Exception {
     String gone = "{\"status\":\"Gone\", \"name\":\"s-2\"}";
-    String indented = line(STRANGE + " ,\n  " + gone.replace(' ', '\n'))
+    String indented = line(UNUSUAL_ENTRY + " ,\n  " + gone.replace(' ', '\n'))
         .replace(",\"snapshot\"", ",\n  \"snapshot\" ").replace(":[{\"name\"", " :\n [{\"name\"");
-    String later = "{\"endpoints\":[],\"snapshot\":false,\"x\":\"endpoints\",\"y\":[{\"endpoints\":[{}]}],"
+    String extraKeys = "{\"endpoints\":[],\"snapshot\":false,\"x\":\"endpoints\",\"y\":[{\"endpoints\":[{}]}],"
         + "\"series\":9,\"index\":8}\n";
     List<Update> expected = List.of(
         new Update(new Version(0, 7), true,
-            List.of(new Entry("s-\"}{ é", false, STRANGE), new Entry("s-2", true, gone))),
+            List.of(new Entry("s-\"}{ é", false, UNUSUAL_ENTRY), new Entry("s-2", true, gone))),
         new Update(new Version(9, 8), false, List.of()));
-    for (int piece = 1; piece < 20; piece++) {
-      told.clear();
-      feed(indented + "\n \n" + later, piece);
-      assertEquals(expected, told, "pieces of " + piece);
+    for (int pieceBytes = 1; pieceBytes < 20; pieceBytes++) {
+      updates.clear();
+      feed(indented + "\n \n" + extraKeys, pieceBytes);
+      assertEquals(expected, updates, "pieces of " + pieceBytes + " bytes");
     }
-    assertEquals(19 * 4, keptAlive); // what ends a line is an empty one, too: the watch is alive
+    assertEquals(19 * 4, keptAlive); // the line break after an object counts as an empty line
   }
 
   @ParameterizedTest
@@ -80,32 +85,33 @@
       "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":[],\"status\":\"Ready\"}]}\n",
       "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"status\":\"Ready\",\"w\":x}]}\n",
       "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"status\":\"Ready\"]}}\n"})
-  void malformed(String line) {
+  void rejectsMalformedLines(String line) {
     assertThrows(MalformedWatchException.class, () -> feed(line, 3));
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), updates);
   }
 
   /**
-   * Each bound holds from the first byte beyond it, long before the line's end, which never comes.
+   * A sender that never ends a line must not make the parser hold more than its limits allow: each
+   * limit is checked at the first byte beyond it, not at the line's end.
    */
   @Test
-  void endless() {
+  void rejectsEndlessLinesAtEachLimit() {
     String entry = "{\"name\":\"a\",\"status\":\"Ready\"},";
-    assertBeyond("{\"index\":1,\"snapshot\":true,\"endpoints\":[", entry, 11 * entry.length(),
-        "10 entries");
-    assertBeyond("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "a",
-        WatchParser.MAX_ENTRY_BYTES, "an entry of");
-    assertBeyond("{\"index\":1,\"x\":\"", "a", WatchParser.MAX_ENVELOPE_BYTES,
-        "beside the entries");
-    assertBeyond("{", " ", WatchParser.MAX_ENVELOPE_BYTES + 10 * WatchParser.MAX_MEAN_ENTRY_BYTES,
-        "bytes");
+    assertRejectedAtLimit("{\"index\":1,\"snapshot\":true,\"endpoints\":[", entry,
+        11 * entry.length(), "10 entries");
+    assertRejectedAtLimit("{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"", "a",
+        WatchParser.MAX_ENTRY_BYTES, "an entry exceeds");
+    assertRejectedAtLimit("{\"index\":1,\"x\":\"", "a", WatchParser.MAX_ENVELOPE_BYTES,
+        "outside its entries");
+    assertRejectedAtLimit("{", " ",
+        WatchParser.MAX_ENVELOPE_BYTES + 10 * WatchParser.MAX_MEAN_ENTRY_BYTES, "bytes");
   }
 
-  private void assertBeyond(String head, String repeated, int bound, String cause) {
-    WatchParser fresh = new WatchParser(10, new WatchParser.Listener() {
+  private void assertRejectedAtLimit(String start, String repeated, int limit, String cause) {
+    WatchParser freshParser = new WatchParser(10, new WatchParser.Listener() {
       @Override
       public void updateReceived(Update update) {
-        told.add(update);
+        updates.add(update);
       }
 
       @Override
@@ -113,11 +119,11 @@
     });
     long[] fed = {0};
     MalformedWatchException e = assertThrows(MalformedWatchException.class, () -> {
-      fresh.feed(head.getBytes(StandardCharsets.UTF_8));
-      for (; fed[0] < 9L * bound; fed[0] += repeated.length())
-        fresh.feed(repeated.getBytes(StandardCharsets.UTF_8));
+      freshParser.feed(start.getBytes(StandardCharsets.UTF_8));
+      for (; fed[0] < 9L * limit; fed[0] += repeated.length())
+        freshParser.feed(repeated.getBytes(StandardCharsets.UTF_8));
     });
     assertTrue(e.getMessage().contains(cause), e.getMessage());
-    assertTrue(fed[0] <= bound, fed[0] + " bytes were taken");
+    assertTrue(fed[0] <= limit, fed[0] + " bytes were accepted, limit " + limit);
   }
 }
