--- a/src/main/java/saltlatch/cli/CapacityReportCommand.java
+++ b/src/main/java/saltlatch/cli/CapacityReportCommand.java
@@ -14,21 +14,22 @@
 import saltlatch.lab.capacity.Table;
 
 /**
- * {@code lab scale report}: writes the tables of docs/CAPACITY.md from docs/capacity; with
- * {@code --check} it writes nothing and ends with 1 where page and data differ. Bad data or a page
- * without a table's place: one line and 2.
+ * {@code lab scale report}: writes the tables of docs/CAPACITY.md from the data in docs/capacity.
+ * With {@code --check} it writes nothing and ends with exit code 1 if the page differs from the
+ * data. Invalid data, or a page without the place for a table, ends with a one-line message and
+ * exit code 2.
  */
 @Command(name = "report", mixinStandardHelpOptions = true,
     description = "Write the capacity page's tables.")
 final class CapacityReportCommand implements Callable<Integer> {
   @Option(names = "--data", defaultValue = "docs/capacity",
-      description = "directory of measurements") Path data;
+      description = "directory of the measurements") Path data;
 
   @Option(names = "--page", defaultValue = "docs/CAPACITY.md",
-      description = "page to write") Path page;
+      description = "page that contains the tables") Path page;
 
   @Option(names = "--check",
-      description = "write nothing; end with 1 where page and data differ") boolean check;
+      description = "write nothing; exit with 1 if the page differs from the data") boolean check;
 
   @Override
   public Integer call() {
--- a/src/main/java/saltlatch/cli/EmulateCommand.java
+++ b/src/main/java/saltlatch/cli/EmulateCommand.java
@@ -11,9 +11,9 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * {@code emulate}: the stand-ins of a scenario on loopback, for nodes started by hand; writes each
- * node's configuration {@code DIR/nI.json} and serves until the scenario's time and
- * {@code --linger} have passed.
+ * {@code emulate}: runs the emulated services of a scenario on loopback, for nodes that are started
+ * by hand. Writes the configuration of each node to {@code DIR/nI.json} and serves for the
+ * scenario's duration plus {@code --linger}.
  */
 @Command(name = "emulate", mixinStandardHelpOptions = true,
     description = "Start the scenario's emulated app servers, counter, discovery and peer relay; write node configs.")
@@ -25,22 +25,22 @@
       description = "directory for the nodes' configurations") Path configs;
 
   @Option(names = "--linger", defaultValue = "10",
-      description = "seconds to serve on after the scenario's time") double linger;
+      description = "seconds to keep serving after the scenario's end") double linger;
 
   @Override
   public Integer call() throws Exception {
-    Scenario s = Scenario.read(scenario);
-    Emulator e = new Emulator(s, new LabClock());
-    e.start().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
+    Scenario loaded = Scenario.read(scenario);
+    Emulator emulator = new Emulator(loaded, new LabClock());
+    emulator.start().toCompletionStage().toCompletableFuture().get(30, TimeUnit.SECONDS);
     Files.createDirectories(configs);
-    for (int i = 0; i < s.nodes(); i++)
-      Files.writeString(configs.resolve("n" + i + ".json"), e.nodeConfig(i));
-    System.out.println("emulating " + s.name() + "; app servers on " + e.serverPorts()
+    for (int i = 0; i < loaded.nodes(); i++)
+      Files.writeString(configs.resolve("n" + i + ".json"), emulator.nodeConfig(i));
+    System.out.println("emulating " + loaded.name() + "; app servers on " + emulator.serverPorts()
         + "; configs in " + configs);
-    Thread.sleep((long) ((s.seconds() + linger) * 1000));
-    System.out
-        .println(e.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
-    e.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    Thread.sleep((long) ((loaded.seconds() + linger) * 1000));
+    System.out.println(
+        emulator.figures().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+    emulator.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     return 0;
   }
 }
--- a/src/main/java/saltlatch/cli/HollowCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCommand.java
@@ -24,12 +24,12 @@
 import saltlatch.policy.PolicyEngine;
 
 /**
- * {@code lab hollow}: the control part of many edge nodes in this process, following one discovery
- * or relay.
+ * {@code lab hollow}: runs the control part of many edge nodes in this process. All of them follow
+ * one discovery agent or relay.
  */
 @Command(name = "hollow", mixinStandardHelpOptions = true,
     subcommands = {HollowCompareCommand.class}, description = "Run the control part of many "
-        + "edge nodes in this process: discovery, list and membership, no data path.")
+        + "edge nodes in this process: discovery, endpoint list and membership, no data path.")
 final class HollowCommand implements Callable<Integer> {
   private static final int REFUSED = 2; // exit code
 
@@ -37,38 +37,41 @@
 
   @Option(names = "--nodes", description = "hollow nodes in this process") int nodes;
 
-  @Option(names = "--discovery", description = "HOST:PORT of what tells the list") String discovery;
+  @Option(names = "--discovery",
+      description = "HOST:PORT of the discovery agent or relay that serves the list") String discovery;
 
   @Option(names = "--first", defaultValue = "0",
-      description = "number of the first of them") int first;
+      description = "number of the first node in this process") int first;
 
   @Option(names = "--of", defaultValue = "0",
-      description = "nodes of the whole fleet; 0: those here") int of;
+      description = "nodes of the complete fleet; 0: up to the last node in this process") int of;
 
   @Option(names = "--loops", defaultValue = "1",
       description = "event loops (${DEFAULT-VALUE})") int loops;
 
   @Option(names = "--start-over-seconds", defaultValue = "0",
-      description = "time over which they start; 0: all at once") double startOverSeconds;
+      description = "seconds over which the nodes are started; 0: all at once") double startOverSeconds;
 
   @Option(names = "--seconds", defaultValue = "0",
-      description = "time that it runs for; 0: until it is ended by SIGTERM") double seconds;
+      description = "seconds to run; 0: until SIGTERM") double seconds;
 
   @Option(names = "--membership",
-      description = "the nodes know each other; wants --of where the fleet has "
+      description = "run membership between the nodes; requires --of if the fleet has "
           + "several processes") boolean membership;
 
   @Option(names = "--peer-port", defaultValue = "20000",
-      description = "datagram port of node 0, the others' follow (${DEFAULT-VALUE})") int peerPort;
+      description = "datagram port of node 0; node N uses this port plus N (${DEFAULT-VALUE})") int peerPort;
 
   @Option(names = "--report",
-      description = "file for JSON lines; else standard output") Path report;
+      description = "file for JSON lines; default: standard output") Path report;
 
   @Override
   public Integer call() throws Exception {
     if (nodes < 1 || discovery == null || loops < 1) {
       throw new ParameterException(spec.commandLine(),
-          "--nodes N from 1, --discovery HOST:PORT, --loops from 1");
+          "expected --nodes of at least 1, --discovery HOST:PORT and --loops of at least 1; found --nodes "
+              + nodes + ", --discovery " + (discovery == null ? "missing" : "given") + ", --loops "
+              + loops);
     }
     try {
       Machine.here().admit("lab hollow", nodes, new Needs(Runtime.getRuntime().maxMemory(), 0));
@@ -76,14 +79,14 @@
       System.err.println("saltlatch " + e.getMessage() + " (-Xmx sets it)");
       return REFUSED;
     }
-    int all = of > 0 ? of : first + nodes;
+    int fleetSize = of > 0 ? of : first + nodes;
     List<NodeConfig> configs = IntStream.range(first, first + nodes)
-        .mapToObj(number -> new NodeConfig(number, all, discovery, membership, peerPort, 1))
+        .mapToObj(number -> new NodeConfig(number, fleetSize, discovery, membership, peerPort, 1))
         .toList();
     try (Writer writer = report == null ? standardOutput() : Files.newBufferedWriter(report);
         HollowFleet fleet = new HollowFleet(loops, configs)) {
       HollowRun run = new HollowRun(fleet, writer, System.err);
-      // The JVM ends once its hooks are done: the hook waits for the report.
+      // the JVM exits when its shutdown hooks return, so this hook waits for the report
       Runtime.getRuntime().addShutdownHook(new Thread(run::end));
       run.run(PolicyEngine::new, startOverSeconds, seconds);
     }
--- a/src/main/java/saltlatch/cli/HollowCompareCommand.java
+++ b/src/main/java/saltlatch/cli/HollowCompareCommand.java
@@ -12,23 +12,23 @@
 import saltlatch.lab.scale.HollowTable;
 
 /**
- * {@code lab hollow compare}: whether hollow nodes send and read what real ones do, as a table of
- * differences.
+ * {@code lab hollow compare}: compares what hollow nodes send and receive with what real nodes do,
+ * and writes a table of the differences.
  */
 @Command(name = "compare", mixinStandardHelpOptions = true,
-    description = "Run as many real nodes as hollow "
-        + "ones under the same source, and write a table of the differences; 1 where one is over 10 %%.")
+    description = "Run the same number of real and of hollow nodes against the same source and write a table "
+        + "of the differences; exit with 1 if one is over 10 %%.")
 final class HollowCompareCommand implements Callable<Integer> {
   private static final int DIFFERENT = 1; // exit code
 
   @Option(names = "--sizes", split = ",", defaultValue = "1,5,20",
-      description = "nodes (${DEFAULT-VALUE})") List<Integer> sizes;
+      description = "numbers of nodes to compare (${DEFAULT-VALUE})") List<Integer> sizes;
 
   @Option(names = "--out", defaultValue = "docs/capacity/hollow-vs-real.md",
       description = "page to write (${DEFAULT-VALUE})") Path out;
 
   @Option(names = "--dir", defaultValue = "target/hollow",
-      description = "configurations and logs") Path dir;
+      description = "directory for configurations and logs (${DEFAULT-VALUE})") Path dir;
 
   @Override
   public Integer call() throws Exception {
--- a/src/main/java/saltlatch/cli/LabCommand.java
+++ b/src/main/java/saltlatch/cli/LabCommand.java
@@ -15,13 +15,14 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * {@code lab}: emulator, K in-process edge nodes and the load; writes the run file and its report.
+ * {@code lab}: runs a scenario with the emulator, edge nodes and the load in this process. Writes
+ * the run file and its report. With {@code --processes} each node is a child process.
  */
 @Command(name = "lab", mixinStandardHelpOptions = true,
     subcommands = {ScaleCommand.class, HollowCommand.class},
     description = "Run a scenario against K real edge nodes in this process; write RUN.json and RUN.html.")
 final class LabCommand implements Callable<Integer> {
-  private static final int MOST_SHOWN = 20; // violations on the screen; the run file has all
+  private static final int MAX_PRINTED_VIOLATIONS = 20; // the run file has all of them
 
   @Spec CommandSpec spec;
 
@@ -29,7 +30,7 @@
       description = "scenario file (TOML, see docs/lab.md)") Path scenario;
 
   @Option(names = "--nodes", defaultValue = "0",
-      description = "edge nodes; 0 takes the scenario's") int nodes;
+      description = "number of edge nodes; 0: as in the scenario") int nodes;
 
   @Option(names = "--out", defaultValue = "run",
       description = "run file stem: writes STEM.json and STEM.html") String out;
@@ -42,10 +43,10 @@
           + "(not on the bench's platform, which allows no fork); needs target/saltlatch.jar") boolean processes;
 
   @Option(names = "--jar", defaultValue = "target/saltlatch.jar",
-      description = "the program that child processes run") Path jar;
+      description = "program that the child processes run (${DEFAULT-VALUE})") Path jar;
 
   @Option(names = "--seed", defaultValue = "0",
-      description = "another seed than the scenario's; 0 takes that") long seed;
+      description = "seed that replaces the scenario's; 0: as in the scenario") long seed;
 
   @Override
   public Integer call() throws Exception {
@@ -56,21 +57,23 @@
     Processes.Program program = processes
         ? Processes.Program.of(Path.of("deploy/balancer.toml"), jar, Path.of(out + "-nodes"))
         : null;
-    Scenario read = Scenario.read(scenario);
-    if (seed != 0) read = read.withSeed(seed);
-    RunResult r = Lab.run(read, nodes, program);
-    Lab.write(r, Path.of(out + ".json"));
-    RunResult base = baseline == null ? null : Lab.read(baseline);
-    Files.writeString(Path.of(out + ".html"), Report.html(r, base));
-    for (RunResult.Check c : r.checks()) {
-      System.out.println((c.passed() ? "passed " : "FAILED ") + c.name() + ": " + c.detail());
+    Scenario loaded = Scenario.read(scenario);
+    if (seed != 0) loaded = loaded.withSeed(seed);
+    RunResult result = Lab.run(loaded, nodes, program);
+    Lab.write(result, Path.of(out + ".json"));
+    RunResult baselineResult = baseline == null ? null : Lab.read(baseline);
+    Files.writeString(Path.of(out + ".html"), Report.html(result, baselineResult));
+    for (RunResult.Check check : result.checks()) {
+      System.out
+          .println((check.passed() ? "passed " : "FAILED ") + check.name() + ": " + check.detail());
     }
-    System.out.println("outcomes " + r.outcomes() + ", latency us " + r.latencyUs()
-        + ", sender late us " + r.senderLateUs());
-    System.out.println("units beyond plan " + r.truth().unitsBeyondPlan() + ", denied with room "
-        + r.deniedWithRoom() + ", recovery s " + r.recoveryS() + ", relays us " + r.relayDelayUs());
-    if (r.members() != null) System.out.println("members: " + r.members());
-    r.violations().stream().limit(MOST_SHOWN).forEach(System.out::println);
-    return r.passed() ? 0 : 1;
+    System.out.println("outcomes " + result.outcomes() + ", latency us " + result.latencyUs()
+        + ", sender late us " + result.senderLateUs());
+    System.out.println("units beyond plan " + result.truth().unitsBeyondPlan()
+        + ", denied with room " + result.deniedWithRoom() + ", recovery s " + result.recoveryS()
+        + ", relays us " + result.relayDelayUs());
+    if (result.members() != null) System.out.println("members: " + result.members());
+    result.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(System.out::println);
+    return result.passed() ? 0 : 1;
   }
 }
--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -18,8 +18,8 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * {@code load}: the scenario's open-loop schedule against edge nodes already listening on loopback
- * ports.
+ * {@code load}: sends the scenario's open-loop schedule to edge nodes that already listen on
+ * loopback ports.
  */
 @Command(name = "load", mixinStandardHelpOptions = true,
     description = "Offer the scenario's load, open loop, to edge nodes on loopback; print outcomes and latency.")
@@ -36,17 +36,17 @@
 
   @Override
   public Integer call() throws Exception {
-    Scenario s = Scenario.read(scenario);
-    Vertx echoes = null;
+    Scenario loaded = Scenario.read(scenario);
+    Vertx echoVertx = null;
     if (echo) {
-      echoes = Vertx
+      echoVertx = Vertx
           .vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
-      NetServer server = echoes.createNetServer().connectHandler(socket -> {
-        RespDecoder reader = new RespDecoder();
+      NetServer server = echoVertx.createNetServer().connectHandler(socket -> {
+        RespDecoder decoder = new RespDecoder();
         socket.handler(data -> {
-          reader.feed(data);
+          decoder.feed(data);
           try {
-            for (RespValue r = reader.next(); r != null; r = reader.next())
+            for (RespValue command = decoder.next(); command != null; command = decoder.next())
               socket.write("$2\r\nok\r\n");
           } catch (FramingException e) {
             socket.close();
@@ -56,18 +56,18 @@
       ports = List.of(server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get()
           .actualPort());
     } else if (ports == null || ports.isEmpty()) {
-      System.err.println("saltlatch load: --ports or --echo");
+      System.err.println("saltlatch load: expected --ports or --echo, found neither");
       return 2;
     }
-    List<Offered.Arrival> schedule = Offered.of(s);
+    List<Offered.Arrival> schedule = Offered.of(loaded);
     System.out.println("schedule " + Offered.digest(schedule) + ": " + schedule.size() + " reqs");
-    LoadRunner load = new LoadRunner(s, schedule, ports, new LabClock());
+    LoadRunner load = new LoadRunner(loaded, schedule, ports, new LabClock());
     load.run().toCompletionStage().toCompletableFuture()
-        .get((long) (s.seconds() + s.load().deadlineMs() / 1000 + 30), TimeUnit.SECONDS);
+        .get((long) (loaded.seconds() + loaded.load().deadlineMs() / 1000 + 30), TimeUnit.SECONDS);
     System.out.println("tries " + load.tries() + ", outcomes " + load.outcomes() + ", latency us "
         + load.latency() + ", sender late us " + load.senderLate());
     load.close();
-    if (echoes != null) echoes.close();
+    if (echoVertx != null) echoVertx.close();
     return 0;
   }
 }
--- a/src/main/java/saltlatch/cli/RelayCommand.java
+++ b/src/main/java/saltlatch/cli/RelayCommand.java
@@ -17,17 +17,18 @@
 import sun.misc.Signal;
 
 /**
- * {@code relay CONFIG.json}: follows discovery or another relay and passes its list on, until
- * SIGTERM.
+ * {@code relay CONFIG.json}: follows discovery or another relay and forwards its endpoint list to
+ * watchers, until SIGTERM or SIGINT.
  */
 @Command(name = "relay", mixinStandardHelpOptions = true, //
-    description = "Follow discovery or another relay and pass the list on to many watchers (docs/relay.md).")
+    description = "Follow discovery or another relay and forward the endpoint list to many watchers (docs/relay.md).")
 final class RelayCommand implements Callable<Integer> {
-  private static final int BAD_CONFIGURATION = 2;
-  private static final int CANNOT_LISTEN = 3;
-  private static final long STOP_S = 3; // a watcher that takes nothing must not hold up the end
+  private static final int INVALID_CONFIGURATION = 2; // exit code
+  private static final int CANNOT_LISTEN = 3; // exit code
+  private static final long STOP_TIMEOUT_S = 3; // a stalled watcher must not delay the exit
 
-  @Parameters(index = "0", paramLabel = "CONFIG.json", description = "its configuration") Path path;
+  @Parameters(index = "0", paramLabel = "CONFIG.json",
+      description = "the relay's configuration (JSON)") Path path;
 
   @Override
   public Integer call() throws InterruptedException {
@@ -44,7 +45,7 @@
       config = RelayConfig.parse(Files.readString(path));
     } catch (IOException | InvalidConfigException e) {
       err.println("saltlatch relay: configuration " + path + ": " + e.getMessage());
-      return BAD_CONFIGURATION;
+      return INVALID_CONFIGURATION;
     }
     Relay relay = new Relay(config);
     try {
@@ -62,9 +63,10 @@
 
   private static void stop(Relay relay) throws InterruptedException {
     try {
-      relay.stop().toCompletionStage().toCompletableFuture().get(STOP_S, TimeUnit.SECONDS);
+      relay.stop().toCompletionStage().toCompletableFuture().get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      System.err.println("saltlatch relay: not all watches were ended: " + e);
+      System.err.println(
+          "saltlatch relay: the watches did not end within " + STOP_TIMEOUT_S + " s: " + e);
     }
   }
 }
--- a/src/main/java/saltlatch/cli/RelayScaleCommand.java
+++ b/src/main/java/saltlatch/cli/RelayScaleCommand.java
@@ -14,12 +14,12 @@
 import saltlatch.lab.tiers.TierPlan;
 
 /**
- * {@code lab scale relay}: hollow nodes behind two tiers of relays, then on the source directly;
- * minutes long.
+ * {@code lab scale relay}: measures hollow nodes that follow the source through two tiers of
+ * relays, then directly. A run takes minutes.
  */
 @Command(name = "relay", mixinStandardHelpOptions = true,
-    description = "Measure the time from a change to "
-        + "its being in force, and what it costs, over two tiers of relays and without them.")
+    description = "Measure how long a change takes "
+        + "to be in force, and what it costs, through two tiers of relays and without them.")
 final class RelayScaleCommand implements Callable<Integer> {
   private static final int REFUSED = 2; // exit code
 
@@ -33,28 +33,28 @@
       description = "hollow nodes (${DEFAULT-VALUE})") int nodes;
 
   @Option(names = "--at-once", defaultValue = "300",
-      description = "of these, started together (${DEFAULT-VALUE})") int atOnce;
+      description = "number of these nodes that start together (${DEFAULT-VALUE})") int atOnce;
 
   @Option(names = "--entries", defaultValue = "34000",
-      description = "app servers (${DEFAULT-VALUE})") int entries;
+      description = "app servers in the list (${DEFAULT-VALUE})") int entries;
 
   @Option(names = "--processes", defaultValue = "6",
-      description = "of hollow nodes (${DEFAULT-VALUE})") int processes;
+      description = "processes that run the hollow nodes (${DEFAULT-VALUE})") int processes;
 
   @Option(names = "--seconds", defaultValue = "60",
-      description = "of each phase with changes (${DEFAULT-VALUE})") long seconds;
+      description = "duration of each phase with changes (${DEFAULT-VALUE})") long seconds;
 
   @Option(names = "--repeat", defaultValue = "1",
-      description = "its number, for the measurements") int repeat;
+      description = "number of this repeat, recorded with the measurements") int repeat;
 
   @Option(names = "--out", required = true,
-      description = "file that measurements are added to") Path out;
+      description = "file to which the measurements are appended") Path out;
 
   @Option(names = "--commit", required = true,
-      description = "the text that is measured, for the measurements") String commit;
+      description = "commit that is measured, recorded with the measurements") String commit;
 
   @Option(names = "--dir", defaultValue = "target/relay-scale",
-      description = "configurations, reports and logs") Path dir;
+      description = "directory for configurations, reports and logs (${DEFAULT-VALUE})") Path dir;
 
   @Override
   public Integer call() throws Exception {
--- a/src/main/java/saltlatch/cli/ReportCommand.java
+++ b/src/main/java/saltlatch/cli/ReportCommand.java
@@ -10,8 +10,8 @@
 import saltlatch.lab.report.Report;
 
 /**
- * {@code report RUN.json [BASELINE.json]}: the run's HTML page with plots, and the ratio against a
- * baseline.
+ * {@code report RUN.json [BASELINE.json]}: writes a run's HTML page with plots and, if a baseline
+ * is given, the ratios to it.
  */
 @Command(name = "report", mixinStandardHelpOptions = true,
     description = "Write a self-contained HTML report of a run file, compared with a baseline if given.")
@@ -21,13 +21,14 @@
   @Parameters(index = "1", arity = "0..1", description = "baseline run file") Path baseline;
 
   @Option(names = "--out",
-      description = "HTML file; default: the run file's name with .html") Path out;
+      description = "HTML file; default: the run file's name with the extension .html") Path out;
 
   @Override
   public Integer call() throws Exception {
-    Path to = out != null ? out : Path.of(run.toString().replaceFirst("\\.json$", "") + ".html");
-    Files.writeString(to, Report.html(Lab.read(run), baseline == null ? null : Lab.read(baseline)));
-    System.out.println(to);
+    Path page = out != null ? out : Path.of(run.toString().replaceFirst("\\.json$", "") + ".html");
+    Files.writeString(page,
+        Report.html(Lab.read(run), baseline == null ? null : Lab.read(baseline)));
+    System.out.println(page);
     return 0;
   }
 }
--- a/src/main/java/saltlatch/cli/RootCommand.java
+++ b/src/main/java/saltlatch/cli/RootCommand.java
@@ -9,9 +9,10 @@
 import saltlatch.simhost.SimulatorHost;
 
 /**
- * The command line: {@code serve}, {@code simhost}, {@code emulate}, {@code load}, {@code report},
- * {@code lab}. Exit codes: 0 done (or, for {@code serve}, serving), 2 bad input or configuration, 3
- * can't listen, 1 a lab check failed.
+ * The command line with the subcommands {@code serve}, {@code simhost}, {@code emulate}, {@code
+ * load}, {@code report}, {@code lab} and {@code relay}. Exit codes: 0 for success (for {@code
+ * serve}: the node serves), 1 if a lab check failed, 2 for invalid input or configuration, 3 if the
+ * process can't listen.
  */
 @Command(name = "saltlatch", mixinStandardHelpOptions = true, version = "saltlatch 0.2.0",
     description = "A quota-keeping gateway for a shared API, and its laboratory.",
@@ -20,7 +21,7 @@
         RelayCommand.class})
 public final class RootCommand implements Runnable {
 
-  /** True for the subcommands whose work goes on after {@code main} returns. */
+  /** Returns whether the subcommand's work continues after {@code main} returns. */
   public static boolean keepsRunning(String[] args) {
     return args.length > 0 && (args[0].equals("serve") || args[0].equals("emulate"));
   }
@@ -32,26 +33,26 @@
   }
 
   /**
-   * One real edge node; the configuration is the file that {@code LB_CONFIG} names, as the platform
-   * gives it.
+   * Runs one edge node. The platform sets {@code LB_CONFIG} to the path of the configuration file.
    */
   @Command(name = "serve", mixinStandardHelpOptions = true,
-      description = "Serve as one edge node; LB_CONFIG names the configuration (JSON).")
+      description = "Run one edge node; LB_CONFIG is the path of the configuration (JSON).")
   static final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
       String path = System.getenv("LB_CONFIG");
       if (path == null) {
-        System.err.println("saltlatch serve: LB_CONFIG names no configuration");
+        System.err
+            .println("saltlatch serve: LB_CONFIG must be the path of a configuration, found unset");
         return 2;
       }
       return ServeProcess.run(PolicyEngine::new, path, System.err);
     }
   }
 
-  /** The decision module on the simulator's wire, standard input to standard output. */
+  /** Runs the decision module on the simulator's frames, from standard input to standard output. */
   @Command(name = "simhost", mixinStandardHelpOptions = true,
-      description = "Host the decision module on the simulator's frames (stdin to stdout).")
+      description = "Run the decision module on the simulator's frames (stdin to stdout).")
   static final class SimHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/src/main/java/saltlatch/cli/ScaleCommand.java
+++ b/src/main/java/saltlatch/cli/ScaleCommand.java
@@ -21,55 +21,56 @@
 import saltlatch.lab.scale.ScaleTests;
 
 /**
- * {@code lab scale TEST}: what the parts cost as one thing grows; and the stand-ins that this is
- * measured against.
+ * {@code lab scale TEST}: measures what a part of the system costs as one quantity grows. Its
+ * subcommands run and report further measurements.
  */
 @Command(name = "scale", mixinStandardHelpOptions = true,
     subcommands = {SourceCommand.class, RelayScaleCommand.class, CapacityReportCommand.class},
-    description = "Measure what a part costs as one thing grows: JSON lines of "
-        + "measurements, a straight line through them, the largest size foretold and measured.")
+    description = "Measure what a part costs as one quantity grows: JSON lines of "
+        + "measurements, a linear fit, the cost of the largest size as predicted and as measured.")
 final class ScaleCommand implements Callable<Integer> {
   private static final int REFUSED = 2; // exit code
 
   @Spec CommandSpec spec;
 
   @Parameters(index = "0", arity = "0..1", paramLabel = "TEST",
-      description = "list, watchers, plans, "
-          + "counter, members, requests, sums, hollow, fleet, module: what grows") String test;
+      description = "the quantity that grows: list, watchers, plans, "
+          + "counter, members, requests, sums, hollow, fleet or module") String test;
 
   @Option(names = "--sizes", split = ",",
-      description = "ascending; else the test's own") List<Long> sizes;
+      description = "sizes to measure; default: those of the test") List<Long> sizes;
 
   @Option(names = "--repeats", defaultValue = "3",
-      description = "of each size (${DEFAULT-VALUE})") int repeats;
+      description = "measurements of each size (${DEFAULT-VALUE})") int repeats;
 
   @Option(names = "--out",
-      description = "file that measurements are added to; else docs/capacity/TEST.jsonl") Path out;
+      description = "file to which the measurements are appended; default: docs/capacity/TEST.jsonl") Path out;
 
   @Option(names = "--jar",
-      description = "program of the real nodes; else the one that runs this") Path jar;
+      description = "program of the real nodes; default: this program") Path jar;
 
   @Option(names = "--commit",
-      description = "the text that is measured, for the measurements; else by git") String commit;
+      description = "commit that is measured, recorded with the measurements; default: from git") String commit;
 
   @Option(names = "--dir", defaultValue = "target/scale",
-      description = "configurations and logs of the processes (${DEFAULT-VALUE})") Path dir;
+      description = "directory for configurations and logs of the processes (${DEFAULT-VALUE})") Path dir;
 
   @Override
   public Integer call() throws Exception {
-    Path own = ownJar();
-    Bench bench = Bench.of(Path.of("deploy/balancer.toml"), jar == null ? own : jar, own, dir);
-    ScaleTest chosen = ScaleTests.named(test == null ? "" : test, bench)
+    Path ownJar = ownJar();
+    Bench bench = Bench.of(Path.of("deploy/balancer.toml"), jar == null ? ownJar : jar, ownJar,
+        dir);
+    ScaleTest selected = ScaleTests.named(test == null ? "" : test, bench)
         .orElseThrow(() -> new ParameterException(spec.commandLine(), "TEST is one of " + ScaleTests
             .all(bench).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
-    List<Long> chosenSizes = sizes == null ? chosen.sizes()
+    List<Long> selectedSizes = sizes == null ? selected.sizes()
         : sizes.stream().sorted().distinct().toList();
     Path file = out == null ? Path.of("docs/capacity", test + ".jsonl") : out;
     if (file.getParent() != null) Files.createDirectories(file.getParent());
     try (Writer writer = Files.newBufferedWriter(file, StandardOpenOption.CREATE,
         StandardOpenOption.APPEND)) {
-      new ScaleRun(Machine.here(), writer, System.out, System.err, commit).run(chosen, chosenSizes,
-          repeats);
+      new ScaleRun(Machine.here(), writer, System.out, System.err, commit).run(selected,
+          selectedSizes, repeats);
       return 0;
     } catch (Machine.TooMuch e) {
       System.err.println("saltlatch lab scale: " + e.getMessage());
@@ -77,7 +78,7 @@
     }
   }
 
-  /** The jar that runs this. */
+  /** Returns the jar or class directory of this program. */
   static Path ownJar() throws URISyntaxException {
     return Path.of(ScaleCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
   }
--- a/src/test/java/saltlatch/cli/LabCommandTest.java
+++ b/src/test/java/saltlatch/cli/LabCommandTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** The lab's command line: bad input ends with code 2 and a line that names it. */
+/** Checks that invalid lab arguments end with exit code 2 and a message that names them. */
 class LabCommandTest {
   private final StringWriter errors = new StringWriter();
 
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void namesWhatIsMissing() {
+  void errorNamesTheMissingOption() {
     assertEquals(2, run("lab"));
     assertTrue(errors.toString().contains("'--scenario=<scenario>'"), errors.toString());
     assertEquals(2, run("lab", "hollow", "--nodes", "3"));
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void namesTheScaleTests() {
+  void errorListsTheScaleTests() {
     assertEquals(2, run("lab", "scale", "nonsense"));
     assertTrue(errors.toString().contains(
         "TEST is one of list, watchers, plans, counter, members, requests, sums, hollow, fleet, module"),
@@ -33,8 +33,8 @@
   }
 
   @Test
-  void refusesASourceOfNothing() {
+  void rejectsASourceWithoutEntries() {
     assertEquals(2, run("lab", "scale", "source", "--entries", "0"));
-    assertTrue(errors.toString().contains("--entries from 1"), errors.toString());
+    assertTrue(errors.toString().contains("--entries must be at least 1"), errors.toString());
   }
 }
