--- a/src/main/java/saltlatch/cli/LoadCommand.java
+++ b/src/main/java/saltlatch/cli/LoadCommand.java
@@ -60,12 +60,13 @@
       return 2;
     }
     List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(loaded);
-    System.out.println("schedule " + OpenLoopSchedule.digest(schedule) + ": " + schedule.size() + " reqs");
+    System.out.println(
+        "schedule " + OpenLoopSchedule.digest(schedule) + ": " + schedule.size() + " reqs");
     LoadRunner load = new LoadRunner(loaded, schedule, ports, new LabClock());
     load.run().toCompletionStage().toCompletableFuture()
         .get((long) (loaded.seconds() + loaded.load().deadlineMs() / 1000 + 30), TimeUnit.SECONDS);
-    System.out.println("tries " + load.attempts() + ", outcomes " + load.outcomes() + ", latency us "
-        + load.latency() + ", sender late us " + load.senderLate());
+    System.out.println("tries " + load.attempts() + ", outcomes " + load.outcomes()
+        + ", latency us " + load.latency() + ", sender late us " + load.senderLate());
     load.close();
     if (echoVertx != null) echoVertx.close();
     return 0;
--- a/src/main/java/saltlatch/cli/ScaleCommand.java
+++ b/src/main/java/saltlatch/cli/ScaleCommand.java
@@ -58,8 +58,8 @@
   @Override
   public Integer call() throws Exception {
     Path ownJar = ownJar();
-    TestEnvironment environment = TestEnvironment.of(Path.of("deploy/balancer.toml"), jar == null ? ownJar : jar, ownJar,
-        dir);
+    TestEnvironment environment = TestEnvironment.of(Path.of("deploy/balancer.toml"),
+        jar == null ? ownJar : jar, ownJar, dir);
     ScaleTest selected = ScaleTests.named(test == null ? "" : test, environment)
         .orElseThrow(() -> new ParameterException(spec.commandLine(), "TEST is one of " + ScaleTests
             .all(environment).stream().map(ScaleTest::name).collect(Collectors.joining(", "))));
