--- a/src/main/java/saltlatch/lab/hollow/HollowFleet.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowFleet.java
@@ -18,27 +18,32 @@
 import saltlatch.node.NodeConfigurationReader;
 
 /**
- * Hollow nodes of one process: the control part of many edge nodes on a few event loops, with no
- * data path.
+ * Runs the hollow nodes of one process: the control part of many edge nodes, without their data
+ * path, on a few event loops.
  */
 public final class HollowFleet implements AutoCloseable {
-  private static final int STOP_S = 30; // seconds
+  private static final int STOP_TIMEOUT_SECONDS = 30;
 
   /**
-   * That a node has applied the list or change of that index; {@code atNanos} by
-   * {@link System#nanoTime}.
+   * Reports that a node applied the list or change with this index; {@code atNanos} is a reading
+   * of {@link System#nanoTime}.
    */
   public record Applied(String node, long index, long atNanos) {}
 
   /**
-   * How far the nodes are: those with a list, the index that all of them have, the highest, entries
-   * of all of them.
+   * Describes how far the nodes have applied the endpoint list.
+   *
+   * @param nodes       nodes of this process
+   * @param withList    nodes that have received a list
+   * @param leastIndex  lowest index of any node, which all nodes have reached
+   * @param newestIndex highest index of any node
+   * @param entries     list entries of all nodes, summed
    */
   public record Progress(int nodes, int withList, long leastIndex, long newestIndex,
       long entries) {}
 
   /**
-   * Datagrams that all nodes together have sent and read; none where they do not know each other.
+   * Datagrams that all nodes together have sent and received; 0 if membership is off.
    */
   public record Datagrams(long out, long in) {}
 
@@ -48,8 +53,8 @@
   private final Queue<Applied> applied = new ConcurrentLinkedQueue<>();
 
   /**
-   * Deploys the nodes, each on its own context of one of {@code loops} event loops; none starts
-   * yet.
+   * Deploys the nodes on {@code loops} event loops, each node with a separate context, without
+   * starting them.
    */
   public HollowFleet(int loops, List<NodeConfig> configs) throws Exception {
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(loops).setWorkerPoolSize(1)
@@ -63,7 +68,7 @@
     }
   }
 
-  /** Owns the context that a node lives on. */
+  /** A verticle that provides the context of one node. */
   private final class Host extends VerticleBase {
     private final String name;
     private final NodeConfiguration configuration;
@@ -82,59 +87,65 @@
     }
   }
 
-  /** Starts all of them, one after the other over so many seconds; 0: at once. Returns at once. */
-  public void start(GatewayPolicy.Factory maker, double overSeconds) {
+  /**
+   * Starts the nodes evenly spread over {@code overSeconds}, or all immediately if it is 0. Returns
+   * before they have started.
+   */
+  public void start(GatewayPolicy.Factory policyFactory, double overSeconds) {
     for (int i = 0; i < nodes.size(); i++) {
       HollowNode node = nodes.get(i);
-      long afterMs = Math.round(overSeconds * 1000 * i / nodes.size());
-      if (afterMs == 0) node.start(maker);
-      else vertx.setTimer(afterMs, timer -> node.start(maker));
+      long delayMs = Math.round(overSeconds * 1000 * i / nodes.size());
+      if (delayMs == 0) node.start(policyFactory);
+      else vertx.setTimer(delayMs, timer -> node.start(policyFactory));
     }
   }
 
-  /** The next that was applied and not taken yet; null: none. */
+  /** Removes and returns the oldest unread report, or returns null if there is none. */
   public Applied poll() {
     return applied.poll();
   }
 
-  /** May be read on any thread. */
+  /** Returns the current state of all nodes; can be called from any thread. */
   public Progress progress() {
     int withList = 0;
-    long least = Long.MAX_VALUE;
-    long newest = -1;
+    long lowestIndex = Long.MAX_VALUE;
+    long highestIndex = -1;
     long entries = 0;
     for (HollowNode node : nodes) {
       long index = node.listIndex();
-      least = Math.min(least, index);
-      newest = Math.max(newest, index);
+      lowestIndex = Math.min(lowestIndex, index);
+      highestIndex = Math.max(highestIndex, index);
       entries += node.listedServerCount();
       if (index > 0) withList++;
     }
-    return new Progress(nodes.size(), withList, least, newest, entries);
+    return new Progress(nodes.size(), withList, lowestIndex, highestIndex, entries);
   }
 
-  /** The nodes' {@code INFO} counters, summed; called off their event loops. */
+  /** Returns the sums of the nodes' {@code INFO} counters; must not be called on an event loop. */
   public Map<String, Long> counters() {
-    Map<String, Long> sum = new TreeMap<>();
+    Map<String, Long> sums = new TreeMap<>();
     for (HollowNode node : nodes) {
       Processes.counters(node.infoText())
-          .forEach((name, value) -> sum.merge(name, value, Long::sum));
+          .forEach((name, value) -> sums.merge(name, value, Long::sum));
     }
-    return sum;
+    return sums;
   }
 
-  /** Called off the event loops; asks each node where they know each other. */
+  /**
+   * Returns the datagram counts, which are read from each node if membership is on; must not be
+   * called on an event loop.
+   */
   public Datagrams datagrams() {
     if (!membership) return new Datagrams(0, 0);
-    Map<String, Long> sum = counters();
-    return new Datagrams(sum.getOrDefault("peers_told", 0L), sum.getOrDefault("peers_heard", 0L));
+    Map<String, Long> sums = counters();
+    return new Datagrams(sums.getOrDefault("peers_told", 0L), sums.getOrDefault("peers_heard", 0L));
   }
 
-  /** Ends all of them. */
+  /** Stops all nodes and closes their event loops. */
   @Override
   public void close() {
     nodes.forEach(HollowNode::stop);
-    vertx.close().toCompletionStage().toCompletableFuture().orTimeout(STOP_S, TimeUnit.SECONDS)
-        .join();
+    vertx.close().toCompletionStage().toCompletableFuture()
+        .orTimeout(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
   }
 }
--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -14,29 +14,30 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /**
- * One run of a {@link HollowFleet}: starts it, reports until its time is over or it is ended, and
- * sums up. The report is JSON lines: {@link HollowFleet.Applied} as {@code node}, {@code index},
- * {@code at_nanos}; a {@link Sample} a second; a {@link Summary} last. Bytes are not among them:
- * they are counted exactly where they are written, at the source's or relay's side.
+ * One run of a {@link HollowFleet}: starts the nodes, reports until the duration has passed or the
+ * run is ended, and writes a summary. The report consists of JSON lines: one
+ * {@link HollowFleet.Applied} with {@code node}, {@code index} and {@code at_nanos} for each list
+ * or change that a node applies, one {@link Sample} a second, and a {@link Summary} at the end. It
+ * contains no byte counts, because the sender (the source or relay) counts bytes exactly.
  */
 public final class HollowRun {
-  private static final long LOOK_MS = 100; // between two looks at what was applied
-  private static final int LOOKS = 10; // for each sample
-  private static final int REPORT_S = 30; // seconds that the end waits for the report
-  private static final double NANOS = 1e9; // in a second
-  private static final Gson JSON = new GsonBuilder()
+  private static final long POLL_INTERVAL_MS = 100;
+  private static final int POLLS_PER_SAMPLE = 10;
+  private static final int REPORT_TIMEOUT_SECONDS = 30;
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final Gson GSON = new GsonBuilder()
       .setFieldNamingPolicy(FieldNamingPolicy.LOWER_CASE_WITH_UNDERSCORES).create();
 
   /**
-   * What the process has used by then; the heap as it is, before a collection; datagrams where
-   * nodes know each other.
+   * Resources that the process has used so far and the state of its nodes. {@code heapBytes}
+   * includes garbage. The datagram counts are 0 if membership is off.
    */
   public record Sample(long sampleNanos, long cpuMs, long heapBytes, long rssBytes, int nodes,
       int withList, long leastIndex, long newestIndex, long datagramsOut, long datagramsIn) {}
 
   /**
-   * At the end: the heap after a collection, with the nodes still in it, and the nodes' counters
-   * summed.
+   * Totals at the end of a run: {@code heldHeapBytes} is the heap after a garbage collection while
+   * the nodes still exist, and {@code counters} are the sums over all nodes.
    */
   public record Summary(int summaryOf, long cpuMs, long heldHeapBytes, long rssBytes, int withList,
       long leastIndex, long newestIndex, long entries, Map<String, Long> counters) {}
@@ -48,8 +49,10 @@
   private final CountDownLatch reported = new CountDownLatch(1);
 
   /**
-   * @param report   takes the JSON lines
-   * @param progress takes a line a second
+   * Creates a run that does not start the nodes yet.
+   *
+   * @param report   receives the JSON lines
+   * @param progress receives one line a second
    */
   public HollowRun(HollowFleet fleet, Writer report, PrintStream progress) {
     this.fleet = fleet;
@@ -57,15 +60,19 @@
     this.progress = progress;
   }
 
-  /** Runs for so many seconds, 0: until {@link #end}; returns once all is reported. */
-  public Summary run(GatewayPolicy.Factory maker, double startOverSeconds, double seconds)
+  /**
+   * Runs for {@code seconds}, or until {@link #end} if that is 0; returns after the report is
+   * complete.
+   */
+  public Summary run(GatewayPolicy.Factory policyFactory, double startOverSeconds, double seconds)
       throws IOException, InterruptedException {
-    long until = seconds > 0 ? System.nanoTime() + (long) (seconds * NANOS) : Long.MAX_VALUE;
-    fleet.start(maker, startOverSeconds);
-    int look = 0;
-    while (System.nanoTime() < until && !ended.await(LOOK_MS, TimeUnit.MILLISECONDS)) {
+    long deadline = seconds > 0 ? System.nanoTime() + (long) (seconds * NANOS_PER_SECOND)
+        : Long.MAX_VALUE;
+    fleet.start(policyFactory, startOverSeconds);
+    int polls = 0;
+    while (System.nanoTime() < deadline && !ended.await(POLL_INTERVAL_MS, TimeUnit.MILLISECONDS)) {
       drain();
-      if (++look % LOOKS == 0) sample();
+      if (++polls % POLLS_PER_SAMPLE == 0) sample();
     }
     drain();
     Summary summary = summary();
@@ -74,12 +81,15 @@
     return summary;
   }
 
-  /** Ends the run from another thread, and returns once all is reported, or after a while. */
+  /**
+   * Ends the run from another thread; returns after the report is complete or after
+   * {@value #REPORT_TIMEOUT_SECONDS} s.
+   */
   public void end() {
     ended.countDown();
     try {
-      if (!reported.await(REPORT_S, TimeUnit.SECONDS))
-        progress.println("hollow: the report is not whole");
+      if (!reported.await(REPORT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
+        progress.println("hollow: the report is incomplete after " + REPORT_TIMEOUT_SECONDS + " s");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -92,29 +102,30 @@
   }
 
   private void write(Object line) throws IOException {
-    report.write(JSON.toJson(line) + "\n");
+    report.write(GSON.toJson(line) + "\n");
     report.flush();
   }
 
   private void sample() throws IOException {
-    HollowFleet.Progress at = fleet.progress();
+    HollowFleet.Progress status = fleet.progress();
     HollowFleet.Datagrams datagrams = fleet.datagrams();
     long pid = ProcessHandle.current().pid();
     write(new Sample(System.nanoTime(), ProcessMetrics.cpu(pid).processMs(), heapBytes(),
-        ProcessMetrics.rssBytes(pid), at.nodes(), at.withList(), at.leastIndex(), at.newestIndex(),
-        datagrams.out(), datagrams.in()));
-    progress.println(
-        "hollow: " + at.withList() + " of " + at.nodes() + " nodes have a list, all of them index "
-            + at.leastIndex() + ", newest " + at.newestIndex());
+        ProcessMetrics.rssBytes(pid), status.nodes(), status.withList(), status.leastIndex(),
+        status.newestIndex(), datagrams.out(), datagrams.in()));
+    progress.println("hollow: " + status.withList() + " of " + status.nodes()
+        + " nodes have a list, lowest index " + status.leastIndex() + ", highest "
+        + status.newestIndex());
   }
 
   private Summary summary() throws IOException {
-    HollowFleet.Progress at = fleet.progress();
+    HollowFleet.Progress status = fleet.progress();
     long pid = ProcessHandle.current().pid();
     long cpuMs = ProcessMetrics.cpu(pid).processMs();
     System.gc();
-    return new Summary(at.nodes(), cpuMs, heapBytes(), ProcessMetrics.rssBytes(pid), at.withList(),
-        at.leastIndex(), at.newestIndex(), at.entries(), fleet.counters());
+    return new Summary(status.nodes(), cpuMs, heapBytes(), ProcessMetrics.rssBytes(pid),
+        status.withList(), status.leastIndex(), status.newestIndex(), status.entries(),
+        fleet.counters());
   }
 
   private static long heapBytes() {
--- a/src/main/java/saltlatch/lab/hollow/NodeConfig.java
+++ b/src/main/java/saltlatch/lab/hollow/NodeConfig.java
@@ -5,22 +5,22 @@
 import com.google.gson.JsonParser;
 
 /**
- * The configuration of one edge node of a fleet in the laboratory, hollow or real, after
- * {@code deploy/sample.json}: nodes of one fleet differ in their number alone.
+ * The configuration of one edge node, hollow or real, of a laboratory fleet. It is modeled on
+ * {@code deploy/sample.json}. The configurations of a fleet differ only by the node's number.
  *
- * @param number     from 0; the node is called {@code nNUMBER}
- * @param nodes      of the fleet
- * @param discovery  {@code HOST:PORT} of what tells the list
- * @param membership whether the nodes know each other; each then has a datagram port
- * @param peerPort   the datagram port of node 0, the others' follow
- * @param plans      customers' plans in the settings
+ * @param number     number of the node, from 0; its name is {@code nNUMBER}
+ * @param nodes      number of nodes in the fleet
+ * @param discovery  {@code HOST:PORT} of the discovery server or relay that sends the list
+ * @param membership whether membership is on; each node then has a datagram port
+ * @param peerPort   datagram port of node 0; the other nodes use the ports after it
+ * @param plans      number of quota plans in the settings
  */
 public record NodeConfig(int number, int nodes, String discovery, boolean membership, int peerPort,
     int plans) {
-  // below the ports that the kernel gives to outgoing connections
+  /** Default datagram port of node 0, below the kernel's range for outgoing connections. */
   public static final int PEER_PORT = 20_000;
-  // datagrams a second that a node takes in, as in the lab's scenarios
-  private static final int INTAKE = 60;
+  // the same limit as in the laboratory's scenarios
+  private static final int PEER_DATAGRAMS_PER_SECOND = 60;
   private static final String TEMPLATE = """
       {"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
        "known":{"index":0,"snapshot":true,"endpoints":[]},
@@ -35,27 +35,27 @@
         "limits":{"cancelling":true,"connIdle":15000,"connectTimeout":250,"maxRetryAfter":1000,"mayTell":true,
           "retryAfter":true,"sendCap":4}}}""";
 
-  /** Node {@code number} of {@code nodes} that do not know each other, with one plan. */
+  /** Returns a configuration with one plan and without membership. */
   public static NodeConfig of(int number, int nodes, String discovery) {
     return new NodeConfig(number, nodes, discovery, false, PEER_PORT, 1);
   }
 
-  /** The same with the nodes knowing each other, or not. */
+  /** Returns a copy with membership on or off. */
   public NodeConfig withMembership(boolean on) {
     return new NodeConfig(number, nodes, discovery, on, peerPort, plans);
   }
 
-  /** The same with so many plans in the settings. */
+  /** Returns a copy with {@code count} quota plans in the settings. */
   public NodeConfig withPlans(int count) {
     return new NodeConfig(number, nodes, discovery, membership, peerPort, count);
   }
 
-  /** The name of the node of that number. */
+  /** Returns the name of the node with this number. */
   public static String name(int number) {
     return "n" + number;
   }
 
-  /** The JSON text that {@code serve} reads; it listens for clients on a free port. */
+  /** Returns the JSON text that {@code serve} reads; the node listens on any free port. */
   public String json() {
     JsonObject config = JsonParser.parseString(TEMPLATE).getAsJsonObject();
     config.addProperty("name", name(number));
@@ -91,6 +91,6 @@
     config.addProperty("peer_listen", "127.0.0.1:" + (peerPort + number));
     config.addProperty("membership", true);
     config.getAsJsonObject("settings").getAsJsonObject("familyInfo").addProperty("peerInPerS",
-        INTAKE);
+        PEER_DATAGRAMS_PER_SECOND);
   }
 }
