--- a/src/main/java/saltlatch/lab/scale/CounterScale.java
+++ b/src/main/java/saltlatch/lab/scale/CounterScale.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * Requests a second at one real node, with a counter that answers in 0.2 ms: {@code counter.calls},
- * what the node asks of it a second (MESSAGES_OUT, BYTES_OUT) and what comes back (BYTES_IN), as
- * the stand-in counts them; COUNT is the requests a second that the node saw. {@link LoadTrial}
- * tells customers and quotas.
+ * Measures one real node's traffic with a counter that answers in 0.2 ms, by requests a second.
+ * {@code counter.calls} holds what the simulated counter counts a second: the node's calls
+ * (MESSAGES_OUT, BYTES_OUT) and the bytes of the answers (BYTES_IN). COUNT is the requests a second
+ * that the node received. {@link LoadTrial} describes customers and quotas.
  */
 final class CounterScale implements ScaleTest {
   private final LoadTrial trial;
--- a/src/main/java/saltlatch/lab/scale/FleetScale.java
+++ b/src/main/java/saltlatch/lab/scale/FleetScale.java
@@ -12,28 +12,30 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /**
- * Hollow nodes of {@value #PROCESSES} processes on one discovery stand-in, no relay between, before
- * a list of {@value #ENTRIES} app servers that changes twice a second: {@code fleet.change}, the
- * times from a change's put until a node has applied it, over all nodes and changes; COUNT:
- * applications seen, MESSAGES_OUT: those due; CPU_MS and BYTES_OUT: the source's for a change.
- * {@code fleet.node}: CPU of one hollow node a second meanwhile, heap held of one.
+ * Measures hollow nodes in {@value #PROCESSES} processes that watch one simulated discovery server
+ * directly, without a relay. Its list has {@value #ENTRIES} app servers and changes twice a second.
+ * {@code fleet.change} holds the times from a change at the source until a node has applied it,
+ * over all nodes and changes. COUNT is the number of applied changes that were reported and
+ * MESSAGES_OUT the number expected; CPU_MS and BYTES_OUT are the source's cost of one change.
+ * {@code fleet.node} holds the CPU time a second and the heap of one hollow node during the
+ * changes.
  */
 final class FleetScale implements ScaleTest {
-  // 2,700 nodes that each hold 34,000 don't fit half of a machine of 24 GB
+  // 2,700 nodes with 34,000 entries each exceed half of the memory of a 24 GB machine
   static final int ENTRIES = 1_000;
-  static final int PROCESSES = 3; // a core each at the most: other runs share the machine
-  // one hollow node's heap before such a list, at the most
+  static final int PROCESSES = 3; // at most one core each, since other runs share the machine
+  // upper bound on the heap of one hollow node with such a list
   private static final long NODE_BYTES = 1L << 20;
-  private static final long PROCESS_BYTES = 256L << 20; // of a JVM beside its nodes
-  // all at once would be the start's cost, not the change's
+  private static final long PROCESS_BYTES = 256L << 20; // of a JVM without its nodes
+  // a simultaneous start would add its cost to that of the changes
   private static final double STARTS_PER_SECOND = 40;
-  private static final long START_MS = 180_000;
-  private static final long LOOK_MS = 500;
+  private static final long START_TIMEOUT_MS = 180_000;
+  private static final long POLL_INTERVAL_MS = 500;
   private static final long SETTLE_MS = 5_000;
   private static final long WINDOW_MS = 20_000;
-  private static final long DRAIN_MS = 2_000; // for what was put last
+  private static final long DRAIN_MS = 2_000; // until the nodes have applied the last changes
   private static final double CHANGES_PER_SECOND = 2;
-  private static final double MILLION = 1e6; // ns in a ms
+  private static final double NANOS_PER_MS = 1e6;
 
   private final TestEnvironment environment;
 
@@ -79,7 +81,7 @@
   private ChildJvm process(SourceProcess source, int number, long size) throws IOException {
     long first = size * number / PROCESSES;
     long nodes = size * (number + 1) / PROCESSES - first;
-    Files.deleteIfExists(report(number)); // of the size before
+    Files.deleteIfExists(report(number)); // written at the previous size
     long heapMb = (nodes * NODE_BYTES + PROCESS_BYTES) >> 20;
     return new ChildJvm(
         List.of("-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
@@ -96,53 +98,54 @@
   }
 
   private static void awaitLists(SourceProcess source, long size) throws Exception {
-    long until = System.nanoTime() + START_MS * 1_000_000;
+    long deadline = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
     while (source.sent().snapshots() < size) {
-      if (System.nanoTime() > until) throw new IOException("not all have a list: " + source.sent());
-      Thread.sleep(LOOK_MS);
+      if (System.nanoTime() > deadline) throw new IOException("expected " + size
+          + " lists sent within " + START_TIMEOUT_MS + " ms, found " + source.sent());
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
   private Map<String, MetricValues> window(SourceProcess source, List<ChildJvm> processes,
       long size) throws Exception {
-    List<ProcessMetrics.Cpu> before = new ArrayList<>();
-    for (ChildJvm process : processes) before.add(ProcessMetrics.cpu(process.pid()));
-    ResourceSnapshot from = ResourceSnapshot.of(source.pid(), source);
+    List<ProcessMetrics.Cpu> cpuBefore = new ArrayList<>();
+    for (ChildJvm process : processes) cpuBefore.add(ProcessMetrics.cpu(process.pid()));
+    ResourceSnapshot atStart = ResourceSnapshot.of(source.pid(), source);
     source.rate(CHANGES_PER_SECOND);
     Thread.sleep(WINDOW_MS);
     source.rate(0);
     Thread.sleep(DRAIN_MS);
-    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
-    double nodesCpu = 0;
-    double heap = 0;
+    ResourceSnapshot.ResourceUsage sourceUsage = atStart.usageUntilNow();
+    double nodesCpuMs = 0;
+    double heapBytes = 0;
     for (int i = 0; i < processes.size(); i++) {
-      nodesCpu += ProcessMetrics.cpu(processes.get(i).pid()).msSince(before.get(i));
-      heap += ProcessMetrics.heldHeapBytes(processes.get(i).pid());
+      nodesCpuMs += ProcessMetrics.cpu(processes.get(i).pid()).msSince(cpuBefore.get(i));
+      heapBytes += ProcessMetrics.heldHeapBytes(processes.get(i).pid());
     }
     double[] times = times(source.puts());
     return Map.of("fleet.change",
-        MetricValues.of(Quantity.CPU_MS, used.cpuMs() / used.changes())
-            .and(Quantity.BYTES_OUT, (double) used.bytes() / used.changes())
-            .and(Quantity.MESSAGES_OUT, (double) size * used.changes())
+        MetricValues.of(Quantity.CPU_MS, sourceUsage.cpuMs() / sourceUsage.changes())
+            .and(Quantity.BYTES_OUT, (double) sourceUsage.bytes() / sourceUsage.changes())
+            .and(Quantity.MESSAGES_OUT, (double) size * sourceUsage.changes())
             .and(Quantity.COUNT, times.length).and(Quantity.P50_MS, Percentiles.of(times, 0.5))
             .and(Quantity.P99_MS, Percentiles.of(times, 0.99))
             .and(Quantity.MAX_MS, Percentiles.of(times, 1)),
         "fleet.node",
-        MetricValues.of(Quantity.CPU_MS, nodesCpu / used.seconds() / size)
-            .and(Quantity.BYTES_IN, used.bytes() / used.seconds() / size)
-            .and(Quantity.HEAP_BYTES, heap / size));
+        MetricValues.of(Quantity.CPU_MS, nodesCpuMs / sourceUsage.seconds() / size)
+            .and(Quantity.BYTES_IN, sourceUsage.bytes() / sourceUsage.seconds() / size)
+            .and(Quantity.HEAP_BYTES, heapBytes / size));
   }
 
-  /** ms from each put to each node's application of it, ascending. */
+  /** Returns the times in ms from each change at the source until each node applied it, sorted. */
   private double[] times(Map<Long, Long> puts) throws IOException {
     List<Double> times = new ArrayList<>();
     for (int i = 0; i < PROCESSES; i++) {
       String text = Files.readString(report(i));
       for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n", 0)) {
-        JsonObject told = JsonParser.parseString(line).getAsJsonObject();
-        if (!told.has("node") || !puts.containsKey(told.get("index").getAsLong())) continue;
-        long putAt = puts.get(told.get("index").getAsLong());
-        times.add((told.get("at_nanos").getAsLong() - putAt) / MILLION);
+        JsonObject entry = JsonParser.parseString(line).getAsJsonObject();
+        if (!entry.has("node") || !puts.containsKey(entry.get("index").getAsLong())) continue;
+        long putAtNanos = puts.get(entry.get("index").getAsLong());
+        times.add((entry.get("at_nanos").getAsLong() - putAtNanos) / NANOS_PER_MS);
       }
     }
     return times.stream().mapToDouble(Double::doubleValue).sorted().toArray();
--- a/src/main/java/saltlatch/lab/scale/HollowComparison.java
+++ b/src/main/java/saltlatch/lab/scale/HollowComparison.java
@@ -14,49 +14,57 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * Whether hollow nodes send and read what real ones do: the same number of each, one after the
- * other, under a source of the same list and changes, all knowing each other. Bytes and messages of
- * the watches are the source's count, datagrams the nodes' own.
+ * Compares the network traffic of hollow nodes with that of real nodes. It runs the same number of
+ * each, first the real ones, with membership on and a source with the same list and changes. The
+ * source counts bytes and messages of the watches; the nodes count datagrams.
  */
 public final class HollowComparison {
-  /** By how much a hollow node's bytes and messages may differ from a real one's. */
-  public static final double MOST_DIFFERENCE = 0.10;
+  /**
+   * Largest difference allowed between a hollow and a real node's traffic, as a part of the real.
+   */
+  public static final double MAX_DIFFERENCE = 0.10;
   static final List<String> HOLLOW_FLAGS = List.of("-Xmx1g", "-XX:+UseSerialGC",
       "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn");
   private static final int ENTRIES = 2_000;
   private static final double CHANGES_PER_SECOND = 5;
-  private static final long STARTED_MS = 60_000; // until all have the list
-  private static final long LOOK_MS = 50;
-  private static final long SETTLE_MS = 12_000; // for compiles, and for all to know each other
-  private static final long WINDOW_MS = 20_000; // of changes
-  private static final double NANOS = 1e9; // in a second
+  private static final long START_TIMEOUT_MS = 60_000; // until all nodes have the list
+  private static final long POLL_INTERVAL_MS = 50;
+  private static final long SETTLE_MS = 12_000; // for JIT compilation and membership convergence
+  private static final long WINDOW_MS = 20_000; // in which changes are measured
+  private static final double NANOS_PER_SECOND = 1e9;
   private static final double MIB = 1L << 20;
 
   /**
-   * One quantity of one node.
+   * One measured quantity of a real and a hollow node.
    *
-   * @param held whether the two must not differ by more than {@link #MOST_DIFFERENCE}
+   * @param nodes    number of nodes of each kind
+   * @param quantity name of the quantity in the table
+   * @param real     value of one real node
+   * @param hollow   value of one hollow node
+   * @param limited  whether the two must not differ by more than {@link #MAX_DIFFERENCE}
    */
-  public record Row(int nodes, String quantity, double real, double hollow, boolean held) {
-    /** Of the hollow node from the real one, as a part of that. */
+  public record Row(int nodes, String quantity, double real, double hollow, boolean limited) {
+    /**
+     * Returns the difference of the hollow from the real value, as a part of the real value.
+     */
     public double difference() {
       return real == hollow ? 0 : (hollow - real) / real;
     }
 
-    /** Whether it is as it must be. */
+    /** Returns whether the difference is within the limit or no limit applies. */
     public boolean passed() {
-      return !held || Math.abs(difference()) <= MOST_DIFFERENCE;
+      return !limited || Math.abs(difference()) <= MAX_DIFFERENCE;
     }
   }
 
-  /** What one kind of node cost, of one node; rates a second. */
+  /** Cost of one node of a kind: totals until it has the list, then rates a second, and RSS. */
   private record Cost(double startBytes, double startMessages, double bytes, double messages,
       double datagramsOut, double datagramsIn, double cpuMs, double rssMib) {}
 
-  /** Datagrams of all nodes together by then. */
+  /** Datagram counts of all nodes together at a time. */
   private record Datagrams(long out, long in, long atNanos) {}
 
-  /** What the two kinds have in common here. */
+  /** Running nodes of one kind, real or hollow. */
   private interface Nodes extends AutoCloseable {
     List<Long> pids();
 
@@ -68,11 +76,12 @@
 
   private final TestEnvironment environment;
 
+  /** Creates a comparison that starts its processes from this environment. */
   public HollowComparison(TestEnvironment environment) {
     this.environment = environment;
   }
 
-  /** All rows of so many nodes. */
+  /** Measures this number of nodes of each kind and returns all rows. */
   public List<Row> compare(int nodes) throws Exception {
     Cost real;
     Cost hollow;
@@ -98,41 +107,45 @@
     return rows;
   }
 
-  private static Cost cost(SourceProcess source, int nodes, Nodes started) throws Exception {
-    try (started) {
+  private static Cost cost(SourceProcess source, int nodes, Nodes startedNodes) throws Exception {
+    try (startedNodes) {
       SourceProcess.Sent start = awaitLists(source, nodes);
       Thread.sleep(SETTLE_MS);
       source.rate(CHANGES_PER_SECOND);
-      List<ProcessMetrics.Cpu> cpu = new ArrayList<>();
-      for (long pid : started.pids()) cpu.add(ProcessMetrics.cpu(pid));
-      Datagrams datagrams = started.datagrams();
-      SourceProcess.Sent sent = source.sent();
-      long from = System.nanoTime();
+      List<ProcessMetrics.Cpu> cpuBefore = new ArrayList<>();
+      for (long pid : startedNodes.pids()) cpuBefore.add(ProcessMetrics.cpu(pid));
+      Datagrams datagramsBefore = startedNodes.datagrams();
+      SourceProcess.Sent sentBefore = source.sent();
+      long startedAt = System.nanoTime();
       Thread.sleep(WINDOW_MS);
-      SourceProcess.Sent now = source.sent();
-      double units = (System.nanoTime() - from) / NANOS * nodes;
-      Datagrams later = started.datagrams();
-      double datagramUnits = (later.atNanos - datagrams.atNanos) / NANOS * nodes;
+      SourceProcess.Sent sentAfter = source.sent();
+      double nodeSeconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND * nodes;
+      Datagrams datagramsAfter = startedNodes.datagrams();
+      double datagramNodeSeconds = (datagramsAfter.atNanos - datagramsBefore.atNanos)
+          / NANOS_PER_SECOND * nodes;
       double cpuMs = 0;
-      double rss = 0;
-      for (int i = 0; i < cpu.size(); i++) {
-        cpuMs += ProcessMetrics.cpu(started.pids().get(i)).msSince(cpu.get(i));
-        rss += ProcessMetrics.rssBytes(started.pids().get(i)) / MIB;
+      double rssMib = 0;
+      for (int i = 0; i < cpuBefore.size(); i++) {
+        cpuMs += ProcessMetrics.cpu(startedNodes.pids().get(i)).msSince(cpuBefore.get(i));
+        rssMib += ProcessMetrics.rssBytes(startedNodes.pids().get(i)) / MIB;
       }
       return new Cost(start.bytesOut() / (double) nodes, start.messages() / (double) nodes,
-          (now.bytesOut() - sent.bytesOut()) / units, (now.messages() - sent.messages()) / units,
-          (later.out - datagrams.out) / datagramUnits, (later.in - datagrams.in) / datagramUnits,
-          cpuMs / units, rss / nodes);
+          (sentAfter.bytesOut() - sentBefore.bytesOut()) / nodeSeconds,
+          (sentAfter.messages() - sentBefore.messages()) / nodeSeconds,
+          (datagramsAfter.out - datagramsBefore.out) / datagramNodeSeconds,
+          (datagramsAfter.in - datagramsBefore.in) / datagramNodeSeconds, cpuMs / nodeSeconds,
+          rssMib / nodes);
     }
   }
 
   private static SourceProcess.Sent awaitLists(SourceProcess source, int nodes) throws Exception {
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     SourceProcess.Sent sent = source.sent();
     while (sent.snapshots() < nodes) {
-      if (System.nanoTime() - from > STARTED_MS * NANOS / 1_000)
-        throw new IOException("not all started: " + sent);
-      Thread.sleep(LOOK_MS);
+      if (System.nanoTime() - startedAt > START_TIMEOUT_MS * NANOS_PER_SECOND / 1_000)
+        throw new IOException(
+            "expected " + nodes + " lists sent within " + START_TIMEOUT_MS + " ms, found " + sent);
+      Thread.sleep(POLL_INTERVAL_MS);
       sent = source.sent();
     }
     return sent;
@@ -186,16 +199,16 @@
         return List.of(process.pid());
       }
 
-      /** As of the newest sample, which is a second old at the most. */
+      /** Returns the counts of the newest sample, which is at most one second old. */
       @Override
       public Datagrams datagrams() throws IOException {
         Datagrams newest = null;
         String text = Files.readString(report);
         for (String line : text.substring(0, text.lastIndexOf('\n') + 1).split("\n", 0)) {
-          JsonObject told = JsonParser.parseString(line).getAsJsonObject();
-          if (told.has("sample_nanos"))
-            newest = new Datagrams(told.get("datagrams_out").getAsLong(),
-                told.get("datagrams_in").getAsLong(), told.get("sample_nanos").getAsLong());
+          JsonObject entry = JsonParser.parseString(line).getAsJsonObject();
+          if (entry.has("sample_nanos"))
+            newest = new Datagrams(entry.get("datagrams_out").getAsLong(),
+                entry.get("datagrams_in").getAsLong(), entry.get("sample_nanos").getAsLong());
         }
         return newest;
       }
--- a/src/main/java/saltlatch/lab/scale/HollowScale.java
+++ b/src/main/java/saltlatch/lab/scale/HollowScale.java
@@ -12,23 +12,24 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /**
- * Hollow nodes of one process, all started at once before a list of {@value #ENTRIES} app servers:
- * {@code hollow.start} (CPU and seconds until all of them have the list, heap held and RSS),
- * {@code hollow.rest} (CPU a second) and {@code hollow.change} (CPU for a change that all apply,
- * beyond rest). Values are the process': it tells how many fit.
+ * Measures hollow nodes in one process that all start at once with a list of {@value #ENTRIES} app
+ * servers. {@code hollow.start} holds CPU time and seconds until all nodes have the list, heap
+ * after a collection, and RSS; {@code hollow.rest} the CPU time a second without changes; and
+ * {@code hollow.change} the CPU time of a change that all nodes apply, in excess of
+ * {@code hollow.rest}. Values are those of the process, which limit how many nodes it can run.
  */
 final class HollowScale implements ScaleTest {
-  // a tenth of the size that is coming: the tenfold of it does not fit a machine
+  // a tenth of the expected list: a machine can't hold the full list for so many nodes
   static final int ENTRIES = 3_400;
-  // one hollow node's heap before such a list, at the most
+  // upper bound on the heap of one hollow node with such a list
   private static final long NODE_BYTES = 4L << 20;
-  private static final long PROCESS_BYTES = 256L << 20; // of a JVM beside its nodes
-  private static final long START_MS = 120_000;
-  private static final long LOOK_MS = 100;
+  private static final long PROCESS_BYTES = 256L << 20; // of a JVM without its nodes
+  private static final long START_TIMEOUT_MS = 120_000;
+  private static final long POLL_INTERVAL_MS = 100;
   private static final long SETTLE_MS = 3_000;
   private static final long WINDOW_MS = 6_000;
   private static final double CHANGES_PER_SECOND = 5;
-  private static final double NANOS = 1e9; // in a second
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final TestEnvironment environment;
 
@@ -60,7 +61,7 @@
   @Override
   public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
     Path report = environment.dir().resolve("hollow.jsonl");
-    Files.deleteIfExists(report); // of the size before
+    Files.deleteIfExists(report); // written at the previous size
     long heapMb = (size * NODE_BYTES + PROCESS_BYTES) >> 20;
     Map<String, MetricValues> measured = new LinkedHashMap<>();
     try (SourceProcess source = new SourceProcess(environment, ENTRIES);
@@ -77,16 +78,18 @@
       Thread.sleep(SETTLE_MS);
       ResourceSnapshot.ResourceUsage rest = window(process.pid(), source, 0);
       ResourceSnapshot.ResourceUsage changes = window(process.pid(), source, CHANGES_PER_SECOND);
-      double atRest = rest.cpuMs() / rest.seconds();
+      double restCpuMsPerSecond = rest.cpuMs() / rest.seconds();
       start.and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(process.pid()))
           .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(process.pid()));
       measured.put("hollow.start", start);
-      measured.put("hollow.rest", MetricValues.of(Quantity.CPU_MS, atRest));
-      measured.put("hollow.change",
-          MetricValues
-              .of(Quantity.CPU_MS,
-                  (changes.cpuMs() - atRest * changes.seconds()) / changes.changes())
-              .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes()));
+      measured.put("hollow.rest", MetricValues.of(Quantity.CPU_MS, restCpuMsPerSecond));
+      measured
+          .put("hollow.change",
+              MetricValues
+                  .of(Quantity.CPU_MS,
+                      (changes.cpuMs() - restCpuMsPerSecond * changes.seconds())
+                          / changes.changes())
+                  .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes()));
     }
     return measured;
   }
@@ -94,31 +97,33 @@
   private static ResourceSnapshot.ResourceUsage window(long pid, SourceProcess source,
       double changesPerSecond) throws Exception {
     source.rate(changesPerSecond);
-    ResourceSnapshot from = ResourceSnapshot.of(pid, source);
+    ResourceSnapshot atStart = ResourceSnapshot.of(pid, source);
     Thread.sleep(WINDOW_MS);
-    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
+    ResourceSnapshot.ResourceUsage usage = atStart.usageUntilNow();
     source.rate(0);
-    return used;
+    return usage;
   }
 
-  /** Seconds from the first node's start to the last one's first whole list. */
+  /** Returns the seconds from the first node's start until the last node has its first list. */
   private static double awaitLists(Path report, long nodes) throws Exception {
-    long until = System.nanoTime() + START_MS * 1_000_000;
-    while (System.nanoTime() < until) {
+    long deadline = System.nanoTime() + START_TIMEOUT_MS * 1_000_000;
+    while (System.nanoTime() < deadline) {
       long withList = 0;
-      long first = Long.MAX_VALUE;
-      long last = 0;
+      long firstAtNanos = Long.MAX_VALUE;
+      long lastAtNanos = 0;
       for (JsonObject line : lines(report)) {
         if (!line.has("node")) continue;
-        first = Math.min(first, line.get("at_nanos").getAsLong());
-        if (line.get("index").getAsLong() == 0) continue; // the empty list that it starts with
+        firstAtNanos = Math.min(firstAtNanos, line.get("at_nanos").getAsLong());
+        // index 0 is the empty list that the node starts with
+        if (line.get("index").getAsLong() == 0) continue;
         withList++;
-        last = Math.max(last, line.get("at_nanos").getAsLong());
+        lastAtNanos = Math.max(lastAtNanos, line.get("at_nanos").getAsLong());
       }
-      if (withList >= nodes) return (last - first) / NANOS;
-      Thread.sleep(LOOK_MS);
+      if (withList >= nodes) return (lastAtNanos - firstAtNanos) / NANOS_PER_SECOND;
+      Thread.sleep(POLL_INTERVAL_MS);
     }
-    throw new IOException("not all nodes have a list: " + report);
+    throw new IOException("expected all " + nodes + " nodes to have a list within "
+        + START_TIMEOUT_MS + " ms; see " + report);
   }
 
   private static List<JsonObject> lines(Path report) throws IOException {
--- a/src/main/java/saltlatch/lab/scale/HollowTable.java
+++ b/src/main/java/saltlatch/lab/scale/HollowTable.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The page of a {@link HollowComparison}. */
+/** Formats the page with the results of a {@link HollowComparison}. */
 public final class HollowTable {
   private static final double PERCENT = 100;
 
   private HollowTable() {}
 
-  /** The page as Markdown, with the text that was measured. */
+  /** Returns the page as Markdown, including the revision that was measured. */
   public static String of(List<HollowComparison.Row> rows) {
     StringBuilder page = new StringBuilder("# Hollow nodes against real ones\n\n");
     page.append("Written by `saltlatch lab hollow compare` at ").append(Revision.here())
@@ -24,7 +24,8 @@
     for (HollowComparison.Row row : rows) {
       page.append(String.format(Locale.ROOT, "| %d | %s | %s | %s | %+.1f %% | %s |%n", row.nodes(),
           row.quantity(), ScaleTable.number(row.real()), ScaleTable.number(row.hollow()),
-          PERCENT * row.difference(), !row.held() ? "not asked" : row.passed() ? "yes" : "**no**"));
+          PERCENT * row.difference(),
+          !row.limited() ? "not asked" : row.passed() ? "yes" : "**no**"));
     }
     return page.toString();
   }
--- a/src/main/java/saltlatch/lab/scale/ListScale.java
+++ b/src/main/java/saltlatch/lab/scale/ListScale.java
@@ -9,20 +9,22 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * App servers in discovery's list, before one real node: {@code list.start} (CPU and time from its
- * start until it has read the list, and a second more in which it applies it; bytes read; heap held
- * after a collection and RSS at its highest, both at the end; COUNT: lists that it took, 0 where it
- * could not), {@code list.rest} (a second of a list that does not change, taken or not) and
- * {@code list.change} (one app server's change, beyond what rest costs).
+ * Measures one real node by the number of app servers in discovery's list. {@code list.start} holds
+ * the CPU time from the node's start until one second after it has read the list, in which it
+ * applies the list; the seconds until it has read the list; the bytes read; and the heap after a
+ * collection and peak RSS at the end of the test. Its COUNT is the number of lists that the node
+ * accepted, 0 if it could not. {@code list.rest} is the cost of one second in which the list does
+ * not change, whether or not the node accepted it. {@code list.change} is the cost of one app
+ * server's change in excess of {@code list.rest}.
  */
 final class ListScale implements ScaleTest {
-  private static final long READ_MS = 20_000; // a list that was not taken by then is not taken
-  private static final long LOOK_MS = 50; // between two looks whether it was
-  private static final long APPLY_MS = 1_000; // for applying what was read
-  private static final long SETTLE_MS = 2_000; // for compiles that the start has left
-  private static final long WINDOW_MS = 6_000; // of rest, and of changes
+  private static final long READ_TIMEOUT_MS = 20_000; // after which a list counts as not accepted
+  private static final long POLL_INTERVAL_MS = 50;
+  private static final long APPLY_MS = 1_000; // for applying a list that was read
+  private static final long SETTLE_MS = 2_000; // for JIT compilation after the start
+  private static final long WINDOW_MS = 6_000; // without changes, and again with changes
   private static final double CHANGES_PER_SECOND = 10;
-  private static final double NANOS = 1e9; // in a second
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final TestEnvironment environment;
 
@@ -75,35 +77,35 @@
 
   private MetricValues start(Processes nodes, SourceProcess source)
       throws IOException, InterruptedException {
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     nodes.start(1);
-    while (lists(nodes) == 0 && System.nanoTime() - from < READ_MS * 1_000_000)
-      Thread.sleep(LOOK_MS);
-    double seconds = (System.nanoTime() - from) / NANOS;
+    while (acceptedLists(nodes) == 0 && System.nanoTime() - startedAt < READ_TIMEOUT_MS * 1_000_000)
+      Thread.sleep(POLL_INTERVAL_MS);
+    double seconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
     Thread.sleep(APPLY_MS);
     return MetricValues.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(nodes.pid(0)).processMs())
         .and(Quantity.SECONDS, seconds).and(Quantity.BYTES_IN, (double) source.sent().bytesOut())
-        .and(Quantity.COUNT, (double) lists(nodes));
+        .and(Quantity.COUNT, (double) acceptedLists(nodes));
   }
 
-  private static long lists(Processes nodes) {
+  private static long acceptedLists(Processes nodes) {
     return nodes.metrics(0).getOrDefault("lists", 0L);
   }
 
   private static ResourceSnapshot.ResourceUsage window(long pid, SourceProcess source,
       double changesPerSecond) throws IOException, InterruptedException {
     source.rate(changesPerSecond);
-    ResourceSnapshot from = ResourceSnapshot.of(pid, source);
+    ResourceSnapshot atStart = ResourceSnapshot.of(pid, source);
     Thread.sleep(WINDOW_MS);
-    ResourceSnapshot.ResourceUsage used = from.usageUntilNow();
+    ResourceSnapshot.ResourceUsage usage = atStart.usageUntilNow();
     source.rate(0);
-    return used;
+    return usage;
   }
 
   private static MetricValues change(ResourceSnapshot.ResourceUsage rest,
       ResourceSnapshot.ResourceUsage changes) {
-    double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
-    return MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
+    double restCpuMs = rest.cpuMs() / rest.seconds() * changes.seconds();
+    return MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - restCpuMs) / changes.changes())
         .and(Quantity.BYTES_IN, (double) changes.bytes() / changes.changes())
         .and(Quantity.MESSAGES_IN, (double) changes.messages() / changes.changes());
   }
--- a/src/main/java/saltlatch/lab/scale/LoadTrial.java
+++ b/src/main/java/saltlatch/lab/scale/LoadTrial.java
@@ -12,16 +12,16 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * One real node before the emulator's counter and app servers, which answer within 2 ms, under an
- * open-loop load, with no history kept; then the same load straight to the app servers. 200
- * customers, quotas that no customer reaches.
+ * Runs an open-loop load through one real node with the emulator's counter and app servers, which
+ * answer within 2 ms, or sends the same load directly to the app servers. No history is recorded.
+ * There are 200 customers, none of which reaches its quota.
  */
 final class LoadTrial {
-  private static final double SECONDS = 14; // of load
-  // of it, before CPU and counts are read: compiles, connects
-  private static final long WARM_MS = 5_000;
-  private static final int START_S = 30;
-  private static final double THOUSAND = 1_000; // us in a ms, ms in a second
+  private static final double LOAD_SECONDS = 14;
+  // part of the load in which code is compiled and connections are opened; not measured
+  private static final long WARM_UP_MS = 5_000;
+  private static final int TIMEOUT_SECONDS = 30; // for each asynchronous step
+  private static final double THOUSAND = 1_000; // microseconds in a ms, ms in a second
   private static final String SCENARIO = """
       name = "scale"
       seed = %d
@@ -40,12 +40,16 @@
       burst = %d
       """;
 
-  /** From the end of the warm-up to the end of the load. */
+  /** Values of one node from the end of the warm-up until the end of the load. */
   record Node(double requestsPerSecond, double cpuMsPerSecond, double callsPerSecond,
       double callBytesPerSecond, double answerBytesPerSecond, Latency latency) {}
 
-  /** Of the whole load, ms; {@code late}: by which the load tool itself sent too late. */
-  record Latency(double p50, double p99, double lateP50, double lateP99, long passed, long tries) {}
+  /**
+   * Latencies of the complete load, in ms. {@code lateP50} and {@code lateP99} are delays of the
+   * load generator behind its schedule.
+   */
+  record Latency(double p50, double p99, double lateP50, double lateP99, long passed,
+      long attempts) {}
 
   private final TestEnvironment environment;
 
@@ -54,31 +58,32 @@
   }
 
   private static Scenario scenario(long requestsPerSecond, long seed) throws Exception {
-    return Scenario.parse(SCENARIO.formatted(seed, SECONDS, requestsPerSecond, requestsPerSecond,
-        4 * requestsPerSecond));
+    return Scenario.parse(SCENARIO.formatted(seed, LOAD_SECONDS, requestsPerSecond,
+        requestsPerSecond, 4 * requestsPerSecond));
   }
 
-  /** Through a node. */
+  /** Sends the load through a node. */
   Node node(long requestsPerSecond, long seed) throws Exception {
     Scenario scenario = scenario(requestsPerSecond, seed);
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
-    try (Processes nodes = started(emulator)) {
+    try (Processes nodes = startNode(emulator)) {
       LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(),
           clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
-      Thread.sleep(WARM_MS);
-      ProcessMetrics.Cpu cpu = ProcessMetrics.cpu(nodes.pid(0));
-      Counts before = Counts.of(nodes, emulator);
-      Thread.sleep((long) (SECONDS * THOUSAND) - WARM_MS);
-      double used = ProcessMetrics.cpu(nodes.pid(0)).msSince(cpu);
-      Counts after = Counts.of(nodes, emulator);
-      done.get(START_S, TimeUnit.SECONDS);
-      double window = SECONDS - WARM_MS / THOUSAND;
-      Node node = new Node((after.requests - before.requests) / window, used / window,
-          (after.calls - before.calls) / window, (after.callBytes - before.callBytes) / window,
-          (after.answerBytes - before.answerBytes) / window, latency(load));
+      Thread.sleep(WARM_UP_MS);
+      ProcessMetrics.Cpu cpuBefore = ProcessMetrics.cpu(nodes.pid(0));
+      Counts countsBefore = Counts.of(nodes, emulator);
+      Thread.sleep((long) (LOAD_SECONDS * THOUSAND) - WARM_UP_MS);
+      double cpuMs = ProcessMetrics.cpu(nodes.pid(0)).msSince(cpuBefore);
+      Counts countsAfter = Counts.of(nodes, emulator);
+      done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      double windowSeconds = LOAD_SECONDS - WARM_UP_MS / THOUSAND;
+      Node node = new Node((countsAfter.requests - countsBefore.requests) / windowSeconds,
+          cpuMs / windowSeconds, (countsAfter.calls - countsBefore.calls) / windowSeconds,
+          (countsAfter.callBytes - countsBefore.callBytes) / windowSeconds,
+          (countsAfter.answerBytes - countsBefore.answerBytes) / windowSeconds, latency(load));
       load.close();
       return node;
     } finally {
@@ -86,25 +91,27 @@
     }
   }
 
-  private Processes started(Emulator emulator) throws Exception {
-    emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
+  private Processes startNode(Emulator emulator) throws Exception {
+    emulator.start().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS,
+        TimeUnit.SECONDS);
     Processes nodes = environment.nodes(emulator::nodeConfig);
     nodes.start(1);
     return nodes;
   }
 
-  /** Straight to the app servers. */
+  /** Sends the load directly to the app servers. */
   Latency direct(long requestsPerSecond, long seed) throws Exception {
     Scenario scenario = scenario(requestsPerSecond, seed);
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
     try {
-      emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
+      emulator.start().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS,
+          TimeUnit.SECONDS);
       LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario),
           List.copyOf(emulator.serverPorts()), clock);
       clock.begin();
-      load.run().toCompletionStage().toCompletableFuture().get((long) SECONDS + START_S,
-          TimeUnit.SECONDS);
+      load.run().toCompletionStage().toCompletableFuture()
+          .get((long) LOAD_SECONDS + TIMEOUT_SECONDS, TimeUnit.SECONDS);
       Latency latency = latency(load);
       load.close();
       return latency;
@@ -121,13 +128,13 @@
         load.outcomes().getOrDefault(saltlatch.lab.load.Outcome.PASSED, 0L), load.attempts());
   }
 
-  /** What the node and the counter's stand-in have counted by now. */
+  /** Counts of the node and of the simulated counter so far. */
   private record Counts(long requests, long calls, long callBytes, long answerBytes) {
     static Counts of(Processes nodes, Emulator emulator) throws Exception {
-      Map<String, Long> standIns = emulator.metrics().toCompletionStage().toCompletableFuture()
-          .get(START_S, TimeUnit.SECONDS);
-      return new Counts(nodes.metrics(0).get("reqs"), standIns.get("counter_calls"),
-          standIns.get("counter_bytes_in"), standIns.get("counter_bytes_out"));
+      Map<String, Long> emulatorMetrics = emulator.metrics().toCompletionStage()
+          .toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      return new Counts(nodes.metrics(0).get("reqs"), emulatorMetrics.get("counter_calls"),
+          emulatorMetrics.get("counter_bytes_in"), emulatorMetrics.get("counter_bytes_out"));
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Machine.java
+++ b/src/main/java/saltlatch/lab/scale/Machine.java
@@ -4,17 +4,17 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /**
- * The limits that a scale test keeps on a shared machine: half of its memory, and some hundred
- * processes.
+ * Limits the resources of a scale test on a shared machine to half of its memory and
+ * {@value #MAX_PROCESSES} processes.
  *
- * @param memoryBytes of the machine
+ * @param memoryBytes total memory of the machine
  */
 public record Machine(long memoryBytes) {
-  static final int MOST_PROCESSES = 300;
-  private static final double MEMORY_PART = 0.5;
+  static final int MAX_PROCESSES = 300;
+  private static final double MAX_MEMORY_PART = 0.5;
   private static final double GIB = 1L << 30;
 
-  /** What was asked for exceeds the limits; the message says by how much. */
+  /** A test requires more than the limits allow; the message names both. */
   public static final class ResourceLimitException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -23,24 +23,25 @@
     }
   }
 
-  /** This machine, from {@code /proc/meminfo}. */
+  /** Returns this machine, with the memory that {@code /proc/meminfo} reports. */
   public static Machine here() {
     return new Machine(ProcessMetrics.machineBytes());
   }
 
-  /** Fails where the size would exceed half of the memory or the processes. */
+  /** Throws an exception if a size of a test requires more than the limits allow. */
   public void admit(String test, long size, ResourceRequirements requirements)
       throws ResourceLimitException {
-    double most = memoryBytes * MEMORY_PART;
-    if (requirements.bytes() > most) {
+    double maxBytes = memoryBytes * MAX_MEMORY_PART;
+    if (requirements.bytes() > maxBytes) {
       throw new ResourceLimitException(String.format(Locale.ROOT,
-          "%s at %d may take %.1f GiB of memory; half of this machine's is %.1f GiB", test, size,
-          requirements.bytes() / GIB, most / GIB));
+          "%s at size %d requires up to %.1f GiB of memory; "
+              + "the limit is half of this machine's, %.1f GiB",
+          test, size, requirements.bytes() / GIB, maxBytes / GIB));
     }
-    if (requirements.processes() > MOST_PROCESSES) {
+    if (requirements.processes() > MAX_PROCESSES) {
       throw new ResourceLimitException(
-          String.format(Locale.ROOT, "%s at %d wants %d processes; the most is %d", test, size,
-              requirements.processes(), MOST_PROCESSES));
+          String.format(Locale.ROOT, "%s at size %d requires %d processes; the limit is %d", test,
+              size, requirements.processes(), MAX_PROCESSES));
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Measurement.java
+++ b/src/main/java/saltlatch/lab/scale/Measurement.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 
 /**
- * One repeat of one scale test at one size, a JSON line in {@code docs/capacity/*.jsonl}.
+ * The result of one repeat of a scale test at one size; a JSON line in
+ * {@code docs/capacity/*.jsonl}.
  *
- * @param what   the test, such as {@code list.start}
- * @param grows  what grows, such as {@code app servers}
- * @param size   how many of it
- * @param repeat from 1
- * @param values what was measured, for each unit in which the test counts (per node, per change:
- *     the test says so)
- * @param commit the text measured, {@code -dirty} behind it where the tree had changes
+ * @param what   name of the measurement, such as {@code list.start}
+ * @param grows  what the size counts, such as {@code app servers}
+ * @param size   number of them
+ * @param repeat number of the repeat, from 1
+ * @param values measured values; the test states to what they refer, such as one node or one change
+ * @param commit revision that was measured, with the suffix {@code -dirty} if sources were modified
  */
 public record Measurement(String what, String grows, long size, int repeat,
     Map<Quantity, Double> values, String commit) {
 
-  /** One line of JSON, keys in a fixed order. */
+  /** Returns one line of JSON, with the keys in a fixed order. */
   public String toJson() {
     JsonObject line = new JsonObject();
     line.addProperty("what", what);
@@ -32,7 +32,7 @@
     return line.toString();
   }
 
-  /** Reads a line of {@link #toJson}. */
+  /** Parses a line that {@link #toJson} wrote. */
   public static Measurement parse(String text) {
     JsonObject line = JsonParser.parseString(text).getAsJsonObject();
     Map<Quantity, Double> values = new EnumMap<>(Quantity.class);
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -13,138 +13,146 @@
 import saltlatch.wire.peer.MembershipCodec;
 
 /**
- * A fleet of members over a network in memory, in virtual time (tenths of a ms): {@link Membership}
- * as {@code serve} runs it, each datagram written and read by its form, up to {@value #MOST_DELAY}
- * on the way, none lost. Every member is looked at after each tick and datagram as a node does. One
- * caller; the same seed gives the same run.
+ * A fleet of members on an in-memory network in virtual time, which is counted in ticks of 0.1 ms.
+ * It runs {@link Membership} as {@code serve} does. Each datagram is encoded and decoded, takes up
+ * to {@value #MAX_DELAY_TICKS} ticks and is never lost. If {@link #readMembers} is on, each
+ * member's state is read after each tick and datagram, as a node does. Not thread-safe; the same
+ * seed gives the same run.
  */
 final class MemberNetwork {
   static final long TICKS_PER_SECOND = 10_000;
-  // datagrams a second that a node takes in, as in the lab's scenarios
-  private static final int INTAKE = 60;
-  private static final double MOST_DELAY = 20; // 2 ms: within a region
-  private static final long LOOK = 1_000; // between two looks whether a condition holds
+  // the same limit as in the laboratory's scenarios
+  private static final int PEER_DATAGRAMS_PER_SECOND = 60;
+  private static final double MAX_DELAY_TICKS = 20; // 2 ms, the delay within a region
+  private static final long POLL_INTERVAL_TICKS = 1_000; // of until()
 
-  private record Step(long at, long order, Runnable then) {}
+  private record Step(long atTick, long order, Runnable action) {}
 
   private final MembershipTimings timings;
   private final Membership[] members;
-  private final MembershipChanged[] told; // as each node has last told its module
-  private final boolean[] dead;
+  private final MembershipChanged[] lastEvents; // last event that each node passed to its policy
+  private final boolean[] stopped;
   private final PriorityQueue<Step> steps = new PriorityQueue<>(
-      (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final SplittableRandom chance;
+      (first, second) -> first.atTick != second.atTick ? Long.compare(first.atTick, second.atTick)
+          : Long.compare(first.order, second.order));
+  private final SplittableRandom random;
   private long order;
   private long now;
   private long datagrams;
   private long bytes;
-  private boolean looking;
+  private boolean readsMembers;
 
   MemberNetwork(int count, long seed) {
-    timings = MembershipTimings.of(count, INTAKE);
+    timings = MembershipTimings.of(count, PEER_DATAGRAMS_PER_SECOND);
     members = new Membership[count];
-    told = new MembershipChanged[count];
-    dead = new boolean[count];
-    chance = new SplittableRandom(seed);
+    lastEvents = new MembershipChanged[count];
+    stopped = new boolean[count];
+    random = new SplittableRandom(seed);
     for (int i = 0; i < count; i++) {
-      members[i] = new Membership(timings, i, 1, seed * count + i, now, out(i));
+      members[i] = new Membership(timings, i, 1, seed * count + i, now, output(i));
       tick(i);
     }
   }
 
-  private Membership.Output out(int from) {
+  private Membership.Output output(int from) {
     return new Membership.Output() {
       @Override
       public void send(int to, MembershipMessage message) {
         byte[] datagram = MembershipCodec.encode(message);
         datagrams++;
         bytes += datagram.length;
-        after(1 + (long) (MOST_DELAY * chance.nextDouble()), () -> heard(to, from, datagram));
+        after(1 + (long) (MAX_DELAY_TICKS * random.nextDouble()),
+            () -> receive(to, from, datagram));
       }
 
       @Override
       public void stateChanged(int member, State state, long incarnation, long version) {
-        // Only a history would be told.
+        // used only for a history, which is not recorded here
       }
     };
   }
 
-  private void heard(int to, int from, byte[] datagram) {
-    if (dead[to]) return;
+  private void receive(int to, int from, byte[] datagram) {
+    if (stopped[to]) return;
     members[to].tick(now);
     members[to].receive(now, from, MembershipCodec.decode(datagram));
-    look(to);
+    readMember(to);
   }
 
   private void tick(int member) {
     after(MembershipTimings.tickIntervalTicks(), () -> {
-      if (dead[member]) return;
+      if (stopped[member]) return;
       members[member].tick(now);
-      look(member);
+      readMember(member);
       tick(member);
     });
   }
 
-  /** What a node does to tell its module of changes. */
-  private void look(int member) {
-    if (!looking) return;
-    MembershipChanged is = members[member].membershipEvent();
-    if (!is.equals(told[member])) told[member] = is;
+  /** Reads a member's state as a node does to notify its policy of changes. */
+  private void readMember(int member) {
+    if (!readsMembers) return;
+    MembershipChanged event = members[member].membershipEvent();
+    if (!event.equals(lastEvents[member])) lastEvents[member] = event;
   }
 
-  private void after(long time, Runnable then) {
-    steps.add(new Step(now + time, order++, then));
+  private void after(long ticks, Runnable action) {
+    steps.add(new Step(now + ticks, order++, action));
   }
 
   /**
-   * Whether members are looked at as nodes do, which costs most: left out where only the protocol's
-   * time is wanted.
+   * Sets whether each member's state is read as a node does. This is the largest part of the cost
+   * and is off if only the protocol's virtual time is measured.
    */
   void readMembers(boolean on) {
-    looking = on;
+    readsMembers = on;
   }
 
   void kill(int member) {
-    dead[member] = true;
+    stopped[member] = true;
   }
 
-  /** Lets time pass. */
-  void advance(long time) {
-    long until = now + time;
-    while (!steps.isEmpty() && steps.peek().at <= until) {
+  /** Advances virtual time by {@code ticks} and runs all steps that are due. */
+  void advance(long ticks) {
+    long end = now + ticks;
+    while (!steps.isEmpty() && steps.peek().atTick <= end) {
       Step step = steps.poll();
-      now = step.at;
-      step.then.run();
+      now = step.atTick;
+      step.action.run();
     }
-    now = until;
+    now = end;
   }
 
-  /** Time until the condition holds, or {@code most}; below 0: it did not. */
-  long until(BooleanSupplier condition, long most) {
+  /**
+   * Advances virtual time until the condition holds; returns the elapsed ticks, or -1 if it does
+   * not hold within {@code maxTicks}.
+   */
+  long until(BooleanSupplier condition, long maxTicks) {
     long from = now;
     while (!condition.getAsBoolean()) {
-      if (now - from >= most) return -1;
-      advance(LOOK);
+      if (now - from >= maxTicks) return -1;
+      advance(POLL_INTERVAL_TICKS);
     }
     return now - from;
   }
 
-  /** All running members hold the same view, with exactly the running ones alive. */
+  /**
+   * Returns whether all running members have the same view, with exactly the running ones alive.
+   */
   boolean agree() {
     List<Membership> running = new ArrayList<>();
-    for (int i = 0; i < members.length; i++) if (!dead[i]) running.add(members[i]);
+    for (int i = 0; i < members.length; i++) if (!stopped[i]) running.add(members[i]);
     long digest = running.get(0).digest();
     return running.stream()
-        .allMatch(one -> one.digest() == digest && one.liveCount() == running.size());
+        .allMatch(member -> member.digest() == digest && member.liveCount() == running.size());
   }
 
-  /** How many of the running members hold that one failed. */
+  /** Returns how many running members consider {@code member} failed. */
   int countFailedViews(int member) {
-    int holding = 0;
+    int failedViews = 0;
     for (int i = 0; i < members.length; i++) {
-      if (!dead[i] && members[i].state(member) == State.FAILED) holding++;
+      if (!stopped[i] && members[i].state(member) == State.FAILED) failedViews++;
     }
-    return holding;
+    return failedViews;
   }
 
   MembershipTimings timings() {
--- a/src/main/java/saltlatch/lab/scale/MetricValues.java
+++ b/src/main/java/saltlatch/lab/scale/MetricValues.java
@@ -4,23 +4,23 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Measured values by quantity, put together one after the other. */
+/** Collects measured values by quantity. */
 public final class MetricValues {
-  private final Map<Quantity, Double> all = new EnumMap<>(Quantity.class);
+  private final Map<Quantity, Double> values = new EnumMap<>(Quantity.class);
 
-  /** The first of them. */
+  /** Returns a collection with this value. */
   public static MetricValues of(Quantity quantity, double value) {
     return new MetricValues().and(quantity, value);
   }
 
-  /** One more. */
+  /** Adds or replaces a value; returns this collection. */
   public MetricValues and(Quantity quantity, double value) {
-    all.put(quantity, value);
+    values.put(quantity, value);
     return this;
   }
 
-  /** All of them. */
+  /** Returns a read-only view of all values. */
   public Map<Quantity, Double> map() {
-    return Collections.unmodifiableMap(all);
+    return Collections.unmodifiableMap(values);
   }
 }
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -16,20 +16,21 @@
 import saltlatch.policy.PolicyEngine;
 
 /**
- * The decision module alone, without sockets, as the list grows: {@code module.request} is its CPU
- * for one request that is dispatched and answered, {@code module.change} for one changed entry of
- * the list. The module runs in this process, which may compile it further than {@code serve}'s
- * flags do.
+ * Measures the policy alone, without sockets, by the length of the endpoint list.
+ * {@code module.request} is the CPU time for one request that is dispatched and answered;
+ * {@code module.change} is the CPU time for one changed list entry. The policy runs in this
+ * process, in which the JIT compiler may optimize it more than with the JVM flags of {@code serve}.
  */
 final class ModuleScale implements ScaleTest {
-  private static final int WARM = 400; // requests and changes before anything is read
-  private static final int COUNTED = 2_000; // requests and changes that are read
-  private static final long STEP = 42; // tenths of a ms between requests: 240 a second
-  private static final long TICK = 20; // tenths of a ms
-  private static final long SPENT = 20; // tenths of a ms that a dispatch takes
-  private static final double MILLION = 1e6; // ns in a ms
+  private static final int WARM_UP_COUNT = 400; // requests and changes before the measurement
+  private static final int MEASURED_COUNT = 2_000; // requests and changes in the measurement
+  private static final long INTERVAL_TICKS = 42; // ticks of 0.1 ms; about 240 requests a second
+  private static final long TICK_INTERVAL = 20; // ticks of 0.1 ms
+  private static final long ATTEMPT_TICKS = 20; // duration of an attempt
+  private static final double NANOS_PER_MS = 1e6;
   private static final int ZONES = 3;
-  private static final long ENTRY_BYTES = 1L << 10; // of an app server in the module, at the most
+  // upper bound on the policy's memory for one app server
+  private static final long ENTRY_BYTES = 1L << 10;
 
   @Override
   public String name() {
@@ -53,17 +54,17 @@
 
   @Override
   public Map<String, MetricValues> measure(long size, int repeat) {
-    Play play = new Play((int) size, repeat);
-    play.requests(WARM);
-    play.changes(WARM);
+    PolicyDriver driver = new PolicyDriver((int) size, repeat);
+    driver.requests(WARM_UP_COUNT);
+    driver.changes(WARM_UP_COUNT);
     Map<String, MetricValues> measured = new LinkedHashMap<>();
     measured.put("module.request",
-        MetricValues.of(Quantity.CPU_MS, play.cpuMs(() -> play.requests(COUNTED))));
+        MetricValues.of(Quantity.CPU_MS, driver.cpuMs(() -> driver.requests(MEASURED_COUNT))));
     measured.put("module.change",
-        MetricValues.of(Quantity.CPU_MS, play.cpuMs(() -> play.changes(COUNTED))));
-    if (play.dispatched() != WARM + COUNTED) {
-      throw new IllegalStateException(
-          play.dispatched() + " of " + (WARM + COUNTED) + " requests dispatched");
+        MetricValues.of(Quantity.CPU_MS, driver.cpuMs(() -> driver.changes(MEASURED_COUNT))));
+    if (driver.dispatched() != WARM_UP_COUNT + MEASURED_COUNT) {
+      throw new IllegalStateException("expected " + (WARM_UP_COUNT + MEASURED_COUNT)
+          + " requests dispatched, found " + driver.dispatched());
     }
     return measured;
   }
@@ -74,33 +75,33 @@
   }
 
   /**
-   * One module on a list of so many app servers, without quotas, each request dispatched and
-   * answered at once.
+   * Drives one policy with a list of {@code size} app servers and without quotas. Each attempt
+   * succeeds after {@value #ATTEMPT_TICKS} ticks.
    */
-  private static final class Play implements GatewayActions {
+  private static final class PolicyDriver implements GatewayActions {
     private final int size;
-    private final GatewayPolicy module;
+    private final GatewayPolicy policy;
     private long now = 10_000;
     private long lastRequest;
-    private long lastServer = -1; // of the newest dispatch, -1: none is out
+    private long lastServer = -1; // server of the open attempt, or -1
     private int dispatched;
     private int changed;
 
-    Play(int size, long seed) {
+    PolicyDriver(int size, long seed) {
       this.size = size;
-      GatewaySettings.Limits rules = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
+      GatewaySettings.Limits limits = new GatewaySettings.Limits(false, true, 4, true, 10_000, true,
           0, 1, 0, 0);
-      GatewaySettings.RequestClass frontend = new GatewaySettings.RequestClass(
+      GatewaySettings.RequestClass requestClass = new GatewaySettings.RequestClass(
           GatewaySettings.RetrySafety.IDEMPOTENT, GatewaySettings.KeyScope.ALL, 0, 1_000, 30_000,
           1);
       GatewaySettings.QuotaPlan plan = new GatewaySettings.QuotaPlan(0, 0, 0, 0, 0, 1);
-      GatewaySettings site = new GatewaySettings(seed, 1, TICK, rules,
+      GatewaySettings settings = new GatewaySettings(seed, 1, TICK_INTERVAL, limits,
           new GatewaySettings.CounterSettings(false, false),
-          new GatewaySettings.PeerSettings(0, 0, 0), List.of(frontend), List.of(plan));
-      module = new PolicyEngine(now, site, this);
+          new GatewaySettings.PeerSettings(0, 0, 0), List.of(requestClass), List.of(plan));
+      policy = new PolicyEngine(now, settings, this);
       List<GatewayEvent.Endpoint> entries = new ArrayList<>();
       for (int i = 0; i < size; i++) entries.add(entry(i, EndpointState.READY));
-      module.handle(now,
+      policy.handle(now,
           List.of(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.CACHED_SNAPSHOT, entries)));
     }
 
@@ -109,40 +110,40 @@
     }
 
     private void request() {
-      now += STEP;
+      now += INTERVAL_TICKS;
       long id = ++lastRequest;
-      module.handle(now, List
+      policy.handle(now, List
           .of(new GatewayEvent.RequestArrived(id, 0, 0, id % 1_000, 30_000, 1, 1, 0, false, 0)));
       if (lastServer < 0) return;
       long server = lastServer;
       lastServer = -1;
-      now += SPENT;
-      module.handle(now, List.of(new GatewayEvent.AttemptEnded(id, server, 0,
-          AttemptOutcome.SUCCEEDED, true, SPENT, 0, 0, List.of())));
+      now += ATTEMPT_TICKS;
+      policy.handle(now, List.of(new GatewayEvent.AttemptEnded(id, server, 0,
+          AttemptOutcome.SUCCEEDED, true, ATTEMPT_TICKS, 0, 0, List.of())));
     }
 
-    /** One entry drains, the next time it is ready again. */
+    /** Applies list changes: each entry in turn is set to draining and then to ready again. */
     void changes(int count) {
       for (int i = 0; i < count; i++) {
-        now += STEP;
-        EndpointState condition = changed % 2 == 0 ? EndpointState.DRAINING : EndpointState.READY;
-        GatewayEvent.Endpoint entry = entry(changed / 2 % size, condition);
-        module.handle(now,
+        now += INTERVAL_TICKS;
+        EndpointState state = changed % 2 == 0 ? EndpointState.DRAINING : EndpointState.READY;
+        GatewayEvent.Endpoint entry = entry(changed / 2 % size, state);
+        policy.handle(now,
             List.of(new GatewayEvent.EndpointsUpdated(EndpointUpdateKind.DELTA, List.of(entry))));
         changed++;
       }
     }
 
-    private static GatewayEvent.Endpoint entry(int number, EndpointState condition) {
-      return new GatewayEvent.Endpoint(number, 0, number % ZONES, 0, condition, 1, 0);
+    private static GatewayEvent.Endpoint entry(int number, EndpointState state) {
+      return new GatewayEvent.Endpoint(number, 0, number % ZONES, 0, state, 1, 0);
     }
 
-    /** CPU of this thread for each of the counted, ms. */
+    /** Returns the CPU time of this thread in ms for each of the measured requests or changes. */
     double cpuMs(Runnable work) {
-      long before = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+      long cpuNanosBefore = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
       work.run();
-      return (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - before) / MILLION
-          / COUNTED;
+      return (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpuNanosBefore)
+          / NANOS_PER_MS / MEASURED_COUNT;
     }
 
     int dispatched() {
@@ -150,37 +151,37 @@
     }
 
     @Override
-    public void startAttempt(long rid, long srv, long cap) {
+    public void startAttempt(long request, long server, long limit) {
       dispatched++;
-      lastServer = srv;
+      lastServer = server;
     }
 
     @Override
-    public void reject(long rid, long pause) {}
+    public void reject(long request, long retryDelay) {}
 
     @Override
-    public void fail(long rid) {}
+    public void fail(long request) {}
 
     @Override
-    public void cancelAttempt(long rid, int dispatch) {}
+    public void cancelAttempt(long request, int dispatch) {}
 
     @Override
     public void setTimer(long at, long handle) {}
 
     @Override
-    public void checkHealth(long srv) {}
+    public void checkHealth(long server) {}
 
     @Override
-    public void closeIdleConnections(long srv) {}
+    public void closeIdleConnections(long server) {}
 
     @Override
-    public void addToCounter(long name, double units, long keep, long cap) {}
+    public void addToCounter(long name, double units, long ttl, long limit) {}
 
     @Override
     public void watchEndpoints(boolean on) {}
 
     @Override
-    public void sendGossip(int peer, GossipMessage told) {}
+    public void sendGossip(int peer, GossipMessage message) {}
 
     @Override
     public void log(String text) {}
--- a/src/main/java/saltlatch/lab/scale/Percentiles.java
+++ b/src/main/java/saltlatch/lab/scale/Percentiles.java
@@ -1,10 +1,13 @@
 package saltlatch.lab.scale;
 
-/** Of measured times. */
+/** Computes percentiles of measured times. */
 final class Percentiles {
   private Percentiles() {}
 
-  /** The value that this part of them does not exceed, 1: the largest; NaN of none. */
+  /**
+   * Returns the percentile as the smallest value that at least {@code part} of the values do not
+   * exceed, or NaN if there are no values. A part of 1 gives the largest value.
+   */
   static double of(double[] ascending, double part) {
     if (ascending.length == 0) return Double.NaN;
     return ascending[(int) Math.min(ascending.length - 1.0,
--- a/src/main/java/saltlatch/lab/scale/PlansScale.java
+++ b/src/main/java/saltlatch/lab/scale/PlansScale.java
@@ -8,19 +8,19 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * Customers' plans in the settings of one real node: {@code plans.start} (CPU and time from its
- * start until it answers PING, heap held after a collection, RSS at its highest; COUNT 1, or 0
- * where it did not start), and {@code plans.ends}, the largest number with which it started, to a
- * part of {@value #PRECISION}.
+ * Measures one real node by the number of quota plans in its settings. {@code plans.start} holds
+ * the CPU time and seconds from the node's start until it answers PING, heap after a collection,
+ * and peak RSS; COUNT is 1, or 0 if the node did not start. {@code plans.ends} is the largest
+ * number of plans with which the node started, with a relative precision of {@value #PRECISION}.
  */
 final class PlansScale implements ScaleTest {
-  private static final long ENTRIES = 100; // app servers in the list meanwhile
-  private static final double NANOS = 1e9; // in a second
+  private static final long ENTRIES = 100; // app servers in the list
+  private static final double NANOS_PER_SECOND = 1e9;
   private static final double PRECISION = 0.05;
 
   private final TestEnvironment environment;
-  private long started; // the largest that did
-  private long failed = Long.MAX_VALUE; // the smallest that did not
+  private long largestStarted;
+  private long smallestFailed = Long.MAX_VALUE;
 
   PlansScale(TestEnvironment environment) {
     this.environment = environment;
@@ -51,29 +51,33 @@
     return Map.of("plans.start", start(size));
   }
 
-  /** Halves the range between a number that started and one that did not. */
+  /**
+   * Searches by bisection between the largest number of plans with which the node started and the
+   * smallest with which it failed.
+   */
   @Override
   public Map<String, Long> measuredLimits() throws Exception {
-    if (failed == Long.MAX_VALUE) return Map.of();
-    while (failed - started > started * PRECISION) start((started + failed) / 2);
-    return Map.of("plans.ends", started);
+    if (smallestFailed == Long.MAX_VALUE) return Map.of();
+    while (smallestFailed - largestStarted > largestStarted * PRECISION)
+      start((largestStarted + smallestFailed) / 2);
+    return Map.of("plans.ends", largestStarted);
   }
 
   private MetricValues start(long size) throws Exception {
     try (SourceProcess source = new SourceProcess(environment, ENTRIES);
         Processes nodes = environment.nodes(
             number -> NodeConfig.of(number, 1, source.address()).withPlans((int) size).json())) {
-      long from = System.nanoTime();
+      long startedAt = System.nanoTime();
       try {
         nodes.start(1);
       } catch (IOException e) {
-        failed = Math.min(failed, size);
+        smallestFailed = Math.min(smallestFailed, size);
         return MetricValues.of(Quantity.COUNT, 0);
       }
-      started = Math.max(started, size);
+      largestStarted = Math.max(largestStarted, size);
       long pid = nodes.pid(0);
       return MetricValues.of(Quantity.CPU_MS, (double) ProcessMetrics.cpu(pid).processMs())
-          .and(Quantity.SECONDS, (System.nanoTime() - from) / NANOS)
+          .and(Quantity.SECONDS, (System.nanoTime() - startedAt) / NANOS_PER_SECOND)
           .and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(pid))
           .and(Quantity.HEAP_BYTES, (double) ProcessMetrics.heldHeapBytes(pid))
           .and(Quantity.COUNT, 1);
--- a/src/main/java/saltlatch/lab/scale/Quantity.java
+++ b/src/main/java/saltlatch/lab/scale/Quantity.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.scale;
 
-/** What a scale test measures of one size; the unit is part of the name. */
+/** A quantity that a scale test measures; its name contains the unit. */
 public enum Quantity {
   CPU_MS,
   BYTES_IN,
--- a/src/main/java/saltlatch/lab/scale/RequestsScale.java
+++ b/src/main/java/saltlatch/lab/scale/RequestsScale.java
@@ -5,14 +5,15 @@
 import java.util.Map;
 
 /**
- * Requests a second at one real node: {@code requests.rate} (its CPU a second; P50_MS and P99_MS
- * are what it adds: latency through it less the same load's straight to the app servers, quantile
- * by quantile), {@code requests.direct} (the latter) and {@code requests.late} (by how much the
- * load tool sent too late on the way through the node).
+ * Measures one real node by requests a second. {@code requests.rate} holds the node's CPU time a
+ * second and the latency that it adds: P50_MS and P99_MS are percentiles of the latency through the
+ * node less the same percentiles of the same load sent directly to the app servers.
+ * {@code requests.direct} holds the latter. {@code requests.late} is the delay of the load
+ * generator behind its schedule in the run through the node.
  */
 final class RequestsScale implements ScaleTest {
   private final LoadTrial trial;
-  private boolean warm;
+  private boolean warmedUp;
 
   RequestsScale(TestEnvironment environment) {
     trial = new LoadTrial(environment);
@@ -40,9 +41,9 @@
 
   @Override
   public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
-    // so that the load tool's and the stand-ins' code is compiled
-    if (!warm) trial.direct(size, repeat);
-    warm = true;
+    // so that the JIT compiler has compiled the load generator and the emulator
+    if (!warmedUp) trial.direct(size, repeat);
+    warmedUp = true;
     LoadTrial.Latency direct = trial.direct(size, repeat);
     LoadTrial.Node node = trial.node(size, repeat);
     LoadTrial.Latency through = node.latency();
--- a/src/main/java/saltlatch/lab/scale/ResourceRequirements.java
+++ b/src/main/java/saltlatch/lab/scale/ResourceRequirements.java
@@ -1,9 +1,9 @@
 package saltlatch.lab.scale;
 
 /**
- * What one size of a scale test takes of the machine at the most.
+ * Upper bounds on the machine's resources that a scale test uses at one size.
  *
- * @param bytes     of memory, over all processes
- * @param processes started beside this one
+ * @param bytes     memory of all processes
+ * @param processes processes that the test starts
  */
 public record ResourceRequirements(long bytes, int processes) {}
--- a/src/main/java/saltlatch/lab/scale/Revision.java
+++ b/src/main/java/saltlatch/lab/scale/Revision.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The text that is measured, by git: the commit's short name, {@code -dirty} behind it where
- * sources were changed.
+ * Determines the revision that is measured with git: the abbreviated commit hash, with the suffix
+ * {@code -dirty} if sources were modified.
  */
 final class Revision {
-  private static final int WAIT_S = 10;
-  private static final int NAME = 7; // digits of a commit's name
+  private static final int TIMEOUT_SECONDS = 10;
+  private static final int HASH_DIGITS = 7;
 
   private Revision() {}
 
-  /** Of the directory that the command runs in; {@code unknown} where there is no git. */
+  /** Returns the revision of the working directory, or {@code unknown} if git reports none. */
   static String here() {
     try {
-      String name = git("rev-parse", "--short=" + NAME, "HEAD");
-      if (name.isEmpty()) return "unknown";
-      return git("status", "--porcelain", "--", "src", "pom.xml").isEmpty() ? name
-          : name + "-dirty";
+      String hash = git("rev-parse", "--short=" + HASH_DIGITS, "HEAD");
+      if (hash.isEmpty()) return "unknown";
+      return git("status", "--porcelain", "--", "src", "pom.xml").isEmpty() ? hash
+          : hash + "-dirty";
     } catch (IOException e) {
       return "unknown";
     } catch (InterruptedException e) {
@@ -33,9 +33,11 @@
   private static String git(String... arguments) throws IOException, InterruptedException {
     List<String> command = new java.util.ArrayList<>(List.of("git"));
     command.addAll(List.of(arguments));
-    Process git = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD)
+    Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD)
         .start();
-    String text = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-    return git.waitFor(WAIT_S, TimeUnit.SECONDS) && git.exitValue() == 0 ? text : "";
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+        .trim();
+    return process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS) && process.exitValue() == 0 ? output
+        : "";
   }
 }
--- a/src/main/java/saltlatch/lab/scale/ScaleRun.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleRun.java
@@ -8,25 +8,28 @@
 import java.util.Map;
 
 /**
- * Runs one scale test: every size, smallest first, so many repeats each; before the largest it
- * prints what the line through the smaller ones foretells for it. Each measurement is written as it
- * is made.
+ * Runs one scale test at each size in ascending order, with several repeats. Before the largest
+ * size it prints the prediction of a linear regression over the smaller sizes. Each measurement is
+ * written immediately.
  */
 public final class ScaleRun {
-  private static final int BAR = 40; // characters
+  private static final int BAR_WIDTH = 40; // characters
 
   private final Machine machine;
   private final Writer measurements;
   private final PrintStream table;
   private final PrintStream progress;
   private final String commit;
-  private final List<Measurement> made = new ArrayList<>();
+  private final List<Measurement> written = new ArrayList<>();
 
   /**
-   * @param measurements takes a JSON line for each measurement
-   * @param table        takes the tables
-   * @param progress     takes the progress bar
-   * @param commit       the text that is measured; null: the one that git tells
+   * Creates a run that writes to these outputs.
+   *
+   * @param machine      machine whose limits the sizes must not exceed
+   * @param measurements receives a JSON line for each measurement
+   * @param table        receives the tables
+   * @param progress     receives the progress bar
+   * @param commit       revision that is measured, or null to determine it with git
    */
   public ScaleRun(Machine machine, Writer measurements, PrintStream table, PrintStream progress,
       String commit) {
@@ -38,8 +41,8 @@
   }
 
   /**
-   * Fails with {@link Machine.ResourceLimitException} before anything runs where one of the sizes
-   * is beyond the machine's limits.
+   * Runs the test. Before anything runs, throws {@link Machine.ResourceLimitException} if one of
+   * the sizes exceeds the machine's limits.
    */
   public void run(ScaleTest test, List<Long> sizes, int repeats) throws Exception {
     for (long size : sizes) machine.admit(test.name(), size, test.requirements(size));
@@ -49,37 +52,39 @@
       if (size == largest) {
         progress.println();
         table.println("lab scale " + test.name() + ", foretold for " + largest + " " + test.grows()
-            + " by the smaller sizes, before it runs:\n" + ScaleTable.of(Slope.of(made, largest)));
+            + " by the smaller sizes, before it runs:\n"
+            + ScaleTable.of(Slope.of(written, largest)));
       }
       for (int repeat = 1; repeat <= repeats; repeat++) {
-        show(test, size, repeat, done++, sizes.size() * repeats);
-        for (Map.Entry<String, MetricValues> one : test.measure(size, repeat).entrySet()) {
-          write(new Measurement(one.getKey(), test.grows(), size, repeat, one.getValue().map(),
-              commit));
+        showProgress(test, size, repeat, done++, sizes.size() * repeats);
+        for (Map.Entry<String, MetricValues> result : test.measure(size, repeat).entrySet()) {
+          write(new Measurement(result.getKey(), test.grows(), size, repeat,
+              result.getValue().map(), commit));
         }
       }
     }
-    for (Map.Entry<String, Long> end : test.measuredLimits().entrySet()) {
-      write(new Measurement(end.getKey(), test.grows(), end.getValue(), 1,
-          MetricValues.of(Quantity.COUNT, end.getValue()).map(), commit));
-      table.println(end.getKey() + ": " + end.getValue() + " " + test.grows());
+    for (Map.Entry<String, Long> limit : test.measuredLimits().entrySet()) {
+      write(new Measurement(limit.getKey(), test.grows(), limit.getValue(), 1,
+          MetricValues.of(Quantity.COUNT, limit.getValue()).map(), commit));
+      table.println(limit.getKey() + ": " + limit.getValue() + " " + test.grows());
     }
     progress.println();
     table.println("lab scale " + test.name() + ", " + test.grows() + " " + sizes + ", " + repeats
-        + " repeats, text " + commit + ":\n" + ScaleTable.of(Slope.of(made, largest)));
+        + " repeats, text " + commit + ":\n" + ScaleTable.of(Slope.of(written, largest)));
     if (!test.remark().isEmpty()) table.println(test.remark());
   }
 
-  private void write(Measurement one) throws IOException {
-    made.add(one);
-    measurements.write(one.toJson() + "\n");
+  private void write(Measurement measurement) throws IOException {
+    written.add(measurement);
+    measurements.write(measurement.toJson() + "\n");
     measurements.flush();
   }
 
-  private void show(ScaleTest test, long size, int repeat, int done, int all) {
-    int filled = BAR * done / all;
-    progress.print("\r" + test.name() + " [" + "#".repeat(filled) + " ".repeat(BAR - filled) + "] "
-        + done + "/" + all + "  " + size + " " + test.grows() + ", repeat " + repeat + "   ");
+  private void showProgress(ScaleTest test, long size, int repeat, int done, int total) {
+    int filled = BAR_WIDTH * done / total;
+    progress.print(
+        "\r" + test.name() + " [" + "#".repeat(filled) + " ".repeat(BAR_WIDTH - filled) + "] "
+            + done + "/" + total + "  " + size + " " + test.grows() + ", repeat " + repeat + "   ");
     progress.flush();
   }
 }
--- a/src/main/java/saltlatch/lab/scale/ScaleTable.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTable.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * The table that a scale test prints: each quantity's line, its residual, and the largest size
- * foretold and measured.
+ * Formats the table that a scale test prints: for each quantity, the linear regression, its
+ * residual, and the predicted and measured values at the largest size.
  */
 final class ScaleTable {
   private static final List<String> HEAD = List.of("measured", "quantity", "at size 0",
@@ -26,8 +26,8 @@
     StringBuilder text = new StringBuilder();
     for (List<String> row : rows) {
       for (int i = 0; i < widths.length; i++) {
-        String pad = " ".repeat(widths[i] - row.get(i).length());
-        text.append(i == 0 ? "" : "  ").append(i < 2 ? row.get(i) + pad : pad + row.get(i));
+        String padding = " ".repeat(widths[i] - row.get(i).length());
+        text.append(i == 0 ? "" : "  ").append(i < 2 ? row.get(i) + padding : padding + row.get(i));
       }
       text.append('\n');
     }
@@ -35,15 +35,15 @@
   }
 
   private static List<String> row(Slope slope) {
-    boolean known = !Double.isNaN(slope.measured());
+    boolean isMeasured = !Double.isNaN(slope.measured());
     return List.of(slope.what(), slope.quantity().name().toLowerCase(Locale.ROOT),
         number(slope.all().intercept()), number(slope.all().slope()),
         number(slope.all().residual()), Long.toString(slope.largest()), number(slope.predicted()),
-        known ? number(slope.measured()) : "-",
-        known && slope.measured() != 0 ? Math.round(slope.error() * PERCENT) + " %" : "-");
+        isMeasured ? number(slope.measured()) : "-",
+        isMeasured && slope.measured() != 0 ? Math.round(slope.error() * PERCENT) + " %" : "-");
   }
 
-  /** Four digits that count. */
+  /** Formats a number with four significant digits. */
   static String number(double value) {
     if (value == 0) return "0";
     return new java.math.BigDecimal(value).round(new java.math.MathContext(4)).stripTrailingZeros()
--- a/src/main/java/saltlatch/lab/scale/ScaleTest.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTest.java
@@ -4,37 +4,40 @@
 import java.util.Map;
 
 /**
- * One thing that grows, and how what a size of it costs is measured. One caller, one size at a
- * time.
+ * Measures the cost of one kind of growth at given sizes. Not thread-safe: one size is measured at
+ * a time.
  */
 public interface ScaleTest {
-  /** Its name on the command line and the beginning of its measurements' names. */
+  /** Returns the name on the command line, which also starts the measurements' names. */
   String name();
 
-  /** What grows, in words. */
+  /** Returns what the size counts, such as {@code app servers}. */
   String grows();
 
-  /** Sizes that it measures where none are asked for, ascending in geometric steps. */
+  /** Returns the default sizes, in ascending and roughly geometric order. */
   List<Long> sizes();
 
-  /** What a size takes of the machine at the most. */
+  /** Returns upper bounds on the machine's resources that the test uses at a size. */
   ResourceRequirements requirements(long size);
 
   /**
-   * Measures one repeat of one size: the values by the name of the measurement, such as
+   * Measures one repeat at one size; returns the values by the name of the measurement, such as
    * {@code list.start}.
    */
   Map<String, MetricValues> measure(long size, int repeat) throws Exception;
 
   /**
-   * The size at which it ends, by the name of the measurement, once all sizes were measured; none
-   * for most tests.
+   * Returns the largest size that works, by the name of the measurement. Called after all sizes
+   * were measured; most tests return an empty map.
    */
   default Map<String, Long> measuredLimits() throws Exception {
     return Map.of();
   }
 
-  /** Plain words that belong beside its table, such as what its tools cannot show; empty: none. */
+  /**
+   * Returns a remark for below the table, such as what the test can't show, or an empty string if
+   * there is none.
+   */
   default String remark() {
     return "";
   }
--- a/src/main/java/saltlatch/lab/scale/ScaleTests.java
+++ b/src/main/java/saltlatch/lab/scale/ScaleTests.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** All scale tests, by the names that the command line knows. */
+/** Lists all scale tests and finds them by the names that the command line accepts. */
 public final class ScaleTests {
   private ScaleTests() {}
 
-  /** In the order of their importance. */
+  /** Returns all tests, the most important first. */
   public static List<ScaleTest> all(TestEnvironment environment) {
     return List.of(new ListScale(environment), new WatchersScale(environment),
         new PlansScale(environment), new CounterScale(environment), new MembersScale(),
@@ -15,7 +15,7 @@
         new FleetScale(environment), new ModuleScale());
   }
 
-  /** The one of that name. */
+  /** Returns the test with this name, if there is one. */
   public static Optional<ScaleTest> named(String name, TestEnvironment environment) {
     return all(environment).stream().filter(test -> test.name().equals(name)).findFirst();
   }
--- a/src/main/java/saltlatch/lab/scale/Slope.java
+++ b/src/main/java/saltlatch/lab/scale/Slope.java
@@ -7,52 +7,54 @@
 import java.util.TreeSet;
 
 /**
- * One quantity of one measurement over the size that grew: the line through the smaller sizes, what
- * it foretells for the largest, what was measured there, and the line through all.
+ * The linear regression of one quantity of a measurement over size, with the prediction and the
+ * measured value at the largest size.
  *
- * @param what      the measurement, such as {@code list.start}
- * @param smaller   the line through all sizes but the largest
- * @param all       the line through all sizes
- * @param largest   the largest size
- * @param predicted for the largest size by {@code smaller}
- * @param measured  at the largest size, the mean of its repeats; NaN: not yet
+ * @param what      name of the measurement, such as {@code list.start}
+ * @param quantity  measured quantity
+ * @param smaller   regression over all sizes except the largest
+ * @param all       regression over all sizes
+ * @param largest   largest size
+ * @param predicted prediction of {@code smaller} for the largest size
+ * @param measured  mean of all repeats at the largest size, or NaN if it was not measured
  */
 public record Slope(String what, Quantity quantity, LineFit smaller, LineFit all, long largest,
     double predicted, double measured) {
-  private static final int LEAST_SIZES = 2; // smaller ones, for a line
+  private static final int MIN_SMALLER_SIZES = 2; // that a line requires
 
-  /** How far the prediction was off, as a part of what was measured. */
+  /** Returns the error of the prediction, as a part of the measured value. */
   public double error() {
     return (predicted - measured) / measured;
   }
 
   /**
-   * Of every quantity with enough sizes, in the order of their measuring; the largest size may be
-   * still to come.
+   * Returns a regression for each quantity that was measured at enough sizes, in the order of the
+   * measurements. The largest size may not have been measured yet.
    */
   public static List<Slope> of(List<Measurement> measurements, long largest) {
     Map<String, List<Measurement>> byName = new LinkedHashMap<>();
-    for (Measurement one : measurements)
-      byName.computeIfAbsent(one.what(), name -> new ArrayList<>()).add(one);
+    for (Measurement measurement : measurements)
+      byName.computeIfAbsent(measurement.what(), name -> new ArrayList<>()).add(measurement);
     List<Slope> slopes = new ArrayList<>();
-    byName.forEach((what, some) -> {
+    byName.forEach((what, sameName) -> {
       for (Quantity quantity : Quantity.values()) {
-        Slope slope = of(what, quantity, some, largest);
+        Slope slope = of(what, quantity, sameName, largest);
         if (slope != null) slopes.add(slope);
       }
     });
     return slopes;
   }
 
-  private static Slope of(String what, Quantity quantity, List<Measurement> some, long largest) {
+  private static Slope of(String what, Quantity quantity, List<Measurement> sameName,
+      long largest) {
     List<LineFit.Point> all = new ArrayList<>();
     TreeSet<Long> sizes = new TreeSet<>();
-    for (Measurement one : some) {
-      if (!one.values().containsKey(quantity)) continue;
-      all.add(new LineFit.Point(one.size(), one.values().get(quantity)));
-      if (one.size() < largest) sizes.add(one.size());
+    for (Measurement measurement : sameName) {
+      if (!measurement.values().containsKey(quantity)) continue;
+      all.add(new LineFit.Point(measurement.size(), measurement.values().get(quantity)));
+      if (measurement.size() < largest) sizes.add(measurement.size());
     }
-    if (sizes.size() < LEAST_SIZES) return null;
+    if (sizes.size() < MIN_SMALLER_SIZES) return null;
     LineFit smaller = LineFit.of(all.stream().filter(point -> point.size() < largest).toList());
     double measured = all.stream().filter(point -> point.size() == largest)
         .mapToDouble(LineFit.Point::value).average().orElse(Double.NaN);
--- a/src/main/java/saltlatch/lab/scale/Source.java
+++ b/src/main/java/saltlatch/lab/scale/Source.java
@@ -22,46 +22,47 @@
 import java.util.Set;
 
 /**
- * A stand-in for discovery at size, HTTP/1.1 after the protocol page: {@code GET /api/targets}
- * gives the whole list, {@code ?follow=1&since=N} a watch whose first line is what changed after N,
- * or the whole list where the log does not reach so far; an empty line every 2 s while nothing
- * changes. One encoded buffer for each change and for each whole list, shared by all watchers. A
- * watcher that does not read is told nothing more until it does, and then what changed meanwhile:
- * what is held for it is bounded.
+ * A simulated discovery server for large lists and many watchers, which implements the protocol
+ * page over HTTP/1.1. {@code GET /api/targets} returns the complete list. With
+ * {@code ?follow=1&since=N} it opens a watch whose first line contains the changes after N, or the
+ * complete list if the log does not go back that far. A watch receives an empty line every 2 s if
+ * nothing changes. Each change and each complete list is encoded once into a buffer that all
+ * watchers share. A watcher that does not read is sent nothing more until it does, and then
+ * receives the changes since, which bounds the bytes that are queued for it.
  *
- * <p>For the laboratory: {@code GET /lab/figures} tells what was sent, and
- * {@code POST /lab/rate?per_second=R} sets how many changes come a second. One event loop owns all
- * of it.
+ * <p>For the laboratory, {@code GET /lab/figures} returns totals of what was sent, and
+ * {@code POST /lab/rate?per_second=R} sets the number of changes a second. All state is confined to
+ * one event loop.
  */
 public final class Source {
-  // an empty line this often on a quiet watch, as the protocol page says
+  // interval of empty lines on a watch without changes, as the protocol page states
   static final long KEEP_ALIVE_MS = 2_000;
-  private static final double NANOS = 1e9; // in a second
-  private static final double MILLIS = 1e3;
-  // above it a watcher waits until it has read half
+  private static final double NANOS_PER_SECOND = 1e9;
+  private static final double MS_PER_SECOND = 1e3;
+  // above it, writes to a watcher pause until its queue has drained to half
   private static final int WATCHER_QUEUE_BYTES = 262_144;
   private static final Buffer EMPTY_LINE = Buffer.buffer("\n");
 
   private final Vertx vertx;
-  private final WireBytes bytes = new WireBytes();
+  private final WireBytes wireBytes = new WireBytes();
   private final SourceList list;
-  private final Writer puts; // null: times of changes are not kept
+  private final Writer puts; // times of changes, or null to record none
   private final Set<Watcher> watchers = new LinkedHashSet<>();
   private HttpServer server;
   private double perSecond;
-  private long rateFrom; // ns: when the rate was set
-  private long changesAtRate; // since then
-  private long nextChange = -1; // its timer; below 0: none
-  private Buffer whole; // of the index below
-  private long wholeIndex;
-  private Buffer newest; // the last change alone
+  private long rateSetAtNanos;
+  private long changesSinceRateSet;
+  private long nextChangeTimer = -1; // negative if none is set
+  private Buffer snapshotLine; // at snapshotIndex
+  private long snapshotIndex;
+  private Buffer newestChange; // line with the last change only
   private long connections;
   private long opened;
   private long snapshots;
   private long changeLines;
   private long emptyLines;
 
-  /** One follower: everything up to its position was written to it. */
+  /** One watch, to which all changes up to {@code position} were written. */
   private final class Watcher {
     final HttpServerResponse response;
     long position;
@@ -71,13 +72,16 @@
       this.response = response;
     }
 
-    /** Writes what it does not have yet, unless its queue is full. */
+    /**
+     * Writes the changes after {@code position}, unless the write queue is full. {@code change} is
+     * the line for a watcher at index {@code from}.
+     */
     void advance(Buffer change, long from) {
       if (position == list.index() || response.writeQueueFull()) return;
       quiet = false;
       if (!list.hasChangesSince(position)) {
         snapshots++;
-        response.write(wholeLine());
+        response.write(snapshotLine());
       } else {
         changeLines++;
         response.write(position == from ? change : line(list.changesAfter(position)));
@@ -87,9 +91,11 @@
   }
 
   /**
-   * @param list  what is told
-   * @param rate  changes a second; 0: none
-   * @param puts  where the time of each change is written, a JSON line each; null: nowhere
+   * Creates a server that does not listen yet.
+   *
+   * @param list  endpoint list that is served and changed
+   * @param rate  changes a second, or 0 for none
+   * @param puts  receives a JSON line with the time of each change; null to record none
    */
   public Source(SourceList list, double rate, Writer puts) {
     this.list = list;
@@ -99,67 +105,70 @@
         .setInternalBlockingPoolSize(1).setPreferNativeTransport(true));
   }
 
-  /** Listens; the result is the port. */
+  /** Starts to listen; the result is the port. */
   public Future<Integer> start(String host, int port) {
     server = vertx
         .createHttpServer(new HttpServerOptions().setHost(host).setPort(port)
             .setAcceptBacklog(4_096).setTcpNoDelay(true).setIdleTimeout(0))
         .requestHandler(this::request).connectionHandler(connection -> {
           connections++;
-          bytes.count(connection);
+          wireBytes.count(connection);
         });
-    return server.listen().map(up -> {
+    return server.listen().map(listening -> {
       rate(perSecond);
-      vertx.setPeriodic(KEEP_ALIVE_MS, t -> keepAlive());
-      return up.actualPort();
+      vertx.setPeriodic(KEEP_ALIVE_MS, timer -> keepAlive());
+      return listening.actualPort();
     });
   }
 
-  /** Ends all watches. */
+  /** Stops listening and closes all watches. */
   public Future<Void> stop() {
     return vertx.close();
   }
 
   private void rate(double changesPerSecond) {
     perSecond = changesPerSecond;
-    rateFrom = System.nanoTime();
-    changesAtRate = 0;
-    if (nextChange >= 0) vertx.cancelTimer(nextChange);
-    nextChange = -1;
+    rateSetAtNanos = System.nanoTime();
+    changesSinceRateSet = 0;
+    if (nextChangeTimer >= 0) vertx.cancelTimer(nextChangeTimer);
+    nextChangeTimer = -1;
     if (perSecond > 0) armNextChange();
   }
 
-  /** One timer for the next change alone: a look each ms would cost more than the changes. */
+  /**
+   * Sets one timer for the next change; a periodic check each ms would cost more CPU time than the
+   * changes.
+   */
   private void armNextChange() {
-    double dueMs = (changesAtRate + 1) / perSecond * MILLIS;
-    double pastMs = (System.nanoTime() - rateFrom) / NANOS * MILLIS;
-    nextChange = vertx.setTimer(Math.max(1, Math.round(dueMs - pastMs)), timer -> {
-      changeWhatIsDue();
+    double dueMs = (changesSinceRateSet + 1) / perSecond * MS_PER_SECOND;
+    double elapsedMs = (System.nanoTime() - rateSetAtNanos) / NANOS_PER_SECOND * MS_PER_SECOND;
+    nextChangeTimer = vertx.setTimer(Math.max(1, Math.round(dueMs - elapsedMs)), timer -> {
+      applyDueChanges();
       armNextChange();
     });
   }
 
-  private void changeWhatIsDue() {
-    double due = (System.nanoTime() - rateFrom) / NANOS * perSecond;
-    while (changesAtRate < Math.floor(due)) {
-      changesAtRate++;
-      change();
+  private void applyDueChanges() {
+    double dueChanges = (System.nanoTime() - rateSetAtNanos) / NANOS_PER_SECOND * perSecond;
+    while (changesSinceRateSet < Math.floor(dueChanges)) {
+      changesSinceRateSet++;
+      applyChange();
     }
   }
 
-  private void change() {
+  private void applyChange() {
     long from = list.index();
     long index = list.nextChange();
-    long now = System.nanoTime();
-    newest = line(list.changesAfter(from));
-    put(index, now);
-    for (Watcher watcher : List.copyOf(watchers)) watcher.advance(newest, from);
+    long nowNanos = System.nanoTime();
+    newestChange = line(list.changesAfter(from));
+    recordChange(index, nowNanos);
+    for (Watcher watcher : List.copyOf(watchers)) watcher.advance(newestChange, from);
   }
 
-  private void put(long index, long now) {
+  private void recordChange(long index, long nowNanos) {
     if (puts == null) return;
     try {
-      puts.write("{\"index\":" + index + ",\"put_ns\":" + now + "}\n");
+      puts.write("{\"index\":" + index + ",\"put_ns\":" + nowNanos + "}\n");
       puts.flush();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -177,8 +186,8 @@
   }
 
   /**
-   * Outside of the heap, since writing a buffer of the heap copies it for each watcher; the
-   * collector frees it.
+   * Encodes a line into direct memory, since a write of a heap buffer copies it for each watcher.
+   * The garbage collector frees the buffer.
    */
   private static Buffer line(String text) {
     byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
@@ -186,32 +195,32 @@
     return BufferInternal.buffer(Unpooled.unreleasableBuffer(Unpooled.wrappedBuffer(direct)));
   }
 
-  private Buffer wholeLine() {
-    if (whole == null || wholeIndex != list.index()) {
-      whole = line(list.snapshot());
-      wholeIndex = list.index();
+  private Buffer snapshotLine() {
+    if (snapshotLine == null || snapshotIndex != list.index()) {
+      snapshotLine = line(list.snapshot());
+      snapshotIndex = list.index();
     }
-    return whole;
+    return snapshotLine;
   }
 
   private void request(HttpServerRequest request) {
     HttpServerResponse response = request.response().putHeader("content-type", "application/json");
-    if (request.path().startsWith("/lab/")) bytes.leaveOut(request.connection());
+    if (request.path().startsWith("/lab/")) wireBytes.leaveOut(request.connection());
     switch (request.path()) {
       case "/api/targets" -> {
         if ("1".equals(request.getParam("follow"))) follow(request);
         else {
           snapshots++;
-          response.end(wholeLine());
+          response.end(snapshotLine());
         }
       }
       case "/lab/figures" -> response.end(figures() + "\n");
-      case "/lab/rate" -> takeRate(request);
+      case "/lab/rate" -> setRate(request);
       default -> response.setStatusCode(404).end();
     }
   }
 
-  private void takeRate(HttpServerRequest request) {
+  private void setRate(HttpServerRequest request) {
     try {
       rate(Double.parseDouble(request.getParam("per_second", "")));
       request.response().end("{\"index\":" + list.index() + "}\n");
@@ -234,20 +243,21 @@
     Watcher watcher = new Watcher(response);
     watcher.position = since;
     watchers.add(watcher);
-    response.exceptionHandler(e -> watchers.remove(watcher));
-    response.closeHandler(v -> watchers.remove(watcher));
-    response.drainHandler(v -> watcher.advance(newest, list.index() - 1));
+    response.exceptionHandler(error -> watchers.remove(watcher));
+    response.closeHandler(ignored -> watchers.remove(watcher));
+    response.drainHandler(ignored -> watcher.advance(newestChange, list.index() - 1));
     if (since == list.index()) {
       changeLines++;
-      response.write(line(list.changesAfter(since))); // its first line says that nothing changed
+      // the first line of a watch is sent even if nothing has changed
+      response.write(line(list.changesAfter(since)));
     } else {
-      watcher.advance(newest, list.index() - 1);
+      watcher.advance(newestChange, list.index() - 1);
     }
   }
 
   /**
-   * What was sent so far, as JSON; bytes are those of all connections but the ones that ask for
-   * this.
+   * Returns totals of what was sent so far, as JSON. The bytes exclude connections with requests
+   * below {@code /lab/}.
    */
   private JsonObject figures() {
     JsonObject figures = new JsonObject();
@@ -259,7 +269,7 @@
     figures.addProperty("snapshots", snapshots);
     figures.addProperty("change_lines", changeLines);
     figures.addProperty("empty_lines", emptyLines);
-    figures.addProperty("bytes_out", bytes.out());
+    figures.addProperty("bytes_out", wireBytes.out());
     figures.addProperty("connections", connections);
     figures.addProperty("pid", ProcessHandle.current().pid());
     figures.addProperty("loop_cpu_ns",
@@ -267,7 +277,7 @@
     return figures;
   }
 
-  /** Watchers that are not told everything yet: they read too slowly. */
+  /** Returns the number of watchers to which some changes were not written yet. */
   private long behind() {
     return watchers.stream().filter(watcher -> watcher.position != list.index()).count();
   }
--- a/src/main/java/saltlatch/lab/scale/SourceList.java
+++ b/src/main/java/saltlatch/lab/scale/SourceList.java
@@ -6,54 +6,57 @@
 import java.util.SplittableRandom;
 
 /**
- * The list that a stand-in of discovery tells: so many app servers, one of which changes at a time
- * from {@code Ready} to {@code Terminating} or back, and a log of which changed at which index.
- * Pure: no clock, no I/O, one seeded generator. An entry's text is the protocol page's example,
- * about 125 bytes.
+ * The endpoint list of a simulated discovery server, with a log of the changed entry for each
+ * index. Each change moves one app server from {@code Ready} to {@code Terminating} or back. It
+ * uses no clock or I/O and one seeded random generator. An entry's text has the form of the
+ * protocol page's example, about 125 bytes.
  */
 public final class SourceList {
-  // an entry's group is its service, as at the size that is coming
+  // an entry's group is its service; as many services as at the expected size
   static final int SERVICES = 2_200;
-  static final int LOG = 65_536; // changes kept for watchers that resume; two hours at 8 a second
+  static final int LOG = 65_536; // changes that a watcher can resume from; two hours at 8 a second
   private static final int FIRST_INDEX = 1;
   private static final int ZONES = 9; // a to i
   private static final int OCTET = 256;
   private static final int PORT = 6379;
-  // odd, so that no two numbers below 2^32 get one name
+  // odd, so that no two numbers below 2^32 have the same name
   private static final long NAME_STEP = 0x9E3779B1L;
 
   private final boolean[] draining;
   // the entry that changed at an index, by the index modulo LOG
   private final int[] changed = new int[LOG];
-  private final SplittableRandom chance;
-  private final long series; // Unix ms; 0: not told
+  private final SplittableRandom random;
+  private final long series; // Unix ms, or 0 to leave it out
   private long index = FIRST_INDEX;
 
   /**
-   * @param entries app servers
-   * @param seed    of the choice of what changes
-   * @param series  the list's identity as Unix ms, told in each message; 0: none is told
+   * Creates a list whose entries are all ready.
+   *
+   * @param entries number of app servers
+   * @param seed    seed of the random choice of the entry that changes
+   * @param series  identity of the list as Unix ms, which each message contains, or 0 for none
    */
   public SourceList(int entries, long seed, long series) {
-    if (entries < 1) throw new IllegalArgumentException("a list wants an entry");
+    if (entries < 1)
+      throw new IllegalArgumentException("a list requires at least 1 entry, found " + entries);
     draining = new boolean[entries];
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     this.series = series;
   }
 
-  /** Grows by one with each change. */
+  /** Returns the current index, which increases by one with each change. */
   public long index() {
     return index;
   }
 
-  /** App servers in the list. */
+  /** Returns the number of app servers in the list. */
   public int entries() {
     return draining.length;
   }
 
-  /** Changes one entry, drawn from the seed; returns the new index. */
+  /** Changes one entry, chosen at random; returns the new index. */
   public long nextChange() {
-    int entry = chance.nextInt(draining.length);
+    int entry = random.nextInt(draining.length);
     draining[entry] = !draining[entry];
     index++;
     changed[(int) (index % LOG)] = entry;
@@ -61,26 +64,26 @@
   }
 
   /**
-   * Whether {@link #changesAfter} can answer: the index was reached, and the log still holds all
-   * that came after it.
+   * Returns whether {@link #changesAfter} supports this index: it is not above the current one, and
+   * the log still contains all later changes.
    */
   public boolean hasChangesSince(long since) {
     return since >= FIRST_INDEX && since <= index && index - since <= LOG;
   }
 
   /**
-   * What changed after an index that {@link #hasChangesSince} holds for, each entry once in its
-   * state now.
+   * Returns a message with the entries that changed after an index, each once in its current state.
+   * {@link #hasChangesSince} must hold for the index.
    */
   public String changesAfter(long since) {
-    if (!hasChangesSince(since))
-      throw new IllegalArgumentException("no changes are known after " + since);
+    if (!hasChangesSince(since)) throw new IllegalArgumentException(
+        "expected an index in the log, which ends at " + index + ", found " + since);
     LinkedHashSet<Integer> entries = new LinkedHashSet<>();
     for (long at = since + 1; at <= index; at++) entries.add(changed[(int) (at % LOG)]);
     return message(false, List.copyOf(entries));
   }
 
-  /** Every entry. */
+  /** Returns a message with all entries. */
   public String snapshot() {
     List<Integer> all = new ArrayList<>();
     for (int entry = 0; entry < draining.length; entry++) all.add(entry);
--- a/src/main/java/saltlatch/lab/scale/SourceProcess.java
+++ b/src/main/java/saltlatch/lab/scale/SourceProcess.java
@@ -14,17 +14,19 @@
 import java.util.TreeMap;
 import saltlatch.lab.rig.ChildJvm;
 
-/** {@code lab scale source} as a child process. */
+/** Runs {@code lab scale source}, the simulated discovery server, as a child process. */
 public final class SourceProcess implements AutoCloseable {
   private final ChildJvm process;
   private final String address;
   private final Path puts;
   private final HttpClient http = HttpClient.newHttpClient();
 
-  /** What it has sent by now, {@code bytesOut} without the answers to this question. */
+  /**
+   * Totals that the source has sent so far; {@code bytesOut} excludes the laboratory's requests.
+   */
   public record Sent(long index, int watchers, long behind, long snapshots, long changeLines,
       long emptyLines, long bytesOut) {
-    /** Whole lists, lines of changes and empty lines. */
+    /** Returns the number of complete lists, change lines and empty lines. */
     public long messages() {
       return snapshots + changeLines + emptyLines;
     }
@@ -41,32 +43,34 @@
     address = process.await("source of " + entries + " entries on ");
   }
 
-  /** {@code HOST:PORT}. */
+  /** Returns the address as {@code HOST:PORT}. */
   public String address() {
     return address;
   }
 
+  /** Returns the process id. */
   public long pid() {
     return process.pid();
   }
 
-  /** Sets how many changes come a second from now on. */
+  /** Sets the number of changes a second. */
   public void rate(double perSecond) throws IOException, InterruptedException {
     http.send(HttpRequest.newBuilder(uri("/lab/rate?per_second=" + perSecond))
         .POST(HttpRequest.BodyPublishers.noBody()).build(), BodyHandlers.discarding());
   }
 
+  /** Returns the totals that the source has sent so far. */
   public Sent sent() throws IOException, InterruptedException {
-    JsonObject told = JsonParser.parseString(http
+    JsonObject figures = JsonParser.parseString(http
         .send(HttpRequest.newBuilder(uri("/lab/figures")).build(), BodyHandlers.ofString()).body())
         .getAsJsonObject();
-    return new Sent(told.get("index").getAsLong(), told.get("watchers").getAsInt(),
-        told.get("behind").getAsLong(), told.get("snapshots").getAsLong(),
-        told.get("change_lines").getAsLong(), told.get("empty_lines").getAsLong(),
-        told.get("bytes_out").getAsLong());
+    return new Sent(figures.get("index").getAsLong(), figures.get("watchers").getAsInt(),
+        figures.get("behind").getAsLong(), figures.get("snapshots").getAsLong(),
+        figures.get("change_lines").getAsLong(), figures.get("empty_lines").getAsLong(),
+        figures.get("bytes_out").getAsLong());
   }
 
-  /** When each index was put, by {@link System#nanoTime}. */
+  /** Returns the time of the change to each index, as a reading of {@link System#nanoTime}. */
   public Map<Long, Long> puts() throws IOException {
     Map<Long, Long> times = new TreeMap<>();
     for (String line : Files.readAllLines(puts)) {
--- a/src/main/java/saltlatch/lab/scale/SumsScale.java
+++ b/src/main/java/saltlatch/lab/scale/SumsScale.java
@@ -12,16 +12,17 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Real nodes that share every customer's quota while the counter says nothing: {@code sums.jam}, of
- * one node a second, the datagrams and bytes that it tells the others and is told, and its CPU, at
- * 24 requests/s a node. 200 customers; the nodes do not know each other.
+ * Measures real nodes that share each customer's quota while the counter does not answer.
+ * {@code sums.jam} holds one node's sent and received gossip datagrams and bytes and its CPU time a
+ * second, at {@value #REQUESTS_PER_SECOND_PER_NODE} requests/s for each node and with 200
+ * customers. Membership is off.
  */
 final class SumsScale implements ScaleTest {
-  private static final double SECONDS = 16; // of load, the counter silent all the while and beyond
-  private static final long WARM_MS = 8_000; // of it, before anything is read
-  private static final int RATE = 24; // requests/s a node
-  private static final int START_S = 30;
-  private static final double THOUSAND = 1_000; // ms in a second
+  private static final double LOAD_SECONDS = 16; // shorter than the counter fault of 60 s
+  private static final long WARM_UP_MS = 8_000; // part of the load that is not measured
+  private static final int REQUESTS_PER_SECOND_PER_NODE = 24;
+  private static final int TIMEOUT_SECONDS = 30; // for each asynchronous step
+  private static final double MS_PER_SECOND = 1_000;
   private static final String SCENARIO = """
       name = "sums"
       seed = %d
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Beyond the 30 nodes up to which each new one tells the others one datagram a second more; the
-   * lab holds 64.
+   * Returns sizes above 30 nodes, up to which each node receives one datagram a second from each
+   * other node, and below the laboratory's limit of 64 nodes.
    */
   @Override
   public List<Long> sizes() {
@@ -78,25 +79,27 @@
 
   @Override
   public Map<String, MetricValues> measure(long size, int repeat) throws Exception {
-    long rate = RATE * size;
+    long rate = REQUESTS_PER_SECOND_PER_NODE * size;
     Scenario scenario = Scenario
-        .parse(SCENARIO.formatted(repeat, SECONDS, size, rate, rate, 4 * rate));
+        .parse(SCENARIO.formatted(repeat, LOAD_SECONDS, size, rate, rate, 4 * rate));
     LabClock clock = LabClock.waiting();
     Emulator emulator = new Emulator(scenario, clock);
-    emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
+    emulator.start().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS,
+        TimeUnit.SECONDS);
     try (Processes nodes = environment.nodes(emulator::nodeConfig)) {
       nodes.start((int) size);
       LoadRunner load = new LoadRunner(scenario, OpenLoopSchedule.of(scenario), nodes.ports(),
           clock);
       clock.begin();
       var done = load.run().toCompletionStage().toCompletableFuture();
-      Thread.sleep(WARM_MS);
-      Counts before = Counts.of(nodes, emulator);
-      Thread.sleep((long) (SECONDS * THOUSAND) - WARM_MS);
-      Counts after = Counts.of(nodes, emulator);
-      done.get(START_S, TimeUnit.SECONDS);
+      Thread.sleep(WARM_UP_MS);
+      Counts countsBefore = Counts.of(nodes, emulator);
+      Thread.sleep((long) (LOAD_SECONDS * MS_PER_SECOND) - WARM_UP_MS);
+      Counts countsAfter = Counts.of(nodes, emulator);
+      done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       load.close();
-      return Map.of("sums.jam", after.since(before, size * (SECONDS - WARM_MS / THOUSAND)));
+      return Map.of("sums.jam",
+          countsAfter.since(countsBefore, size * (LOAD_SECONDS - WARM_UP_MS / MS_PER_SECOND)));
     } finally {
       emulator.stop();
     }
@@ -108,30 +111,36 @@
         + "seldom, so that none takes in more than half of its 60. No line goes through both.";
   }
 
-  /** All nodes' by then: told and heard by their own counters, bytes by the relay between them. */
-  private record Counts(long told, long heard, long bytesTold, long bytesHeard, double cpuMs) {
+  /**
+   * Totals of all nodes so far: datagrams as the nodes count them, bytes as the simulated network
+   * between them does.
+   */
+  private record Counts(long datagramsSent, long datagramsReceived, long bytesSent,
+      long bytesReceived, double cpuMs) {
     static Counts of(Processes nodes, Emulator emulator) throws Exception {
-      long told = 0;
-      long heard = 0;
-      double cpu = 0;
+      long datagramsSent = 0;
+      long datagramsReceived = 0;
+      double cpuMs = 0;
       for (int i = 0; i < nodes.ports().size(); i++) {
         Map<String, Long> metrics = nodes.metrics(i);
-        told += metrics.get("peers_told");
-        heard += metrics.get("peers_heard");
-        cpu += ProcessMetrics.cpu(nodes.pid(i)).processMs();
+        datagramsSent += metrics.get("peers_told");
+        datagramsReceived += metrics.get("peers_heard");
+        cpuMs += ProcessMetrics.cpu(nodes.pid(i)).processMs();
       }
-      Map<String, Long> standIns = emulator.metrics().toCompletionStage().toCompletableFuture()
-          .get(START_S, TimeUnit.SECONDS);
-      return new Counts(told, heard, standIns.get("peer_bytes_in"), standIns.get("peer_bytes_out"),
-          cpu);
+      Map<String, Long> emulatorMetrics = emulator.metrics().toCompletionStage()
+          .toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      return new Counts(datagramsSent, datagramsReceived, emulatorMetrics.get("peer_bytes_in"),
+          emulatorMetrics.get("peer_bytes_out"), cpuMs);
     }
 
-    MetricValues since(Counts before, double units) {
-      return MetricValues.of(Quantity.MESSAGES_OUT, (told - before.told) / units)
-          .and(Quantity.MESSAGES_IN, (heard - before.heard) / units)
-          .and(Quantity.BYTES_OUT, (bytesTold - before.bytesTold) / units)
-          .and(Quantity.BYTES_IN, (bytesHeard - before.bytesHeard) / units)
-          .and(Quantity.CPU_MS, (cpuMs - before.cpuMs) / units);
+    MetricValues since(Counts countsBefore, double nodeSeconds) {
+      return MetricValues
+          .of(Quantity.MESSAGES_OUT, (datagramsSent - countsBefore.datagramsSent) / nodeSeconds)
+          .and(Quantity.MESSAGES_IN,
+              (datagramsReceived - countsBefore.datagramsReceived) / nodeSeconds)
+          .and(Quantity.BYTES_OUT, (bytesSent - countsBefore.bytesSent) / nodeSeconds)
+          .and(Quantity.BYTES_IN, (bytesReceived - countsBefore.bytesReceived) / nodeSeconds)
+          .and(Quantity.CPU_MS, (cpuMs - countsBefore.cpuMs) / nodeSeconds);
     }
   }
 }
--- a/src/main/java/saltlatch/lab/scale/Watchers.java
+++ b/src/main/java/saltlatch/lab/scale/Watchers.java
@@ -15,38 +15,39 @@
 import java.util.Queue;
 
 /**
- * Many plain watchers of one source on one event loop, which read and keep nothing: a list's bytes
- * cost the source what any watcher's do, and this side as little as can be. Tells when what was put
- * was read.
+ * Opens many watches of one source on one event loop and discards the data, so that they load the
+ * source like any other watcher and this process as little as possible. Records when each index was
+ * read.
  */
 final class Watchers implements AutoCloseable {
-  private static final byte[] INDEX = "{\"index\":"
+  private static final byte[] INDEX_PREFIX = "{\"index\":"
       .getBytes(java.nio.charset.StandardCharsets.US_ASCII);
-  // of a read: fewer turns of the loop for whole lists
+  // a large buffer needs fewer reads for a complete list
   private static final int RECEIVE_BYTES = 262_144;
+  private static final int MAX_INDEX_OFFSET = 512;
 
-  /** A line with this index began to come then, by {@link System#nanoTime}. */
+  /** The time, by {@link System#nanoTime}, when the start of a line with this index was read. */
   record Read(long index, long atNanos) {}
 
   private final Vertx vertx = Vertx
       .vertx(new VertxOptions().setEventLoopPoolSize(1).setPreferNativeTransport(true));
   private final NetClient client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true)
       .setReceiveBufferSize(RECEIVE_BYTES).setReconnectAttempts(0));
-  private final List<NetSocket> sockets = new ArrayList<>(); // touched on the loop alone
+  private final List<NetSocket> sockets = new ArrayList<>(); // used only on the event loop
   private final Queue<Read> reads = new ConcurrentLinkedQueue<>();
   private final LongAdder bytes = new LongAdder();
   private final AtomicInteger failed = new AtomicInteger();
 
-  /** Opens so many watches at once; what they read comes when it does. */
+  /** Opens {@code count} watches concurrently and returns before they are open. */
   void open(SocketAddress source, int count, long since) {
     Buffer request = Buffer.buffer("GET /api/targets?follow=1&since=" + since
         + " HTTP/1.1\r\nhost: " + source.host() + "\r\n\r\n");
-    vertx.runOnContext(v -> {
+    vertx.runOnContext(ignored -> {
       for (int i = 0; i < count; i++) {
-        client.connect(source).onFailure(e -> failed.incrementAndGet()).onSuccess(socket -> {
+        client.connect(source).onFailure(error -> failed.incrementAndGet()).onSuccess(socket -> {
           sockets.add(socket);
           socket.handler(this::read);
-          socket.closeHandler(x -> failed.incrementAndGet());
+          socket.closeHandler(closed -> failed.incrementAndGet());
           socket.write(request);
         });
       }
@@ -60,15 +61,16 @@
   }
 
   /**
-   * Of the line that begins in here; below 0: none does. It is near the beginning of a read: no
-   * more is looked at.
+   * Returns the index of the line that starts in this data, or -1 if none does. Only the first
+   * {@value #MAX_INDEX_OFFSET} bytes are searched, since a line starts near the beginning of a
+   * read.
    */
   private static long index(Buffer data) {
-    int most = Math.min(data.length() - INDEX.length, 512);
-    for (int at = 0; at < most; at++) {
-      if (!matches(data, at)) continue;
+    int end = Math.min(data.length() - INDEX_PREFIX.length, MAX_INDEX_OFFSET);
+    for (int offset = 0; offset < end; offset++) {
+      if (!matches(data, offset)) continue;
       long index = 0;
-      for (int digit = at + INDEX.length; digit < data.length()
+      for (int digit = offset + INDEX_PREFIX.length; digit < data.length()
           && data.getByte(digit) != ','; digit++)
         index = index * 10 + data.getByte(digit) - '0';
       return index;
@@ -76,22 +78,23 @@
     return -1;
   }
 
-  private static boolean matches(Buffer data, int at) {
-    for (int i = 0; i < INDEX.length; i++) if (data.getByte(at + i) != INDEX[i]) return false;
+  private static boolean matches(Buffer data, int offset) {
+    for (int i = 0; i < INDEX_PREFIX.length; i++)
+      if (data.getByte(offset + i) != INDEX_PREFIX[i]) return false;
     return true;
   }
 
-  /** Bytes that all of them have read. */
+  /** Returns the number of bytes that all watches have read. */
   long bytes() {
     return bytes.sum();
   }
 
-  /** Watches that never came up or have ended. */
+  /** Returns the number of watches that failed to open or have ended. */
   int failed() {
     return failed.get();
   }
 
-  /** Every line's beginning that was seen so far. */
+  /** Returns the line starts that were read so far. */
   List<Read> reads() {
     return List.copyOf(reads);
   }
--- a/src/main/java/saltlatch/lab/scale/WatchersScale.java
+++ b/src/main/java/saltlatch/lab/scale/WatchersScale.java
@@ -8,27 +8,28 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * Watchers of one discovery stand-in with {@value #ENTRIES} app servers: {@code watchers.rest} (the
- * source's CPU and bytes a second, its RSS), {@code watchers.change} (CPU and bytes for a change
- * that all are told, beyond rest; times from the put until a watcher has read it) and
- * {@code watchers.whole} (all connect at once and want the whole list: CPU, bytes, seconds until
- * the last byte is read, RSS at its highest). All values are the source's. The watchers read and
- * keep nothing.
+ * Measures a simulated discovery server with {@value #ENTRIES} app servers by the number of
+ * watchers, which discard what they read. {@code watchers.rest} holds CPU time and bytes a second
+ * and RSS without changes. {@code watchers.change} holds CPU time and bytes of a change that is
+ * sent to all watchers, in excess of {@code watchers.rest}, and the times from the change until a
+ * watcher has read it. {@code watchers.whole} holds CPU time, bytes, seconds until the last byte is
+ * read, and peak RSS if all watchers connect at once and request the complete list. CPU time, bytes
+ * and RSS are those of the server process.
  */
 final class WatchersScale implements ScaleTest {
   static final int ENTRIES = 34_000;
-  private static final long OPEN_MS = 60_000; // until all watches are open
-  private static final long WHOLE_MS = 180_000; // until all lists are read
-  private static final long LOOK_MS = 20;
-  // so that the source's code is compiled
+  private static final long OPEN_TIMEOUT_MS = 60_000; // until all watches are open, or closed
+  private static final long SNAPSHOT_TIMEOUT_MS = 180_000; // until all lists are read
+  private static final long POLL_INTERVAL_MS = 20;
+  // so that the JIT compiler has compiled the source's code
   private static final double WARM_UP_CHANGES_PER_SECOND = 40;
   private static final long WARM_UP_MS = 5_000;
-  private static final int WARM_UP_WATCHERS = 50; // that read the whole list before it is measured
-  private static final long WINDOW_MS = 6_000; // of rest, and of changes: three empty lines
+  private static final int WARM_UP_WATCHERS = 50; // read the complete list before the measurement
+  private static final long WINDOW_MS = 6_000; // three intervals of empty lines
   private static final double CHANGES_PER_SECOND = 5;
-  private static final long DRAIN_MS = 500; // for what was put last
-  private static final double MILLION = 1e6; // ns in a ms
-  private static final double NANOS = 1e9; // in a second
+  private static final long DRAIN_MS = 500; // until the watchers have read the last changes
+  private static final double NANOS_PER_MS = 1e6;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final TestEnvironment environment;
 
@@ -68,11 +69,11 @@
     }
     try (SourceProcess source = new SourceProcess(environment, ENTRIES)) {
       try (Watchers warmUp = new Watchers()) {
-        whole(source, warmUp, WARM_UP_WATCHERS);
+        snapshots(source, warmUp, WARM_UP_WATCHERS);
       }
       awaitNone(source);
       try (Watchers watchers = new Watchers()) {
-        measured.put("watchers.whole", whole(source, watchers, size));
+        measured.put("watchers.whole", snapshots(source, watchers, size));
       }
     }
     return measured;
@@ -83,20 +84,22 @@
   }
 
   private static void awaitOpen(SourceProcess source, long size) throws Exception {
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     while (source.sent().watchers() < size) {
-      if (System.nanoTime() - from > OPEN_MS * MILLION)
-        throw new IllegalStateException(source.sent() + " after " + OPEN_MS + " ms");
-      Thread.sleep(LOOK_MS);
+      if (System.nanoTime() - startedAt > OPEN_TIMEOUT_MS * NANOS_PER_MS)
+        throw new IllegalStateException("expected " + size + " open watches within "
+            + OPEN_TIMEOUT_MS + " ms, found " + source.sent());
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
   private static void awaitNone(SourceProcess source) throws Exception {
-    long from = System.nanoTime();
+    long startedAt = System.nanoTime();
     while (source.sent().watchers() > 0) {
-      if (System.nanoTime() - from > OPEN_MS * MILLION)
-        throw new IllegalStateException("watches do not end");
-      Thread.sleep(LOOK_MS);
+      if (System.nanoTime() - startedAt > OPEN_TIMEOUT_MS * NANOS_PER_MS)
+        throw new IllegalStateException(
+            "expected all watches closed within " + OPEN_TIMEOUT_MS + " ms, found some open");
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
@@ -111,16 +114,16 @@
       Map<String, MetricValues> measured) throws Exception {
     ResourceSnapshot.ResourceUsage rest = window(source, 0);
     ResourceSnapshot.ResourceUsage changes = window(source, CHANGES_PER_SECOND);
-    if (watchers.failed() > 0)
-      throw new IllegalStateException(watchers.failed() + " watches have ended");
+    if (watchers.failed() > 0) throw new IllegalStateException(
+        "expected all watches open, found " + watchers.failed() + " failed or ended");
     measured.put("watchers.rest",
         MetricValues.of(Quantity.CPU_MS, rest.cpuMs() / rest.seconds())
             .and(Quantity.BYTES_OUT, rest.bytes() / rest.seconds())
             .and(Quantity.RSS_BYTES, (double) ProcessMetrics.rssBytes(source.pid())));
-    double atRest = rest.cpuMs() / rest.seconds() * changes.seconds();
+    double restCpuMs = rest.cpuMs() / rest.seconds() * changes.seconds();
     double[] times = times(source.puts(), watchers.reads());
     measured.put("watchers.change",
-        MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - atRest) / changes.changes())
+        MetricValues.of(Quantity.CPU_MS, (changes.cpuMs() - restCpuMs) / changes.changes())
             .and(Quantity.BYTES_OUT, (double) changes.bytes() / changes.changes())
             .and(Quantity.MESSAGES_OUT, (double) changes.messages() / changes.changes())
             .and(Quantity.P50_MS, Percentiles.of(times, 0.5))
@@ -131,38 +134,41 @@
   private static ResourceSnapshot.ResourceUsage window(SourceProcess source,
       double changesPerSecond) throws Exception {
     source.rate(changesPerSecond);
-    ResourceSnapshot from = ResourceSnapshot.of(source.pid(), source);
+    ResourceSnapshot atStart = ResourceSnapshot.of(source.pid(), source);
     Thread.sleep(WINDOW_MS);
     source.rate(0);
     Thread.sleep(DRAIN_MS);
-    return from.usageUntilNow();
+    return atStart.usageUntilNow();
   }
 
-  /** ms from each put to each read of it, ascending. */
+  /** Returns the times in ms from each change until each watcher read it, sorted. */
   private static double[] times(Map<Long, Long> puts, List<Watchers.Read> reads) {
     return reads.stream().filter(read -> puts.containsKey(read.index()))
-        .mapToDouble(read -> (read.atNanos() - puts.get(read.index())) / MILLION).sorted()
+        .mapToDouble(read -> (read.atNanos() - puts.get(read.index())) / NANOS_PER_MS).sorted()
         .toArray();
   }
 
-  private static MetricValues whole(SourceProcess source, Watchers watchers, long size)
+  private static MetricValues snapshots(SourceProcess source, Watchers watchers, long size)
       throws Exception {
-    ProcessMetrics.Cpu before = ProcessMetrics.cpu(source.pid());
-    SourceProcess.Sent already = source.sent();
-    long from = System.nanoTime();
+    ProcessMetrics.Cpu cpuBefore = ProcessMetrics.cpu(source.pid());
+    SourceProcess.Sent sentBefore = source.sent();
+    long startedAt = System.nanoTime();
     watchers.open(address(source), (int) size, 0);
     SourceProcess.Sent sent = source.sent();
     while (sent.watchers() < size || sent.behind() > 0
-        || watchers.bytes() < sent.bytesOut() - already.bytesOut()) {
-      if (System.nanoTime() - from > WHOLE_MS * MILLION || watchers.failed() > 0)
-        throw new IllegalStateException(sent + ", " + watchers.failed() + " watches ended");
-      Thread.sleep(LOOK_MS);
+        || watchers.bytes() < sent.bytesOut() - sentBefore.bytesOut()) {
+      if (System.nanoTime() - startedAt > SNAPSHOT_TIMEOUT_MS * NANOS_PER_MS
+          || watchers.failed() > 0)
+        throw new IllegalStateException("expected " + size + " lists read within "
+            + SNAPSHOT_TIMEOUT_MS + " ms and no watch ended, found " + sent + " and "
+            + watchers.failed() + " failed or ended");
+      Thread.sleep(POLL_INTERVAL_MS);
       sent = source.sent();
     }
-    double seconds = (System.nanoTime() - from) / NANOS;
-    return MetricValues.of(Quantity.CPU_MS, ProcessMetrics.cpu(source.pid()).msSince(before))
-        .and(Quantity.BYTES_OUT, (double) (sent.bytesOut() - already.bytesOut()))
-        .and(Quantity.MESSAGES_OUT, (double) (sent.snapshots() - already.snapshots()))
+    double seconds = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
+    return MetricValues.of(Quantity.CPU_MS, ProcessMetrics.cpu(source.pid()).msSince(cpuBefore))
+        .and(Quantity.BYTES_OUT, (double) (sent.bytesOut() - sentBefore.bytesOut()))
+        .and(Quantity.MESSAGES_OUT, (double) (sent.snapshots() - sentBefore.snapshots()))
         .and(Quantity.SECONDS, seconds)
         .and(Quantity.RSS_BYTES, (double) ProcessMetrics.peakRssBytes(source.pid()));
   }
--- a/src/main/java/saltlatch/lab/scale/WireBytes.java
+++ b/src/main/java/saltlatch/lab/scale/WireBytes.java
@@ -11,38 +11,39 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts exactly what a server writes to its connections: every byte that is handed to the kernel,
- * HTTP's headers and chunk sizes among them; not TCP's and IP's own. First in the pipeline of each
- * connection. Vert.x' own metrics count bodies alone.
+ * Counts the bytes that a server writes to its connections: every byte that is passed to the
+ * kernel, including HTTP headers and chunk sizes but not TCP and IP headers. It is the first
+ * handler in the pipeline of each connection. Vert.x metrics can't be used because they count only
+ * bodies.
  */
 @Sharable
 final class WireBytes extends ChannelOutboundHandlerAdapter {
-  private final LongAdder out = new LongAdder();
+  private final LongAdder written = new LongAdder();
 
   /**
-   * Counts this connection from now on; called from the server's connection handler, before
+   * Starts to count a connection; must be called from the server's connection handler, before
    * anything is written.
    */
   void count(HttpConnection connection) {
     ((HttpServerConnection) connection).channelHandlerContext().pipeline().addFirst(this);
   }
 
-  /** Counts this connection no more. */
+  /** Stops counting a connection. */
   void leaveOut(HttpConnection connection) {
     ChannelPipeline pipeline = ((HttpServerConnection) connection).channelHandlerContext()
         .pipeline();
     if (pipeline.context(this) != null) pipeline.remove(this);
   }
 
-  /** Bytes written to all connections so far. */
+  /** Returns the number of bytes written to all counted connections so far. */
   long out() {
-    return out.sum();
+    return written.sum();
   }
 
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise)
       throws Exception {
-    if (message instanceof ByteBuf bytes) out.add(bytes.readableBytes());
+    if (message instanceof ByteBuf bytes) written.add(bytes.readableBytes());
     super.write(context, message, promise);
   }
 }
--- a/src/test/java/saltlatch/lab/scale/HollowTableTest.java
+++ b/src/test/java/saltlatch/lab/scale/HollowTableTest.java
@@ -9,12 +9,12 @@
 import saltlatch.lab.scale.HollowComparison.Row;
 
 /**
- * The comparison's verdict: 10 % of the real node's bytes and messages either way, CPU and memory
- * told alone.
+ * Checks the comparison's verdict: bytes and messages may differ by 10 % of the real node's value
+ * in either direction; CPU and memory have no limit.
  */
 class HollowTableTest {
   @Test
-  void tellsWhatDiffersByMoreThanATenth() {
+  void marksDifferencesAboveTenPercentAsFailed() {
     Row same = new Row(5, "messages", 0, 0, true);
     Row near = new Row(5, "bytes", 200, 219, true);
     Row far = new Row(5, "bytes", 200, 179, true);
--- a/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
+++ b/src/test/java/saltlatch/lab/scale/MembersScaleTest.java
@@ -8,19 +8,20 @@
 import saltlatch.membership.MembershipTimings;
 
 /**
- * The scale test of members: its network in memory plays one seed the same, and its times keep the
- * stated ones.
+ * Checks that the scale test of members gives the same run for the same seed and that its times and
+ * rates stay within the limits of {@link MembershipTimings}.
  */
 class MembersScaleTest {
   private static final int MEMBERS = 40;
 
   @Test
-  void measuresWhatTheTermsState() {
+  void measuredTimesAndRatesStayWithinTheTimings() {
     MembershipTimings timings = new MemberNetwork(MEMBERS, 1).timings();
     Map<String, MetricValues> measured = new MembersScale().measure(MEMBERS, 1);
     double failedWithin = (double) timings.failureDetectionTicks() / MemberNetwork.TICKS_PER_SECOND;
     double failed = measured.get("members.failure").map().get(Quantity.SECONDS);
-    assertTrue(failed > 0 && failed <= failedWithin, failed + " s, stated " + failedWithin);
+    assertTrue(failed > 0 && failed <= failedWithin,
+        "expected above 0 and at most " + failedWithin + " s, found " + failed);
     Map<Quantity, Double> rest = measured.get("members.rest").map();
     assertTrue(rest.get(Quantity.MESSAGES_IN) <= timings.datagramsPerSecond(), rest.toString());
     assertTrue(rest.get(Quantity.BYTES_IN) <= 256 * rest.get(Quantity.MESSAGES_IN),
@@ -28,7 +29,7 @@
   }
 
   @Test
-  void playsOneSeedTheSame() {
+  void sameSeedGivesTheSameRun() {
     MemberNetwork one = new MemberNetwork(MEMBERS, 7);
     MemberNetwork other = new MemberNetwork(MEMBERS, 7);
     assertEquals(one.until(one::agree, 600 * MemberNetwork.TICKS_PER_SECOND),
@@ -39,8 +40,8 @@
   }
 
   @Test
-  void refusesMoreMembersThanTheMemoryHolds() {
-    ResourceRequirements many = new MembersScale().requirements(20_000);
-    assertTrue(many.bytes() > 60L << 30, many.toString());
+  void requiresMemoryThatGrowsWithTheSquareOfTheMembers() {
+    ResourceRequirements requirements = new MembersScale().requirements(20_000);
+    assertTrue(requirements.bytes() > 60L << 30, requirements.toString());
   }
 }
--- a/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
+++ b/src/test/java/saltlatch/lab/scale/ScaleRunTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The run of a scale test: the largest size is foretold before it is measured; what exceeds the
- * machine never runs.
+ * Checks that a scale test prints the prediction for the largest size before measuring it, and that
+ * nothing runs if a size exceeds the machine's limits.
  */
 class ScaleRunTest {
   private static final long GIB = 1L << 30;
@@ -24,10 +24,12 @@
   private final ByteArrayOutputStream table = new ByteArrayOutputStream();
   private final List<Long> measured = new ArrayList<>();
 
-  /** CPU grows by 2 a size up to 100, and steeper beyond; a size takes a MiB and a process. */
-  private final class Made implements ScaleTest {
-    // the table as it stood when a size was measured
-    private final List<String> shownBefore = new ArrayList<>();
+  /**
+   * CPU time is 5 ms plus 2 ms a unit up to size 100, then 4,010 ms; a unit needs 1 MiB, 1 process.
+   */
+  private final class FakeScaleTest implements ScaleTest {
+    // the printed table at the start of each measurement
+    private final List<String> printedBefore = new ArrayList<>();
 
     @Override
     public String name() {
@@ -52,7 +54,7 @@
     @Override
     public Map<String, MetricValues> measure(long size, int repeat) {
       measured.add(size);
-      shownBefore.add(table.toString(StandardCharsets.UTF_8));
+      printedBefore.add(table.toString(StandardCharsets.UTF_8));
       return Map.of("made.thing",
           MetricValues.of(Quantity.CPU_MS, (double) (size <= 100 ? 5 + 2 * size : 4_010)));
     }
@@ -63,21 +65,23 @@
     }
   }
 
-  private void run(ScaleTest test, long memory, List<Long> sizes) throws Exception {
-    new ScaleRun(new Machine(memory), measurements, new PrintStream(table),
+  private void run(ScaleTest test, long memoryBytes, List<Long> sizes) throws Exception {
+    new ScaleRun(new Machine(memoryBytes), measurements, new PrintStream(table),
         new PrintStream(new ByteArrayOutputStream()), "abc").run(test, sizes, 2);
   }
 
   @Test
-  void foretellsTheLargestSizeBeforeItIsMeasured() throws Exception {
-    Made test = new Made();
+  void printsThePredictionBeforeMeasuringTheLargestSize() throws Exception {
+    FakeScaleTest test = new FakeScaleTest();
     run(test, 16 * GIB, List.of(1L, 10L, 100L, 290L));
     assertEquals(List.of(1L, 1L, 10L, 10L, 100L, 100L, 290L, 290L), measured);
-    assertEquals("", test.shownBefore.get(5), "nothing foretold before the smaller sizes are done");
-    assertTrue(test.shownBefore.get(6).contains("foretold for 290 things")
-        && test.shownBefore.get(6).contains("585"), test.shownBefore.get(6)); // 5 + 2 x 290
-    String shown = table.toString(StandardCharsets.UTF_8);
-    assertTrue(shown.contains("4010") && shown.contains("-85 %"), shown); // 585 foretold of 4,010
+    assertEquals("", test.printedBefore.get(5),
+        "expected no prediction before the smaller sizes are measured");
+    assertTrue(test.printedBefore.get(6).contains("foretold for 290 things")
+        && test.printedBefore.get(6).contains("585"), test.printedBefore.get(6)); // 5 + 2 x 290
+    String printed = table.toString(StandardCharsets.UTF_8);
+    // 585 predicted, 4,010 measured
+    assertTrue(printed.contains("4010") && printed.contains("-85 %"), printed);
     List<Measurement> lines = measurements.toString().lines().map(Measurement::parse).toList();
     assertEquals(9, lines.size());
     assertEquals(
@@ -88,24 +92,24 @@
   }
 
   @Test
-  void refusesWhatExceedsHalfOfTheMemoryBeforeAnythingRuns() {
-    Machine.ResourceLimitException refused = assertThrows(Machine.ResourceLimitException.class,
-        () -> run(new Made(), GIB / 2, List.of(1L, 100L, 257L)));
-    assertTrue(refused.getMessage().contains("half of this machine's is 0.3 GiB"),
-        refused.getMessage());
+  void rejectsSizesAboveHalfOfTheMemoryBeforeAnythingRuns() {
+    Machine.ResourceLimitException exception = assertThrows(Machine.ResourceLimitException.class,
+        () -> run(new FakeScaleTest(), GIB / 2, List.of(1L, 100L, 257L)));
+    assertTrue(exception.getMessage().contains("the limit is half of this machine's, 0.3 GiB"),
+        exception.getMessage());
     assertEquals(List.of(), measured);
   }
 
   @Test
-  void refusesMoreProcessesThanAMachineShares() {
-    Machine.ResourceLimitException refused = assertThrows(Machine.ResourceLimitException.class,
-        () -> run(new Made(), 16 * GIB, List.of(301L)));
-    assertTrue(refused.getMessage().contains("301 processes; the most is 300"),
-        refused.getMessage());
+  void rejectsMoreProcessesThanTheLimit() {
+    Machine.ResourceLimitException exception = assertThrows(Machine.ResourceLimitException.class,
+        () -> run(new FakeScaleTest(), 16 * GIB, List.of(301L)));
+    assertTrue(exception.getMessage().contains("301 processes; the limit is 300"),
+        exception.getMessage());
   }
 
   @Test
-  void fitsALineWithItsResidual() {
+  void regressionHasInterceptSlopeAndResidual() {
     LineFit line = LineFit.of(List.of(new LineFit.Point(0, 1), new LineFit.Point(0, 3),
         new LineFit.Point(10, 21), new LineFit.Point(10, 23)));
     assertEquals(2, line.intercept(), 1e-9);
@@ -114,18 +118,18 @@
     assertEquals(202, line.at(100), 1e-9);
   }
 
-  /** A size at which nothing could be measured is no point of the line. */
+  /** A size without a value of the quantity must not become a point of the regression. */
   @Test
-  void leavesOutWhatWasNotMeasured() {
-    List<Measurement> some = new ArrayList<>();
+  void regressionSkipsSizesWithoutAValue() {
+    List<Measurement> samples = new ArrayList<>();
     for (long size : List.of(1L, 2L))
-      some.add(new Measurement("x", "things", size, 1,
+      samples.add(new Measurement("x", "things", size, 1,
           Map.of(Quantity.CPU_MS, 3.0 * size, Quantity.COUNT, 1.0), "abc"));
-    some.add(new Measurement("x", "things", 4, 1, Map.of(Quantity.COUNT, 0.0), "abc"));
-    Slope cpu = Slope.of(some, 4).get(0);
-    assertEquals(Quantity.CPU_MS, cpu.quantity());
-    assertEquals(12, cpu.predicted(), 1e-9);
-    assertTrue(Double.isNaN(cpu.measured()));
-    assertTrue(ScaleTable.of(List.of(cpu)).lines().toList().get(1).endsWith("-"));
+    samples.add(new Measurement("x", "things", 4, 1, Map.of(Quantity.COUNT, 0.0), "abc"));
+    Slope cpuSlope = Slope.of(samples, 4).get(0);
+    assertEquals(Quantity.CPU_MS, cpuSlope.quantity());
+    assertEquals(12, cpuSlope.predicted(), 1e-9);
+    assertTrue(Double.isNaN(cpuSlope.measured()));
+    assertTrue(ScaleTable.of(List.of(cpuSlope)).lines().toList().get(1).endsWith("-"));
   }
 }
--- a/src/test/java/saltlatch/lab/scale/SourceListTest.java
+++ b/src/test/java/saltlatch/lab/scale/SourceListTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The list of the stand-in for discovery: its log's reach, and the form of an entry. */
+/** Checks the simulated discovery server's list: the range of its log and the size of an entry. */
 class SourceListTest {
   private static final int ENTRIES = 50;
 
   @Test
-  void logReachesSoFarAndNoFarther() {
+  void logHoldsExactlyTheNewestChanges() {
     SourceList list = new SourceList(ENTRIES, 1, 0);
     for (int i = 0; i < SourceList.LOG + 10; i++) list.nextChange();
     assertFalse(list.hasChangesSince(10));
@@ -20,11 +20,11 @@
     assertFalse(list.hasChangesSince(list.index() + 1));
   }
 
-  /** An entry of the protocol page's form, about 125 bytes. */
+  /** An entry must have about the size of the protocol page's example, 125 bytes. */
   @Test
-  void entryIsOfTheSizeOfTheProtocolPage() {
+  void entryHasTheSizeOfTheProtocolPagesExample() {
     int entries = 1_000;
-    double each = new SourceList(entries, 1, 0).snapshot().length() / (double) entries;
-    assertEquals(125, each, 10);
+    double bytesPerEntry = new SourceList(entries, 1, 0).snapshot().length() / (double) entries;
+    assertEquals(125, bytesPerEntry, 10);
   }
 }
--- a/src/test/java/saltlatch/lab/scale/SourceTest.java
+++ b/src/test/java/saltlatch/lab/scale/SourceTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The stand-in for discovery at size, over real HTTP: what a watch's first line holds, and what is
- * counted.
+ * Checks the simulated discovery server over real HTTP: the first line of a watch, the changes
+ * after it, and the byte counter.
  */
 class SourceTest {
   private static final int ENTRIES = 50;
@@ -66,7 +66,7 @@
         StandardCharsets.UTF_8));
   }
 
-  /** The next line that is not empty. */
+  /** Returns the next line that is not empty. */
   private static JsonObject next(BufferedReader lines) throws IOException {
     String line = lines.readLine();
     while (line.isEmpty()) line = lines.readLine();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void tellsTheWholeListToOneThatHasNoneAndThenEachChange() throws Exception {
+  void sendsTheCompleteListToANewWatcherAndThenEachChange() throws Exception {
     start(0);
     BufferedReader lines = watch(0);
     JsonObject first = next(lines);
@@ -90,17 +90,18 @@
       assertEquals(1, change.getAsJsonArray("endpoints").size());
     }
     rate(0);
-    long puts = this.puts.toString().lines().count();
-    assertEquals(figures().get("index").getAsLong() - 1, puts, "a line for each change");
+    long recordedChanges = puts.toString().lines().count();
+    assertEquals(figures().get("index").getAsLong() - 1, recordedChanges,
+        "expected a recorded line for each change");
   }
 
   @Test
-  void tellsOneThatResumesWhatItMissed() throws Exception {
+  void sendsMissedChangesToAWatcherThatResumes() throws Exception {
     start(77);
     rate(200);
-    BufferedReader follower = watch(1);
+    BufferedReader watcher = watch(1);
     long index = 0;
-    while (index < 30) index = next(follower).get("index").getAsLong();
+    while (index < 30) index = next(watcher).get("index").getAsLong();
     rate(0);
     index = figures().get("index").getAsLong();
     JsonObject resumed = next(watch(20));
@@ -108,23 +109,26 @@
     assertEquals(index, resumed.get("index").getAsLong());
     assertEquals(77, resumed.get("series").getAsLong());
     int missed = resumed.getAsJsonArray("endpoints").size();
-    assertTrue(missed > 0 && missed <= index - 20, missed + " entries");
-    JsonObject nothing = next(watch(index));
-    assertEquals(0, nothing.getAsJsonArray("endpoints").size(), "nothing has changed since");
-    assertTrue(next(watch(index + 9)).get("snapshot").getAsBoolean(), "an index that never was");
+    assertTrue(missed > 0 && missed <= index - 20,
+        "expected 1 to " + (index - 20) + " missed entries, found " + missed);
+    JsonObject unchanged = next(watch(index));
+    assertEquals(0, unchanged.getAsJsonArray("endpoints").size(),
+        "expected no changes after the current index");
+    assertTrue(next(watch(index + 9)).get("snapshot").getAsBoolean(),
+        "expected the complete list after an index that was never reached");
     assertEquals(1, figures().get("snapshots").getAsLong());
   }
 
   /**
-   * Every byte that comes over the socket is counted, headers too: answers are added up as they are
-   * read.
+   * Guards against bytes that the counter misses, such as headers: compares it with the bytes that
+   * raw sockets read.
    */
   @Test
-  void countsEveryByteOfTheWire() throws Exception {
+  void countsEveryByteSentIncludingHeaders() throws Exception {
     start(0);
-    int read = get("/api/targets").length() + get("/api/targets").length();
-    get("/lab/figures"); // what the laboratory asks is left out
-    assertEquals(read, figures().get("bytes_out").getAsInt());
+    int bytesRead = get("/api/targets").length() + get("/api/targets").length();
+    get("/lab/figures"); // the laboratory's requests are not counted
+    assertEquals(bytesRead, figures().get("bytes_out").getAsInt());
   }
 
   private static String request(String path) {
