--- a/src/main/java/saltlatch/lab/check/HistoryEvent.java
+++ b/src/main/java/saltlatch/lab/check/HistoryEvent.java
@@ -15,60 +15,78 @@
 import java.util.stream.Stream;
 
 /**
- * One event of a history: which process, in which incarnation, when on the machine's monotonic
- * clock, what, and its fields; {@code at} is where it stands (file and line).
+ * One event of a history.
+ *
+ * @param name name of the process that recorded the event
+ * @param incarnation start of that process to which the event belongs
+ * @param monoNs time on the machine's monotonic clock, in ns
+ * @param kind kind of event
+ * @param fields further fields
+ * @param at file and line of the event
  */
 public record HistoryEvent(String name, String incarnation, long monoNs, String kind,
     Map<String, String> fields, String at) {
+  private static final int MAX_SHOWN_CHARS = 200; // of a malformed line, in an error message
 
+  /** Returns the field's value, or an empty string if the event does not have the field. */
   public String get(String field) {
     return fields.getOrDefault(field, "");
   }
 
+  /** Returns the field's value as a number, or 0 if it is absent or empty. */
   public double number(String field) {
     String text = get(field);
     return text.isEmpty() ? 0 : Double.parseDouble(text);
   }
 
   /**
-   * Every {@code *.jsonl} of a directory as one history in order of time. A torn last line, as
-   * SIGKILL leaves, is passed over.
+   * Reads every {@code *.jsonl} file of a directory into one history ordered by time. A truncated
+   * last line of an incarnation, as SIGKILL leaves it, is skipped.
+   *
+   * @throws IOException if any other line is not an event
    */
   public static List<HistoryEvent> readAll(Path dir) throws IOException {
     List<HistoryEvent> all = new ArrayList<>();
     List<Path> files;
     try (Stream<Path> found = Files.list(dir)) {
-      files = found.filter(p -> p.toString().endsWith(".jsonl")).sorted().toList();
+      files = found.filter(path -> path.toString().endsWith(".jsonl")).sorted().toList();
     }
-    for (Path p : files) {
-      String[] lines = Files.readString(p).split("\n", 0);
+    for (Path file : files) {
+      String[] lines = Files.readString(file).split("\n", 0);
       for (int i = 0; i < lines.length; i++) {
         if (lines[i].isBlank()) continue;
         try {
-          all.add(parse(lines[i], p.getFileName() + ":" + (i + 1)));
+          all.add(parse(lines[i], file.getFileName() + ":" + (i + 1)));
         } catch (JsonSyntaxException | IllegalStateException | NullPointerException e) {
-          // A torn line ends an incarnation: the last of the file, or the last before it was
-          // started again.
-          boolean torn = i + 1 == lines.length || lines[i + 1].contains("\"message\":\"started\"");
-          if (!torn) throw new IOException(p + ":" + (i + 1) + ": not an event: " + lines[i], e);
+          // Only an incarnation's last line can be truncated: the last of the file, or the last
+          // before the process was started again.
+          boolean truncated = i + 1 == lines.length
+              || lines[i + 1].contains("\"message\":\"started\"");
+          if (!truncated) throw new IOException(
+              file + ":" + (i + 1) + ": expected a history event as a JSON object, found: "
+                  + lines[i].substring(0, Math.min(MAX_SHOWN_CHARS, lines[i].length())),
+              e);
         }
       }
     }
-    all.sort(Comparator.comparingLong(HistoryEvent::monoNs)); // stable: a file's own order holds
+    all.sort(Comparator.comparingLong(HistoryEvent::monoNs)); // stable: keeps each file's order
     return all;
   }
 
-  /** One line of JSON; throws what the parser throws for a torn one. */
+  /**
+   * Parses one line of JSON. The parser's unchecked exceptions for a truncated line are passed on.
+   */
   public static HistoryEvent parse(String json, String at) {
-    JsonObject o = JsonParser.parseString(json).getAsJsonObject();
+    JsonObject object = JsonParser.parseString(json).getAsJsonObject();
     Map<String, String> fields = new HashMap<>();
-    for (JsonElement pair : o.getAsJsonArray("kvpList")) {
-      for (var e : pair.getAsJsonObject().entrySet())
-        fields.put(e.getKey(), e.getValue().getAsString());
+    for (JsonElement pair : object.getAsJsonArray("kvpList")) {
+      for (var field : pair.getAsJsonObject().entrySet())
+        fields.put(field.getKey(), field.getValue().getAsString());
     }
     String name = fields.remove("name");
     String incarnation = fields.remove("inc");
-    long mono = Long.parseLong(fields.remove("mono_ns"));
-    return new HistoryEvent(name, incarnation, mono, o.get("message").getAsString(), fields, at);
+    long monoNs = Long.parseLong(fields.remove("mono_ns"));
+    return new HistoryEvent(name, incarnation, monoNs, object.get("message").getAsString(), fields,
+        at);
   }
 }
--- a/src/main/java/saltlatch/lab/check/MemberTimes.java
+++ b/src/main/java/saltlatch/lab/check/MemberTimes.java
@@ -10,23 +10,28 @@
 import java.util.TreeMap;
 
 /**
- * How long membership took, out of a run's histories, in seconds, a value for each observer: until
- * one that was killed was held failed (T1), until one that was continued was held alive again by
- * those who held it failed (T2), until the views of all that run were equal after links healed (T3,
- * a value a heal); and members held failed that ran, reachable by all.
+ * The detection times of membership, in seconds, computed from a run's histories.
+ *
+ * @param failed T1: time until a killed member is marked failed, one value for each observer
+ * @param back T2: time until a continued member is marked alive again, one value for each observer
+ *     that had marked it failed
+ * @param equal T3: time until all running processes have equal views after links have healed, one
+ *     value for each heal
+ * @param falselyFailed number of times that a running member which every node could reach was
+ *     marked failed
  */
 public record MemberTimes(List<Double> failed, List<Double> back, List<Double> equal,
     int falselyFailed) {
 
-  /** Null where no node knows another. */
+  /** Returns the times of a run, or null if its history has no membership events. */
   public static MemberTimes of(List<HistoryEvent> history) {
-    if (history.stream().noneMatch(l -> l.kind().equals("member"))) return null;
+    if (history.stream().noneMatch(event -> event.kind().equals("member"))) return null;
     Run run = new Run();
-    for (HistoryEvent l : history) run.see(l);
+    for (HistoryEvent event : history) run.apply(event);
     return new MemberTimes(run.failed, run.back, run.equal, run.falselyFailed);
   }
 
-  /** The median, the 99th percentile and the most of some times; empty ones are told as such. */
+  /** Formats the median, 99th percentile, maximum and count of some times, or "none". */
   public static String spread(List<Double> times) {
     if (times.isEmpty()) return "none";
     List<Double> sorted = times.stream().sorted().toList();
@@ -44,6 +49,9 @@
 
   /** The state of one run while its history is read. */
   private static final class Run {
+    // a node may be marked failed this long after the cut or pause that caused the silence
+    private static final double DELAYED_VERDICT_NS = 60e9;
+
     final List<Double> failed = new ArrayList<>();
     final List<Double> back = new ArrayList<>();
     final List<Double> equal = new ArrayList<>();
@@ -51,43 +59,45 @@
     private final Map<String, Long> killedAt = new HashMap<>();
     private final Map<String, Long> continuedAt = new HashMap<>();
     private final Set<String> stopped = new HashSet<>();
-    // of the processes that run
+    // by running process: the state of each member
     private final Map<String, Map<String, String>> views = new TreeMap<>();
-    private final List<long[]> cuts = new ArrayList<>();
-    private final Set<Long> heals = new HashSet<>(); // whose views are not equal yet
+    private final List<long[]> linkFaults = new ArrayList<>(); // from and until, in ns
+    // ends of cuts, in ns, after which the views are not equal yet
+    private final Set<Long> pendingHeals = new HashSet<>();
 
-    void see(HistoryEvent l) {
-      switch (l.kind()) {
+    void apply(HistoryEvent event) {
+      switch (event.kind()) {
         case "planned" -> {
-          if (l.get("what").contains(" - ") || l.get("what").contains(" > ")) {
-            long until = Long.parseLong(l.get("until_ns"));
-            if (l.get("what").startsWith("cut") && cuts.stream().noneMatch(c -> c[1] == until))
-              heals.add(until);
-            cuts.add(new long[] {Long.parseLong(l.get("from_ns")), until});
+          if (event.get("what").contains(" - ") || event.get("what").contains(" > ")) {
+            long until = Long.parseLong(event.get("until_ns"));
+            if (event.get("what").startsWith("cut")
+                && linkFaults.stream().noneMatch(fault -> fault[1] == until))
+              pendingHeals.add(until);
+            linkFaults.add(new long[] {Long.parseLong(event.get("from_ns")), until});
           }
         }
-        case "fault" -> fault(l, l.get("node"));
-        case "ends" -> views.remove(l.name());
+        case "fault" -> applyFault(event, event.get("node"));
+        case "ends" -> views.remove(event.name());
         case "started" -> {
-          views.put(l.name(), new TreeMap<>());
-          killedAt.remove(l.name());
+          views.put(event.name(), new TreeMap<>());
+          killedAt.remove(event.name());
         }
         case "member" -> {
-          Map<String, String> view = views.get(l.name());
+          Map<String, String> view = views.get(event.name());
           if (view == null) return;
-          String before = view.put(l.get("member"),
-              l.get("state").equals("suspect") ? "alive" : l.get("state"));
-          news(l, before == null ? "unknown" : before);
+          String before = view.put(event.get("member"),
+              event.get("state").equals("suspect") ? "alive" : event.get("state"));
+          recordVerdict(event, before == null ? "unknown" : before);
         }
         default -> {}
       }
     }
 
-    private void fault(HistoryEvent l, String node) {
-      switch (l.get("kind")) {
+    private void applyFault(HistoryEvent event, String node) {
+      switch (event.get("kind")) {
         case "kill", "term" -> {
           views.remove(node);
-          if (l.get("kind").equals("kill")) killedAt.put(node, l.monoNs());
+          if (event.get("kind").equals("kill")) killedAt.put(node, event.monoNs());
         }
         case "stop" -> {
           stopped.add(node);
@@ -95,60 +105,71 @@
         }
         case "cont" -> {
           stopped.remove(node);
-          continuedAt.put(node, l.monoNs());
+          continuedAt.put(node, event.monoNs());
         }
         default -> {}
       }
     }
 
-    private void news(HistoryEvent l, String before) {
-      String member = l.get("member");
-      String state = l.get("state");
+    private void recordVerdict(HistoryEvent event, String before) {
+      String member = event.get("member");
+      String state = event.get("state");
       if (state.equals("failed") && killedAt.containsKey(member)) {
-        if (undisturbed(l, killedAt.get(member))) failed.add(since(l, killedAt.get(member)));
-      } else if (state.equals("failed") && !stopped.contains(member) && !cutLately(l.monoNs())) {
-        falselyFailed++;
-      }
+        if (undisturbed(event, killedAt.get(member)))
+          failed.add(since(event, killedAt.get(member)));
+      } else if (state.equals("failed") && !stopped.contains(member)
+          && !disturbedRecently(event.monoNs())) {
+            falselyFailed++;
+          }
       if (state.equals("alive") && before.equals("failed") && continuedAt.containsKey(member)
-          && undisturbed(l, continuedAt.get(member))) {
-        back.add(since(l, continuedAt.get(member)));
+          && undisturbed(event, continuedAt.get(member))) {
+        back.add(since(event, continuedAt.get(member)));
       }
-      heals.removeIf(healed -> {
-        boolean done = l.monoNs() >= healed && same();
-        if (done) equal.add(since(l, healed));
-        return done;
+      pendingHeals.removeIf(healed -> {
+        boolean equalNow = event.monoNs() >= healed && viewsEqual();
+        if (equalNow) equal.add(since(event, healed));
+        return equalNow;
       });
     }
 
     /**
-     * From then on no cut, and the observer itself was not away: a stated time counts from a fault
-     * that stands alone.
+     * Returns whether no link fault has been active since the given time and the observer itself
+     * has not been stopped: a detection time is measured only for a fault that occurs alone.
      */
-    private boolean undisturbed(HistoryEvent l, long fromNs) {
-      for (long[] c : cuts) if (c[0] <= l.monoNs() && c[1] >= fromNs) return false;
-      return !stopped.contains(l.name())
-          && continuedAt.getOrDefault(l.name(), Long.MIN_VALUE) < fromNs;
+    private boolean undisturbed(HistoryEvent event, long fromNs) {
+      for (long[] fault : linkFaults) {
+        if (fault[0] <= event.monoNs() && fault[1] >= fromNs) return false;
+      }
+      return !stopped.contains(event.name())
+          && continuedAt.getOrDefault(event.name(), Long.MIN_VALUE) < fromNs;
     }
 
-    /** A verdict may rest on a silence that a cut made some time ago. */
-    private boolean cutLately(long ns) {
-      for (long[] c : cuts) if (ns >= c[0] && ns <= c[1] + 60e9) return true;
-      for (long at : continuedAt.values()) if (ns - at < 60e9) return true;
+    /**
+     * Returns whether a verdict at the given time may result from a link fault or a pause, which
+     * may have ended up to 60 s earlier.
+     */
+    private boolean disturbedRecently(long ns) {
+      for (long[] fault : linkFaults) {
+        if (ns >= fault[0] && ns <= fault[1] + DELAYED_VERDICT_NS) return true;
+      }
+      for (long at : continuedAt.values()) {
+        if (ns - at < DELAYED_VERDICT_NS) return true;
+      }
       return !stopped.isEmpty();
     }
 
-    private boolean same() {
+    private boolean viewsEqual() {
       Map<String, String> first = null;
-      for (Map.Entry<String, Map<String, String>> e : views.entrySet()) {
-        if (stopped.contains(e.getKey())) continue;
-        if (first == null) first = e.getValue();
-        else if (!first.equals(e.getValue())) return false;
+      for (Map.Entry<String, Map<String, String>> view : views.entrySet()) {
+        if (stopped.contains(view.getKey())) continue;
+        if (first == null) first = view.getValue();
+        else if (!first.equals(view.getValue())) return false;
       }
       return true;
     }
 
-    private static double since(HistoryEvent l, long ns) {
-      return (l.monoNs() - ns) / 1e9;
+    private static double since(HistoryEvent event, long ns) {
+      return (event.monoNs() - ns) / 1e9;
     }
   }
 }
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -8,11 +8,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The properties that hold from the start; later subsystems add theirs. */
+/** The properties that the history of every run is checked for. */
 public final class Properties {
   private Properties() {}
 
-  /** No req is answered twice: by one node in its history, or to its client. */
+  /**
+   * No request is answered twice, neither by the nodes nor in what its client received.
+   */
   public static final class AnsweredOnce implements Property {
     @Override
     public String name() {
@@ -21,23 +23,24 @@
 
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
-      List<Violation> out = new ArrayList<>();
+      List<Violation> violations = new ArrayList<>();
       Map<String, HistoryEvent> answered = new HashMap<>();
       Map<String, HistoryEvent> got = new HashMap<>();
-      for (HistoryEvent l : history) {
-        if (!l.kind().equals("answered") && !l.kind().equals("got")) continue;
-        HistoryEvent first = (l.kind().equals("got") ? got : answered).putIfAbsent(l.get("id"), l);
-        if (first != null) out.add(
-            violation("req " + l.get("id") + " ended " + first.get("how") + " and " + l.get("how"),
-                first, l));
+      for (HistoryEvent event : history) {
+        if (!event.kind().equals("answered") && !event.kind().equals("got")) continue;
+        HistoryEvent first = (event.kind().equals("got") ? got : answered)
+            .putIfAbsent(event.get("id"), event);
+        if (first != null) violations.add(violation(
+            "req " + event.get("id") + " ended " + first.get("how") + " and " + event.get("how"),
+            first, event));
       }
-      return out;
+      return violations;
     }
   }
 
   /**
-   * Every req that came whole is answered, or its client left, unless its node's process was ended
-   * by a fault (or by the end of the run) after it came.
+   * Every request that arrived completely is answered or abandoned by its client, unless a fault or
+   * the end of the run ended the node's process after it arrived.
    */
   public static final class Answered implements Property {
     @Override
@@ -48,40 +51,45 @@
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
       Map<String, HistoryEvent> open = new TreeMap<>();
-      List<Violation> out = new ArrayList<>();
-      for (HistoryEvent l : history) {
-        if (l.kind().equals("arrived")) open.put(l.get("id"), l);
-        if (l.kind().equals("answered")) open.remove(l.get("id"));
-        boolean ended = l.kind().equals("fault")
-            && (l.get("kind").equals("kill") || l.get("kind").equals("end"));
-        if (ended) open.values().removeIf(a -> a.name().equals(l.get("node")));
-        if (!l.kind().equals("started")) continue;
-        // Started anew with reqs still open: its forerunner ended with no fault on the schedule
-        // that explains it.
-        open.values().removeIf(a -> {
-          boolean lost = a.name().equals(l.name()) && !a.incarnation().equals(l.incarnation());
-          if (lost) out.add(violation(
-              "req " + a.get("id") + " was open when " + a.name() + " ended by itself", a, l));
+      List<Violation> violations = new ArrayList<>();
+      for (HistoryEvent event : history) {
+        if (event.kind().equals("arrived")) open.put(event.get("id"), event);
+        if (event.kind().equals("answered")) open.remove(event.get("id"));
+        boolean ended = event.kind().equals("fault")
+            && (event.get("kind").equals("kill") || event.get("kind").equals("end"));
+        if (ended) open.values().removeIf(arrival -> arrival.name().equals(event.get("node")));
+        if (!event.kind().equals("started")) continue;
+        // A new incarnation while requests of the previous one are open: the previous one ended,
+        // and no fault of the schedule explains it.
+        open.values().removeIf(arrival -> {
+          boolean lost = arrival.name().equals(event.name())
+              && !arrival.incarnation().equals(event.incarnation());
+          if (lost) violations.add(violation(
+              "req " + arrival.get("id") + " was open when " + arrival.name() + " ended by itself",
+              arrival, event));
           return lost;
         });
       }
-      for (HistoryEvent a : open.values())
-        out.add(violation("req " + a.get("id") + " of " + a.name() + " has no answer", a));
-      return out;
+      for (HistoryEvent arrival : open.values())
+        violations.add(violation(
+            "req " + arrival.get("id") + " of " + arrival.name() + " has no answer", arrival));
+      return violations;
     }
   }
 
   /**
-   * A client gets an answer within its timeout, unless a fault on the schedule touched its node (or
-   * every node: a fault on the nodes' links to counter, discovery or app servers) while it waited,
-   * or as long before as the front needs to notice.
+   * Every client receives an answer within its timeout, unless a fault of the schedule affected its
+   * node while it waited, or ended before that by no more than the slack. Faults on the nodes'
+   * links to the counter, discovery or the app servers affect every node.
    */
   public static final class LostOnlyByFaults implements Property {
     private final double slackMs;
 
     /**
-     * {@code slackMs}: a fault explains what was sent so long after its end: the front's notice,
-     * and a restart.
+     * Creates the property.
+     *
+     * @param slackMs how long after its end a fault still explains a missing answer: the time that
+     *     the load balancer needs to detect it, and a restart
      */
     public LostOnlyByFaults(double slackMs) {
       this.slackMs = slackMs;
@@ -95,36 +103,36 @@
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
       Map<String, HistoryEvent> sent = new HashMap<>();
-      Map<String, List<long[]>> faults = new HashMap<>(); // node, or all, and from when to when
-      for (HistoryEvent l : history) {
-        if (l.kind().equals("sent")) sent.put(l.get("id"), l);
-        if (!l.kind().equals("planned")) continue;
-        faults.computeIfAbsent(l.get("node"), k -> new ArrayList<>())
-            .add(new long[] {Long.parseLong(l.get("from_ns")),
-                Long.parseLong(l.get("until_ns")) + (long) (slackMs * 1e6)});
+      Map<String, List<long[]>> faults = new HashMap<>(); // by node, or all: from and until, in ns
+      for (HistoryEvent event : history) {
+        if (event.kind().equals("sent")) sent.put(event.get("id"), event);
+        if (!event.kind().equals("planned")) continue;
+        faults.computeIfAbsent(event.get("node"), node -> new ArrayList<>())
+            .add(new long[] {Long.parseLong(event.get("from_ns")),
+                Long.parseLong(event.get("until_ns")) + (long) (slackMs * 1e6)});
       }
-      List<Violation> out = new ArrayList<>();
-      for (HistoryEvent l : history) {
-        if (!l.kind().equals("got")
-            || (!l.get("how").equals("BROKEN") && !l.get("how").equals("TIMED_OUT")))
+      List<Violation> violations = new ArrayList<>();
+      for (HistoryEvent event : history) {
+        if (!event.kind().equals("got")
+            || (!event.get("how").equals("BROKEN") && !event.get("how").equals("TIMED_OUT")))
           continue;
-        HistoryEvent s = sent.get(l.get("id"));
-        long from = s == null ? l.monoNs() : s.monoNs();
+        HistoryEvent sentEvent = sent.get(event.get("id"));
+        long sentNs = sentEvent == null ? event.monoNs() : sentEvent.monoNs();
         boolean explained = false;
-        for (String who : List.of(l.get("node"), "all")) {
-          for (long[] f : faults.getOrDefault(who, List.of()))
-            explained |= f[0] <= l.monoNs() && f[1] >= from;
+        for (String node : List.of(event.get("node"), "all")) {
+          for (long[] fault : faults.getOrDefault(node, List.of()))
+            explained |= fault[0] <= event.monoNs() && fault[1] >= sentNs;
         }
-        if (!explained)
-          out.add(violation("req " + l.get("id") + " to " + l.get("node") + " " + l.get("how"),
-              s == null ? l : s, l));
+        if (!explained) violations.add(violation(
+            "req " + event.get("id") + " to " + event.get("node") + " " + event.get("how"),
+            sentEvent == null ? event : sentEvent, event));
       }
-      return out;
+      return violations;
     }
   }
 
   /**
-   * No non-replayable req comes to an app server again after a dispatch of it that may have run.
+   * No non-replayable request arrives at an app server again after an attempt that may have run.
    */
   public static final class NotRepeated implements Property {
     @Override
@@ -135,20 +143,21 @@
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
       Map<String, HistoryEvent> ran = new HashMap<>();
-      List<Violation> out = new ArrayList<>();
-      for (HistoryEvent l : history) {
-        if (!l.kind().equals("command") || !l.get("submit").equals("true")) continue;
-        HistoryEvent first = ran.get(l.get("id"));
-        if (first != null) out.add(violation("req " + l.get("id") + " came again", first, l));
-        if (!l.get("verdict").equals("BUSY")) ran.putIfAbsent(l.get("id"), l);
+      List<Violation> violations = new ArrayList<>();
+      for (HistoryEvent event : history) {
+        if (!event.kind().equals("command") || !event.get("submit").equals("true")) continue;
+        HistoryEvent first = ran.get(event.get("id"));
+        if (first != null)
+          violations.add(violation("req " + event.get("id") + " came again", first, event));
+        if (!event.get("verdict").equals("BUSY")) ran.putIfAbsent(event.get("id"), event);
       }
-      return out;
+      return violations;
     }
   }
 
   /**
-   * What a client was told to have passed ran at an app server, and no req's units are charged
-   * twice there.
+   * Every request that was reported as passed to its client ran at an app server, and no
+   * non-replayable request ran twice.
    */
   public static final class PassedRan implements Property {
     @Override
@@ -160,33 +169,41 @@
     public List<Violation> check(List<HistoryEvent> history) {
       Map<String, HistoryEvent> served = new HashMap<>();
       Set<String> submits = new HashSet<>();
-      List<Violation> out = new ArrayList<>();
-      for (HistoryEvent l : history) {
-        if (l.kind().equals("command") && l.get("submit").equals("true")) submits.add(l.get("id"));
-        if (l.kind().equals("served")) {
-          HistoryEvent first = served.putIfAbsent(l.get("id"), l);
-          if (first != null && submits.contains(l.get("id")))
-            out.add(violation("req " + l.get("id") + " ran twice", first, l));
+      List<Violation> violations = new ArrayList<>();
+      for (HistoryEvent event : history) {
+        if (event.kind().equals("command") && event.get("submit").equals("true"))
+          submits.add(event.get("id"));
+        if (event.kind().equals("served")) {
+          HistoryEvent first = served.putIfAbsent(event.get("id"), event);
+          if (first != null && submits.contains(event.get("id")))
+            violations.add(violation("req " + event.get("id") + " ran twice", first, event));
         }
-        if (l.kind().equals("got") && l.get("how").equals("PASSED")
-            && !served.containsKey(l.get("id"))) {
-          out.add(violation("req " + l.get("id") + " passed and never ran", l));
+        if (event.kind().equals("got") && event.get("how").equals("PASSED")
+            && !served.containsKey(event.get("id"))) {
+          violations.add(violation("req " + event.get("id") + " passed and never ran", event));
         }
       }
-      return out;
+      return violations;
     }
   }
 
   /**
-   * What the app servers charged a customer stays within {@code burst + rate * t + bound} over
-   * every stretch that begins with its first charge; the bound is the scenario's statement of what
-   * its faults may cost.
+   * The units that the app servers charge a customer stay within {@code burst + rate * t + bound},
+   * where {@code t} counts from its first charge. The bound is the scenario's limit for the units
+   * that its faults may cost.
    */
   public static final class WithinQuota implements Property {
     private final double rate;
     private final double burst;
     private final double bound;
 
+    /**
+     * Creates the property for one quota plan.
+     *
+     * @param rate units a second
+     * @param burst units
+     * @param bound units by which a customer may exceed its quota
+     */
     public WithinQuota(double rate, double burst, double bound) {
       this.rate = rate;
       this.burst = burst;
@@ -200,32 +217,32 @@
 
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
-      Map<String, double[]> use = new HashMap<>(); // first ns, units, worst
+      Map<String, double[]> usageByCustomer = new HashMap<>(); // first ns, units, worst
       Map<String, HistoryEvent> worst = new TreeMap<>();
-      for (HistoryEvent l : history) {
-        if (!l.kind().equals("served")) continue;
-        double[] u = use.computeIfAbsent(l.get("customer"),
-            k -> new double[] {l.monoNs(), 0, bound});
-        u[1] += l.number("units");
-        double beyond = u[1] - burst - rate * (l.monoNs() - u[0]) / 1e9;
-        if (beyond > u[2]) {
-          u[2] = beyond;
-          worst.put(l.get("customer"), l);
+      for (HistoryEvent event : history) {
+        if (!event.kind().equals("served")) continue;
+        double[] usage = usageByCustomer.computeIfAbsent(event.get("customer"),
+            customer -> new double[] {event.monoNs(), 0, bound});
+        usage[1] += event.number("units");
+        double beyond = usage[1] - burst - rate * (event.monoNs() - usage[0]) / 1e9;
+        if (beyond > usage[2]) {
+          usage[2] = beyond;
+          worst.put(event.get("customer"), event);
         }
       }
-      List<Violation> out = new ArrayList<>();
-      worst.forEach((c,
-          l) -> out.add(violation(String.format(java.util.Locale.ROOT,
-              "customer %s was charged %.1f units beyond its quota, %.1f are stated", c,
-              use.get(c)[2], bound), l)));
-      return out;
+      List<Violation> violations = new ArrayList<>();
+      worst.forEach((customer,
+          event) -> violations.add(violation(String.format(java.util.Locale.ROOT,
+              "customer %s was charged %.1f units beyond its quota, %.1f are stated", customer,
+              usageByCustomer.get(customer)[2], bound), event)));
+      return violations;
     }
   }
 
   /**
-   * The parts of one quota that all processes together may use without the counter sum to no more
-   * than one, by what each told last of its share and its own leases. A stopped process uses
-   * nothing; on waking its leases have run out by its clock.
+   * The shares of a quota that all processes may use without the counter sum to at most 1. The
+   * share of each process follows from its last {@code share} event and its leases. A stopped
+   * process uses nothing; when it continues, its leases have expired by its clock.
    */
   public static final class SharesWithinQuota implements Property {
     private static final double ROUNDING = 1e-6;
@@ -237,29 +254,33 @@
 
     @Override
     public List<Violation> check(List<HistoryEvent> history) {
-      Map<String, HistoryEvent> last = new TreeMap<>();
-      List<Violation> out = new ArrayList<>();
-      for (HistoryEvent l : history) {
-        if (l.kind().equals("started") || l.kind().equals("ends")) last.remove(l.name());
-        if (l.kind().equals("fault") && l.get("kind").equals("kill")) last.remove(l.get("node"));
-        if (!l.kind().equals("share")) continue;
-        last.put(l.name(), l);
+      Map<String, HistoryEvent> lastShares = new TreeMap<>();
+      List<Violation> violations = new ArrayList<>();
+      for (HistoryEvent event : history) {
+        if (event.kind().equals("started") || event.kind().equals("ends"))
+          lastShares.remove(event.name());
+        if (event.kind().equals("fault") && event.get("kind").equals("kill"))
+          lastShares.remove(event.get("node"));
+        if (!event.kind().equals("share")) continue;
+        lastShares.put(event.name(), event);
         double sum = 0;
-        for (HistoryEvent s : last.values()) sum += part(s, (l.monoNs() - s.monoNs()) / 1e6);
+        for (HistoryEvent share : lastShares.values())
+          sum += part(share, (event.monoNs() - share.monoNs()) / 1e6);
         if (sum > 1 + ROUNDING) {
-          out.add(
+          violations.add(
               new Violation(name(), String.format(java.util.Locale.ROOT, "%.3f quotas in use", sum),
-                  List.copyOf(last.values())));
+                  List.copyOf(lastShares.values())));
         }
       }
-      return out;
+      return violations;
     }
 
-    /** What a process may use so long after it told this. */
-    private static double part(HistoryEvent s, double laterMs) {
-      if (laterMs >= s.number("holds_ms") && !s.get("is").equals("floor")) return s.number("floor");
-      return s.get("is").equals("more") && laterMs >= s.number("takes_ms") ? s.number("whole")
-          : s.number("part");
+    /** Returns the part of the quota that a process may use {@code elapsedMs} after the event. */
+    private static double part(HistoryEvent share, double elapsedMs) {
+      if (elapsedMs >= share.number("holds_ms") && !share.get("is").equals("floor"))
+        return share.number("floor");
+      return share.get("is").equals("more") && elapsedMs >= share.number("takes_ms")
+          ? share.number("whole") : share.number("part");
     }
   }
 }
--- a/src/main/java/saltlatch/lab/check/Recovery.java
+++ b/src/main/java/saltlatch/lab/check/Recovery.java
@@ -7,73 +7,78 @@
 import java.util.Set;
 
 /**
- * What a fault cost by the clients' own history: how long until the nodes that it did not end serve
- * their share again, and what each customer was charged beyond its quota meanwhile.
+ * The cost of a fault according to the run's history: how long the surviving nodes take to pass
+ * their earlier share of attempts again, and how much each customer is charged beyond its quota in
+ * the meantime.
  */
 public final class Recovery {
-  // part of the share served before at which service counts as back
-  private static final double BACK = 0.9;
-  private static final int STEADY = 2; // seconds in a row that it must hold
-  private static final int WARM = 4; // s at the run's beginning that do not count as before
+  // service counts as recovered at this part of the passed share before the fault
+  private static final double RECOVERED_PART = 0.9;
+  private static final int STEADY_S = 2; // consecutive seconds at that share
+  private static final int WARM_UP_S = 4; // excluded from the share before the fault
 
   private Recovery() {}
 
   /**
-   * By how many units the worst customer's standing beyond {@code burst + rate * t} (t from its
-   * first charge) grew between two moments over what it had been before; 0 if none grew.
+   * Returns the largest growth, over all customers, of the units charged beyond
+   * {@code burst + rate * t} between two moments, compared with the customer's highest value
+   * before, or 0 if no customer's value grew. {@code t} counts from the customer's first charge.
    */
-  public static double beyond(List<HistoryEvent> history, double rate, double burst, long fromNs,
-      long untilNs) {
-    // first ns, units, most beyond before, most beyond meanwhile
-    Map<String, double[]> use = new HashMap<>();
+  public static double overshootGrowth(List<HistoryEvent> history, double rate, double burst,
+      long fromNs, long untilNs) {
+    // time of the first charge (ns), units charged, highest overshoot before fromNs and after it
+    Map<String, double[]> usageByCustomer = new HashMap<>();
     double worst = 0;
-    for (HistoryEvent l : history) {
-      if (!l.kind().equals("served") || l.monoNs() > untilNs) continue;
-      double[] u = use.computeIfAbsent(l.get("customer"), k -> new double[] {l.monoNs(), 0, 0, 0});
-      u[1] += l.number("units");
-      int at = l.monoNs() < fromNs ? 2 : 3;
-      u[at] = Math.max(u[at], u[1] - burst - rate * (l.monoNs() - u[0]) / 1e9);
-      if (at == 3) worst = Math.max(worst, u[3] - u[2]);
+    for (HistoryEvent event : history) {
+      if (!event.kind().equals("served") || event.monoNs() > untilNs) continue;
+      double[] usage = usageByCustomer.computeIfAbsent(event.get("customer"),
+          customer -> new double[] {event.monoNs(), 0, 0, 0});
+      usage[1] += event.number("units");
+      int highest = event.monoNs() < fromNs ? 2 : 3;
+      usage[highest] = Math.max(usage[highest],
+          usage[1] - burst - rate * (event.monoNs() - usage[0]) / 1e9);
+      if (highest == 3) worst = Math.max(worst, usage[3] - usage[2]);
     }
     return worst;
   }
 
   /**
-   * Seconds from {@code faultS} until the passed part of the tries sent to {@code nodes} is back at
-   * nine tenths of its mean before the fault, for two seconds in a row; -1: not before
-   * {@code endS}; 0: it never fell.
+   * Returns the seconds from {@code faultS} until the passed share of the attempts sent to
+   * {@code nodes} is at least nine tenths of its mean before the fault for two consecutive seconds.
+   * The result is 0 if the share never fell below that, and -1 if it does not recover before
+   * {@code endS}.
    */
-  public static double seconds(List<HistoryEvent> history, long beginNs, double faultS, double endS,
-      Set<String> nodes) {
-    Map<String, Integer> second = new HashMap<>();
-    Map<Integer, double[]> rows = new HashMap<>(); // passed, all; by the second of sending
-    for (HistoryEvent l : history) {
-      if (l.kind().equals("sent") && nodes.contains(l.get("node"))) {
-        second.put(l.get("id"), (int) Math.floor((l.monoNs() - beginNs) / 1e9));
+  public static double recoverySeconds(List<HistoryEvent> history, long beginNs, double faultS,
+      double endS, Set<String> nodes) {
+    Map<String, Integer> sendSecond = new HashMap<>();
+    Map<Integer, double[]> countsBySecond = new HashMap<>(); // passed, all; by second of sending
+    for (HistoryEvent event : history) {
+      if (event.kind().equals("sent") && nodes.contains(event.get("node"))) {
+        sendSecond.put(event.get("id"), (int) Math.floor((event.monoNs() - beginNs) / 1e9));
       }
-      Integer at = l.kind().equals("got") ? second.get(l.get("id")) : null;
-      if (at == null) continue;
-      double[] row = rows.computeIfAbsent(at, k -> new double[2]);
-      row[0] += l.get("how").equals("PASSED") ? 1 : 0;
-      row[1]++;
+      Integer second = event.kind().equals("got") ? sendSecond.get(event.get("id")) : null;
+      if (second == null) continue;
+      double[] counts = countsBySecond.computeIfAbsent(second, key -> new double[2]);
+      counts[0] += event.get("how").equals("PASSED") ? 1 : 0;
+      counts[1]++;
     }
     double passed = 0;
     double all = 0;
-    for (int s = WARM; s < (int) faultS; s++) {
-      double[] row = rows.getOrDefault(s, new double[2]);
-      passed += row[0];
-      all += row[1];
+    for (int second = WARM_UP_S; second < (int) faultS; second++) {
+      double[] counts = countsBySecond.getOrDefault(second, new double[2]);
+      passed += counts[0];
+      all += counts[1];
     }
-    double wanted = all == 0 ? 0 : BACK * passed / all;
-    List<Boolean> good = new ArrayList<>();
-    for (int s = (int) faultS; s < (int) endS; s++) {
-      double[] row = rows.getOrDefault(s, new double[2]);
-      good.add(row[1] == 0 || row[0] / row[1] >= wanted);
+    double minShare = all == 0 ? 0 : RECOVERED_PART * passed / all;
+    List<Boolean> recovered = new ArrayList<>();
+    for (int second = (int) faultS; second < (int) endS; second++) {
+      double[] counts = countsBySecond.getOrDefault(second, new double[2]);
+      recovered.add(counts[1] == 0 || counts[0] / counts[1] >= minShare);
     }
-    for (int i = 0; i + STEADY <= good.size(); i++) {
+    for (int first = 0; first + STEADY_S <= recovered.size(); first++) {
       boolean steady = true;
-      for (int k = i; k < i + STEADY; k++) steady &= good.get(k);
-      if (steady) return i;
+      for (int i = first; i < first + STEADY_S; i++) steady &= recovered.get(i);
+      if (steady) return first;
     }
     return -1;
   }
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -38,24 +38,32 @@
 import saltlatch.policy.PolicyEngine;
 
 /**
- * One laboratory run: the emulator, {@code nodes} real edge nodes in this process (each its own
- * Vert.x and event loop, the same module as on the bench), the open-loop load, then the run file
- * with its checks. The checks: no double charge, no repeated non-replayable dispatch, every passed
- * try ran at an app server, and the nodes' own {@code answered_passed} agree with the clients'
- * passed to the req (clients that left may have missed some).
+ * Performs a laboratory run: starts the emulator and real edge nodes, offers the open-loop load,
+ * and returns the result with its checks. The nodes run in this process, each with a separate
+ * Vert.x instance and event loop and the same module as on the bench, or as child processes.
+ *
+ * <p>
+ * The checks are: no double charge; no repeated attempt of a non-replayable request; every passed
+ * attempt ran at an app server; and the nodes' {@code answered_passed} equals the clients' number
+ * of passed requests, except for answers that clients may have missed because they left, timed out
+ * or lost the connection. The histories of child processes are checked for {@link #properties}.
  */
 public final class Lab {
   private static final Logger LOG = LoggerFactory.getLogger(Lab.class);
-  // a fault explains what ends so long after it: a start, a client timeout
-  private static final double SLACK_MS = 5_000;
-  private static final double AFTER_S = 2; // what a fault cost shows up to so long after its end
-  private static final long START_S = 30; // a node must be ready in this, as on the platform
+  // a fault explains a missing answer this long after its end: a node start, a client time-out
+  private static final double FAULT_SLACK_MS = 5_000;
+  // units charged up to this long after the end of a fault count as its cost
+  private static final double COST_DELAY_S = 2;
+  private static final long START_TIMEOUT_S = 30; // for a node to become ready, as on the platform
+  private static final long CALL_TIMEOUT_S = 5; // for a call to an event loop
+  private static final long STOP_TIMEOUT_S = 10; // for an embedded node
+  private static final int HEAVIEST_CUSTOMERS = 8; // customers in the run file
   private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping()
       .create();
 
   private Lab() {}
 
-  /** One node, in this process or a child. */
+  /** An edge node in this process or in a child process. */
   interface Node {
     int port();
 
@@ -65,290 +73,321 @@
   }
 
   /**
-   * Runs the scenario with in-process nodes; {@code nodes} overrides its node count when above 0.
+   * Runs the scenario with nodes in this process.
+   *
+   * @param nodes number of nodes, or 0 for the scenario's number
    */
   public static RunResult run(Scenario scenario, int nodes) throws Exception {
     return run(scenario, nodes, null);
   }
 
   /**
-   * Runs the scenario; nodes are child processes when {@code program} is given, with histories in
-   * its directory.
+   * Runs the scenario.
+   *
+   * @param nodes number of nodes, or 0 for the scenario's number
+   * @param program program of the child processes, which write histories to its directory, or null
+   *     for nodes in this process
+   * @throws IllegalArgumentException if the scenario has process faults and the nodes run in this
+   *     process
    */
-  public static RunResult run(Scenario scenario, int nodes, Processes.Program program)
+  public static RunResult run(Scenario requested, int nodes, Processes.Program program)
       throws Exception {
-    Scenario s = RandomFaults.addTo(nodes > 0 ? scenario.withNodes(nodes) : scenario);
-    if (program == null && !s.processes().faults().isEmpty()) {
-      throw new IllegalArgumentException("scenario: faults on processes want --processes");
+    Scenario scenario = RandomFaults.addTo(nodes > 0 ? requested.withNodes(nodes) : requested);
+    if (program == null && !scenario.processes().faults().isEmpty()) {
+      throw new IllegalArgumentException(
+          "scenario: faults on processes require --processes, which is not set");
     }
     LabClock clock = LabClock.waiting();
-    Path dir = program == null ? null : program.dir().resolve("history");
-    if (dir != null) emptied(dir);
-    HistoryWriter standIns = dir == null ? null : new HistoryWriter(dir, "stand-ins", "1");
-    HistoryWriter clients = dir == null ? null : new HistoryWriter(dir, "clients", "1");
-    HistoryWriter director = dir == null ? null : new HistoryWriter(dir, "director", "1");
-    LinkProxies relays = s.links().faults().isEmpty() ? null
-        : new LinkProxies(new Links(s.links().faults(), s.seed()), clock);
-    Emulator emulator = new Emulator(s, clock, relays, standIns,
-        dir == null ? null : dir.toAbsolutePath().toString());
+    Path historyDir = program == null ? null : program.dir().resolve("history");
+    if (historyDir != null) createEmpty(historyDir);
+    HistoryWriter emulatorHistory = historyDir == null ? null
+        : new HistoryWriter(historyDir, "stand-ins", "1");
+    HistoryWriter clientHistory = historyDir == null ? null
+        : new HistoryWriter(historyDir, "clients", "1");
+    HistoryWriter faultHistory = historyDir == null ? null
+        : new HistoryWriter(historyDir, "director", "1");
+    LinkProxies linkProxies = scenario.links().faults().isEmpty() ? null
+        : new LinkProxies(new Links(scenario.links().faults(), scenario.seed()), clock);
+    Emulator emulator = new Emulator(scenario, clock, linkProxies, emulatorHistory,
+        historyDir == null ? null : historyDir.toAbsolutePath().toString());
     Processes processes = program == null ? null : new Processes(program, emulator::nodeConfig);
-    emulator.start().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
-    List<Node> started = new ArrayList<>();
-    LoadRunner load = null;
+    emulator.start().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_S,
+        TimeUnit.SECONDS);
+    List<Node> startedNodes = new ArrayList<>();
+    LoadRunner loadRunner = null;
     try {
-      if (processes != null) processes.start(s.nodes());
-      for (int i = 0; i < s.nodes(); i++)
-        started.add(processes == null ? embedded(emulator.nodeConfig(i)) : child(processes, i));
+      if (processes != null) processes.start(scenario.nodes());
+      for (int i = 0; i < scenario.nodes(); i++)
+        startedNodes
+            .add(processes == null ? embedded(emulator.nodeConfig(i)) : child(processes, i));
       List<Integer> ports = new ArrayList<>();
-      for (int i = 0; i < s.nodes(); i++) {
-        int port = started.get(i).port();
-        ports.add(relays == null ? port : relays.port("clients", "n" + i, port));
+      for (int i = 0; i < scenario.nodes(); i++) {
+        int port = startedNodes.get(i).port();
+        ports.add(linkProxies == null ? port : linkProxies.port("clients", "n" + i, port));
       }
-      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(s);
-      LOG.info("{}: {} nodes, {} app servers, {} reqs offered over {} s", s.name(), s.nodes(),
-          s.servers().count(), schedule.size(), s.seconds());
-      OperatingSystemMXBean os = (OperatingSystemMXBean) ManagementFactory
+      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(scenario);
+      LOG.info("{}: {} nodes, {} app servers, {} requests offered over {} s", scenario.name(),
+          scenario.nodes(), scenario.servers().count(), schedule.size(), scenario.seconds());
+      OperatingSystemMXBean operatingSystem = (OperatingSystemMXBean) ManagementFactory
           .getOperatingSystemMXBean();
-      long cpuBefore = os.getProcessCpuTime();
-      load = new LoadRunner(s, schedule, ports, clock, clients);
-      load.ready().toCompletionStage().toCompletableFuture().get(START_S, TimeUnit.SECONDS);
+      long cpuNanosBefore = operatingSystem.getProcessCpuTime();
+      loadRunner = new LoadRunner(scenario, schedule, ports, clock, clientHistory);
+      loadRunner.ready().toCompletionStage().toCompletableFuture().get(START_TIMEOUT_S,
+          TimeUnit.SECONDS);
       clock.begin();
-      List<RunResult.Fault> faults = faults(s);
+      List<RunResult.Fault> faults = faults(scenario);
       if (processes != null) {
-        for (RunResult.Fault f : faults) for (String node : f.nodes()) {
-          director.add("planned", "what", f.what(), "node", node, "from_ns",
-              clock.monoNs(f.fromS() * 1000), "until_ns", clock.monoNs(f.untilS() * 1000));
+        for (RunResult.Fault fault : faults) for (String node : fault.nodes()) {
+          faultHistory.add("planned", "what", fault.what(), "node", node, "from_ns",
+              clock.monoNs(fault.fromS() * 1000), "until_ns", clock.monoNs(fault.untilS() * 1000));
         }
-        processes.runTimeline(Timeline.of(s.processes().faults(), s.nodes()), clock, director);
+        processes.runTimeline(Timeline.of(scenario.processes().faults(), scenario.nodes()), clock,
+            faultHistory);
       }
-      load.run().toCompletionStage().toCompletableFuture()
-          .get((long) (s.seconds() + s.load().deadlineMs() / 1000 + START_S), TimeUnit.SECONDS);
-      double cpu = (os.getProcessCpuTime() - cpuBefore) / 1e9;
-      List<Map<String, Long>> nodeCounters = new ArrayList<>();
-      for (Node n : started) nodeCounters.add(n.metrics());
-      LoadRunner l = load;
-      RunResult.GroundTruth truth = emulator.read(t -> truth(t, l.passedIds(), s))
-          .toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-      List<RunResult.Customer> customers = emulator.read(t -> customers(t, s)).toCompletionStage()
-          .toCompletableFuture().get(5, TimeUnit.SECONDS);
-      Map<String, Long> emu = emulator.metrics().toCompletionStage().toCompletableFuture().get(5,
+      loadRunner.run().toCompletionStage().toCompletableFuture().get(
+          (long) (scenario.seconds() + scenario.load().deadlineMs() / 1000 + START_TIMEOUT_S),
           TimeUnit.SECONDS);
-      RunResult.ProcessUsage process = new RunResult.ProcessUsage(cpu, rssMb(),
+      double cpuSeconds = (operatingSystem.getProcessCpuTime() - cpuNanosBefore) / 1e9;
+      List<Map<String, Long>> nodeCounters = new ArrayList<>();
+      for (Node node : startedNodes) nodeCounters.add(node.metrics());
+      LoadRunner finishedLoad = loadRunner;
+      RunResult.GroundTruth truth = emulator
+          .read(groundTruth -> truth(groundTruth, finishedLoad.passedIds(), scenario))
+          .toCompletionStage().toCompletableFuture().get(CALL_TIMEOUT_S, TimeUnit.SECONDS);
+      List<RunResult.Customer> customers = emulator
+          .read(groundTruth -> customers(groundTruth, scenario)).toCompletionStage()
+          .toCompletableFuture().get(CALL_TIMEOUT_S, TimeUnit.SECONDS);
+      Map<String, Long> emulatorMetrics = emulator.metrics().toCompletionStage()
+          .toCompletableFuture().get(CALL_TIMEOUT_S, TimeUnit.SECONDS);
+      RunResult.ProcessUsage processUsage = new RunResult.ProcessUsage(cpuSeconds, rssMb(),
           Thread.activeCount());
-      List<RunResult.Check> checks = checks(truth, load, nodeCounters, !faults.isEmpty());
+      List<RunResult.Check> checks = checks(truth, loadRunner, nodeCounters, !faults.isEmpty());
       if (processes != null) processes.close();
-      List<HistoryEvent> history = dir == null ? List.of() : HistoryEvent.readAll(dir);
+      List<HistoryEvent> history = historyDir == null ? List.of()
+          : HistoryEvent.readAll(historyDir);
       List<String> violations = new ArrayList<>();
-      if (dir != null) {
-        Set<String> told = new java.util.TreeSet<>(
+      if (historyDir != null) {
+        Set<String> recorded = new java.util.TreeSet<>(
             history.stream().map(HistoryEvent::name).toList());
-        boolean all = told.containsAll(List.of("clients", "stand-ins"));
-        checks.add(new RunResult.Check("histories were kept", all, "of " + told));
+        boolean complete = recorded.containsAll(List.of("clients", "stand-ins"));
+        checks.add(new RunResult.Check("histories were kept", complete, "of " + recorded));
       }
-      for (Property p : properties(s)) {
-        List<Property.Violation> found = p.check(history);
-        if (dir != null) checks.add(new RunResult.Check(p.name(), found.isEmpty(),
+      for (Property property : properties(scenario)) {
+        List<Property.Violation> found = property.check(history);
+        if (historyDir != null) checks.add(new RunResult.Check(property.name(), found.isEmpty(),
             found.size() + " violations in " + history.size() + " events"
                 + (found.isEmpty() ? "" : ", first: " + found.get(0).what())));
-        for (Property.Violation v : found)
-          violations.add(v.property() + ": " + v.what() + " "
-              + v.evidence().stream().map(HistoryEvent::at).toList());
+        for (Property.Violation violation : found)
+          violations.add(violation.property() + ": " + violation.what() + " "
+              + violation.evidence().stream().map(HistoryEvent::at).toList());
       }
-      if (dir != null) faults = faults.stream()
-          .map(f -> new RunResult.Fault(f.what(), f.nodes(), f.fromS(), f.untilS(),
-              Recovery.beyond(history, s.plan().rate(), s.plan().burst(),
-                  clock.monoNs(f.fromS() * 1000), clock.monoNs((f.untilS() + AFTER_S) * 1000))))
+      if (historyDir != null) faults = faults.stream()
+          .map(fault -> new RunResult.Fault(fault.what(), fault.nodes(), fault.fromS(),
+              fault.untilS(),
+              Recovery.overshootGrowth(history, scenario.plan().rate(), scenario.plan().burst(),
+                  clock.monoNs(fault.fromS() * 1000),
+                  clock.monoNs((fault.untilS() + COST_DELAY_S) * 1000))))
           .toList();
-      double recovery = faults.isEmpty() || dir == null ? 0 : Recovery.seconds(history,
-          clock.monoNs(0), faults.get(0).fromS(), s.seconds(), survivors(s));
-      return new RunResult(s.name(), s.json(), s.seed(), OpenLoopSchedule.digest(schedule),
-          s.seconds(), s.nodes(), s.servers().count(), schedule.size(), load.attempts(),
-          load.outcomes(), load.retryAfter(), load.deniedWithRoom(), load.latency(),
-          load.senderLate(), load.perSecond(), truth, emu, nodeCounters, customers, process, checks,
-          faults, relays == null ? Map.of() : relays.delayUs(), violations, recovery,
+      double recoveryS = faults.isEmpty() || historyDir == null ? 0 : Recovery.recoverySeconds(
+          history, clock.monoNs(0), faults.get(0).fromS(), scenario.seconds(), survivors(scenario));
+      return new RunResult(scenario.name(), scenario.json(), scenario.seed(),
+          OpenLoopSchedule.digest(schedule), scenario.seconds(), scenario.nodes(),
+          scenario.servers().count(), schedule.size(), loadRunner.attempts(), loadRunner.outcomes(),
+          loadRunner.retryAfter(), loadRunner.deniedWithRoom(), loadRunner.latency(),
+          loadRunner.senderLate(), loadRunner.perSecond(), truth, emulatorMetrics, nodeCounters,
+          customers, processUsage, checks, faults,
+          linkProxies == null ? Map.of() : linkProxies.delayUs(), violations, recoveryS,
           MemberTimes.of(history));
     } finally {
       if (processes != null) processes.close();
-      for (Node n : started) n.stop();
-      if (load != null) load.close();
-      if (relays != null) relays.close();
+      for (Node node : startedNodes) node.stop();
+      if (loadRunner != null) loadRunner.close();
+      if (linkProxies != null) linkProxies.close();
       emulator.stop();
-      for (HistoryWriter h : new HistoryWriter[] {standIns, clients, director})
-        if (h != null) h.close();
+      for (HistoryWriter writer : new HistoryWriter[] {emulatorHistory, clientHistory,
+          faultHistory})
+        if (writer != null) writer.close();
     }
   }
 
-  /** The properties a run's history is checked for. */
-  public static List<Property> properties(Scenario s) {
-    List<Property> all = new ArrayList<>(
+  /** Returns the properties for which a run's history is checked. */
+  public static List<Property> properties(Scenario scenario) {
+    List<Property> properties = new ArrayList<>(
         List.of(new Properties.AnsweredOnce(), new Properties.Answered(),
-            new Properties.LostOnlyByFaults(s.front().noticeS() * 1000 + SLACK_MS),
+            new Properties.LostOnlyByFaults(scenario.front().noticeS() * 1000 + FAULT_SLACK_MS),
             new Properties.NotRepeated(), new Properties.PassedRan(),
             new Properties.SharesWithinQuota()));
-    if (s.bounds().beyondUnits() > 0) {
-      all.add(
-          new Properties.WithinQuota(s.plan().rate(), s.plan().burst(), s.bounds().beyondUnits()));
+    if (scenario.bounds().beyondUnits() > 0) {
+      properties.add(new Properties.WithinQuota(scenario.plan().rate(), scenario.plan().burst(),
+          scenario.bounds().beyondUnits()));
     }
-    return all;
+    return properties;
   }
 
   /**
-   * The schedule's faults on processes, links and app servers, and the nodes whose clients they may
-   * cost an answer.
+   * Returns the scenario's faults on processes, links and app servers in order of time, each with
+   * the nodes whose clients may miss answers because of it.
    */
-  static List<RunResult.Fault> faults(Scenario s) {
-    List<RunResult.Fault> out = new ArrayList<>();
-    for (Scenario.ProcessFault f : s.processes().faults()) {
-      List<Integer> hit = Group.of(f.nodes()).nodes(s.nodes());
-      for (int i = 0; i < hit.size(); i++) {
-        double from = f.atS() + i * f.stepS();
-        double lasts = f.kind().equals("pause") ? f.forS() > 0 ? f.forS() : s.seconds()
-            : f.restart() ? f.backS() : 0;
-        out.add(new RunResult.Fault(f.kind() + (f.restart() ? ", restart" : ""),
-            List.of("n" + hit.get(i)), from, from + lasts, 0));
+  static List<RunResult.Fault> faults(Scenario scenario) {
+    List<RunResult.Fault> faults = new ArrayList<>();
+    for (Scenario.ProcessFault fault : scenario.processes().faults()) {
+      List<Integer> affected = Group.of(fault.nodes()).nodes(scenario.nodes());
+      for (int i = 0; i < affected.size(); i++) {
+        double fromS = fault.atS() + i * fault.stepS();
+        double lengthS = fault.kind().equals("pause")
+            ? fault.forS() > 0 ? fault.forS() : scenario.seconds()
+            : fault.restart() ? fault.backS() : 0;
+        faults.add(new RunResult.Fault(fault.kind() + (fault.restart() ? ", restart" : ""),
+            List.of("n" + affected.get(i)), fromS, fromS + lengthS, 0));
       }
     }
-    for (Scenario.LinkFault f : s.links().faults()) {
+    for (Scenario.LinkFault fault : scenario.links().faults()) {
       List<String> names = new ArrayList<>();
-      for (int n = 0; n < s.nodes(); n++) {
-        if (Group.of(f.from()).holds("n" + n) || Group.of(f.to()).holds("n" + n))
-          names.add("n" + n);
+      for (int node = 0; node < scenario.nodes(); node++) {
+        if (Group.of(fault.from()).holds("n" + node) || Group.of(fault.to()).holds("n" + node))
+          names.add("n" + node);
       }
-      out.add(new RunResult.Fault(f.kind() + " " + f.from() + (f.oneWay() ? " > " : " - ") + f.to(),
-          names, f.atS(), end(f.atS(), f.forS(), s), 0));
+      faults.add(new RunResult.Fault(
+          fault.kind() + " " + fault.from() + (fault.oneWay() ? " > " : " - ") + fault.to(), names,
+          fault.atS(), endS(fault.atS(), fault.forS(), scenario), 0));
     }
-    for (Scenario.Fault f : s.servers().faults()) {
-      if (f.kind().equals("idle_close")) continue;
-      out.add(new RunResult.Fault("app servers " + f.kind(), List.of("all"), f.atS(),
-          end(f.atS(), f.forS(), s), 0));
+    for (Scenario.Fault fault : scenario.servers().faults()) {
+      if (fault.kind().equals("idle_close")) continue;
+      faults.add(new RunResult.Fault("app servers " + fault.kind(), List.of("all"), fault.atS(),
+          endS(fault.atS(), fault.forS(), scenario), 0));
     }
-    out.sort(java.util.Comparator.comparingDouble(RunResult.Fault::fromS));
-    return out;
+    faults.sort(java.util.Comparator.comparingDouble(RunResult.Fault::fromS));
+    return faults;
   }
 
-  /** When a fault on links or app servers ends: with the run where it has no length of its own. */
-  private static double end(double atS, double forS, Scenario s) {
-    return forS > 0 ? atS + forS : s.seconds();
+  /** Returns when a fault on links or app servers ends: with the run if it has no length. */
+  private static double endS(double atS, double forS, Scenario scenario) {
+    return forS > 0 ? atS + forS : scenario.seconds();
   }
 
-  /** The nodes that no fault on processes ends or stops. */
-  private static Set<String> survivors(Scenario s) {
-    Set<String> out = new java.util.TreeSet<>();
-    for (int i = 0; i < s.nodes(); i++) {
+  /** Returns the names of the nodes that no process fault ends or stops. */
+  private static Set<String> survivors(Scenario scenario) {
+    Set<String> names = new java.util.TreeSet<>();
+    for (int i = 0; i < scenario.nodes(); i++) {
       String node = "n" + i;
-      if (s.processes().faults().stream().noneMatch(f -> Group.of(f.nodes()).holds(node)))
-        out.add(node);
+      if (scenario.processes().faults().stream()
+          .noneMatch(fault -> Group.of(fault.nodes()).holds(node)))
+        names.add(node);
     }
-    return out;
+    return names;
   }
 
-  private static void emptied(Path dir) throws IOException {
-    Files.createDirectories(dir);
-    try (var old = Files.list(dir)) {
-      for (Path p : old.toList()) Files.delete(p);
+  private static void createEmpty(Path historyDir) throws IOException {
+    Files.createDirectories(historyDir);
+    try (var existing = Files.list(historyDir)) {
+      for (Path file : existing.toList()) Files.delete(file);
     }
   }
 
-  private static Node child(Processes processes, int i) {
+  private static Node child(Processes processes, int number) {
     return new Node() {
       @Override
       public int port() {
-        return processes.ports().get(i);
+        return processes.ports().get(number);
       }
 
       @Override
       public Map<String, Long> metrics() {
-        return processes.metrics(i);
+        return processes.metrics(number);
       }
 
       @Override
-      public void stop() {} // all are ended together
+      public void stop() {} // Processes.close() ends all of them
     };
   }
 
   private static Node embedded(String config) throws Exception {
-    EmbeddedNode e = EmbeddedNode.start(PolicyEngine::new, config).toCompletionStage()
-        .toCompletableFuture().get(START_S, TimeUnit.SECONDS);
+    EmbeddedNode node = EmbeddedNode.start(PolicyEngine::new, config).toCompletionStage()
+        .toCompletableFuture().get(START_TIMEOUT_S, TimeUnit.SECONDS);
     return new Node() {
       @Override
       public int port() {
-        return e.port();
+        return node.port();
       }
 
       @Override
       public Map<String, Long> metrics() throws Exception {
-        Map<String, Long> m = Processes.counters(
-            e.infoText().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
-        m.put("loop_cpu_ms",
-            e.loopCpuNanos().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS)
-                / 1_000_000);
-        return m;
+        Map<String, Long> metrics = Processes.counters(node.infoText().toCompletionStage()
+            .toCompletableFuture().get(CALL_TIMEOUT_S, TimeUnit.SECONDS));
+        metrics.put("loop_cpu_ms", node.loopCpuNanos().toCompletionStage().toCompletableFuture()
+            .get(CALL_TIMEOUT_S, TimeUnit.SECONDS) / 1_000_000);
+        return metrics;
       }
 
       @Override
       public void stop() throws Exception {
-        e.stop().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+        node.stop().toCompletionStage().toCompletableFuture().get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
       }
     };
   }
 
-  /** Writes the run as JSON. */
-  public static void write(RunResult r, Path to) throws IOException {
-    Files.writeString(to, GSON.toJson(r));
+  /** Writes a run file as JSON. */
+  public static void write(RunResult result, Path file) throws IOException {
+    Files.writeString(file, GSON.toJson(result));
   }
 
-  /** Reads a run file back. */
-  public static RunResult read(Path from) throws IOException {
-    return GSON.fromJson(Files.readString(from), RunResult.class);
+  /** Reads a run file. */
+  public static RunResult read(Path file) throws IOException {
+    return GSON.fromJson(Files.readString(file), RunResult.class);
   }
 
-  static RunResult.GroundTruth truth(GroundTruth t, List<String> passedIds, Scenario s) {
-    GroundTruth.Totals totals = t.totals();
+  static RunResult.GroundTruth truth(GroundTruth groundTruth, List<String> passedIds,
+      Scenario scenario) {
+    GroundTruth.Totals totals = groundTruth.totals();
     long notRun = 0;
     for (String id : passedIds) {
-      GroundTruth.TrackedRequest request = t.request(id);
+      GroundTruth.TrackedRequest request = groundTruth.request(id);
       if (request == null || request.served == 0) notRun++;
     }
-    double beyond = 0;
-    for (double b : t.overshoot(s.plan().rate(), s.plan().burst()).values())
-      beyond += Math.max(0, b);
+    double unitsBeyond = 0;
+    for (double overshoot : groundTruth.overshoot(scenario.plan().rate(), scenario.plan().burst())
+        .values())
+      unitsBeyond += Math.max(0, overshoot);
     return new RunResult.GroundTruth(totals.requests(), totals.attempts(), totals.served(),
         totals.unitsCharged(), totals.doubleCharges(), totals.repeatedNonReplayable(), notRun,
-        beyond);
+        unitsBeyond);
   }
 
-  static List<RunResult.Customer> customers(GroundTruth t, Scenario s) {
-    Map<Long, Double> beyond = t.overshoot(s.plan().rate(), s.plan().burst());
-    List<RunResult.Customer> out = new ArrayList<>();
-    for (long c : t.heaviest(8)) {
-      out.add(new RunResult.Customer(c, t.unitsPerSecond(c), s.plan().rate(), s.plan().burst(),
-          beyond.getOrDefault(c, 0.0)));
+  static List<RunResult.Customer> customers(GroundTruth groundTruth, Scenario scenario) {
+    Map<Long, Double> beyondByCustomer = groundTruth.overshoot(scenario.plan().rate(),
+        scenario.plan().burst());
+    List<RunResult.Customer> customers = new ArrayList<>();
+    for (long customer : groundTruth.heaviest(HEAVIEST_CUSTOMERS)) {
+      customers.add(new RunResult.Customer(customer, groundTruth.unitsPerSecond(customer),
+          scenario.plan().rate(), scenario.plan().burst(),
+          beyondByCustomer.getOrDefault(customer, 0.0)));
     }
-    return out;
+    return customers;
   }
 
   static List<RunResult.Check> checks(RunResult.GroundTruth truth, LoadRunner load,
-      List<Map<String, Long>> nodes, boolean faults) {
-    List<RunResult.Check> out = new ArrayList<>();
-    // A replayable req may run again after a dispatch that a fault cut off; its units are a figure
-    // then, not a check.
-    out.add(new RunResult.Check("no double charge", faults || truth.doubleCharges() == 0,
+      List<Map<String, Long>> nodeCounters, boolean faults) {
+    List<RunResult.Check> checks = new ArrayList<>();
+    // After an attempt that a fault interrupted, a replayable request may run again. Its units are
+    // then reported without being checked.
+    checks.add(new RunResult.Check("no double charge", faults || truth.doubleCharges() == 0,
         truth.doubleCharges() + " reqs charged twice at app servers"));
-    out.add(new RunResult.Check("no repeated non-replayable dispatch",
+    checks.add(new RunResult.Check("no repeated non-replayable dispatch",
         truth.repeatedNonReplayable() == 0,
         truth.repeatedNonReplayable() + " repeated dispatches of non-replayable reqs"));
-    out.add(new RunResult.Check("every passed try ran", truth.passedNotRun() == 0,
+    checks.add(new RunResult.Check("every passed try ran", truth.passedNotRun() == 0,
         truth.passedNotRun() + " passed tries that no app server ran"));
-    // a node that was killed tells no figures: the histories are checked instead
-    if (faults) return out;
-    long nodePassed = nodes.stream().mapToLong(m -> m.getOrDefault("answered_passed", 0L)).sum();
+    // a killed node returns no counters: the histories are checked instead
+    if (faults) return checks;
+    long nodePassed = nodeCounters.stream()
+        .mapToLong(counters -> counters.getOrDefault("answered_passed", 0L)).sum();
     long clientPassed = load.outcomes().get(Outcome.PASSED);
     long unseen = load.outcomes().get(Outcome.LEFT) + load.outcomes().get(Outcome.TIMED_OUT)
         + load.outcomes().get(Outcome.BROKEN);
-    out.add(new RunResult.Check("nodes and clients agree on passed",
+    checks.add(new RunResult.Check("nodes and clients agree on passed",
         nodePassed >= clientPassed && nodePassed - clientPassed <= unseen, "nodes " + nodePassed
             + ", clients " + clientPassed + ", of which clients could have missed " + unseen));
-    return out;
+    return checks;
   }
 
   private static double rssMb() {
