--- a/src/main/java/saltlatch/lab/rig/ChildJvm.java
+++ b/src/main/java/saltlatch/lab/rig/ChildJvm.java
@@ -8,22 +8,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One command of the built jar as a child process, its output in a log; ended when it is closed or
- * this JVM ends.
+ * A child process that runs one command of the built jar and writes its output to a log. The
+ * process is ended when this object is closed or this JVM ends.
  */
 public final class ChildJvm implements AutoCloseable {
-  private static final long READY_MS = 60_000; // until the line that it is waited for
-  private static final long END_MS = 10_000; // after SIGTERM, then SIGKILL
-  private static final long LOOK_MS = 20; // between two looks at its log
+  private static final long OUTPUT_TIMEOUT_MS = 60_000; // until an expected line is written
+  private static final long TERMINATION_MS = 10_000; // from SIGTERM to SIGKILL
+  private static final long POLL_MS = 20; // between two reads of the log
 
   private final Process process;
   private final Path log;
-  private final Thread guard;
+  private final Thread shutdownHook;
 
   /**
    * Starts {@code java FLAGS -jar JAR ARGUMENTS}.
    *
-   * @param log takes its output, standard and error
+   * @param log receives standard output and standard error
    */
   public ChildJvm(List<String> flags, Path jar, List<String> arguments, Path log)
       throws IOException {
@@ -35,50 +35,58 @@
     if (log.getParent() != null) Files.createDirectories(log.getParent());
     process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile())
         .start();
-    guard = new Thread(process::destroyForcibly);
-    Runtime.getRuntime().addShutdownHook(guard);
+    shutdownHook = new Thread(process::destroyForcibly);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
   }
 
+  /** Returns the process id. */
   public long pid() {
     return process.pid();
   }
 
+  /** Returns whether the process is running. */
   public boolean alive() {
     return process.isAlive();
   }
 
   /**
-   * Waits for a line of its output that begins so, and gives its rest; fails when the process ends
-   * before.
+   * Waits for a line of output that starts with the given prefix, and returns the rest of that
+   * line.
+   *
+   * @throws IOException if the process ends or the time-out passes before the line is written
    */
-  public String await(String beginning) throws IOException, InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-    while (System.nanoTime() < until) {
-      boolean ended = !process.isAlive(); // looked at first, so that its last line is read
+  public String await(String prefix) throws IOException, InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OUTPUT_TIMEOUT_MS);
+    while (System.nanoTime() < deadline) {
+      // checked before the log is read, so that the last line is not missed
+      boolean ended = !process.isAlive();
       for (String line : Files.readAllLines(log)) {
-        if (line.startsWith(beginning)) return line.substring(beginning.length());
+        if (line.startsWith(prefix)) return line.substring(prefix.length());
       }
       if (ended) break;
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_MS);
     }
-    throw new IOException("no line '" + beginning + "' in " + log + ":\n" + Files.readString(log));
+    throw new IOException(
+        "expected a line that starts with '" + prefix + "' within " + OUTPUT_TIMEOUT_MS
+            + " ms, before the process ends; found in " + log + ":\n" + Files.readString(log));
   }
 
-  /** Waits until it has ended by itself; its exit code. */
+  /** Waits until the process has ended by itself, and returns its exit code. */
   public int waitFor() throws InterruptedException {
     return process.waitFor();
   }
 
-  /** SIGTERM, and SIGKILL where that does not end it. */
+  /** Sends SIGTERM, and SIGKILL if the process does not end within 10 s. */
   @Override
   public void close() {
     process.destroy();
     try {
-      if (!process.waitFor(END_MS, TimeUnit.MILLISECONDS)) process.destroyForcibly().waitFor();
+      if (!process.waitFor(TERMINATION_MS, TimeUnit.MILLISECONDS))
+        process.destroyForcibly().waitFor();
     } catch (InterruptedException e) {
       process.destroyForcibly();
       Thread.currentThread().interrupt();
     }
-    Runtime.getRuntime().removeShutdownHook(guard);
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
   }
 }
--- a/src/main/java/saltlatch/lab/rig/LinkProxies.java
+++ b/src/main/java/saltlatch/lab/rig/LinkProxies.java
@@ -24,32 +24,41 @@
 import saltlatch.lab.plan.Links;
 
 /**
- * TCP relays on loopback that carry the link faults, one listener a link, all on one thread of its
- * own. A cut link is silent, as a machine cut off is: bytes and ends stay where they are until it
- * heals, and new connections never come up, since the listener's queue is filled with connections
- * of the relay's own and the system then drops what asks for more. What each byte meets is
- * {@link Links}'s decision.
+ * TCP proxies on loopback that inject link faults, with one listener for each link, all on one
+ * thread. {@link Links} decides which fault applies to which bytes. A cut link is silent, like a
+ * machine that is cut off: bytes and ends of streams are held until the link heals, and new
+ * connections are not established. For that, the proxy fills the listener's accept queue with
+ * connections of its own (fillers), after which the system drops further connection requests.
  */
 public final class LinkProxies implements AutoCloseable {
-  // connections not taken yet; one more each fills a cut listener
-  private static final int BACKLOG = 32;
-  private static final int CHUNK = 16_384; // bytes read at once
-  // bytes held on one direction before reading stops: a cut link's buffers
-  private static final int MOST_HELD = 1 << 20;
-  private static final long TICK_MS = 2; // between looks at what is held, and whether links are cut
-  private static final long HIGHEST_US = 60_000_000; // the histogram's range
+  private static final int BACKLOG = 32; // length of a listener's accept queue
+  private static final int CHUNK_BYTES = 16_384; // read at once
+  // one direction stops reading at this many held bytes, which stand for the buffers of a cut link
+  private static final int MAX_HELD_BYTES = 1 << 20;
+  private static final long TICK_MS = 2; // between checks of held chunks and of cut links
+  private static final long MAX_DELAY_US = 60_000_000; // range of the histogram
 
-  /** Bytes on their way, or the end of them. */
-  private record Chunk(ByteBuffer bytes, double dueMs, long readNs, boolean free, boolean reset) {}
+  /**
+   * Bytes that are held until they are due, or the end of a stream.
+   *
+   * @param bytes null for the end of a stream
+   * @param dueMs time from which the chunk may be forwarded
+   * @param readNs time at which it was read
+   * @param undelayed whether no fault delays the chunk
+   * @param reset whether the stream ended with a reset
+   */
+  private record Chunk(ByteBuffer bytes, double dueMs, long readNs, boolean undelayed,
+      boolean reset) {}
 
+  /** The listener of one link. */
   private final class Listener {
     final String from;
     final String to;
     final SocketAddress target;
     final ServerSocketChannel channel;
     final int port;
-    final Set<Integer> plugPorts = new HashSet<>();
-    List<SocketChannel> plugs;
+    final Set<Integer> fillerPorts = new HashSet<>();
+    List<SocketChannel> fillers; // null if the link is not cut
 
     Listener(String from, String to, SocketAddress target) throws IOException {
       this.from = from;
@@ -61,169 +70,170 @@
       port = ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    boolean cut(double now) {
-      return links.cut(from, to, now) || links.cut(to, from, now);
+    boolean cut(double nowMs) {
+      return links.cut(from, to, nowMs) || links.cut(to, from, nowMs);
     }
 
     /**
-     * Fills the queue of what is not accepted yet while the link is cut; empties it once it has
-     * healed.
+     * Fills the accept queue when the link is cut, and empties it when the link has healed.
      */
-    void look(double now) throws IOException {
-      boolean cut = cut(now);
-      if (cut && plugs == null) {
-        plugs = new ArrayList<>();
+    void updateFillers(double nowMs) throws IOException {
+      boolean cut = cut(nowMs);
+      if (cut && fillers == null) {
+        fillers = new ArrayList<>();
         for (int i = 0; i < 2 * BACKLOG; i++) {
-          SocketChannel c = SocketChannel.open();
-          c.configureBlocking(false);
-          // its port is known while it still connects
-          c.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-          c.connect(channel.getLocalAddress());
-          plugPorts.add(((InetSocketAddress) c.getLocalAddress()).getPort());
-          plugs.add(c);
+          SocketChannel filler = SocketChannel.open();
+          filler.configureBlocking(false);
+          // bound explicitly, so that its port is known before the connection is established
+          filler.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+          filler.connect(channel.getLocalAddress());
+          fillerPorts.add(((InetSocketAddress) filler.getLocalAddress()).getPort());
+          fillers.add(filler);
         }
-      } else if (!cut && plugs != null) {
-        for (SocketChannel c : plugs) c.close();
-        plugs = null;
+      } else if (!cut && fillers != null) {
+        for (SocketChannel filler : fillers) filler.close();
+        fillers = null;
         accept();
-        plugPorts.clear();
+        fillerPorts.clear();
         channel.keyFor(selector).interestOps(SelectionKey.OP_ACCEPT);
       }
     }
 
     void accept() throws IOException {
-      if (plugs != null) return;
-      for (SocketChannel a = channel.accept(); a != null; a = channel.accept()) {
-        if (plugPorts.contains(((InetSocketAddress) a.getRemoteAddress()).getPort())) a.close();
-        else new Pipe(this, a);
+      if (fillers != null) return;
+      for (SocketChannel client = channel.accept(); client != null; client = channel.accept()) {
+        if (fillerPorts.contains(((InetSocketAddress) client.getRemoteAddress()).getPort()))
+          client.close();
+        else new ProxiedConnection(this, client);
       }
     }
   }
 
-  /** One connection through a relay: two directions. */
-  private final class Pipe {
-    final Half there;
-    final Half back;
+  /** A connection through a proxy, with its two directions. */
+  private final class ProxiedConnection {
+    final Direction toTarget;
+    final Direction toClient;
 
-    Pipe(Listener l, SocketChannel a) throws IOException {
-      a.configureBlocking(false);
-      a.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      SocketChannel b = SocketChannel.open();
-      b.configureBlocking(false);
-      b.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      there = new Half(l.from, l.to, a, b);
-      back = new Half(l.to, l.from, b, a);
-      there.other = back;
-      back.other = there;
-      there.pipe = back.pipe = this;
-      pipes.add(this);
+    ProxiedConnection(Listener listener, SocketChannel client) throws IOException {
+      client.configureBlocking(false);
+      client.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      SocketChannel target = SocketChannel.open();
+      target.configureBlocking(false);
+      target.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      toTarget = new Direction(listener.from, listener.to, client, target);
+      toClient = new Direction(listener.to, listener.from, target, client);
+      toTarget.other = toClient;
+      toClient.other = toTarget;
+      toTarget.connection = toClient.connection = this;
+      connections.add(this);
       try {
-        b.connect(l.target);
+        target.connect(listener.target);
       } catch (IOException e) {
         reset();
         return;
       }
-      a.register(selector, 0, there);
-      b.register(selector, SelectionKey.OP_CONNECT, back);
+      client.register(selector, 0, toTarget);
+      target.register(selector, SelectionKey.OP_CONNECT, toClient);
     }
 
     void reset() {
-      for (SocketChannel c : List.of(there.src, back.src)) {
+      for (SocketChannel channel : List.of(toTarget.source, toClient.source)) {
         try {
-          c.setOption(StandardSocketOptions.SO_LINGER, 0);
+          channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-          // closed already: nothing is left to reset
+          // the channel is already closed: there is nothing to reset
         }
-        shut(c);
+        closeChannel(channel);
       }
-      pipes.remove(this);
+      connections.remove(this);
     }
   }
 
-  private final class Half {
+  /** One direction of a connection: reads from the source, forwards to the destination. */
+  private final class Direction {
     final String from;
     final String to;
-    final SocketChannel src;
-    final SocketChannel dst;
+    final SocketChannel source;
+    final SocketChannel destination;
     final ArrayDeque<Chunk> held = new ArrayDeque<>();
-    Half other;
-    Pipe pipe;
-    int bytes;
-    double lastDue = Double.NEGATIVE_INFINITY;
-    boolean ended; // the end of src has been read
-    boolean done; // and passed on
+    Direction other;
+    ProxiedConnection connection;
+    int heldBytes;
+    double lastDueMs = Double.NEGATIVE_INFINITY;
+    boolean endRead; // the end of the source has been read
+    boolean endForwarded;
 
-    Half(String from, String to, SocketChannel src, SocketChannel dst) {
+    Direction(String from, String to, SocketChannel source, SocketChannel destination) {
       this.from = from;
       this.to = to;
-      this.src = src;
-      this.dst = dst;
+      this.source = source;
+      this.destination = destination;
     }
 
     void read() {
-      double now = clock.nowMs();
+      double nowMs = clock.nowMs();
       long readNs = System.nanoTime();
       try {
-        while (!ended && bytes < MOST_HELD) {
-          ByteBuffer b = ByteBuffer.allocate(CHUNK);
-          int n = src.read(b);
-          if (n == 0) break;
-          b.flip();
-          lastDue = Math.max(lastDue, now + links.stream(from, to, now));
-          if (n < 0) ended = true;
-          else bytes += n;
-          held.add(new Chunk(n < 0 ? null : b, lastDue, readNs,
-              lastDue <= now && !links.cut(from, to, now), false));
+        while (!endRead && heldBytes < MAX_HELD_BYTES) {
+          ByteBuffer buffer = ByteBuffer.allocate(CHUNK_BYTES);
+          int bytesRead = source.read(buffer);
+          if (bytesRead == 0) break;
+          buffer.flip();
+          lastDueMs = Math.max(lastDueMs, nowMs + links.stream(from, to, nowMs));
+          if (bytesRead < 0) endRead = true;
+          else heldBytes += bytesRead;
+          held.add(new Chunk(bytesRead < 0 ? null : buffer, lastDueMs, readNs,
+              lastDueMs <= nowMs && !links.cut(from, to, nowMs), false));
         }
       } catch (IOException e) {
-        ended = true;
-        held.add(new Chunk(null, Math.max(lastDue, now), readNs, false, true));
+        endRead = true;
+        held.add(new Chunk(null, Math.max(lastDueMs, nowMs), readNs, false, true));
       }
       write();
     }
 
-    /** Passes on what is due, unless the link is cut. */
+    /** Forwards the chunks that are due, unless the link is cut. */
     void write() {
-      double now = clock.nowMs();
+      double nowMs = clock.nowMs();
       try {
-        while (!held.isEmpty() && dst.isConnected() && held.peek().dueMs <= now
-            && !links.cut(from, to, now)) {
-          Chunk c = held.peek();
-          if (c.reset) {
-            pipe.reset();
+        while (!held.isEmpty() && destination.isConnected() && held.peek().dueMs <= nowMs
+            && !links.cut(from, to, nowMs)) {
+          Chunk chunk = held.peek();
+          if (chunk.reset) {
+            connection.reset();
             return;
           }
-          if (c.bytes == null) {
-            dst.shutdownOutput();
-            done = true;
+          if (chunk.bytes == null) {
+            destination.shutdownOutput();
+            endForwarded = true;
           } else {
-            int n = dst.write(c.bytes);
-            bytes -= n;
-            if (c.bytes.hasRemaining()) break;
-            if (c.free)
-              delay.recordValue(Math.min(HIGHEST_US, (System.nanoTime() - c.readNs) / 1000));
+            int bytesWritten = destination.write(chunk.bytes);
+            heldBytes -= bytesWritten;
+            if (chunk.bytes.hasRemaining()) break;
+            if (chunk.undelayed) delayUs
+                .recordValue(Math.min(MAX_DELAY_US, (System.nanoTime() - chunk.readNs) / 1000));
           }
           held.poll();
         }
       } catch (IOException e) {
-        pipe.reset();
+        connection.reset();
         return;
       }
-      if (done && other.done) {
-        shut(src);
-        shut(dst);
-        pipes.remove(pipe);
+      if (endForwarded && other.endForwarded) {
+        closeChannel(source);
+        closeChannel(destination);
+        connections.remove(connection);
         return;
       }
-      interest();
+      updateInterest();
     }
 
-    private void interest() {
-      SelectionKey in = src.keyFor(selector);
-      if (in == null || !in.isValid() || !src.isConnected()) return;
+    private void updateInterest() {
+      SelectionKey sourceKey = source.keyFor(selector);
+      if (sourceKey == null || !sourceKey.isValid() || !source.isConnected()) return;
       boolean blocked = !other.held.isEmpty() && other.held.peek().bytes != null
           && other.held.peek().bytes.position() > 0;
-      in.interestOps((ended || bytes >= MOST_HELD ? 0 : SelectionKey.OP_READ)
+      sourceKey.interestOps((endRead || heldBytes >= MAX_HELD_BYTES ? 0 : SelectionKey.OP_READ)
           | (blocked ? SelectionKey.OP_WRITE : 0));
     }
   }
@@ -233,12 +243,13 @@
   private final Selector selector;
   private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final List<Listener> listeners = new ArrayList<>();
-  private final Set<Pipe> pipes = new java.util.LinkedHashSet<>();
-  private final Histogram delay = new Histogram(HIGHEST_US, 3);
+  private final Set<ProxiedConnection> connections = new java.util.LinkedHashSet<>();
+  private final Histogram delayUs = new Histogram(MAX_DELAY_US, 3);
   private final Thread thread;
   private volatile boolean closed;
-  private volatile Exception failure; // the relays have stopped: the run is worth nothing
+  private volatile Exception failure; // of the proxy thread: the run's results are invalid
 
+  /** Starts the proxy thread; links get their listeners by {@link #port}. */
   public LinkProxies(Links links, LabClock clock) throws IOException {
     this.links = links;
     this.clock = clock;
@@ -249,54 +260,58 @@
   }
 
   /**
-   * The port by which {@code from} reaches {@code to}, whose own port is given: the same where no
-   * fault touches the link.
+   * Returns the port by which {@code from} reaches {@code to}. That is the given port of {@code to}
+   * if no fault applies to the link, and otherwise the port of a new listener.
    */
   public int port(String from, String to, int port) {
     if (!links.everTouches(from, to)) return port;
-    Listener l;
+    Listener listener;
     try {
-      l = new Listener(from, to, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+      listener = new Listener(from, to,
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
     tasks.add(() -> {
-      listeners.add(l);
+      listeners.add(listener);
       try {
-        l.channel.register(selector, SelectionKey.OP_ACCEPT, l);
+        listener.channel.register(selector, SelectionKey.OP_ACCEPT, listener);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
     });
     selector.wakeup();
-    return l.port;
+    return listener.port;
   }
 
-  /** From reading bytes that no fault delays to having passed them on, in µs. */
+  /**
+   * Returns the proxies' own delay in µs, measured on the chunks that no fault delays, from reading
+   * to forwarding, and the number of these chunks.
+   */
   public Map<String, Long> delayUs() {
-    Map<String, Long> m = new TreeMap<>();
-    m.put("p50", delay.getValueAtPercentile(50));
-    m.put("p99", delay.getValueAtPercentile(99));
-    m.put("max", delay.getMaxValue());
-    m.put("chunks", delay.getTotalCount());
-    return m;
+    Map<String, Long> delays = new TreeMap<>();
+    delays.put("p50", delayUs.getValueAtPercentile(50));
+    delays.put("p99", delayUs.getValueAtPercentile(99));
+    delays.put("max", delayUs.getMaxValue());
+    delays.put("chunks", delayUs.getTotalCount());
+    return delays;
   }
 
   private void run() {
-    long next = 0;
+    long nextTickNs = 0;
     while (!closed) {
       try {
         selector.select(TICK_MS);
-        for (Runnable t = tasks.poll(); t != null; t = tasks.poll()) t.run();
-        for (SelectionKey key : selector.selectedKeys()) if (key.isValid()) ready(key);
+        for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) task.run();
+        for (SelectionKey key : selector.selectedKeys()) if (key.isValid()) handle(key);
         selector.selectedKeys().clear();
-        if (System.nanoTime() < next) continue;
-        next = System.nanoTime() + TICK_MS * 1_000_000;
-        double now = clock.nowMs();
-        for (Listener l : listeners) l.look(now);
-        for (Pipe p : List.copyOf(pipes)) {
-          if (!p.there.held.isEmpty()) p.there.write();
-          if (!p.back.held.isEmpty()) p.back.write();
+        if (System.nanoTime() < nextTickNs) continue;
+        nextTickNs = System.nanoTime() + TICK_MS * 1_000_000;
+        double nowMs = clock.nowMs();
+        for (Listener listener : listeners) listener.updateFillers(nowMs);
+        for (ProxiedConnection connection : List.copyOf(connections)) {
+          if (!connection.toTarget.held.isEmpty()) connection.toTarget.write();
+          if (!connection.toClient.held.isEmpty()) connection.toClient.write();
         }
       } catch (IOException | RuntimeException e) {
         if (closed) return;
@@ -306,33 +321,34 @@
     }
   }
 
-  private void ready(SelectionKey key) throws IOException {
-    if (key.attachment() instanceof Listener l) {
-      l.accept();
-      if (l.plugs != null) key.interestOps(0); // the queue stays full: it must not spin
+  private void handle(SelectionKey key) throws IOException {
+    if (key.attachment() instanceof Listener listener) {
+      listener.accept();
+      // While the queue is kept full, the selector would report the listener without pause.
+      if (listener.fillers != null) key.interestOps(0);
       return;
     }
-    Half h = (Half) key.attachment();
-    Pipe p = h.pipe;
-    if (!pipes.contains(p)) return;
+    Direction direction = (Direction) key.attachment();
+    ProxiedConnection connection = direction.connection;
+    if (!connections.contains(connection)) return;
     if (key.isConnectable()) {
       try {
-        h.src.finishConnect();
+        direction.source.finishConnect();
       } catch (IOException e) {
-        p.reset(); // nobody listens there
+        connection.reset(); // the target does not listen
         return;
       }
-      h.interest();
-      h.other.interest();
+      direction.updateInterest();
+      direction.other.updateInterest();
       return;
     }
-    if (key.isReadable()) h.read();
-    if (key.isValid() && key.isWritable()) h.other.write();
+    if (key.isReadable()) direction.read();
+    if (key.isValid() && key.isWritable()) direction.other.write();
   }
 
-  private static void shut(SocketChannel c) {
+  private static void closeChannel(SocketChannel channel) {
     try {
-      c.close();
+      channel.close();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -347,9 +363,11 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    for (Pipe p : List.copyOf(pipes)) p.reset();
-    for (Listener l : listeners) l.channel.close();
+    for (ProxiedConnection connection : List.copyOf(connections)) connection.reset();
+    for (Listener listener : listeners) listener.channel.close();
     selector.close();
-    if (failure != null) throw new IOException("the relays stopped", failure);
+    if (failure != null) {
+      throw new IOException("the link proxies' thread stopped before they were closed", failure);
+    }
   }
 }
--- a/src/main/java/saltlatch/lab/rig/ProcessMetrics.java
+++ b/src/main/java/saltlatch/lab/rig/ProcessMetrics.java
@@ -14,95 +14,102 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What a process has used, from Linux' {@code /proc}, and what a JVM holds, from {@code jcmd}. */
+/**
+ * Reads the CPU time and memory of processes from Linux' {@code /proc}, and the heap use of JVMs
+ * from {@code jcmd}.
+ */
 public final class ProcessMetrics {
   private static final Path PROC = Path.of("/proc");
-  private static final double NANOS = 1e6; // in a ms
-  private static final int TICK_MS = 10; // of the clock in which /proc/PID/stat counts
-  private static final int USER_TIME = 11; // fields of /proc/PID/stat behind the name
+  private static final double NANOS_PER_MS = 1e6;
+  private static final int TICK_MS = 10; // unit of the CPU times in /proc/PID/stat
+  private static final int USER_TIME = 11; // index after the name in /proc/PID/stat
   private static final int SYSTEM_TIME = 12;
-  private static final long KILO = 1_024;
-  private static final Pattern TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
+  private static final long BYTES_PER_KB = 1_024;
+  private static final int MAX_SHOWN_CHARS = 2_000; // of a tool's output, in an error message
+  private static final Pattern HISTOGRAM_TOTAL = Pattern.compile("(?m)^Total +\\d+ +(\\d+)");
 
   /**
-   * CPU time at one instant: of the whole process in steps of 10 ms, and of each thread that lives,
-   * exactly.
+   * A reading of CPU times.
+   *
+   * @param processMs CPU time of the process in ms, in steps of 10 ms
+   * @param threadNanos CPU time of each live thread in ns, by thread id
    */
   public record Cpu(long processMs, Map<Long, Long> threadNanos) {
     /**
-     * ms since the earlier reading, by the threads that live now. Ended threads' last work is not
-     * in it.
+     * Returns the CPU time in ms that the threads of this reading have used since an earlier one.
+     * Work of threads that have ended in between is not included.
      */
     public double msSince(Cpu earlier) {
       double nanos = 0;
       for (Map.Entry<Long, Long> thread : threadNanos.entrySet()) {
         nanos += thread.getValue() - earlier.threadNanos.getOrDefault(thread.getKey(), 0L);
       }
-      return nanos / NANOS;
+      return nanos / NANOS_PER_MS;
     }
   }
 
   private ProcessMetrics() {}
 
-  /** CPU time that the process has used; fails once it is gone. */
+  /** Returns the CPU time that the process has used; fails if the process has ended. */
   public static Cpu cpu(long pid) throws IOException {
     String stat = Files.readString(PROC.resolve(pid + "/stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
     long ticks = Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
     Map<Long, Long> threads = new HashMap<>();
     try (DirectoryStream<Path> tasks = Files.newDirectoryStream(PROC.resolve(pid + "/task"))) {
-      for (Path task : tasks) thread(task, threads);
+      for (Path task : tasks) readThread(task, threads);
     }
     return new Cpu(ticks * TICK_MS, threads);
   }
 
-  private static void thread(Path task, Map<Long, Long> into) throws IOException {
+  private static void readThread(Path task, Map<Long, Long> threads) throws IOException {
     try {
-      String[] used = Files.readString(task.resolve("schedstat")).split(" ", 0);
-      into.put(Long.parseLong(task.getFileName().toString()), Long.parseLong(used[0]));
+      String[] times = Files.readString(task.resolve("schedstat")).split(" ", 0);
+      threads.put(Long.parseLong(task.getFileName().toString()), Long.parseLong(times[0]));
     } catch (NoSuchFileException e) {
-      into.remove(Long.parseLong(task.getFileName().toString())); // it ended meanwhile
+      threads.remove(Long.parseLong(task.getFileName().toString())); // the thread has ended
     }
   }
 
-  /** Resident bytes now. */
+  /** Returns the current resident set size in bytes. */
   public static long rssBytes(long pid) throws IOException {
     return status(pid, "VmRSS:");
   }
 
-  /** Resident bytes at their highest. */
+  /** Returns the highest resident set size in bytes. */
   public static long peakRssBytes(long pid) throws IOException {
     return status(pid, "VmHWM:");
   }
 
   private static long status(long pid, String key) throws IOException {
     for (String line : Files.readAllLines(PROC.resolve(pid + "/status"))) {
-      if (line.startsWith(key)) return Long.parseLong(line.replaceAll("[^0-9]", "")) * KILO;
+      if (line.startsWith(key)) return Long.parseLong(line.replaceAll("[^0-9]", "")) * BYTES_PER_KB;
     }
-    throw new IOException("no " + key + " of process " + pid);
+    throw new IOException("expected a line " + key + " in the status of process " + pid);
   }
 
-  /** Bytes of a JVM's heap that are still held after a full collection, which this causes. */
+  /** Runs a full garbage collection in a JVM, and returns the bytes of live objects. */
   public static long heldHeapBytes(long pid) throws IOException, InterruptedException {
     Process jcmd = new ProcessBuilder(List.of("jcmd", Long.toString(pid), "GC.class_histogram"))
         .redirectErrorStream(true).start();
-    String text = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     jcmd.waitFor(1, TimeUnit.MINUTES);
-    Matcher total = TOTAL.matcher(text);
-    if (!total.find()) throw new IOException("no histogram of process " + pid + ": " + text);
-    return Long.parseLong(total.group(1));
+    Matcher totalLine = HISTOGRAM_TOTAL.matcher(output);
+    if (!totalLine.find()) throw new IOException("expected a heap histogram of process " + pid
+        + ", found: " + output.substring(0, Math.min(MAX_SHOWN_CHARS, output.length())));
+    return Long.parseLong(totalLine.group(1));
   }
 
-  /** Bytes of memory that this machine has. */
+  /** Returns the size of this machine's memory in bytes. */
   public static long machineBytes() {
     try {
       for (String line : Files.readAllLines(PROC.resolve("meminfo"))) {
         if (line.startsWith("MemTotal:"))
-          return Long.parseLong(line.replaceAll("[^0-9]", "")) * KILO;
+          return Long.parseLong(line.replaceAll("[^0-9]", "")) * BYTES_PER_KB;
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    throw new IllegalStateException("/proc/meminfo tells no MemTotal");
+    throw new IllegalStateException("expected a line MemTotal: in /proc/meminfo");
   }
 }
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -30,130 +30,148 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * The edge nodes as child processes, each {@code java FLAGS -jar JAR serve} with the {@code run}
- * line's flags, and what a schedule does to them by their ids: killed, stopped and continued,
- * ended, started again under the same name, address and configuration (or an older one). Figures
- * come from {@code INFO}, CPU and RSS from {@code /proc}. For machines other than the bench's
- * platform, which allows one process and no fork.
+ * Runs edge nodes as child processes, each {@code java FLAGS -jar JAR serve} with the flags of the
+ * {@code run} line, and injects the process faults of a schedule by process id: nodes are killed,
+ * stopped and continued, terminated, and restarted with the same name, address and configuration
+ * (or an older configuration). Metrics come from {@code INFO}, CPU time and RSS from {@code /proc}.
+ * This does not work on the bench's platform, which allows one process and no fork.
  */
 public final class Processes implements AutoCloseable {
-  // a node must answer PING within this, as on the platform
+  // a node must answer PING within this time, as on the platform
   private static final long READY_MS = 30_000;
-  private static final long END_MS = 10_000; // SIGTERM leaves a node 3.7 s at most
-  private static final long LOOK_MS = 50; // between two looks whether a node is ready
+  private static final long TERMINATION_MS = 10_000; // a node ends at most 3.7 s after SIGTERM
+  private static final long POLL_MS = 50; // between two checks whether a node is ready
+  private static final int ANSWER_TIMEOUT_MS = 2_000; // of a PING or INFO
 
   /**
-   * The JVM flags of the {@code run} line, the jar, a directory for configurations, logs and
-   * histories.
+   * The program that the child processes run.
+   *
+   * @param jvmFlags JVM flags of the {@code run} line
+   * @param jar jar with the nodes' main class
+   * @param dir directory for configurations, logs and histories
    */
   public record Program(List<String> jvmFlags, Path jar, Path dir) {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec java (.*?) -jar ");
 
     /**
-     * With the flags of the {@code run} line, but for the class archive, which belongs to the jar
-     * it was made of.
+     * Returns a program with the flags of the {@code run} line. The flag for the class archive is
+     * left out, since an archive fits only the jar that it was made from.
+     *
+     * @throws IOException if the file has no {@code run} line
      */
     public static Program of(Path balancer, Path jar, Path dir) throws IOException {
-      Matcher m = RUN.matcher(Files.readString(balancer));
-      if (!m.find()) throw new IOException("no run line in " + balancer);
-      String tmp = System.getenv().getOrDefault("TMPDIR", "/tmp");
-      return new Program(List.of(m.group(1).replaceAll(" -XX:SharedArchiveFile=\\S+", "")
-          .replace("${TMPDIR:-/tmp}", tmp).split(" ", 0)), jar, dir);
+      Matcher runLine = RUN.matcher(Files.readString(balancer));
+      if (!runLine.find())
+        throw new IOException("expected a line run = \"exec java ... -jar in " + balancer);
+      String tempDir = System.getenv().getOrDefault("TMPDIR", "/tmp");
+      return new Program(List.of(runLine.group(1).replaceAll(" -XX:SharedArchiveFile=\\S+", "")
+          .replace("${TMPDIR:-/tmp}", tempDir).split(" ", 0)), jar, dir);
     }
   }
 
   private final Program program;
-  // by number, and whether it is the older one
+  // arguments: node number, and whether to return the older configuration
   private final BiFunction<Integer, Boolean, String> configs;
   private final List<Process> processes = new ArrayList<>();
   private final List<Integer> ports = new ArrayList<>();
   private final Set<Integer> stopped = ConcurrentHashMap.newKeySet();
-  private final List<Socket> held = new ArrayList<>();
-  private Thread director;
+  private final List<Socket> portReservations = new ArrayList<>();
+  private Thread faultInjector;
   private volatile boolean closed;
 
+  /**
+   * Creates the manager without starting any process.
+   *
+   * @param configs returns a node's configuration by node number; the flag selects the older one
+   */
   public Processes(Program program, BiFunction<Integer, Boolean, String> configs) {
     this.program = program;
     this.configs = configs;
   }
 
-  /** Starts {@code n} nodes at once and waits until each answers PING. */
-  public void start(int n) throws IOException, InterruptedException {
+  /** Starts the given number of nodes at once, and waits until each of them answers PING. */
+  public void start(int nodeCount) throws IOException, InterruptedException {
     Files.createDirectories(program.dir);
-    // Guards against nodes that outlive a lab that was ended from outside: they would keep ports
-    // and cores.
+    // Otherwise the nodes would outlive a laboratory JVM that is ended from outside, and keep their
+    // ports and CPU cores.
     Runtime.getRuntime().addShutdownHook(
         new Thread(() -> List.copyOf(processes).forEach(Process::destroyForcibly)));
-    for (int i = 0; i < n; i++) {
-      ports.add(hold());
-      processes.add(launch(i, false));
+    for (int node = 0; node < nodeCount; node++) {
+      ports.add(reservePort());
+      processes.add(launch(node, false));
     }
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-    for (int i = 0; i < n; i++) {
-      while (!answers(i)) {
-        if (!alive(i)) throw new IOException("node " + i + " ended before it was ready");
-        if (System.nanoTime() > until)
-          throw new IOException("node " + i + " not ready in " + READY_MS + " ms");
-        Thread.sleep(LOOK_MS);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+    for (int node = 0; node < nodeCount; node++) {
+      while (!answersPing(node)) {
+        if (!alive(node)) throw new IOException("node " + node + " ended before it answered PING");
+        if (System.nanoTime() > deadline)
+          throw new IOException("node " + node + " did not answer PING within " + READY_MS + " ms");
+        Thread.sleep(POLL_MS);
       }
     }
   }
 
   /**
-   * A port that stays a node's for the whole run: bound here and never listened on, with the
-   * address' use shared. Guards against a connection going out that is given a node's port before
-   * its start, or while it is dead.
+   * Reserves a port for a node during the complete run, by a socket that is bound to it with
+   * {@code SO_REUSEADDR} and never listens. Without the reservation, the system may assign the port
+   * to an outgoing connection before the node starts or while it is down.
    */
-  private int hold() throws IOException {
-    Socket s = new Socket();
-    s.setReuseAddress(true);
-    s.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    held.add(s);
-    return s.getLocalPort();
+  private int reservePort() throws IOException {
+    Socket reservation = new Socket();
+    reservation.setReuseAddress(true);
+    reservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    portReservations.add(reservation);
+    return reservation.getLocalPort();
   }
 
+  /** Returns the nodes' ports by node number. */
   public List<Integer> ports() {
     return ports;
   }
 
-  public boolean alive(int i) {
+  /** Returns whether the node's process exists, which includes a stopped one. */
+  public boolean alive(int node) {
     synchronized (processes) {
-      return processes.get(i).isAlive();
+      return processes.get(node).isAlive();
     }
   }
 
-  /** The process' id. */
-  public long pid(int i) {
+  /** Returns the id of the node's process. */
+  public long pid(int node) {
     synchronized (processes) {
-      return processes.get(i).pid();
+      return processes.get(node).pid();
     }
   }
 
-  private Process launch(int i, boolean old) throws IOException {
-    Path config = program.dir.resolve("n" + i + ".json");
-    Files.writeString(config, configs.apply(i, old).replace("\"listen\":\"127.0.0.1:0\"",
-        "\"listen\":\"127.0.0.1:" + ports.get(i) + "\""));
-    List<String> cmd = new ArrayList<>(List.of("java"));
-    cmd.addAll(program.jvmFlags);
-    cmd.addAll(List.of("-jar", program.jar.toString(), "serve"));
-    ProcessBuilder pb = new ProcessBuilder(cmd).redirectErrorStream(true).redirectOutput(
-        ProcessBuilder.Redirect.appendTo(program.dir.resolve("n" + i + ".log").toFile()));
-    pb.environment().put("LB_CONFIG", config.toString());
-    return pb.start();
+  private Process launch(int node, boolean olderConfig) throws IOException {
+    Path config = program.dir.resolve("n" + node + ".json");
+    Files.writeString(config, configs.apply(node, olderConfig).replace("\"listen\":\"127.0.0.1:0\"",
+        "\"listen\":\"127.0.0.1:" + ports.get(node) + "\""));
+    List<String> command = new ArrayList<>(List.of("java"));
+    command.addAll(program.jvmFlags);
+    command.addAll(List.of("-jar", program.jar.toString(), "serve"));
+    ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(
+        ProcessBuilder.Redirect.appendTo(program.dir.resolve("n" + node + ".log").toFile()));
+    builder.environment().put("LB_CONFIG", config.toString());
+    return builder.start();
   }
 
-  /** Plays the schedule on a thread of its own; {@code faults} tells each step as it is done. */
+  /**
+   * Applies the schedule's steps on a separate thread.
+   *
+   * @param faults receives an event after each step
+   */
   public void runTimeline(List<Timeline.Step> steps, LabClock clock, HistoryWriter faults) {
-    director = new Thread(() -> {
+    faultInjector = new Thread(() -> {
       try {
-        for (Timeline.Step s : steps) {
-          double wait = s.atMs() - clock.nowMs();
-          if (wait > 0) Thread.sleep((long) wait, (int) (wait % 1 * 1e6));
+        for (Timeline.Step step : steps) {
+          double waitMs = step.atMs() - clock.nowMs();
+          if (waitMs > 0) Thread.sleep((long) waitMs, (int) (waitMs % 1 * 1e6));
           if (closed) return;
-          apply(s.action(), s.nodes());
-          for (int n : s.nodes())
-            faults.add("fault", "kind", s.action().name().toLowerCase(Locale.ROOT), "node",
-                "n" + n);
+          apply(step.action(), step.nodes());
+          for (int node : step.nodes())
+            faults.add("fault", "kind", step.action().name().toLowerCase(Locale.ROOT), "node",
+                "n" + node);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -161,11 +179,14 @@
         faults.add("fault_failed", "why", e.toString());
       }
     }, "lab-director");
-    director.setDaemon(true);
-    director.start();
+    faultInjector.setDaemon(true);
+    faultInjector.start();
   }
 
-  /** Does it to all of them in one call, so that it is one instant. */
+  /**
+   * Applies an action to nodes. A signal is sent to all of them by one command, so that it reaches
+   * them at the same time.
+   */
   public void apply(Action action, List<Integer> nodes) throws IOException, InterruptedException {
     synchronized (processes) {
       switch (action) {
@@ -180,87 +201,92 @@
           nodes.forEach(stopped::remove);
         }
         default -> {
-          for (int n : nodes) {
-            Process old = processes.get(n);
-            if (!old.waitFor(END_MS, TimeUnit.MILLISECONDS)) old.destroyForcibly().waitFor();
-            processes.set(n, launch(n, action == Action.START_OLD));
+          for (int node : nodes) {
+            Process previous = processes.get(node);
+            if (!previous.waitFor(TERMINATION_MS, TimeUnit.MILLISECONDS))
+              previous.destroyForcibly().waitFor();
+            processes.set(node, launch(node, action == Action.START_OLD));
           }
         }
       }
     }
   }
 
-  private void signal(String which, List<Integer> nodes) throws IOException, InterruptedException {
-    List<String> cmd = new ArrayList<>(List.of("kill", which));
-    for (int n : nodes)
-      if (processes.get(n).isAlive()) cmd.add(String.valueOf(processes.get(n).pid()));
-    if (cmd.size() > 2) new ProcessBuilder(cmd).redirectErrorStream(true).start().waitFor();
+  private void signal(String signalOption, List<Integer> nodes)
+      throws IOException, InterruptedException {
+    List<String> command = new ArrayList<>(List.of("kill", signalOption));
+    for (int node : nodes) {
+      Process process = processes.get(node);
+      if (process.isAlive()) command.add(String.valueOf(process.pid()));
+    }
+    if (command.size() > 2) new ProcessBuilder(command).redirectErrorStream(true).start().waitFor();
   }
 
-  private boolean answers(int i) {
+  private boolean answersPing(int node) {
     try {
-      return ask(i, "*1\r\n$4\r\nPING\r\n") instanceof RespValue.Line l && l.type() == '+'
-          && l.text().startsWith("PONG");
+      return sendCommand(node, "*1\r\n$4\r\nPING\r\n") instanceof RespValue.Line line
+          && line.type() == '+' && line.text().startsWith("PONG");
     } catch (IOException e) {
       return false;
     }
   }
 
   /**
-   * The node's INFO counters, with its CPU ms and resident KB from /proc; empty for one that is
-   * gone or hangs.
+   * Returns the node's INFO counters, and its CPU time in ms and resident set size in KB from
+   * {@code /proc}. The map is empty if the process has ended or is stopped, and incomplete if the
+   * process fails to answer or ends during the call.
    */
-  public Map<String, Long> metrics(int i) {
-    Map<String, Long> m = new LinkedHashMap<>();
-    if (!alive(i) || stopped.contains(i)) return m;
+  public Map<String, Long> metrics(int node) {
+    Map<String, Long> metrics = new LinkedHashMap<>();
+    if (!alive(node) || stopped.contains(node)) return metrics;
     try {
-      if (ask(i, "*1\r\n$4\r\nINFO\r\n") instanceof RespValue.Bulk info) {
-        m.putAll(counters(info.text()));
+      if (sendCommand(node, "*1\r\n$4\r\nINFO\r\n") instanceof RespValue.Bulk info) {
+        metrics.putAll(counters(info.text()));
       }
-      long pid = processes.get(i).pid();
+      long pid = processes.get(node).pid();
       String[] stat = Files.readString(Path.of("/proc/" + pid + "/stat")).split(" ", 0);
-      // clock ticks of 10 ms
-      m.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10);
+      // in clock ticks of 10 ms
+      metrics.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10);
       for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
         if (line.startsWith("VmRSS:"))
-          m.put("rss_kb", Long.parseLong(line.replaceAll("[^0-9]", "")));
+          metrics.put("rss_kb", Long.parseLong(line.replaceAll("[^0-9]", "")));
       }
     } catch (IOException e) {
-      return m; // it ended meanwhile: what is there is told
+      return metrics; // the process has ended or does not answer: what was read so far
     }
-    return m;
+    return metrics;
   }
 
   /**
-   * The counters of {@code INFO}, a {@code name=value} line each; words among the values are passed
-   * over.
+   * Parses the counters of an {@code INFO} reply, which has one {@code name=value} line for each.
+   * Lines whose value is not an integer are skipped.
    */
   public static Map<String, Long> counters(String info) {
-    Map<String, Long> m = new LinkedHashMap<>();
+    Map<String, Long> counters = new LinkedHashMap<>();
     for (String line : info.split("\n", 0)) {
-      int eq = line.indexOf('=');
-      String value = line.substring(eq + 1).trim();
-      if (eq > 0 && value.matches("-?[0-9]{1,18}"))
-        m.put(line.substring(0, eq), Long.parseLong(value));
+      int separator = line.indexOf('=');
+      String value = line.substring(separator + 1).trim();
+      if (separator > 0 && value.matches("-?[0-9]{1,18}"))
+        counters.put(line.substring(0, separator), Long.parseLong(value));
     }
-    return m;
+    return counters;
   }
 
-  /** What the node answers; null if it ends the connection before. */
-  private RespValue ask(int i, String command) throws IOException {
-    try (Socket s = new Socket(InetAddress.getLoopbackAddress(), ports.get(i))) {
-      s.setSoTimeout(2_000);
-      OutputStream out = s.getOutputStream();
+  /** Sends a command and returns the reply, or null if the node closes the connection first. */
+  private RespValue sendCommand(int node, String command) throws IOException {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.get(node))) {
+      socket.setSoTimeout(ANSWER_TIMEOUT_MS);
+      OutputStream out = socket.getOutputStream();
       out.write(command.getBytes(StandardCharsets.ISO_8859_1));
       out.flush();
-      InputStream in = s.getInputStream();
-      byte[] buf = new byte[16_384];
-      RespDecoder reader = new RespDecoder();
-      int n;
-      while ((n = in.read(buf)) > 0) {
-        reader.feed(Buffer.buffer(n).appendBytes(buf, 0, n));
-        RespValue answer = reader.next();
-        if (answer != null) return answer;
+      InputStream in = socket.getInputStream();
+      byte[] buffer = new byte[16_384];
+      RespDecoder decoder = new RespDecoder();
+      int bytesRead;
+      while ((bytesRead = in.read(buffer)) > 0) {
+        decoder.feed(Buffer.buffer(bytesRead).appendBytes(buffer, 0, bytesRead));
+        RespValue reply = decoder.next();
+        if (reply != null) return reply;
       }
       return null;
     } catch (FramingException e) {
@@ -268,37 +294,38 @@
     }
   }
 
-  private void free() {
-    for (Socket s : held) {
+  private void releasePorts() {
+    for (Socket reservation : portReservations) {
       try {
-        s.close();
+        reservation.close();
       } catch (IOException e) {
         throw new java.io.UncheckedIOException(e);
       }
     }
-    held.clear();
+    portReservations.clear();
   }
 
   /**
-   * Ends what still runs, stopped ones too: SIGTERM, and SIGKILL for what does not end. Each by its
-   * id.
+   * Ends all processes, each by its id: SIGTERM, and SIGKILL if a process does not end within 10 s.
+   * Stopped processes get SIGKILL at once.
    */
   @Override
   public void close() {
     closed = true;
-    if (director != null) director.interrupt();
-    for (int i = 0; i < processes.size(); i++) {
-      if (stopped.contains(i)) processes.get(i).destroyForcibly();
-      else processes.get(i).destroy();
+    if (faultInjector != null) faultInjector.interrupt();
+    for (int node = 0; node < processes.size(); node++) {
+      if (stopped.contains(node)) processes.get(node).destroyForcibly();
+      else processes.get(node).destroy();
     }
     try {
-      for (Process p : processes) {
-        if (!p.waitFor(END_MS, TimeUnit.MILLISECONDS)) p.destroyForcibly().waitFor();
+      for (Process process : processes) {
+        if (!process.waitFor(TERMINATION_MS, TimeUnit.MILLISECONDS))
+          process.destroyForcibly().waitFor();
       }
     } catch (InterruptedException e) {
       processes.forEach(Process::destroyForcibly);
       Thread.currentThread().interrupt();
     }
-    free();
+    releasePorts();
   }
 }
