--- a/src/main/java/saltlatch/lab/report/Report.java
+++ b/src/main/java/saltlatch/lab/report/Report.java
@@ -8,240 +8,263 @@
 import saltlatch.lab.load.RunResult;
 
 /**
- * A self-contained HTML page of one run, with inline SVG plots (p99 latency a second,
- * passed/denied/aborted a second, units charged against the plan for the heaviest customers), its
- * checks, and a table against a baseline run with the ratio of each figure. Needs no network to
- * open.
+ * Writes a run as a self-contained HTML page that needs no network to open. The page has the run's
+ * checks; inline SVG plots of the p99 latency and the outcomes by second, and of the units charged
+ * against the quota plan for the heaviest customers; and a table of metrics, optionally compared
+ * with a baseline run.
  */
 public final class Report {
-  private static final int W = 720; // px of a plot
-  private static final int H = 220;
-  private static final int PAD = 40;
+  private static final int WIDTH_PX = 720; // of a plot
+  private static final int HEIGHT_PX = 220;
+  private static final int MARGIN_PX = 40; // left of a plot
+  private static final int RIGHT_MARGIN_PX = 10;
+  private static final int ROW_PX = 18; // height of a node in the time line
 
   private Report() {}
 
-  /** The page; {@code base} may be null. */
-  public static String html(RunResult r, RunResult base) {
-    StringBuilder o = new StringBuilder(32_768);
-    o.append("<!doctype html><html><head><meta charset=\"utf-8\"><title>saltlatch lab: ")
-        .append(esc(r.scenario())).append(
+  /**
+   * Returns the page.
+   *
+   * @param baseline run to compare with, or null
+   */
+  public static String html(RunResult run, RunResult baseline) {
+    StringBuilder html = new StringBuilder(32_768);
+    html.append("<!doctype html><html><head><meta charset=\"utf-8\"><title>saltlatch lab: ")
+        .append(escape(run.scenario())).append(
             "</title><style>body{font:14px sans-serif;margin:24px;max-width:780px}table{border-collapse:collapse}"
                 + "td,th{border:1px solid #bbb;padding:3px 8px;text-align:right}th{background:#eee}.bad{color:#b00}"
                 + ".good{color:#070}svg{background:#fafafa;border:1px solid #ddd}</style></head><body>");
-    o.append("<h1>").append(esc(r.scenario())).append("</h1><p>Loopback run: ").append(r.nodes())
-        .append(" edge nodes, ").append(r.servers()).append(" emulated app servers, ")
-        .append(r.offered()).append(" reqs offered over ").append(fmt(r.seconds()))
-        .append(" s, seed ").append(r.seed()).append(", schedule ")
-        .append(r.scheduleDigest(), 0, 12).append(".</p>");
-    o.append("<h2>Checks</h2><ul>");
-    for (RunResult.Check c : r.checks()) {
-      o.append("<li class=\"").append(c.passed() ? "good" : "bad").append("\">")
-          .append(c.passed() ? "passed" : "FAILED").append(": ").append(esc(c.name())).append(" (")
-          .append(esc(c.detail())).append(")</li>");
+    html.append("<h1>").append(escape(run.scenario())).append("</h1><p>Loopback run: ")
+        .append(run.nodes()).append(" edge nodes, ").append(run.servers())
+        .append(" emulated app servers, ").append(run.offered()).append(" reqs offered over ")
+        .append(format(run.seconds())).append(" s, seed ").append(run.seed()).append(", schedule ")
+        .append(run.scheduleDigest(), 0, 12).append(".</p>");
+    html.append("<h2>Checks</h2><ul>");
+    for (RunResult.Check check : run.checks()) {
+      html.append("<li class=\"").append(check.passed() ? "good" : "bad").append("\">")
+          .append(check.passed() ? "passed" : "FAILED").append(": ").append(escape(check.name()))
+          .append(" (").append(escape(check.detail())).append(")</li>");
     }
-    o.append("</ul>");
-    if (r.faults() != null && !r.faults().isEmpty()) o.append(timeLine(r));
-    List<double[]> p99 = new ArrayList<>();
-    List<double[]> pass = new ArrayList<>();
-    List<double[]> deny = new ArrayList<>();
-    List<double[]> abort = new ArrayList<>();
-    for (long[] row : r.perSecond()) {
-      p99.add(new double[] {row[0], row[4] / 1000.0});
-      pass.add(new double[] {row[0], row[1]});
-      deny.add(new double[] {row[0], row[2]});
-      abort.add(new double[] {row[0], row[3]});
+    html.append("</ul>");
+    if (run.faults() != null && !run.faults().isEmpty()) html.append(timeLine(run));
+    List<double[]> p99Points = new ArrayList<>();
+    List<double[]> passedPoints = new ArrayList<>();
+    List<double[]> deniedPoints = new ArrayList<>();
+    List<double[]> abortedPoints = new ArrayList<>();
+    for (long[] row : run.perSecond()) {
+      p99Points.add(new double[] {row[0], row[4] / 1000.0});
+      passedPoints.add(new double[] {row[0], row[1]});
+      deniedPoints.add(new double[] {row[0], row[2]});
+      abortedPoints.add(new double[] {row[0], row[3]});
     }
-    o.append("<h2>Latency</h2>").append(
-        plot("p99 of answers a second (ms)", "s", List.of(p99), List.of("p99"), List.of("#c33")));
-    o.append("<h2>Outcomes</h2>")
-        .append(plot("tries a second by outcome", "s", List.of(pass, deny, abort),
+    html.append("<h2>Latency</h2>").append(plot("p99 of answers a second (ms)", "s",
+        List.of(p99Points), List.of("p99"), List.of("#c33")));
+    html.append("<h2>Outcomes</h2>")
+        .append(plot("tries a second by outcome", "s",
+            List.of(passedPoints, deniedPoints, abortedPoints),
             List.of("passed", "denied", "aborted/other"), List.of("#393", "#c93", "#c33")));
-    o.append("<h2>Units against plan</h2>");
-    for (RunResult.Customer c : r.customers()) {
-      List<double[]> used = new ArrayList<>();
-      List<double[]> allowed = new ArrayList<>();
-      double total = 0;
-      long first = c.unitsPerSecond().isEmpty() ? 0 : c.unitsPerSecond().get(0)[0];
-      for (long[] u : c.unitsPerSecond()) {
-        total += u[1];
-        used.add(new double[] {u[0], total});
-        allowed.add(new double[] {u[0], c.burst() + c.rate() * (u[0] - first + 1)});
+    html.append("<h2>Units against plan</h2>");
+    for (RunResult.Customer customer : run.customers()) {
+      List<double[]> chargedPoints = new ArrayList<>();
+      List<double[]> planPoints = new ArrayList<>();
+      double totalUnits = 0;
+      long firstSecond = customer.unitsPerSecond().isEmpty() ? 0
+          : customer.unitsPerSecond().get(0)[0];
+      for (long[] secondAndUnits : customer.unitsPerSecond()) {
+        totalUnits += secondAndUnits[1];
+        chargedPoints.add(new double[] {secondAndUnits[0], totalUnits});
+        planPoints.add(new double[] {secondAndUnits[0],
+            customer.burst() + customer.rate() * (secondAndUnits[0] - firstSecond + 1)});
       }
-      o.append(plot(
+      html.append(plot(
           String.format(Locale.ROOT, "customer %d: units charged in all, beyond plan at worst %.0f",
-              c.id(), c.beyond()),
-          "s", List.of(used, allowed), List.of("charged", "plan"), List.of("#36c", "#999")));
+              customer.id(), customer.beyond()),
+          "s", List.of(chargedPoints, planPoints), List.of("charged", "plan"),
+          List.of("#36c", "#999")));
     }
-    o.append("<h2>Figures</h2>").append(table(r, base));
-    o.append("</body></html>\n");
-    return o.toString();
+    html.append("<h2>Figures</h2>").append(table(run, baseline));
+    html.append("</body></html>\n");
+    return html.toString();
   }
 
   /**
-   * What was done to which process and link, second by second, a row a node, with what broke under
-   * it.
+   * Returns the time line of the faults, with one row for each node, followed by a list of the
+   * faults and of the property violations.
    */
-  static String timeLine(RunResult r) {
-    int row = 18; // px of a node's row
+  static String timeLine(RunResult run) {
     int top = 20;
-    int height = top + row * r.nodes() + 24;
-    double perS = (W - PAD - 10) / Math.max(1, r.seconds());
-    StringBuilder o = new StringBuilder(
-        "<h2>Time line</h2><svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(W)
+    int height = top + ROW_PX * run.nodes() + 24;
+    double pxPerS = (WIDTH_PX - MARGIN_PX - RIGHT_MARGIN_PX) / Math.max(1, run.seconds());
+    StringBuilder html = new StringBuilder(
+        "<h2>Time line</h2><svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(WIDTH_PX)
         .append("\" height=\"").append(height).append("\">");
-    for (int n = 0; n < r.nodes(); n++) {
-      o.append(String.format(Locale.ROOT,
+    for (int node = 0; node < run.nodes(); node++) {
+      html.append(String.format(Locale.ROOT,
           "<text x=\"4\" y=\"%d\" font-size=\"11\">n%d</text>"
               + "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#ddd\"/>",
-          top + row * n + 13, n, PAD, top + row * n + row, W - 10, top + row * n + row));
+          top + ROW_PX * node + 13, node, MARGIN_PX, top + ROW_PX * node + ROW_PX,
+          WIDTH_PX - RIGHT_MARGIN_PX, top + ROW_PX * node + ROW_PX));
     }
-    for (int s = 0; s <= r.seconds(); s += Math.max(1, (int) (r.seconds() / 12))) {
-      o.append(String.format(Locale.ROOT, "<text x=\"%.0f\" y=\"%d\" font-size=\"10\">%d s</text>",
-          PAD + s * perS, height - 8, s));
+    for (int second = 0; second <= run.seconds(); second += Math.max(1,
+        (int) (run.seconds() / 12))) {
+      html.append(
+          String.format(Locale.ROOT, "<text x=\"%.0f\" y=\"%d\" font-size=\"10\">%d s</text>",
+              MARGIN_PX + second * pxPerS, height - 8, second));
     }
-    for (RunResult.Fault f : r.faults()) {
-      String colour = f.what().startsWith("kill") || f.what().startsWith("term") ? "#c33"
-          : f.what().startsWith("pause") ? "#c93" : "#69c";
-      for (String node : f.nodes()) {
-        int first = node.equals("all") ? 0 : Integer.parseInt(node.substring(1));
-        int rows = node.equals("all") ? r.nodes() : 1;
-        o.append(String.format(Locale.ROOT,
+    for (RunResult.Fault fault : run.faults()) {
+      String colour = fault.what().startsWith("kill") || fault.what().startsWith("term") ? "#c33"
+          : fault.what().startsWith("pause") ? "#c93" : "#69c";
+      for (String node : fault.nodes()) {
+        int firstRow = node.equals("all") ? 0 : Integer.parseInt(node.substring(1));
+        int rows = node.equals("all") ? run.nodes() : 1;
+        html.append(String.format(Locale.ROOT,
             "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\""
                 + " fill-opacity=\"0.6\"><title>%s, %s s to %s s</title></rect>",
-            PAD + f.fromS() * perS, top + row * first + 2,
-            Math.max(2, (f.untilS() - f.fromS()) * perS), row * rows - 4, colour, esc(f.what()),
-            fmt(f.fromS()), fmt(f.untilS())));
+            MARGIN_PX + fault.fromS() * pxPerS, top + ROW_PX * firstRow + 2,
+            Math.max(2, (fault.untilS() - fault.fromS()) * pxPerS), ROW_PX * rows - 4, colour,
+            escape(fault.what()), format(fault.fromS()), format(fault.untilS())));
       }
     }
-    o.append(
+    html.append(
         "</svg><p>Red: killed or ended, until started again; ochre: stopped; blue: links and app servers.</p><ul>");
-    for (RunResult.Fault f : r.faults()) {
-      o.append("<li>").append(fmt(f.fromS())).append(" s to ").append(fmt(f.untilS()))
-          .append(" s: ").append(esc(f.what())).append(" ")
-          .append(esc(String.join(", ", f.nodes())))
+    for (RunResult.Fault fault : run.faults()) {
+      html.append("<li>").append(format(fault.fromS())).append(" s to ")
+          .append(format(fault.untilS())).append(" s: ").append(escape(fault.what())).append(" ")
+          .append(escape(String.join(", ", fault.nodes())))
           .append("; the worst customer's units beyond its quota grew by ")
-          .append(fmt(f.beyondUnits())).append("</li>");
+          .append(format(fault.beyondUnits())).append("</li>");
     }
-    if (r.members() != null)
-      o.append("<li>membership: ").append(esc(r.members().toString())).append("</li>");
-    o.append("</ul><p>Survivors' passed share back at nine tenths after ")
-        .append(r.recoveryS() < 0 ? "the run's end" : fmt(r.recoveryS()) + " s")
-        .append("; relays' own delay ").append(esc(String.valueOf(r.relayDelayUs())))
+    if (run.members() != null)
+      html.append("<li>membership: ").append(escape(run.members().toString())).append("</li>");
+    html.append("</ul><p>Survivors' passed share back at nine tenths after ")
+        .append(run.recoveryS() < 0 ? "the run's end" : format(run.recoveryS()) + " s")
+        .append("; relays' own delay ").append(escape(String.valueOf(run.relayDelayUs())))
         .append(" µs.</p>");
-    if (!r.violations().isEmpty()) {
-      o.append("<h3 class=\"bad\">What broke</h3><ul>");
-      for (String v : r.violations()) o.append("<li>").append(esc(v)).append("</li>");
-      o.append("</ul>");
+    if (!run.violations().isEmpty()) {
+      html.append("<h3 class=\"bad\">What broke</h3><ul>");
+      for (String violation : run.violations())
+        html.append("<li>").append(escape(violation)).append("</li>");
+      html.append("</ul>");
     }
-    return o.toString();
+    return html.toString();
   }
 
-  /** The figures a run is compared by, in order. */
-  public static Map<String, Double> metrics(RunResult r) {
-    Map<String, Double> m = new java.util.LinkedHashMap<>();
-    m.put("offered", (double) r.offered());
-    m.put("tries", (double) r.tries());
-    for (Outcome oc : Outcome.values())
-      m.put(oc.name().toLowerCase(Locale.ROOT), (double) r.outcomes().get(oc));
-    m.put("denied with room", (double) r.deniedWithRoom());
-    for (var e : r.latencyUs().entrySet()) m.put(e.getKey() + " ms", e.getValue() / 1000.0);
-    m.put("sender late p99 ms", r.senderLateUs().get("p99") / 1000.0);
-    if (r.truth() != null) {
-      m.put("double charges", (double) r.truth().doubleCharges());
-      m.put("repeated non-replayable", (double) r.truth().repeatedNonReplayable());
-      m.put("units beyond plan", r.truth().unitsBeyondPlan());
-      m.put("units charged", (double) r.truth().unitsCharged());
+  /** Returns the metrics by which runs are compared, in the order of the table. */
+  public static Map<String, Double> metrics(RunResult run) {
+    Map<String, Double> metrics = new java.util.LinkedHashMap<>();
+    metrics.put("offered", (double) run.offered());
+    metrics.put("tries", (double) run.tries());
+    for (Outcome outcome : Outcome.values())
+      metrics.put(outcome.name().toLowerCase(Locale.ROOT), (double) run.outcomes().get(outcome));
+    metrics.put("denied with room", (double) run.deniedWithRoom());
+    for (var percentile : run.latencyUs().entrySet())
+      metrics.put(percentile.getKey() + " ms", percentile.getValue() / 1000.0);
+    metrics.put("sender late p99 ms", run.senderLateUs().get("p99") / 1000.0);
+    if (run.truth() != null) {
+      metrics.put("double charges", (double) run.truth().doubleCharges());
+      metrics.put("repeated non-replayable", (double) run.truth().repeatedNonReplayable());
+      metrics.put("units beyond plan", run.truth().unitsBeyondPlan());
+      metrics.put("units charged", (double) run.truth().unitsCharged());
     }
-    m.put("cpu s", r.process().cpuSeconds());
-    m.put("node loop cpu s, most",
-        r.nodeCounters().stream().mapToLong(n -> n.getOrDefault("loop_cpu_ms", 0L)).max().orElse(0)
-            / 1000.0);
-    m.put("rss MB", r.process().rssMb());
-    return m;
+    metrics.put("cpu s", run.process().cpuSeconds());
+    metrics
+        .put("node loop cpu s, most",
+            run.nodeCounters().stream()
+                .mapToLong(counters -> counters.getOrDefault("loop_cpu_ms", 0L)).max().orElse(0)
+                / 1000.0);
+    metrics.put("rss MB", run.process().rssMb());
+    return metrics;
   }
 
-  private static String table(RunResult r, RunResult base) {
-    StringBuilder o = new StringBuilder("<table><tr><th>figure</th><th>this run</th>");
-    if (base != null) o.append("<th>baseline</th><th>ratio</th>");
-    o.append("</tr>");
-    Map<String, Double> now = metrics(r);
-    Map<String, Double> before = base == null ? Map.of() : metrics(base);
-    for (var e : now.entrySet()) {
-      o.append("<tr><td style=\"text-align:left\">").append(esc(e.getKey())).append("</td><td>")
-          .append(fmt(e.getValue())).append("</td>");
-      if (base != null) {
-        Double b = before.get(e.getKey());
-        o.append("<td>").append(b == null ? "" : fmt(b)).append("</td><td>")
-            .append(b == null || b == 0 ? "" : fmt(e.getValue() / b)).append("</td>");
+  private static String table(RunResult run, RunResult baseline) {
+    StringBuilder html = new StringBuilder("<table><tr><th>figure</th><th>this run</th>");
+    if (baseline != null) html.append("<th>baseline</th><th>ratio</th>");
+    html.append("</tr>");
+    Map<String, Double> current = metrics(run);
+    Map<String, Double> baselineMetrics = baseline == null ? Map.of() : metrics(baseline);
+    for (var metric : current.entrySet()) {
+      html.append("<tr><td style=\"text-align:left\">").append(escape(metric.getKey()))
+          .append("</td><td>").append(format(metric.getValue())).append("</td>");
+      if (baseline != null) {
+        Double baselineValue = baselineMetrics.get(metric.getKey());
+        html.append("<td>").append(baselineValue == null ? "" : format(baselineValue))
+            .append("</td><td>").append(baselineValue == null || baselineValue == 0 ? ""
+                : format(metric.getValue() / baselineValue))
+            .append("</td>");
       }
-      o.append("</tr>");
+      html.append("</tr>");
     }
-    return o.append("</table>").toString();
+    return html.append("</table>").toString();
   }
 
-  /** A line plot of several series of (x, y) points on shared axes, with a legend. */
+  /** Returns a line plot of several series of (x, y) points on shared axes, with a legend. */
   static String plot(String title, String xUnit, List<List<double[]>> series, List<String> names,
       List<String> colours) {
     double maxX = 1;
     double maxY = 1;
-    for (List<double[]> s : series) {
-      for (double[] p : s) {
-        maxX = Math.max(maxX, p[0]);
-        maxY = Math.max(maxY, p[1]);
+    for (List<double[]> points : series) {
+      for (double[] point : points) {
+        maxX = Math.max(maxX, point[0]);
+        maxY = Math.max(maxY, point[1]);
       }
     }
-    maxY = nice(maxY);
-    StringBuilder o = new StringBuilder();
-    o.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(W).append("\" height=\"")
-        .append(H).append("\"><text x=\"").append(PAD).append("\" y=\"16\" font-size=\"13\">")
-        .append(esc(title)).append("</text>");
-    int x0 = PAD;
-    int y0 = H - 24;
-    int x1 = W - 10;
-    int y1 = 26;
-    o.append(String.format(Locale.ROOT,
-        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0, y0, x1, y0));
-    o.append(String.format(Locale.ROOT,
-        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", x0, y0, x0, y1));
+    maxY = roundUpForAxis(maxY);
+    StringBuilder html = new StringBuilder();
+    html.append("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"").append(WIDTH_PX)
+        .append("\" height=\"").append(HEIGHT_PX).append("\"><text x=\"").append(MARGIN_PX)
+        .append("\" y=\"16\" font-size=\"13\">").append(escape(title)).append("</text>");
+    int left = MARGIN_PX;
+    int bottom = HEIGHT_PX - 24;
+    int right = WIDTH_PX - RIGHT_MARGIN_PX;
+    int top = 26;
+    html.append(String.format(Locale.ROOT,
+        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", left, bottom, right,
+        bottom));
+    html.append(String.format(Locale.ROOT,
+        "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#333\"/>", left, bottom, left,
+        top));
     for (int i = 0; i <= 4; i++) {
-      double v = maxY * i / 4;
-      double y = y0 - (y0 - y1) * i / 4.0;
-      o.append(String.format(Locale.ROOT, "<text x=\"2\" y=\"%.1f\" font-size=\"10\">%s</text>",
-          y + 3, fmt(v)));
-      o.append(String.format(Locale.ROOT,
-          "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"#ddd\"/>", x0, y, x1, y));
+      double value = maxY * i / 4;
+      double y = bottom - (bottom - top) * i / 4.0;
+      html.append(String.format(Locale.ROOT, "<text x=\"2\" y=\"%.1f\" font-size=\"10\">%s</text>",
+          y + 3, format(value)));
+      html.append(String.format(Locale.ROOT,
+          "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"#ddd\"/>", left, y, right,
+          y));
     }
-    o.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%s %s</text>",
-        x1 - 50, H - 6, fmt(maxX), xUnit));
-    for (int k = 0; k < series.size(); k++) {
-      StringBuilder pts = new StringBuilder();
-      for (double[] p : series.get(k)) {
-        pts.append(String.format(Locale.ROOT, "%.1f,%.1f ", x0 + (x1 - x0) * p[0] / maxX,
-            y0 - (y0 - y1) * p[1] / maxY));
+    html.append(String.format(Locale.ROOT, "<text x=\"%d\" y=\"%d\" font-size=\"10\">%s %s</text>",
+        right - 50, HEIGHT_PX - 6, format(maxX), xUnit));
+    for (int index = 0; index < series.size(); index++) {
+      StringBuilder svgPoints = new StringBuilder();
+      for (double[] point : series.get(index)) {
+        svgPoints.append(String.format(Locale.ROOT, "%.1f,%.1f ",
+            left + (right - left) * point[0] / maxX, bottom - (bottom - top) * point[1] / maxY));
       }
-      o.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(colours.get(k))
-          .append("\" points=\"").append(pts).append("\"/>");
-      o.append(String.format(Locale.ROOT,
-          "<text x=\"%d\" y=\"%d\" font-size=\"11\" fill=\"%s\">%s</text>", x0 + 10 + 110 * k,
-          y1 + 12, colours.get(k), esc(names.get(k))));
+      html.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"")
+          .append(colours.get(index)).append("\" points=\"").append(svgPoints).append("\"/>");
+      html.append(String.format(Locale.ROOT,
+          "<text x=\"%d\" y=\"%d\" font-size=\"11\" fill=\"%s\">%s</text>", left + 10 + 110 * index,
+          top + 12, colours.get(index), escape(names.get(index))));
     }
-    return o.append("</svg>").toString();
+    return html.append("</svg>").toString();
   }
 
-  private static double nice(double v) {
-    double step = Math.pow(10, Math.floor(Math.log10(v)));
-    for (double m : new double[] {1, 2, 5, 10}) if (m * step >= v) return m * step;
+  /** Rounds up to 1, 2, 5 or 10 times a power of ten. */
+  private static double roundUpForAxis(double value) {
+    double step = Math.pow(10, Math.floor(Math.log10(value)));
+    for (double multiple : new double[] {1, 2, 5, 10})
+      if (multiple * step >= value) return multiple * step;
     return 10 * step;
   }
 
-  static String fmt(double v) {
-    if (v == Math.rint(v) && Math.abs(v) < 1e12) return String.valueOf((long) v);
+  static String format(double value) {
+    if (value == Math.rint(value) && Math.abs(value) < 1e12) return String.valueOf((long) value);
     return String.format(Locale.ROOT,
-        Math.abs(v) >= 100 ? "%.0f" : Math.abs(v) >= 1 ? "%.2f" : "%.3f", v);
+        Math.abs(value) >= 100 ? "%.0f" : Math.abs(value) >= 1 ? "%.2f" : "%.3f", value);
   }
 
-  static String esc(String s) {
-    return s.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"",
+  static String escape(String text) {
+    return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"",
         "&quot;");
   }
 }
