--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -114,7 +114,7 @@
         ProcessMetrics.rssBytes(pid), status.nodes(), status.withList(), status.leastIndex(),
         status.newestIndex(), datagrams.out(), datagrams.in()));
     progress.println("hollow: " + status.withList() + " of " + status.nodes()
-        + " nodes have a list, lowest index " + status.leastIndex() + ", highest "
+        + " nodes have a list, all of them index " + status.leastIndex() + ", newest "
         + status.newestIndex());
   }
 
