--- a/src/main/java/saltlatch/distribution/Backoff.java
+++ b/src/main/java/saltlatch/distribution/Backoff.java
@@ -3,26 +3,29 @@
 import java.util.SplittableRandom;
 
 /**
- * Delays that double with each failure up to a bound, drawn at random so that many who failed at
- * once spread out.
+ * Random delays whose upper bound doubles with each failure, up to a maximum. The randomness
+ * spreads the retries of clients that failed at the same time.
  */
 final class Backoff {
-  private static final int MOST_DOUBLINGS = 20;
+  private static final int MAX_DOUBLINGS = 20;
 
-  private final long leastMs;
-  private final long firstMs;
-  private final long mostMs;
+  private final long minMs;
+  private final long initialMaxMs;
+  private final long maxMs;
 
-  /** Delays between {@code leastMs} and, at first, {@code firstMs}; in the end {@code mostMs}. */
-  Backoff(long leastMs, long firstMs, long mostMs) {
-    this.leastMs = leastMs;
-    this.firstMs = firstMs;
-    this.mostMs = mostMs;
+  /**
+   * Creates delays of at least {@code minMs}. The upper bound starts at {@code initialMaxMs} and is
+   * at most {@code maxMs}.
+   */
+  Backoff(long minMs, long initialMaxMs, long maxMs) {
+    this.minMs = minMs;
+    this.initialMaxMs = initialMaxMs;
+    this.maxMs = maxMs;
   }
 
-  /** The delay after so many failures before this one, ms. */
+  /** Returns a delay in ms, given the number of failures before the current one. */
   long delayMs(int failures, SplittableRandom random) {
-    long doubled = firstMs << Math.min(failures, MOST_DOUBLINGS);
-    return random.nextLong(leastMs, Math.min(doubled, mostMs) + 1);
+    long doubled = initialMaxMs << Math.min(failures, MAX_DOUBLINGS);
+    return random.nextLong(minMs, Math.min(doubled, maxMs) + 1);
   }
 }
--- a/src/main/java/saltlatch/distribution/ChangeLog.java
+++ b/src/main/java/saltlatch/distribution/ChangeLog.java
@@ -7,101 +7,103 @@
 import java.util.TreeMap;
 
 /**
- * The latest change of each name within one series, oldest first and bounded by their number. What
- * a watcher at some index lacks is the tail behind that index, already coalesced: a name stands in
- * the log once, where it last changed.
+ * The latest change of each name within one series, oldest first and limited in number. A watcher
+ * at an index needs all log entries after that index. They are already coalesced: the log contains
+ * each name once, at its last change.
  */
 final class ChangeLog {
-  /** Leaps remembered; beyond it the log begins behind the oldest. */
-  private static final int MAX_LEAPS = 64;
+  /** Ranges kept; if there are more, the log is truncated to the end of the oldest. */
+  private static final int MAX_DIFFED_RANGES = 64;
 
-  private record Place(long index, long ordinal) implements Comparable<Place> {
+  private record Position(long index, long sequence) implements Comparable<Position> {
     @Override
-    public int compareTo(Place other) {
+    public int compareTo(Position other) {
       int byIndex = Long.compare(index, other.index);
-      return byIndex != 0 ? byIndex : Long.compare(ordinal, other.ordinal);
+      return byIndex != 0 ? byIndex : Long.compare(sequence, other.sequence);
     }
   }
 
-  private final int bound;
-  private final TreeMap<Place, Entry> changes = new TreeMap<>();
-  private final Map<String, Place> places = new HashMap<>();
-  private final TreeMap<Long, Long> leaps = new TreeMap<>();
-  private long floor;
-  private long added;
+  private final int maxChanges;
+  private final TreeMap<Position, Entry> changes = new TreeMap<>();
+  private final Map<String, Position> positions = new HashMap<>();
+  private final TreeMap<Long, Long> diffedRanges = new TreeMap<>();
+  private long oldestResumableIndex;
+  private long changesLogged;
 
-  ChangeLog(int bound) {
-    this.bound = bound;
+  ChangeLog(int maxChanges) {
+    this.maxChanges = maxChanges;
   }
 
-  /** Forgets all: only who stands at {@code index} or later can get changes from here on. */
-  void restart(long index) {
+  /** Clears the log; from now on only watchers at {@code index} or later can resume. */
+  void reset(long index) {
     changes.clear();
-    places.clear();
-    leaps.clear();
-    floor = index;
+    positions.clear();
+    diffedRanges.clear();
+    oldestResumableIndex = index;
   }
 
-  /** Logs the latest state of a name, as of {@code index}. */
+  /** Logs the state of a name that changed at {@code index}. */
   void add(long index, Entry entry) {
-    Place place = new Place(index, added++);
-    Place former = places.put(entry.name(), place);
-    if (former != null) {
-      changes.remove(former);
+    Position position = new Position(index, changesLogged++);
+    Position previous = positions.put(entry.name(), position);
+    if (previous != null) {
+      changes.remove(previous);
     }
-    changes.put(place, entry);
-    while (changes.size() > bound) {
+    changes.put(position, entry);
+    while (changes.size() > maxChanges) {
       dropOldest();
     }
   }
 
   /**
-   * Notes that the changes from one index to another were found by comparing two whole lists. What
-   * was changed and changed back in between is not among them, so that who stands strictly between
-   * the two can't get changes.
+   * Records that the changes between two indexes were computed as the difference of two snapshots.
+   * They lack changes that were reverted in between, so a watcher whose index is strictly between
+   * the two cannot resume.
    */
-  void leapt(long from, long to) {
+  void addDiffedRange(long from, long to) {
     if (to - from <= 1) {
       return;
     }
-    leaps.put(from, to);
-    if (leaps.size() > MAX_LEAPS) {
-      floor = Math.max(floor, leaps.pollFirstEntry().getValue());
+    diffedRanges.put(from, to);
+    if (diffedRanges.size() > MAX_DIFFED_RANGES) {
+      oldestResumableIndex = Math.max(oldestResumableIndex,
+          diffedRanges.pollFirstEntry().getValue());
     }
   }
 
-  /** Whether what changed after {@code index} is all here. */
-  boolean reaches(long index) {
-    if (index < floor) {
+  /** Returns whether the log has every change after {@code index}. */
+  boolean covers(long index) {
+    if (index < oldestResumableIndex) {
       return false;
     }
-    Map.Entry<Long, Long> leap = leaps.lowerEntry(index);
-    return leap == null || index >= leap.getValue();
+    Map.Entry<Long, Long> range = diffedRanges.lowerEntry(index);
+    return range == null || index >= range.getValue();
   }
 
   /**
-   * The latest state of each name that changed after {@code index}, in the order of the changes.
+   * Returns the latest state of each name that changed after {@code index}, in order of change.
    */
   List<Entry> since(long index) {
-    return new ArrayList<>(changes.tailMap(new Place(index, Long.MAX_VALUE), false).values());
+    return new ArrayList<>(changes.tailMap(new Position(index, Long.MAX_VALUE), false).values());
   }
 
-  /** Changed entries held. */
+  /** Returns the number of changed entries in the log. */
   int size() {
     return changes.size();
   }
 
-  /** Changes ever logged. */
-  long added() {
-    return added;
+  /** Returns the total number of changes logged since the start. */
+  long changesLogged() {
+    return changesLogged;
   }
 
   private void dropOldest() {
-    Map.Entry<Place, Entry> oldest = changes.pollFirstEntry();
-    places.remove(oldest.getValue().name());
-    floor = Math.max(floor, oldest.getKey().index());
-    while (!leaps.isEmpty() && leaps.firstEntry().getValue() <= floor) {
-      leaps.pollFirstEntry();
+    Map.Entry<Position, Entry> oldest = changes.pollFirstEntry();
+    positions.remove(oldest.getValue().name());
+    oldestResumableIndex = Math.max(oldestResumableIndex, oldest.getKey().index());
+    while (!diffedRanges.isEmpty()
+        && diffedRanges.firstEntry().getValue() <= oldestResumableIndex) {
+      diffedRanges.pollFirstEntry();
     }
   }
 }
--- a/src/main/java/saltlatch/distribution/Distributor.java
+++ b/src/main/java/saltlatch/distribution/Distributor.java
@@ -1,19 +1,20 @@
 package saltlatch.distribution;
 
 /**
- * The decisions of one relay, without I/O: events in, {@link DistributorActions} out. It follows
- * one of several upstreams, keeps the list with a bounded log of its changes, and sends its
- * watchers what they lack. Times are in milliseconds of one monotonic clock. Events may be reported
- * from within an action; all come from one thread.
+ * Decision logic of one relay, without I/O: it receives events and calls {@link
+ * DistributorActions}. It follows one of several upstreams, keeps the list with a bounded change
+ * log, and sends each watcher the changes or the snapshot that it needs. Times are in milliseconds
+ * of one monotonic clock. All events must be reported on one thread; they may be reported from
+ * within an action.
  */
 public final class Distributor {
-  /** Why an upstream's watch ended. */
+  /** Reason why an upstream's watch ended. */
   public enum Failure {
-    /** Refused, reset, timed out or ended. */
+    /** The connection was refused, reset, closed or timed out. */
     CONNECTION,
-    /** Another status than 200. */
+    /** The response status was not 200. */
     STATUS,
-    /** A line that is no list, or one beyond the bounds. */
+    /** A line was not a valid list or exceeded a limit. */
     MALFORMED
   }
 
@@ -23,7 +24,14 @@
   private final Outbox outbox;
   private long olderPassedOver;
 
-  /** A distributor over {@code upstreams} upstreams, in order of preference. */
+  /**
+   * Creates a distributor.
+   *
+   * @param limits    the relay's limits
+   * @param upstreams number of upstreams; they are numbered from 0 in order of preference
+   * @param seed      seed of the random delays
+   * @param actions   executes the distributor's actions
+   */
   public Distributor(RelayLimits limits, int upstreams, long seed, DistributorActions actions) {
     outbox = new Outbox(actions);
     replica = new Replica(limits.entries(), limits.logChanges());
@@ -31,20 +39,20 @@
     watchers = new WatcherDispatcher(limits, replica, outbox);
   }
 
-  /** Starts: the first upstream is opened. */
+  /** Opens the first upstream. */
   public void start(long now) {
     upstreams.start(now);
     outbox.release();
   }
 
-  /** The upstream's watch was answered. */
+  /** Reports that the upstream accepted the watch. */
   public void upstreamOpened(int upstream, long now) {
     if (upstreams.follows(upstream)) {
       upstreams.answered(now);
     }
   }
 
-  /** A line of the watch. */
+  /** Reports an update received from the upstream. */
   public void upstreamUpdated(int upstream, Update update, long now) {
     if (upstreams.follows(upstream)) {
       apply(update, now);
@@ -52,14 +60,14 @@
     }
   }
 
-  /** An empty line, or progress within a long one. */
+  /** Reports an empty line, or received data of an incomplete line. */
   public void upstreamAlive(int upstream, long now) {
     if (upstreams.follows(upstream)) {
       upstreams.alive(now);
     }
   }
 
-  /** The watch has ended. */
+  /** Reports that the upstream's watch has ended. */
   public void upstreamFailed(int upstream, Failure failure, long now) {
     if (upstreams.follows(upstream)) {
       upstreams.failed(failure, now);
@@ -67,29 +75,29 @@
     }
   }
 
-  /** A watcher asks for what comes after {@code since}. */
+  /** Reports a watcher that requests the changes after version {@code since}. */
   public void watcherOpened(long watcher, Version since, long now) {
     watchers.opened(watcher, since, now);
     outbox.release();
   }
 
-  /** The socket has taken all that was sent to this watcher. */
+  /** Reports that the socket accepted all data sent to this watcher. */
   public void watcherDrained(long watcher, long now) {
     watchers.drained(watcher, now);
     outbox.release();
   }
 
-  /** The socket has taken a part of a message: the watcher is slow, not stalled. */
+  /** Reports that the socket accepted part of a message: the watcher is slow but not stalled. */
   public void watcherProgressed(long watcher, long now) {
     watchers.progressed(watcher, now);
   }
 
-  /** The watcher's connection has ended. */
+  /** Reports that the watcher's connection has ended. */
   public void watcherClosed(long watcher, long now) {
     watchers.closed(watcher);
   }
 
-  /** Does what falls due by time. */
+  /** Executes everything that is due at the given time. */
   public void tick(long now) {
     upstreams.tick(now);
     watchers.tick(now);
@@ -97,48 +105,49 @@
   }
 
   /**
-   * When {@link #tick} is next wanted, to be asked after each event; a time that is over means at
-   * once.
+   * Returns when {@link #tick} must be called next. The host must query this after each event; if
+   * the time is in the past, the tick is due immediately.
    */
   public long nextTickAtMs() {
-    return Math.min(upstreams.due(), watchers.due());
+    return Math.min(upstreams.nextTickAtMs(), watchers.nextTickAtMs());
   }
 
-  /** Closes all watches, at a planned end. */
+  /** Closes all watches, for an orderly shutdown. */
   public void stop(long now) {
     upstreams.stop();
     watchers.stop();
     outbox.release();
   }
 
-  /** What operators read. */
+  /** Returns the state as shown to operators. */
   public RelayStatus status(long now) {
     return new RelayStatus(replica.version(), replica.size(), upstreams.current(),
         upstreams.staleMs(now), watchers.size(), watchers.behind(), watchers.waiting(),
         watchers.changesSent(), watchers.coalescedSent(), watchers.snapshotsSent(),
-        watchers.refused(), watchers.stalled(), upstreams.failures(), upstreams.malformedCount(),
+        watchers.refused(), watchers.stalled(), upstreams.failedCount(), upstreams.malformedCount(),
         olderPassedOver, replica.log().size());
   }
 
   private void apply(Update update, long now) {
-    Version former = replica.version();
-    switch (replica.apply(update)) {
+    Version previous = replica.version();
+    Replica.Outcome outcome = replica.apply(update);
+    switch (outcome) {
       case APPLIED -> {
-        upstreams.level(now);
-        watchers.listChanged(former, now);
+        upstreams.upToDate(now);
+        watchers.listChanged(previous, now);
       }
-      case SAME -> upstreams.level(now);
-      case OLDER -> older(update, now);
-      case NO_BASE -> upstreams.reopenFromNone(now);
-      case TOO_LONG -> upstreams.malformed(now);
-      default -> throw new IllegalStateException("no such outcome");
+      case SAME_VERSION -> upstreams.upToDate(now);
+      case OLDER_VERSION -> ignoreOlder(update, now);
+      case MISSING_BASE -> upstreams.reopenForSnapshot(now);
+      case TOO_MANY_ENTRIES -> upstreams.malformed(now);
+      default -> throw new IllegalStateException("unexpected outcome of an update: " + outcome);
     }
   }
 
-  private void older(Update update, long now) {
+  private void ignoreOlder(Update update, long now) {
     olderPassedOver++;
     if (update.snapshot() || update.version().series() < replica.version().series()) {
-      upstreams.fallsBehind(now);
+      upstreams.fellBehind(now);
     } else {
       upstreams.alive(now);
     }
--- a/src/main/java/saltlatch/distribution/DistributorActions.java
+++ b/src/main/java/saltlatch/distribution/DistributorActions.java
@@ -1,38 +1,40 @@
 package saltlatch.distribution;
 
-/** What the distributor wants done; a host carries it out and reports the outcome as events. */
+/** Actions of a distributor; a host executes them and reports the outcomes as events. */
 public interface DistributorActions {
-  /** Why a watcher's or an upstream's connection is ended. */
+  /** Reason for closing the connection of a watcher or an upstream. */
   enum Reason {
-    /** More watchers than this relay holds. */
+    /** The maximum number of watchers is reached. */
     TOO_MANY_WATCHERS,
-    /** The watcher took nothing for longer than is allowed. */
+    /** The watcher did not read a message within the allowed time. */
     STALLED,
-    /** The other side sent what can't be used. */
+    /** The peer sent unusable data. */
     MALFORMED,
-    /** The upstream said nothing for longer than is allowed. */
+    /** The upstream sent nothing within the allowed time. */
     SILENT,
-    /** Another upstream is followed instead. */
+    /** Another watch replaces this one. */
     SUPERSEDED,
-    /** This process ends. */
+    /** This process is shutting down. */
     STOPPING
   }
 
   /**
-   * Opens a watch at an upstream (its place in the configuration) from {@code since}; one watch is
-   * open at a time.
+   * Opens a watch at an upstream, starting after version {@code since}. At most one watch is open
+   * at a time.
+   *
+   * @param upstream index of the upstream in the configuration
    */
   void openUpstream(int upstream, Version since);
 
-  /** Ends the watch at an upstream, no event follows from it. */
+  /** Closes the watch at an upstream; no event results from it. */
   void closeUpstream(int upstream, Reason reason);
 
   /**
-   * Writes a message; {@link Distributor#watcherDrained} follows once the socket has taken all of
-   * it.
+   * Writes a message. The host calls {@link Distributor#watcherDrained} after the socket accepted
+   * all of it.
    */
   void send(long watcher, Message message);
 
-  /** Ends a watcher's connection, no event follows from it. */
+  /** Closes a watcher's connection; no event results from it. */
   void closeWatcher(long watcher, Reason reason);
 }
--- a/src/main/java/saltlatch/distribution/Message.java
+++ b/src/main/java/saltlatch/distribution/Message.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a watcher is sent. Watchers at the same position get the very same instance, so that a host
- * encodes each message once and shares the buffer; instances are compared by identity.
+ * A message to a watcher. Watchers at the same version are sent the same instance, so that a host
+ * encodes each message once and shares the buffer. Instances are compared by identity.
  */
 public final class Message {
-  /** What a message is for; costs are counted by kind. */
+  /** Purpose of a message; costs are counted by kind. */
   public enum Kind {
-    /** The whole list. */
+    /** The complete list. */
     SNAPSHOT,
-    /** What changed since the watcher's position, the latest state of each name. */
+    /** The latest state of each name that changed since the watcher's version. */
     CHANGES,
-    /** Nothing changed: an empty line, so that the watcher knows that the watch is alive. */
+    /** No changes: an empty line that shows the watcher that the connection is alive. */
     KEEP_ALIVE
   }
 
@@ -21,27 +21,27 @@
   private final Version version;
   private final List<Entry> entries;
 
-  /** A message; {@code version} is where its receiver stands behind it. */
+  /** Creates a message that brings its receiver to {@code version}. */
   public Message(Kind kind, Version version, List<Entry> entries) {
     this.kind = kind;
     this.version = version;
     this.entries = entries;
   }
 
-  /** What it is for. */
+  /** Returns the purpose of the message. */
   public Kind kind() {
     return kind;
   }
 
   /**
-   * Where its receiver stands once it has applied this; {@link Version#NONE} for a keep-alive,
-   * which moves nobody.
+   * Returns the receiver's version after it applies the message, or {@link Version#NONE} for a
+   * keep-alive, which leaves the receiver's version unchanged.
    */
   public Version version() {
     return version;
   }
 
-  /** The entries sent, empty for a keep-alive. */
+  /** Returns the entries of the message; empty for a keep-alive. */
   public List<Entry> entries() {
     return entries;
   }
--- a/src/main/java/saltlatch/distribution/MessageCache.java
+++ b/src/main/java/saltlatch/distribution/MessageCache.java
@@ -4,55 +4,55 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes what watchers are sent, one instance for all who stand at the same position. */
+/** Creates the messages to watchers: one instance for all watchers at the same version. */
 final class MessageCache {
-  /** A whole list is sent again for so long, ms: it costs the encoding of all entries. */
+  /** Time for which a snapshot is reused, ms; a new one requires encoding all entries. */
   static final long SNAPSHOT_REUSE_MS = 5_000;
   /**
-   * Of the log's bound, what may have changed since a list that is sent again: who gets it must
-   * still find the rest there.
+   * Fraction of the change log's capacity that may be logged after a snapshot was made before the
+   * snapshot is no longer reused: its receivers need the later changes from the log.
    */
-  private static final double REUSE_PART = 0.5;
+  private static final double REUSE_LOG_FRACTION = 0.5;
 
   private final Replica replica;
-  private final long reuseChanges;
-  private final Map<Long, Message> changes = new HashMap<>();
-  private Version changesTo = Version.NONE;
+  private final long maxChangesSinceSnapshot;
+  private final Map<Long, Message> changesByIndex = new HashMap<>();
+  private Version changesVersion = Version.NONE;
   private Message snapshot;
-  private long snapshotAt;
-  private long snapshotAdded;
+  private long snapshotAtMs;
+  private long loggedAtSnapshot;
   private long snapshotBytes;
 
   MessageCache(Replica replica, int logChanges) {
     this.replica = replica;
-    reuseChanges = (long) (logChanges * REUSE_PART);
+    maxChangesSinceSnapshot = (long) (logChanges * REUSE_LOG_FRACTION);
   }
 
-  /** What changed since {@code index} of the series held. */
+  /** Returns the changes after {@code index} of the current series. */
   Message changesSince(long index) {
-    if (!changesTo.equals(replica.version())) {
-      changes.clear();
-      changesTo = replica.version();
+    if (!changesVersion.equals(replica.version())) {
+      changesByIndex.clear();
+      changesVersion = replica.version();
     }
-    return changes.computeIfAbsent(index,
-        from -> new Message(Message.Kind.CHANGES, changesTo, entriesSince(from)));
+    return changesByIndex.computeIfAbsent(index,
+        from -> new Message(Message.Kind.CHANGES, changesVersion, entriesSince(from)));
   }
 
   /**
-   * A whole list later than {@code than}, perhaps some seconds old; what changed since is still in
-   * the log.
+   * Returns a snapshot newer than {@code after}. It may lack changes of the last {@link
+   * #SNAPSHOT_REUSE_MS}, which are still in the change log.
    */
-  Message snapshot(Version than, long now) {
-    if (!reusable(now) || snapshot.version().compareTo(than) <= 0) {
+  Message snapshot(Version after, long now) {
+    if (!isSnapshotReusable(now) || snapshot.version().compareTo(after) <= 0) {
       snapshot = new Message(Message.Kind.SNAPSHOT, replica.version(), replica.snapshot());
-      snapshotAt = now;
-      snapshotAdded = replica.log().added();
-      snapshotBytes = replica.bytes();
+      snapshotAtMs = now;
+      loggedAtSnapshot = replica.log().changesLogged();
+      snapshotBytes = replica.estimatedBytes();
     }
     return snapshot;
   }
 
-  /** Bytes of the list last given, estimated. */
+  /** Returns the estimated bytes of the snapshot last returned. */
   long snapshotBytes() {
     return snapshotBytes;
   }
@@ -61,14 +61,14 @@
     return List.copyOf(replica.log().since(index));
   }
 
-  private boolean reusable(long now) {
+  private boolean isSnapshotReusable(long now) {
     if (snapshot == null || snapshot.version().series() != replica.version().series()) {
       return false;
     }
     if (snapshot.version().equals(replica.version())) {
       return true;
     }
-    return now - snapshotAt <= SNAPSHOT_REUSE_MS
-        && replica.log().added() - snapshotAdded <= reuseChanges;
+    return now - snapshotAtMs <= SNAPSHOT_REUSE_MS
+        && replica.log().changesLogged() - loggedAtSnapshot <= maxChangesSinceSnapshot;
   }
 }
--- a/src/main/java/saltlatch/distribution/Outbox.java
+++ b/src/main/java/saltlatch/distribution/Outbox.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * Holds actions back until the decision they come from is whole, so that a host may report an
- * outcome (a socket that took all at once, a connection refused) from within the action itself.
+ * Queues actions until the decision that caused them is complete, so that a host may report an
+ * outcome (such as a completed write or a refused connection) from within the action.
  */
 final class Outbox implements DistributorActions {
   private final DistributorActions host;
-  private final Deque<Runnable> held = new ArrayDeque<>();
+  private final Deque<Runnable> pending = new ArrayDeque<>();
   private boolean releasing;
 
   Outbox(DistributorActions host) {
@@ -18,33 +18,33 @@
 
   @Override
   public void openUpstream(int upstream, Version since) {
-    held.add(() -> host.openUpstream(upstream, since));
+    pending.add(() -> host.openUpstream(upstream, since));
   }
 
   @Override
   public void closeUpstream(int upstream, Reason reason) {
-    held.add(() -> host.closeUpstream(upstream, reason));
+    pending.add(() -> host.closeUpstream(upstream, reason));
   }
 
   @Override
   public void send(long watcher, Message message) {
-    held.add(() -> host.send(watcher, message));
+    pending.add(() -> host.send(watcher, message));
   }
 
   @Override
   public void closeWatcher(long watcher, Reason reason) {
-    held.add(() -> host.closeWatcher(watcher, reason));
+    pending.add(() -> host.closeWatcher(watcher, reason));
   }
 
-  /** Carries out what is held, in order, and what follows from it. */
+  /** Executes the pending actions in order, including those that are queued meanwhile. */
   void release() {
     if (releasing) {
       return;
     }
     releasing = true;
     try {
-      while (!held.isEmpty()) {
-        held.poll().run();
+      while (!pending.isEmpty()) {
+        pending.poll().run();
       }
     } finally {
       releasing = false;
--- a/src/main/java/saltlatch/distribution/RelayLimits.java
+++ b/src/main/java/saltlatch/distribution/RelayLimits.java
@@ -1,19 +1,22 @@
 package saltlatch.distribution;
 
 /**
- * Bounds of one relay, from its configuration.
+ * Limits of one relay, from its configuration.
  *
- * @param watchers                   watchers held at once, relays of the next tier included
- * @param entries                    entries that the list may have
- * @param logChanges                 changed entries kept for watchers that resume; beyond it they
- *     get a snapshot
- * @param snapshotBytesPerSecond     budget of bytes a second for whole lists, over all watchers
+ * @param watchers               maximum number of concurrent watchers, including relays of the next
+ *     tier
+ * @param entries                maximum number of entries of the list
+ * @param logChanges             maximum number of changed entries kept for watchers that resume; a
+ *     watcher that needs older changes is sent a snapshot
+ * @param snapshotBytesPerSecond budget for snapshots to all watchers together, bytes per second
  */
 public record RelayLimits(int watchers, int entries, int logChanges, long snapshotBytesPerSecond) {
-  /** All are at least 1. */
+  /** Rejects limits below 1. */
   public RelayLimits {
     if (watchers < 1 || entries < 1 || logChanges < 1 || snapshotBytesPerSecond < 1) {
-      throw new IllegalArgumentException("limits below 1");
+      throw new IllegalArgumentException("relay limits must be at least 1: watchers=" + watchers
+          + ", entries=" + entries + ", logChanges=" + logChanges + ", snapshotBytesPerSecond="
+          + snapshotBytesPerSecond);
     }
   }
 }
--- a/src/main/java/saltlatch/distribution/Replica.java
+++ b/src/main/java/saltlatch/distribution/Replica.java
@@ -5,133 +5,133 @@
 import java.util.Map;
 
 /**
- * The list as last received, with its version and the log of its changes. Its version never goes
- * backwards.
+ * The list as last received, with its version and change log. The version never decreases.
  */
 final class Replica {
-  /** What became of an update. */
+  /** Result of an update. */
   enum Outcome {
-    /** The list stands at the update's version. */
+    /** The update was applied; the list has its version. */
     APPLIED,
-    /** The version held already: nothing new. */
-    SAME,
-    /** Of an older version or series: ignored. */
-    OLDER,
-    /** A change of a later series, which the list held is no base for: ignored. */
-    NO_BASE,
-    /** The list would have more entries than are allowed: ignored. */
-    TOO_LONG
+    /** The list already has this version: ignored. */
+    SAME_VERSION,
+    /** The update has an older version or series: ignored. */
+    OLDER_VERSION,
+    /** Changes of a later series, which cannot be applied to the current list: ignored. */
+    MISSING_BASE,
+    /** The list would exceed the maximum number of entries: ignored. */
+    TOO_MANY_ENTRIES
   }
 
-  /** Bytes beside the entries in a whole list, and between two of them. */
-  private static final int LIST_BYTES = 64;
+  /** Estimated bytes of a snapshot in addition to its entries. */
+  private static final int SNAPSHOT_OVERHEAD_BYTES = 64;
 
+  /** Bytes between two entries. */
   private static final int SEPARATOR_BYTES = 1;
 
   private final int maxEntries;
   private final ChangeLog log;
   private Map<String, Entry> entries = new LinkedHashMap<>();
   private Version version = Version.NONE;
-  private boolean listed;
-  private long bytes = LIST_BYTES;
+  private boolean hasList;
+  private long estimatedBytes = SNAPSHOT_OVERHEAD_BYTES;
 
   Replica(int maxEntries, int logChanges) {
     this.maxEntries = maxEntries;
     log = new ChangeLog(logChanges);
   }
 
-  /** Applies what is newer than the list held and can be combined with it. */
+  /** Applies an update if it is newer than the current list and can be combined with it. */
   Outcome apply(Update update) {
-    if (!listed) {
-      return replace(update);
+    if (!hasList) {
+      return replaceList(update);
     }
     if (update.version().series() != version.series()) {
-      return ofAnotherSeries(update);
+      return applyOtherSeries(update);
     }
     int order = update.version().compareTo(version);
     if (order <= 0) {
-      return order == 0 ? Outcome.SAME : Outcome.OLDER;
+      return order == 0 ? Outcome.SAME_VERSION : Outcome.OLDER_VERSION;
     }
-    return update.snapshot() ? compare(update) : change(update);
+    return update.snapshot() ? applySnapshot(update) : applyChanges(update);
   }
 
-  /** Whether any list was received yet. */
-  boolean listed() {
-    return listed;
+  /** Returns whether any list has been received. */
+  boolean hasList() {
+    return hasList;
   }
 
-  /** The version held, {@link Version#NONE} before the first list. */
+  /** Returns the version of the list, {@link Version#NONE} before the first list. */
   Version version() {
     return version;
   }
 
-  /** The entries of the list now. */
+  /** Returns the current entries of the list. */
   List<Entry> snapshot() {
     return List.copyOf(entries.values());
   }
 
-  /** Number of entries of the list. */
+  /** Returns the number of entries of the list. */
   int size() {
     return entries.size();
   }
 
-  /** Bytes of a whole list, estimated. */
-  long bytes() {
-    return bytes;
+  /** Returns the estimated bytes of a snapshot. */
+  long estimatedBytes() {
+    return estimatedBytes;
   }
 
-  /** The log of the changes of this series. */
+  /** Returns the change log of the current series. */
   ChangeLog log() {
     return log;
   }
 
-  private Outcome ofAnotherSeries(Update update) {
+  private Outcome applyOtherSeries(Update update) {
     if (update.version().series() < version.series()) {
-      return Outcome.OLDER;
+      return Outcome.OLDER_VERSION;
     }
-    return update.snapshot() ? replace(update) : Outcome.NO_BASE;
+    return update.snapshot() ? replaceList(update) : Outcome.MISSING_BASE;
   }
 
-  private Outcome replace(Update update) {
-    Map<String, Entry> next = listOf(update);
-    if (next.size() > maxEntries) {
-      return Outcome.TOO_LONG;
+  private Outcome replaceList(Update update) {
+    Map<String, Entry> newEntries = entriesByName(update);
+    if (newEntries.size() > maxEntries) {
+      return Outcome.TOO_MANY_ENTRIES;
     }
-    hold(next);
-    listed = true;
+    setEntries(newEntries);
+    hasList = true;
     version = update.version();
-    log.restart(version.index());
+    log.reset(version.index());
     return Outcome.APPLIED;
   }
 
-  private Outcome compare(Update update) {
-    Map<String, Entry> next = listOf(update);
-    if (next.size() > maxEntries) {
-      return Outcome.TOO_LONG;
+  private Outcome applySnapshot(Update update) {
+    Map<String, Entry> newEntries = entriesByName(update);
+    if (newEntries.size() > maxEntries) {
+      return Outcome.TOO_MANY_ENTRIES;
     }
     long index = update.version().index();
-    log.leapt(version.index(), index);
+    log.addDiffedRange(version.index(), index);
     for (Entry entry : entries.values()) {
-      if (!next.containsKey(entry.name())) {
+      if (!newEntries.containsKey(entry.name())) {
         log.add(index, entry.asRemoved());
       }
     }
-    for (Entry entry : next.values()) {
+    for (Entry entry : newEntries.values()) {
       if (!entry.equals(entries.get(entry.name()))) {
         log.add(index, entry);
       }
     }
-    hold(next);
+    setEntries(newEntries);
     version = update.version();
     return Outcome.APPLIED;
   }
 
-  private Outcome change(Update update) {
+  private Outcome applyChanges(Update update) {
     if (sizeAfter(update) > maxEntries) {
-      return Outcome.TOO_LONG;
+      return Outcome.TOO_MANY_ENTRIES;
     }
     for (Entry entry : update.entries()) {
-      put(entry);
+      applyChange(entry);
       log.add(update.version().index(), entry);
     }
     version = update.version();
@@ -139,33 +139,33 @@
   }
 
   private int sizeAfter(Update update) {
-    Map<String, Boolean> changed = new LinkedHashMap<>();
+    Map<String, Boolean> presentAfter = new LinkedHashMap<>();
     for (Entry entry : update.entries()) {
-      changed.put(entry.name(), !entry.removed());
+      presentAfter.put(entry.name(), !entry.removed());
     }
     int size = entries.size();
-    for (Map.Entry<String, Boolean> name : changed.entrySet()) {
-      size += (name.getValue() ? 1 : 0) - (entries.containsKey(name.getKey()) ? 1 : 0);
+    for (Map.Entry<String, Boolean> change : presentAfter.entrySet()) {
+      size += (change.getValue() ? 1 : 0) - (entries.containsKey(change.getKey()) ? 1 : 0);
     }
     return size;
   }
 
-  private void put(Entry entry) {
-    Entry former = entry.removed() ? entries.remove(entry.name())
+  private void applyChange(Entry entry) {
+    Entry previous = entry.removed() ? entries.remove(entry.name())
         : entries.put(entry.name(), entry);
-    bytes -= former == null ? 0 : bytesOf(former);
-    bytes += entry.removed() ? 0 : bytesOf(entry);
+    estimatedBytes -= previous == null ? 0 : estimatedBytesOf(previous);
+    estimatedBytes += entry.removed() ? 0 : estimatedBytesOf(entry);
   }
 
-  private void hold(Map<String, Entry> next) {
-    entries = next;
-    bytes = LIST_BYTES;
-    for (Entry entry : next.values()) {
-      bytes += bytesOf(entry);
+  private void setEntries(Map<String, Entry> newEntries) {
+    entries = newEntries;
+    estimatedBytes = SNAPSHOT_OVERHEAD_BYTES;
+    for (Entry entry : newEntries.values()) {
+      estimatedBytes += estimatedBytesOf(entry);
     }
   }
 
-  private static Map<String, Entry> listOf(Update update) {
+  private static Map<String, Entry> entriesByName(Update update) {
     Map<String, Entry> list = new LinkedHashMap<>();
     for (Entry entry : update.entries()) {
       if (entry.removed()) {
@@ -177,7 +177,7 @@
     return list;
   }
 
-  private static int bytesOf(Entry entry) {
+  private static int estimatedBytesOf(Entry entry) {
     return entry.json().length() + SEPARATOR_BYTES;
   }
 }
--- a/src/main/java/saltlatch/distribution/SnapshotAdmission.java
+++ b/src/main/java/saltlatch/distribution/SnapshotAdmission.java
@@ -4,68 +4,80 @@
 import java.util.TreeSet;
 
 /**
- * Who gets a whole list when: first those that never had one, then by waiting time, within a budget
- * of bytes a second. In any second no more is admitted than the budget and one list.
+ * Decides which watcher is sent a snapshot and when, within a budget of bytes per second. Watchers
+ * without a list are first, then those that have waited longest. In any second the admitted bytes
+ * do not exceed the budget plus one snapshot.
  */
 final class SnapshotAdmission {
   /**
-   * Part of the budget that may be saved up while nobody waits; the rest is the rate at which it
-   * refills.
+   * Fraction of the budget that can accumulate while no watcher waits. The remaining fraction is
+   * the refill rate, so that a burst plus one second of refill equals the budget.
    */
-  private static final double SAVED = 0.1;
+  private static final double BURST_FRACTION = 0.1;
 
-  private static final double MS = 1000.0;
+  private static final double MS_PER_SECOND = 1000.0;
 
   private static final Comparator<WatcherState> ORDER = Comparator
-      .comparing((WatcherState watcher) -> watcher.listed)
-      .thenComparingLong(watcher -> watcher.waitingSince).thenComparingLong(watcher -> watcher.id);
+      .comparing((WatcherState watcher) -> watcher.hasList)
+      .thenComparingLong(watcher -> watcher.waitingSinceMs)
+      .thenComparingLong(watcher -> watcher.id);
 
-  private final double saved;
+  private final double burstBytes;
   private final double bytesPerMs;
   private final TreeSet<WatcherState> queue = new TreeSet<>(ORDER);
-  private double allowance;
-  private long countedAt;
+  private double availableBytes;
+  private long refilledAtMs;
 
   SnapshotAdmission(long bytesPerSecond) {
-    saved = bytesPerSecond * SAVED;
-    bytesPerMs = bytesPerSecond * (1 - SAVED) / MS;
-    allowance = saved;
+    burstBytes = bytesPerSecond * BURST_FRACTION;
+    bytesPerMs = bytesPerSecond * (1 - BURST_FRACTION) / MS_PER_SECOND;
+    availableBytes = burstBytes;
   }
 
-  /** Queues a watcher that needs a whole list and has nothing on the way. */
+  /** Queues a watcher that needs a snapshot and has no message in flight. */
   void add(WatcherState watcher) {
     queue.add(watcher);
   }
 
-  /** Takes a watcher out: something else is sent to it, it is gone, or it needs none. */
+  /**
+   * Removes a watcher from the queue, because another message is sent to it, it has disconnected or
+   * it no longer needs a snapshot.
+   */
   void remove(WatcherState watcher) {
     queue.remove(watcher);
   }
 
-  /** The one whose turn it is, null if nobody waits or the budget allows no list now. */
-  WatcherState ready(long now) {
-    count(now);
-    return queue.isEmpty() || allowance < 0 ? null : queue.first();
+  /**
+   * Returns the next watcher to be sent a snapshot, or null if no watcher waits or the budget is
+   * exhausted.
+   */
+  WatcherState nextAdmissible(long now) {
+    refill(now);
+    return queue.isEmpty() || availableBytes < 0 ? null : queue.first();
   }
 
-  /** Admits the one that was ready to a list of so many bytes. */
+  /** Removes the watcher from the queue and charges the bytes of its snapshot to the budget. */
   void admit(WatcherState watcher, long bytes) {
-    allowance -= bytes;
+    availableBytes -= bytes;
     queue.remove(watcher);
   }
 
-  /** When {@link #ready} may give one, ms. */
-  long due() {
+  /**
+   * Returns the earliest time at which {@link #nextAdmissible} may return a watcher, in ms, or
+   * {@link Long#MAX_VALUE} if no watcher waits.
+   */
+  long nextAdmissionAtMs() {
     if (queue.isEmpty()) {
       return Long.MAX_VALUE;
     }
-    return allowance >= 0 ? countedAt : countedAt + (long) Math.ceil(-allowance / bytesPerMs);
+    return availableBytes >= 0 ? refilledAtMs
+        : refilledAtMs + (long) Math.ceil(-availableBytes / bytesPerMs);
   }
 
-  private void count(long now) {
-    if (now > countedAt) {
-      allowance = Math.min(saved, allowance + (now - countedAt) * bytesPerMs);
-      countedAt = now;
+  private void refill(long now) {
+    if (now > refilledAtMs) {
+      availableBytes = Math.min(burstBytes, availableBytes + (now - refilledAtMs) * bytesPerMs);
+      refilledAtMs = now;
     }
   }
 }
--- a/src/main/java/saltlatch/distribution/UpstreamSelector.java
+++ b/src/main/java/saltlatch/distribution/UpstreamSelector.java
@@ -3,37 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Which upstream is followed. One watch is open at a time; one that fails, falls silent or is
- * behind is put off.
+ * Selects the upstream to follow. One watch is open at a time. An upstream that fails, is silent or
+ * has an older list than this relay is retried only after a delay.
  */
 final class UpstreamSelector {
-  /** An upstream that says nothing for so long is left, ms: two keep-alives and a little. */
-  static final long SILENT_MS = 4_500;
   /**
-   * One that is tried for being preferred has so long to answer, ms: meanwhile nothing is received.
+   * Time without data after which an upstream is left, ms: two keep-alive intervals plus a margin.
    */
-  static final long TRIAL_MS = 1_500;
-  /** A watch that has gone well for so long clears its upstream's failures, ms. */
-  static final long STEADY_MS = 10_000;
+  static final long SILENCE_TIMEOUT_MS = 4_500;
   /**
-   * While another is there, so long is waited for a first list, ms; doubled with each time in vain.
+   * Time for a preferred upstream to answer when this relay returns to it, ms. It is short because
+   * no updates are received meanwhile.
    */
-  static final long PATIENCE_MS = 15_000;
+  static final long RETURN_TIMEOUT_MS = 1_500;
+  /** Age at which a working watch clears its upstream's failure counts, ms. */
+  static final long STABLE_AFTER_MS = 10_000;
+  /**
+   * Time to wait for the first list if another upstream is available, ms; doubled with each failure
+   * counted for the upstream.
+   */
+  static final long FIRST_LIST_TIMEOUT_MS = 15_000;
 
-  private static final int MOST_PATIENCE_DOUBLINGS = 5;
+  private static final int MAX_FIRST_LIST_DOUBLINGS = 5;
   private static final Backoff AFTER_FAILURE = new Backoff(50, 500, 15_000);
   private static final Backoff AFTER_BEHIND = new Backoff(2_000, 5_000, 300_000);
   private static final Backoff AFTER_MALFORMED = new Backoff(30_000, 60_000, 900_000);
-  private static final Backoff BEFORE_RETURN = new Backoff(20_000, 60_000, 900_000);
+  private static final Backoff RETURN_DELAY = new Backoff(20_000, 60_000, 900_000);
   private static final int NONE = -1;
 
-  /** What is remembered of one upstream. */
+  /** Failure counts and retry times of one upstream. */
   private static final class Upstream {
     int failures;
     int malformed;
-    int returns;
-    long notBefore;
-    long returnAt;
+    int returnAttempts;
+    long retryAtMs;
+    long returnAtMs;
   }
 
   private final Upstream[] upstreams;
@@ -42,19 +46,20 @@
   private final DistributorActions actions;
 
   private int current = NONE;
-  private int last = NONE;
-  private int before = NONE;
+  private int lastOpened = NONE;
+  /** The upstream that was left to try a preferred one, or {@link #NONE}. */
+  private int fallback = NONE;
   private boolean stopped = true;
   private boolean answered;
-  /** The whole list was asked for and nothing of use has come yet. */
-  private boolean fromNone;
+  /** Whether a snapshot was requested and no usable update was received since. */
+  private boolean snapshotRequested;
   private boolean behind;
-  private long openedAt;
+  private long openedAtMs;
   private long aliveAtMs;
-  private boolean everFresh;
-  private long freshAt;
-  private long failed;
-  private long malformed;
+  private boolean everUpToDate;
+  private long upToDateAtMs;
+  private long failedCount;
+  private long malformedCount;
 
   UpstreamSelector(int count, long seed, Replica replica, DistributorActions actions) {
     upstreams = new Upstream[count];
@@ -66,13 +71,13 @@
     this.actions = actions;
   }
 
-  /** Opens the first. */
+  /** Opens the first upstream. */
   void start(long now) {
     stopped = false;
     openNext(now);
   }
 
-  /** Ends the watch, for good. */
+  /** Closes the watch and opens no other. */
   void stop() {
     stopped = true;
     if (current != NONE) {
@@ -80,52 +85,63 @@
     }
   }
 
-  /** Whether events of this upstream count. */
+  /** Returns whether the upstream is the one followed; events of others are ignored. */
   boolean follows(int upstream) {
     return upstream == current;
   }
 
-  /** The one followed, -1 while none is. */
+  /** Returns the upstream followed, or -1 if none is. */
   int current() {
     return current;
   }
 
-  /** The watch was answered, which says nothing yet of how old its list is. */
+  /**
+   * Reports that the upstream accepted the watch. This does not show that its list is up to date.
+   */
   void answered(long now) {
     answered = true;
     aliveAtMs = now;
   }
 
-  /** It said something, whatever it was. */
+  /** Reports that any data was received from the upstream. */
   void alive(long now) {
     answered(now);
-    if (behind || !replica.listed()) {
+    if (behind || !replica.hasList()) {
       return;
     }
-    freshAt = now;
-    everFresh = true;
-    if (now - openedAt >= STEADY_MS) {
-      settled();
+    upToDateAtMs = now;
+    everUpToDate = true;
+    if (now - openedAtMs >= STABLE_AFTER_MS) {
+      clearFailures();
     }
   }
 
-  /** It stands where this relay does, or it was what brought it there. */
-  void level(long now) {
+  /**
+   * Reports that the upstream has the same version as this relay, either already or because its
+   * update was applied.
+   */
+  void upToDate(long now) {
     behind = false;
-    fromNone = false;
+    snapshotRequested = false;
     alive(now);
   }
 
-  /** It has less than this relay holds: another is preferred, if one may be tried. */
-  void fallsBehind(long now) {
+  /**
+   * Reports that the upstream has an older list than this relay; switches to another upstream if
+   * one is available.
+   */
+  void fellBehind(long now) {
     behind = true;
     alive(now);
-    leaveBehind(now);
+    switchUpstream(now);
   }
 
-  /** It has begun another series: the whole list is needed. */
-  void reopenFromNone(long now) {
-    if (fromNone) {
+  /**
+   * Reopens the watch to receive a snapshot, because the upstream sent changes of a later series.
+   * If the watch already requested a snapshot, the upstream is treated as malformed.
+   */
+  void reopenForSnapshot(long now) {
+    if (snapshotRequested) {
       malformed(now);
       return;
     }
@@ -134,28 +150,29 @@
     open(upstream, Version.NONE, now);
   }
 
-  /** The watch is to be ended since it can't be used. */
+  /** Closes the watch because the upstream sent unusable data, and opens the next one. */
   void malformed(long now) {
     int upstream = current;
     close(DistributorActions.Reason.MALFORMED);
-    putOffMalformed(upstream, now);
+    delayMalformed(upstream, now);
     openNext(now);
   }
 
-  /** The watch has ended by itself. */
+  /** Reports that the watch has ended with a failure, and opens the next one. */
   void failed(Distributor.Failure failure, long now) {
     int upstream = current;
     current = NONE;
     if (failure == Distributor.Failure.MALFORMED) {
-      putOffMalformed(upstream, now);
+      delayMalformed(upstream, now);
     } else {
-      putOff(upstream, now);
+      delayFailed(upstream, now);
     }
     openNext(now);
   }
 
   /**
-   * Leaves one that is silent or behind, opens one whose delay is over, returns to a preferred one.
+   * Leaves an upstream that is silent, behind or has sent no list; opens one whose delay is over;
+   * returns to a preferred one.
    */
   void tick(long now) {
     if (stopped) {
@@ -163,50 +180,51 @@
     }
     if (current == NONE) {
       openNext(now);
-    } else if (now >= silentAt()) {
-      silent(now);
-    } else if (waitsInVain(now)) {
-      leaveBehind(now);
-    } else if (mayReturn(now)) {
-      returnTo(preferred(now), now);
+    } else if (now >= silentAtMs()) {
+      leaveSilent(now);
+    } else if (mustSwitch(now)) {
+      switchUpstream(now);
+    } else if (shouldReturn(now)) {
+      returnTo(preferredDueForReturn(now), now);
     }
   }
 
-  /** When {@link #tick} is wanted, ms. */
-  long due() {
+  /** Returns when {@link #tick} must be called next, in ms. */
+  long nextTickAtMs() {
     if (stopped) {
       return Long.MAX_VALUE;
     }
     if (current == NONE) {
-      return soonest();
+      return earliestRetryAtMs();
     }
-    return Math.min(silentAt(), Math.min(leaveDue(), returnDue()));
+    return Math.min(silentAtMs(), Math.min(switchDueAtMs(), returnDueAtMs()));
   }
 
   /**
-   * Since when nothing was received of a list as new as the one held, ms; 0 while in time, -1
-   * before any list.
+   * Returns the time in ms since an up-to-date upstream last sent data, 0 if that is within {@link
+   * #SILENCE_TIMEOUT_MS}, or -1 before the first list.
    */
   long staleMs(long now) {
-    if (!everFresh) {
+    if (!everUpToDate) {
       return -1;
     }
-    return now - freshAt <= SILENT_MS ? 0 : now - freshAt;
+    return now - upToDateAtMs <= SILENCE_TIMEOUT_MS ? 0 : now - upToDateAtMs;
   }
 
-  /** Watches that failed. */
-  long failures() {
-    return failed;
+  /** Returns the number of failed watches. */
+  long failedCount() {
+    return failedCount;
   }
 
-  /** Of these, by what could not be read. */
+  /** Returns the number of watches that failed because of unusable data. */
   long malformedCount() {
-    return malformed;
+    return malformedCount;
   }
 
   private void openNext(long now) {
-    int next = before != NONE && upstreams[before].notBefore <= now ? before : nextInOrder(now);
-    before = NONE;
+    boolean useFallback = fallback != NONE && upstreams[fallback].retryAtMs <= now;
+    int next = useFallback ? fallback : nextInOrder(now);
+    fallback = NONE;
     if (next != NONE) {
       open(next, replica.version(), now);
     }
@@ -214,8 +232,8 @@
 
   private int nextInOrder(long now) {
     for (int step = 1; step <= upstreams.length; step++) {
-      int upstream = Math.floorMod(last + step, upstreams.length);
-      if (upstreams[upstream].notBefore <= now) {
+      int upstream = Math.floorMod(lastOpened + step, upstreams.length);
+      if (upstreams[upstream].retryAtMs <= now) {
         return upstream;
       }
     }
@@ -224,11 +242,11 @@
 
   private void open(int upstream, Version since, long now) {
     current = upstream;
-    last = upstream;
+    lastOpened = upstream;
     answered = false;
     behind = false;
-    fromNone = since.equals(Version.NONE);
-    openedAt = now;
+    snapshotRequested = since.equals(Version.NONE);
+    openedAtMs = now;
     aliveAtMs = now;
     actions.openUpstream(upstream, since);
   }
@@ -238,119 +256,121 @@
     current = NONE;
   }
 
-  private void putOff(int upstream, long now) {
-    failed++;
+  private void delayFailed(int upstream, long now) {
+    failedCount++;
     Upstream state = upstreams[upstream];
-    state.notBefore = now + AFTER_FAILURE.delayMs(state.failures++, random);
-    putOffReturn(state, now);
+    state.retryAtMs = now + AFTER_FAILURE.delayMs(state.failures++, random);
+    delayReturn(state, now);
   }
 
-  private void putOffMalformed(int upstream, long now) {
-    failed++;
-    malformed++;
+  private void delayMalformed(int upstream, long now) {
+    failedCount++;
+    malformedCount++;
     Upstream state = upstreams[upstream];
-    state.notBefore = now + AFTER_MALFORMED.delayMs(state.malformed++, random);
-    putOffReturn(state, now);
+    state.retryAtMs = now + AFTER_MALFORMED.delayMs(state.malformed++, random);
+    delayReturn(state, now);
   }
 
-  private void putOffBehind(int upstream, long now) {
+  private void delayBehind(int upstream, long now) {
     Upstream state = upstreams[upstream];
-    state.notBefore = now + AFTER_BEHIND.delayMs(state.failures++, random);
-    putOffReturn(state, now);
+    state.retryAtMs = now + AFTER_BEHIND.delayMs(state.failures++, random);
+    delayReturn(state, now);
   }
 
-  private void putOffReturn(Upstream state, long now) {
-    state.returnAt = Math.max(state.notBefore,
-        now + BEFORE_RETURN.delayMs(state.returns++, random));
+  private void delayReturn(Upstream state, long now) {
+    state.returnAtMs = Math.max(state.retryAtMs,
+        now + RETURN_DELAY.delayMs(state.returnAttempts++, random));
   }
 
-  private void settled() {
+  private void clearFailures() {
     upstreams[current].failures = 0;
     upstreams[current].malformed = 0;
-    upstreams[current].returns = 0;
-    before = NONE;
+    upstreams[current].returnAttempts = 0;
+    fallback = NONE;
   }
 
-  private long silentAt() {
-    return aliveAtMs + (before != NONE && !answered ? TRIAL_MS : SILENT_MS);
+  private long silentAtMs() {
+    boolean returning = fallback != NONE && !answered;
+    return aliveAtMs + (returning ? RETURN_TIMEOUT_MS : SILENCE_TIMEOUT_MS);
   }
 
-  private void silent(long now) {
+  private void leaveSilent(long now) {
     int upstream = current;
     close(DistributorActions.Reason.SILENT);
-    putOff(upstream, now);
+    delayFailed(upstream, now);
     openNext(now);
   }
 
-  private boolean waitsInVain(long now) {
-    return now >= leaveDue();
+  private boolean mustSwitch(long now) {
+    return now >= switchDueAtMs();
   }
 
   /**
-   * When one that is behind, or gives no list, is left for another; never while there is no other.
+   * Returns when an upstream that is behind or has sent no list is left for another, in ms; never
+   * if there is no other.
    */
-  private long leaveDue() {
-    long other = soonestOther();
+  private long switchDueAtMs() {
+    long otherRetryAtMs = earliestOtherRetryAtMs();
     if (behind) {
-      return other;
+      return otherRetryAtMs;
     }
-    if (replica.listed() || other == Long.MAX_VALUE) {
+    if (replica.hasList() || otherRetryAtMs == Long.MAX_VALUE) {
       return Long.MAX_VALUE;
     }
-    long patience = PATIENCE_MS << Math.min(upstreams[current].failures, MOST_PATIENCE_DOUBLINGS);
-    return Math.max(other, openedAt + patience);
+    int doublings = Math.min(upstreams[current].failures, MAX_FIRST_LIST_DOUBLINGS);
+    return Math.max(otherRetryAtMs, openedAtMs + (FIRST_LIST_TIMEOUT_MS << doublings));
   }
 
-  private void leaveBehind(long now) {
-    if (soonestOther() > now) {
+  private void switchUpstream(long now) {
+    if (earliestOtherRetryAtMs() > now) {
       return;
     }
     int upstream = current;
     close(DistributorActions.Reason.SUPERSEDED);
-    putOffBehind(upstream, now);
+    delayBehind(upstream, now);
     openNext(now);
   }
 
-  private long soonest() {
-    long soonest = Long.MAX_VALUE;
+  private long earliestRetryAtMs() {
+    long earliest = Long.MAX_VALUE;
     for (Upstream upstream : upstreams) {
-      soonest = Math.min(soonest, upstream.notBefore);
+      earliest = Math.min(earliest, upstream.retryAtMs);
     }
-    return soonest;
+    return earliest;
   }
 
-  private long soonestOther() {
-    long soonest = Long.MAX_VALUE;
+  private long earliestOtherRetryAtMs() {
+    long earliest = Long.MAX_VALUE;
     for (int upstream = 0; upstream < upstreams.length; upstream++) {
       if (upstream != current) {
-        soonest = Math.min(soonest, upstreams[upstream].notBefore);
+        earliest = Math.min(earliest, upstreams[upstream].retryAtMs);
       }
     }
-    return soonest;
+    return earliest;
   }
 
-  private boolean mayReturn(long now) {
-    return now >= returnDue();
+  private boolean shouldReturn(long now) {
+    return now >= returnDueAtMs();
   }
 
   /**
-   * When a preferred one is tried: only with a list in hand, so that it need not send one, and from
-   * a watch that goes well.
+   * Returns when a preferred upstream is tried, in ms. This requires a list, so that the preferred
+   * upstream need not send a snapshot, and a current watch that is answered and up to date.
    */
-  private long returnDue() {
-    if (!replica.listed() || behind || !answered) {
+  private long returnDueAtMs() {
+    if (!replica.hasList() || behind || !answered) {
       return Long.MAX_VALUE;
     }
-    long due = Long.MAX_VALUE;
+    long earliest = Long.MAX_VALUE;
     for (int upstream = 0; upstream < current; upstream++) {
-      due = Math.min(due, upstreams[upstream].returnAt);
+      earliest = Math.min(earliest, upstreams[upstream].returnAtMs);
     }
-    return due == Long.MAX_VALUE ? due : Math.max(due, openedAt + STEADY_MS);
+    return earliest == Long.MAX_VALUE ? earliest : Math.max(earliest, openedAtMs + STABLE_AFTER_MS);
   }
 
-  private int preferred(long now) {
+  private int preferredDueForReturn(long now) {
     for (int upstream = 0; upstream < current; upstream++) {
-      if (upstreams[upstream].returnAt <= now) {
+      if (upstreams[upstream].returnAtMs <= now) {
         return upstream;
       }
     }
@@ -358,9 +378,9 @@
   }
 
   private void returnTo(int upstream, long now) {
-    int left = current;
+    int previous = current;
     close(DistributorActions.Reason.SUPERSEDED);
     open(upstream, replica.version(), now);
-    before = left;
+    fallback = previous;
   }
 }
--- a/src/main/java/saltlatch/distribution/Version.java
+++ b/src/main/java/saltlatch/distribution/Version.java
@@ -1,13 +1,15 @@
 package saltlatch.distribution;
 
 /**
- * Position in a list's history. A series is the identity of one unbroken numbering and is the Unix
- * time in ms at which its source began it (0: the source names none); within a series the index
- * only grows. A later series supersedes an earlier one whatever the indexes are, and the two are
- * never combined.
+ * Position in a list's history. Within a series the index only increases. A later series supersedes
+ * an earlier one regardless of the indexes, and data of two series is never combined.
+ *
+ * @param series identifies one continuous numbering: the Unix time in ms at which its source
+ *     started it, or 0 if the source names no series
+ * @param index  the position within the series
  */
 public record Version(long series, long index) implements Comparable<Version> {
-  /** Before everything: what a watcher that holds no list asks from. */
+  /** The version before all others; watchers that hold no list start from it. */
   public static final Version NONE = new Version(0, 0);
 
   @Override
--- a/src/main/java/saltlatch/distribution/WatcherDispatcher.java
+++ b/src/main/java/saltlatch/distribution/WatcherDispatcher.java
@@ -7,41 +7,40 @@
 import java.util.function.Predicate;
 
 /**
- * The watchers: each is sent what it lacks, one message at a time. Who does not take a message gets
- * nothing more, and once it has taken it the latest state of all that changed meanwhile.
+ * Sends each watcher the changes or the snapshot that it needs, one message at a time. A watcher is
+ * sent nothing more until its socket has accepted the previous message, and is then sent the latest
+ * state of everything that changed meanwhile.
  */
 final class WatcherDispatcher {
   /**
-   * An idle watcher is sent a keep-alive after so long at the latest; the protocol has 2,000, less
-   * what a tick may be late.
+   * Maximum time, ms, after which an idle watcher is sent a keep-alive. The protocol requires one
+   * every 2,000 ms; the difference allows for late ticks.
    */
   static final long KEEP_ALIVE_MS = 1_900;
   /**
-   * Those idle for so long get theirs along with the first that is due, so that one tick does for
-   * many.
+   * When a keep-alive is due, watchers idle for at least this time, ms, are sent theirs in the same
+   * tick, which reduces the number of ticks.
    */
-  static final long KEEP_ALIVE_SOONEST_MS = 1_600;
-  /** A watcher that takes nothing of a message for so long is closed, ms. */
-  static final long STALLED_MS = 30_000;
+  static final long KEEP_ALIVE_BATCH_MS = 1_600;
+  /** Time without progress of a message after which a watcher is closed, ms. */
+  static final long STALL_TIMEOUT_MS = 30_000;
   /**
-   * Nor does one keep a message for longer than this, ms, however slowly it reads: each whole list
-   * on its way is memory.
+   * Maximum time to send one message, ms, even to a watcher that makes progress: each snapshot in
+   * flight occupies memory.
    */
-  static final long TAKEN_WITHIN_MS = 120_000;
+  static final long MAX_SEND_MS = 120_000;
 
   private static final Message KEEP_ALIVE = new Message(Message.Kind.KEEP_ALIVE, Version.NONE,
       List.of());
 
-  private final int most;
+  private final int maxWatchers;
   private final Replica replica;
   private final MessageCache messages;
   private final SnapshotAdmission admission;
   private final DistributorActions actions;
-  /**
-   * Those with nothing on the way, the one least recently sent to first; then those with a message
-   * on the way, likewise.
-   */
+  /** Watchers without a message in flight, in ascending order of their last progress. */
   private final Map<Long, WatcherState> idle = new LinkedHashMap<>();
+  /** Watchers with a message in flight, in ascending order of their last progress. */
   private final Map<Long, WatcherState> sending = new LinkedHashMap<>();
 
   private long changesSent;
@@ -49,50 +48,53 @@
   private long snapshotsSent;
   private long refused;
   private long stalled;
-  private Version before = Version.NONE;
+  private Version previousVersion = Version.NONE;
 
   WatcherDispatcher(RelayLimits limits, Replica replica, DistributorActions actions) {
-    most = limits.watchers();
+    maxWatchers = limits.watchers();
     this.replica = replica;
     this.actions = actions;
     messages = new MessageCache(replica, limits.logChanges());
     admission = new SnapshotAdmission(limits.snapshotBytesPerSecond());
   }
 
-  /** A watcher asks for what comes after {@code since}. */
+  /** Adds a watcher that requests the changes after {@code since}, or refuses it. */
   void opened(long id, Version since, long now) {
     closed(id);
-    if (size() >= most) {
+    if (size() >= maxWatchers) {
       refused++;
       actions.closeWatcher(id, DistributorActions.Reason.TOO_MANY_WATCHERS);
       return;
     }
     WatcherState watcher = new WatcherState(id, since, now);
     idle.put(id, watcher);
-    serve(watcher, now);
-    admit(now);
-    if (!watcher.sending) {
-      keepAlive(watcher, now);
+    sendOrQueue(watcher, now);
+    sendAdmittedSnapshots(now);
+    if (!watcher.messageInFlight) {
+      sendKeepAlive(watcher, now);
     }
   }
 
-  /** The socket has taken all. */
+  /** Reports that the socket accepted all of the message; sends the next one if there is any. */
   void drained(long id, long now) {
     WatcherState watcher = sending.remove(id);
     if (watcher == null) {
       return;
     }
-    watcher.sending = false;
+    watcher.messageInFlight = false;
     watcher.progressedAtMs = now;
     idle.put(id, watcher);
-    serve(watcher, now);
-    admit(now);
+    sendOrQueue(watcher, now);
+    sendAdmittedSnapshots(now);
   }
 
-  /** The socket has taken some: the watcher is given more time, up to a bound. */
+  /**
+   * Reports that the socket accepted part of the message; extends the watcher's time, up to {@link
+   * #MAX_SEND_MS} in total.
+   */
   void progressed(long id, long now) {
     WatcherState watcher = sending.get(id);
-    if (watcher == null || now + STALLED_MS > watcher.sentAt + TAKEN_WITHIN_MS) {
+    if (watcher == null || now + STALL_TIMEOUT_MS > watcher.sentAtMs + MAX_SEND_MS) {
       return;
     }
     watcher.progressedAtMs = now;
@@ -100,7 +102,7 @@
     sending.put(id, watcher);
   }
 
-  /** The connection has ended. */
+  /** Removes a watcher whose connection has ended. */
   void closed(long id) {
     sending.remove(id);
     WatcherState watcher = idle.remove(id);
@@ -109,31 +111,39 @@
     }
   }
 
-  /** The list has moved on from {@code former}: all that are idle get the change. */
-  void listChanged(Version former, long now) {
-    before = former;
+  /**
+   * Sends the change to all idle watchers.
+   *
+   * @param previous the list's version before the change
+   */
+  void listChanged(Version previous, long now) {
+    previousVersion = previous;
     for (WatcherState watcher : new ArrayList<>(idle.values())) {
-      serve(watcher, now);
+      sendOrQueue(watcher, now);
     }
-    admit(now);
+    sendAdmittedSnapshots(now);
   }
 
-  /** Whole lists that the budget allows, keep-alives, and the end of those that take nothing. */
+  /**
+   * Closes stalled watchers, sends the snapshots that the budget allows and the keep-alives that
+   * are due.
+   */
   void tick(long now) {
     closeStalled(now);
-    admit(now);
-    if (keepAliveDue() <= now) {
-      keepAlives(now);
+    sendAdmittedSnapshots(now);
+    if (keepAliveDueAtMs() <= now) {
+      sendDueKeepAlives(now);
     }
   }
 
-  /** When {@link #tick} is wanted, ms. */
-  long due() {
-    long due = Math.min(keepAliveDue(), admission.due());
-    return sending.isEmpty() ? due : Math.min(due, first(sending).progressedAtMs + STALLED_MS);
+  /** Returns when {@link #tick} must be called next, in ms. */
+  long nextTickAtMs() {
+    long nextTick = Math.min(keepAliveDueAtMs(), admission.nextAdmissionAtMs());
+    return sending.isEmpty() ? nextTick
+        : Math.min(nextTick, leastRecent(sending).progressedAtMs + STALL_TIMEOUT_MS);
   }
 
-  /** Closes all. */
+  /** Closes all watchers. */
   void stop() {
     List<WatcherState> all = new ArrayList<>(idle.values());
     all.addAll(sending.values());
@@ -148,11 +158,11 @@
   }
 
   int behind() {
-    return replica.listed() ? count(watcher -> watcher.lacks(replica.version())) : 0;
+    return replica.hasList() ? count(watcher -> watcher.isBehind(replica.version())) : 0;
   }
 
   int waiting() {
-    return count(watcher -> watcher.waiting || !watcher.listed);
+    return count(watcher -> watcher.needsSnapshot || !watcher.hasList);
   }
 
   long changesSent() {
@@ -180,72 +190,73 @@
         + sending.values().stream().filter(condition).count());
   }
 
-  /** Sends what an idle watcher lacks, or queues it for a whole list. */
-  private void serve(WatcherState watcher, long now) {
-    if (!replica.listed() || !watcher.lacks(replica.version())) {
+  /** Sends an idle watcher the changes that it needs, or queues it for a snapshot. */
+  private void sendOrQueue(WatcherState watcher, long now) {
+    if (!replica.hasList() || !watcher.isBehind(replica.version())) {
       return;
     }
     if (canResume(watcher)) {
-      changes(watcher, now);
+      sendChanges(watcher, now);
     } else {
-      queue(watcher, now);
+      queueForSnapshot(watcher, now);
     }
   }
 
   private boolean canResume(WatcherState watcher) {
-    return watcher.listed && watcher.version.series() == replica.version().series()
-        && replica.log().reaches(watcher.version.index());
+    return watcher.hasList && watcher.version.series() == replica.version().series()
+        && replica.log().covers(watcher.version.index());
   }
 
-  private void changes(WatcherState watcher, long now) {
-    if (watcher.waiting) {
+  private void sendChanges(WatcherState watcher, long now) {
+    if (watcher.needsSnapshot) {
       admission.remove(watcher);
-      watcher.waiting = false;
+      watcher.needsSnapshot = false;
     }
     changesSent++;
-    coalescedSent += watcher.version.equals(before) ? 0 : 1;
+    coalescedSent += watcher.version.equals(previousVersion) ? 0 : 1;
     send(watcher, messages.changesSince(watcher.version.index()), now);
   }
 
-  private void queue(WatcherState watcher, long now) {
-    if (watcher.listed && !watcher.waiting) {
-      watcher.waitingSince = now;
+  private void queueForSnapshot(WatcherState watcher, long now) {
+    if (watcher.hasList && !watcher.needsSnapshot) {
+      watcher.waitingSinceMs = now;
     }
-    watcher.waiting = true;
+    watcher.needsSnapshot = true;
     admission.add(watcher);
   }
 
-  private void admit(long now) {
-    for (WatcherState next = admission.ready(now); next != null; next = admission.ready(now)) {
+  private void sendAdmittedSnapshots(long now) {
+    for (WatcherState next = admission.nextAdmissible(now); next != null; next = admission
+        .nextAdmissible(now)) {
       Message snapshot = messages.snapshot(next.version, now);
       admission.admit(next, messages.snapshotBytes());
-      next.waiting = false;
-      next.listed = true;
+      next.needsSnapshot = false;
+      next.hasList = true;
       snapshotsSent++;
       send(next, snapshot, now);
     }
   }
 
   private void closeStalled(long now) {
-    while (!sending.isEmpty() && first(sending).progressedAtMs + STALLED_MS <= now) {
-      long id = first(sending).id;
+    while (!sending.isEmpty() && leastRecent(sending).progressedAtMs + STALL_TIMEOUT_MS <= now) {
+      long id = leastRecent(sending).id;
       sending.remove(id);
       stalled++;
       actions.closeWatcher(id, DistributorActions.Reason.STALLED);
     }
   }
 
-  private long keepAliveDue() {
-    return idle.isEmpty() ? Long.MAX_VALUE : first(idle).progressedAtMs + KEEP_ALIVE_MS;
+  private long keepAliveDueAtMs() {
+    return idle.isEmpty() ? Long.MAX_VALUE : leastRecent(idle).progressedAtMs + KEEP_ALIVE_MS;
   }
 
-  private void keepAlives(long now) {
-    while (!idle.isEmpty() && first(idle).progressedAtMs + KEEP_ALIVE_SOONEST_MS <= now) {
-      keepAlive(first(idle), now);
+  private void sendDueKeepAlives(long now) {
+    while (!idle.isEmpty() && leastRecent(idle).progressedAtMs + KEEP_ALIVE_BATCH_MS <= now) {
+      sendKeepAlive(leastRecent(idle), now);
     }
   }
 
-  private void keepAlive(WatcherState watcher, long now) {
+  private void sendKeepAlive(WatcherState watcher, long now) {
     admission.remove(watcher);
     send(watcher, KEEP_ALIVE, now);
   }
@@ -255,14 +266,14 @@
     if (message.kind() != Message.Kind.KEEP_ALIVE) {
       watcher.version = message.version();
     }
-    watcher.sending = true;
-    watcher.sentAt = now;
+    watcher.messageInFlight = true;
+    watcher.sentAtMs = now;
     watcher.progressedAtMs = now;
     sending.put(watcher.id, watcher);
     actions.send(watcher.id, message);
   }
 
-  private static WatcherState first(Map<Long, WatcherState> watchers) {
+  private static WatcherState leastRecent(Map<Long, WatcherState> watchers) {
     return watchers.values().iterator().next();
   }
 }
--- a/src/main/java/saltlatch/distribution/WatcherState.java
+++ b/src/main/java/saltlatch/distribution/WatcherState.java
@@ -1,33 +1,39 @@
 package saltlatch.distribution;
 
-/** One watcher: where it stands and what is on the way to it. */
+/** State of one watcher: its version and the message being sent to it. */
 final class WatcherState {
   final long id;
-  /** What it holds once the message on the way is applied. */
+  /** The watcher's version after it applies the message in flight, if any. */
   Version version;
-  /** Whether it holds a list at all. */
-  boolean listed;
-  /** A message is on the way: nothing more is queued. */
-  boolean sending;
-  /** Needs a whole list. */
-  boolean waiting;
-  /** Since when it has waited for a whole list, ms; who never had one waits from the start. */
-  long waitingSince;
-  /** When the last message was sent, ms. */
-  long sentAt;
-  /** When its socket last took anything, or was given something to take, ms. */
+  /** Whether the watcher has a list, or a snapshot in flight. */
+  boolean hasList;
+  /** Whether a message is in flight; no second one is queued. */
+  boolean messageInFlight;
+  /**
+   * Whether the watcher waits for a snapshot, because it has no list or a version that it cannot
+   * resume from.
+   */
+  boolean needsSnapshot;
+  /**
+   * When the wait for a snapshot started, ms. A watcher without a list waits from the moment it
+   * connected.
+   */
+  long waitingSinceMs;
+  /** When the last message was passed to the socket, ms. */
+  long sentAtMs;
+  /** When the socket last accepted data, or was last given a message to write, ms. */
   long progressedAtMs;
 
   WatcherState(long id, Version since, long now) {
     this.id = id;
     version = since;
-    listed = !since.equals(Version.NONE);
-    waitingSince = now;
+    hasList = !since.equals(Version.NONE);
+    waitingSinceMs = now;
     progressedAtMs = now;
   }
 
-  /** Whether it lacks something that {@code latest} has. */
-  boolean lacks(Version latest) {
-    return !listed || version.compareTo(latest) < 0;
+  /** Returns whether the watcher has no list or a version older than {@code latest}. */
+  boolean isBehind(Version latest) {
+    return !hasList || version.compareTo(latest) < 0;
   }
 }
--- a/src/main/java/saltlatch/distribution/package-info.java
+++ b/src/main/java/saltlatch/distribution/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The decisions of a relay, without I/O: which upstream it follows, which lists and changes it
- * takes, and what it sends each watcher.
+ * Decision logic of a relay, without I/O: which upstream to follow, which lists and changes to
+ * accept, and what to send to each watcher.
  *
- * <p>It imports no other package of this program. {@code saltlatch.relay} owns a {@link
- * saltlatch.distribution.Distributor} on its event loop and passes the time in, in ms; tests drive
- * it in virtual time. Nothing here is safe for use by several threads.
+ * <p>The package imports no other package of this program. {@code saltlatch.relay} runs a {@link
+ * saltlatch.distribution.Distributor} on its event loop and passes the current time, in ms; tests
+ * run it in virtual time. The classes are not thread-safe.
  */
 package saltlatch.distribution;
