--- a/src/test/java/saltlatch/distribution/DistributionModelTest.java
+++ b/src/test/java/saltlatch/distribution/DistributionModelTest.java
@@ -10,45 +10,48 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two tiers of distributors under random faults, in virtual time. The invariants are checked at
+ * Runs two tiers of distributors with random faults in virtual time and checks the invariants at
  * every message. More and longer runs: {@code -Ddistribution.seeds=200 -Ddistribution.minutes=30}.
  */
 class DistributionModelTest {
-  private static final long SECOND = 1_000;
-  private static final long MINUTE = 60 * SECOND;
-  /** After the last fault all hold the source's version within so long. */
-  private static final long CONVERGED_WITHIN = 60 * SECOND;
-  private static final long IN_FORCE_WITHIN = 4 * SECOND;
-  /** A watcher that moves has to notice (a reset), to wait (up to 1 s) and to ask again. */
-  private static final long IN_FORCE_WITHIN_WITH_A_RELAY_KILLED = 4 * SECOND;
+  private static final long SECOND_MS = 1_000;
+  private static final long MINUTE_MS = 60 * SECOND_MS;
+  /** Maximum time from the last fault until all nodes have the version of the source. */
+  private static final long CONVERGENCE_DEADLINE_MS = 60 * SECOND_MS;
+  private static final long APPLY_DEADLINE_MS = 4 * SECOND_MS;
+  /**
+   * Includes the time for a watcher to detect the reset, to wait (up to 1 s) and to reconnect to
+   * another relay.
+   */
+  private static final long APPLY_DEADLINE_WITH_RELAY_KILLED_MS = 4 * SECOND_MS;
   private static final int SEEDS = Integer.getInteger("distribution.seeds", 20);
   private static final int MINUTES = Integer.getInteger("distribution.minutes", 10);
   private static final RelayLimits LIMITS = new RelayLimits(40, 100, 30, 20_000);
-  private static final ModelFleet.FleetSize SMALL = new ModelFleet.FleetSize(2, 3, 24, 60, 20,
+  private static final ModelFleet.FleetSize SMALL_FLEET = new ModelFleet.FleetSize(2, 3, 24, 60, 20,
       LIMITS);
-  private static final ModelFleet.InjectedFault NOTHING = new ModelFleet.InjectedFault() {};
+  private static final ModelFleet.InjectedFault NO_FAULT = new ModelFleet.InjectedFault() {};
 
   @Test
   void invariantsHoldUnderRandomFaults() {
-    long longest = 0;
+    long longestMs = 0;
     for (int seed = 1; seed <= SEEDS; seed++) {
-      ModelFleet fleet = underFaults(seed, NOTHING);
-      long took = timeToConverge(fleet);
+      ModelFleet fleet = runWithFaults(seed, NO_FAULT);
+      long convergenceMs = convergenceTimeMs(fleet);
       assertEquals(Set.of(), fleet.violations, "seed " + seed);
-      assertTrue(took >= 0, "seed " + seed + " did not converge");
-      longest = Math.max(longest, took);
+      assertTrue(convergenceMs >= 0, "seed " + seed + " did not converge");
+      longestMs = Math.max(longestMs, convergenceMs);
     }
     System.out.println("simulated, " + SEEDS + " seeds of " + MINUTES
-        + " minutes: converged within " + longest + " ms");
+        + " minutes: converged within " + longestMs + " ms");
   }
 
   @Test
-  void checkerFindsADroppedChange() {
-    assertFound("holds another list", new ModelFleet.InjectedFault() {
+  void modelDetectsDroppedChange() {
+    assertDetected("has a different list than the source", new ModelFleet.InjectedFault() {
       @Override
-      public Message onTheWay(ModelLink link, Message message) {
-        boolean several = message.kind() == Message.Kind.CHANGES && message.entries().size() > 1;
-        return several
+      public Message deliveredMessage(ModelLink link, Message message) {
+        boolean droppable = message.kind() == Message.Kind.CHANGES && message.entries().size() > 1;
+        return droppable
             ? withEntries(message, message.entries().subList(1, message.entries().size()))
             : message;
       }
@@ -56,14 +59,14 @@
   }
 
   /**
-   * Dropped on the way to one relay only: its watchers, and those of whoever follows it, hold the
-   * wrong list.
+   * Drops removals on the link to one relay only, so that its watchers and those of any relay that
+   * follows it have a wrong list.
    */
   @Test
-  void checkerFindsARemovalLostOnTheWayToARelay() {
-    assertFound("holds another list", new ModelFleet.InjectedFault() {
+  void modelDetectsRemovalLostOnTheLinkToARelay() {
+    assertDetected("has a different list than the source", new ModelFleet.InjectedFault() {
       @Override
-      public Message onTheWay(ModelLink link, Message message) {
+      public Message deliveredMessage(ModelLink link, Message message) {
         boolean toRelay = link.from.toString().equals("second1")
             && message.kind() == Message.Kind.CHANGES;
         return toRelay ? withEntries(message,
@@ -73,10 +76,10 @@
   }
 
   @Test
-  void checkerFindsMixedSeries() {
-    assertFound("changes of another series", new ModelFleet.InjectedFault() {
+  void modelDetectsMixedSeries() {
+    assertDetected("changes of another series", new ModelFleet.InjectedFault() {
       @Override
-      public Message onTheWay(ModelLink link, Message message) {
+      public Message deliveredMessage(ModelLink link, Message message) {
         boolean toWatcher = link.from.toString().startsWith("watcher");
         return toWatcher && message.kind() == Message.Kind.SNAPSHOT
             ? new Message(Message.Kind.CHANGES, message.version(), message.entries()) : message;
@@ -85,45 +88,45 @@
   }
 
   @Test
-  void checkerFindsAnOlderList() {
-    assertFound("is sent back", new ModelFleet.InjectedFault() {
-      private Message older;
+  void modelDetectsOlderSnapshot() {
+    assertDetected("which is not newer than", new ModelFleet.InjectedFault() {
+      private Message previous;
 
       @Override
-      public Message onTheWay(ModelLink link, Message message) {
+      public Message deliveredMessage(ModelLink link, Message message) {
         if (message.kind() != Message.Kind.SNAPSHOT) {
           return message;
         }
-        Message former = older == null ? message : older;
-        older = message;
-        return former;
+        Message delivered = previous == null ? message : previous;
+        previous = message;
+        return delivered;
       }
     });
   }
 
   @Test
-  void checkerFindsAnExceededBudget() {
-    assertFound("bytes of lists in a second", new ModelFleet.InjectedFault() {
+  void modelDetectsExceededSnapshotBudget() {
+    assertDetected("bytes of snapshots within one second", new ModelFleet.InjectedFault() {
       @Override
-      public long budget(RelayLimits limits) {
+      public long checkedBudget(RelayLimits limits) {
         return limits.snapshotBytesPerSecond() * 2 / 3;
       }
     });
   }
 
   @Test
-  void checkerFindsLateKeepAlives() {
-    assertFound("unaware", new ModelFleet.InjectedFault() {
+  void modelDetectsLateKeepAlives() {
+    assertDetected("nothing for more than 2000 ms", new ModelFleet.InjectedFault() {
       @Override
-      public long ticksLate() {
+      public long tickDelayMs() {
         return 200;
       }
     });
   }
 
   @Test
-  void checkerFindsASecondMessageOnTheWay() {
-    assertFound("queues a second message", new ModelFleet.InjectedFault() {
+  void modelDetectsSecondMessageInFlight() {
+    assertDetected("queues a second message", new ModelFleet.InjectedFault() {
       @Override
       public boolean drainsEarly() {
         return true;
@@ -132,97 +135,99 @@
   }
 
   @Test
-  void checkerFindsOneThatNeverConverges() {
-    ModelFleet fleet = underFaults(1, new ModelFleet.InjectedFault() {
+  void modelDetectsWatcherThatNeverConverges() {
+    ModelFleet fleet = runWithFaults(1, new ModelFleet.InjectedFault() {
       @Override
-      public Message onTheWay(ModelLink link, Message message) {
+      public Message deliveredMessage(ModelLink link, Message message) {
         return link.from.toString().equals("watcher3") ? withEntries(message, null) : message;
       }
     });
-    assertEquals(-1, timeToConverge(fleet));
+    assertEquals(-1, convergenceTimeMs(fleet));
   }
 
-  private static void assertFound(String violation, ModelFleet.InjectedFault injectedFault) {
-    ModelFleet fleet = underFaults(1, injectedFault);
+  private static void assertDetected(String violation, ModelFleet.InjectedFault injectedFault) {
+    ModelFleet fleet = runWithFaults(1, injectedFault);
     assertTrue(fleet.violations.stream().anyMatch(found -> found.contains(violation)),
         () -> "found " + fleet.violations);
   }
 
-  /** The same message with other entries; a keep-alive where there are none to be told at all. */
+  /** Returns the message with other entries, or a keep-alive if {@code entries} is null. */
   private static Message withEntries(Message message, List<Entry> entries) {
     return entries == null ? new Message(Message.Kind.KEEP_ALIVE, Version.NONE, List.of())
         : new Message(message.kind(), message.version(), entries);
   }
 
   /**
-   * The size that is coming, simulated: 7 relays in two tiers, 2,700 watchers and 34,000 entries;
-   * all start at once, then two changes a second for a minute, and a relay of the second tier
-   * killed in another minute. Links delay by 1 to 30 ms and carry 10 MB a second.
+   * Simulates the planned fleet size: 7 relays in two tiers, 2,700 watchers and 34,000 entries. All
+   * nodes start at once, then the list changes twice per second for a minute, and for another
+   * minute during which a relay of the second tier is killed. Links have a delay of 1 to 30 ms and
+   * a bandwidth of 10 MB per second.
    */
   @Test
-  void sizeThatIsComing() {
+  void plannedFleetSizeMeetsTheApplyDeadlines() {
     RelayLimits limits = new RelayLimits(1_500, 60_000, 4_096, 20_000_000);
     ModelFleet fleet = new ModelFleet(new ModelFleet.FleetSize(2, 5, 2_700, 45_333, 85, limits),
-        10_000, 7, NOTHING);
-    long started = System.nanoTime();
-    long all = timeUntilWatchersHaveIt(fleet);
-    report("start of all: " + all / SECOND + " s", fleet, started);
-    changesForAMinute(fleet);
-    assertTrue(Collections.max(fleet.applyDelaysMs) < IN_FORCE_WITHIN);
-    report("2 changes/s for a minute", fleet, started);
-    fleet.killRelay(4, 20 * SECOND);
-    changesForAMinute(fleet);
-    report("the same, a relay killed", fleet, started);
-    assertTrue(Collections.max(fleet.applyDelaysMs) < IN_FORCE_WITHIN_WITH_A_RELAY_KILLED);
+        10_000, 7, NO_FAULT);
+    long startedNanos = System.nanoTime();
+    long convergedAtMs = timeUntilWatchersConverge(fleet);
+    report("start of all: " + convergedAtMs / SECOND_MS + " s", fleet, startedNanos);
+    changeForAMinute(fleet);
+    assertTrue(Collections.max(fleet.applyDelaysMs) < APPLY_DEADLINE_MS);
+    report("2 changes/s for a minute", fleet, startedNanos);
+    fleet.killRelay(4, 20 * SECOND_MS);
+    changeForAMinute(fleet);
+    report("the same, a relay killed", fleet, startedNanos);
+    assertTrue(Collections.max(fleet.applyDelaysMs) < APPLY_DEADLINE_WITH_RELAY_KILLED_MS);
     assertEquals(Set.of(), fleet.violations);
   }
 
-  private static long timeUntilWatchersHaveIt(ModelFleet fleet) {
+  private static long timeUntilWatchersConverge(ModelFleet fleet) {
     while (!fleet.watchersConverged()) {
-      assertTrue(fleet.simulation.now() < 10 * MINUTE, "not all have a list");
-      fleet.simulation.run(SECOND);
+      assertTrue(fleet.simulation.now() < 10 * MINUTE_MS,
+          "not all watchers have the list after 10 minutes");
+      fleet.simulation.run(SECOND_MS);
     }
     return fleet.simulation.now();
   }
 
-  private static void changesForAMinute(ModelFleet fleet) {
+  private static void changeForAMinute(ModelFleet fleet) {
     fleet.applyDelaysMs.clear();
-    fleet.messages.clear();
+    fleet.messagesSent.clear();
     for (int change = 0; change < 120; change++) {
       fleet.source.change(fleet.simulation.now());
-      fleet.simulation.run(SECOND / 2);
+      fleet.simulation.run(SECOND_MS / 2);
     }
-    fleet.simulation.run(10 * SECOND);
+    fleet.simulation.run(10 * SECOND_MS);
     assertTrue(fleet.converged());
   }
 
-  private static void report(String phase, ModelFleet fleet, long started) {
-    List<Long> times = new ArrayList<>(fleet.applyDelaysMs);
-    Collections.sort(times);
-    String force = times.isEmpty() ? ""
-        : ", in force p50 " + times.get(times.size() / 2) + " ms, p99 "
-            + times.get(times.size() * 99 / 100) + " ms, max " + times.get(times.size() - 1)
-            + " ms";
-    System.out.println("simulated, " + phase + force + ", " + fleet.messages + ", "
-        + (System.nanoTime() - started) / 1_000_000 + " ms of the model's run");
+  private static void report(String phase, ModelFleet fleet, long startedNanos) {
+    List<Long> sortedDelays = new ArrayList<>(fleet.applyDelaysMs);
+    Collections.sort(sortedDelays);
+    String delays = sortedDelays.isEmpty() ? ""
+        : ", in force p50 " + sortedDelays.get(sortedDelays.size() / 2) + " ms, p99 "
+            + sortedDelays.get(sortedDelays.size() * 99 / 100) + " ms, max "
+            + sortedDelays.get(sortedDelays.size() - 1) + " ms";
+    System.out.println("simulated, " + phase + delays + ", " + fleet.messagesSent + ", "
+        + (System.nanoTime() - startedNanos) / 1_000_000 + " ms of the model's run");
   }
 
-  private static ModelFleet underFaults(long seed, ModelFleet.InjectedFault injectedFault) {
-    ModelFleet fleet = new ModelFleet(SMALL, 1_000, seed, injectedFault);
+  private static ModelFleet runWithFaults(long seed, ModelFleet.InjectedFault injectedFault) {
+    ModelFleet fleet = new ModelFleet(SMALL_FLEET, 1_000, seed, injectedFault);
     FaultInjector faults = new FaultInjector(fleet, seed);
-    faults.begin(MINUTES * MINUTE);
+    faults.begin(MINUTES * MINUTE_MS);
     while (fleet.simulation.now() < faults.allFaultsEndAt()) {
-      fleet.simulation.run(SECOND);
+      fleet.simulation.run(SECOND_MS);
     }
     return fleet;
   }
 
-  private static long timeToConverge(ModelFleet fleet) {
-    for (long waited = 0; waited <= CONVERGED_WITHIN; waited += SECOND) {
+  private static long convergenceTimeMs(ModelFleet fleet) {
+    for (long waitedMs = 0; waitedMs <= CONVERGENCE_DEADLINE_MS; waitedMs += SECOND_MS) {
       if (fleet.converged()) {
-        return waited;
+        return waitedMs;
       }
-      fleet.simulation.run(SECOND);
+      fleet.simulation.run(SECOND_MS);
     }
     return -1;
   }
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -13,21 +13,23 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Cases with too many watchers or entries for a trace. */
+/** Tests a distributor in cases with too many watchers or entries for a trace. */
 class DistributorTest {
-  private static final long SECOND = 1_000;
-  private static final long BUDGET = 50_000;
+  private static final long SECOND_MS = 1_000;
+  private static final long BUDGET_BYTES_PER_SECOND = 50_000;
   private static final int WATCHERS = 300;
 
-  private record Sent(long at, long watcher, Message message) {}
+  private record Sent(long atMs, long watcher, Message message) {}
 
-  /** Notes what is done; takes messages at once, from within the action, where told so. */
+  /**
+   * Records the actions; if {@code drainsAtOnce}, reports messages as drained within the action.
+   */
   private static final class Host implements DistributorActions {
     final List<Sent> sent = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
     Distributor distributor;
-    boolean takesAtOnce;
-    long now;
+    boolean drainsAtOnce;
+    long nowMs;
 
     @Override
     public void openUpstream(int upstream, Version since) {}
@@ -37,9 +39,9 @@
 
     @Override
     public void send(long watcher, Message message) {
-      sent.add(new Sent(now, watcher, message));
-      if (takesAtOnce) {
-        distributor.watcherDrained(watcher, now);
+      sent.add(new Sent(nowMs, watcher, message));
+      if (drainsAtOnce) {
+        distributor.watcherDrained(watcher, nowMs);
       }
     }
 
@@ -49,7 +51,8 @@
     }
 
     List<Sent> snapshots() {
-      return sent.stream().filter(one -> one.message.kind() == Message.Kind.SNAPSHOT).toList();
+      return sent.stream()
+          .filter(sentMessage -> sentMessage.message.kind() == Message.Kind.SNAPSHOT).toList();
     }
   }
 
@@ -57,7 +60,7 @@
     return new Entry("s" + number, false, "{\"name\":\"s" + number + "\",\"state\":" + state + "}");
   }
 
-  private static Host listed(RelayLimits limits, int entries) {
+  private static Host hostWithList(RelayLimits limits, int entries) {
     Host host = new Host();
     host.distributor = new Distributor(limits, 1, 1, host);
     host.distributor.start(0);
@@ -66,53 +69,57 @@
     return host;
   }
 
-  private static void run(Host host, long end) {
-    for (; host.now < end; host.now++) {
-      host.distributor.upstreamAlive(0, host.now);
-      if (host.distributor.nextTickAtMs() <= host.now) {
-        host.distributor.tick(host.now);
+  private static void advanceTo(Host host, long endMs) {
+    for (; host.nowMs < endMs; host.nowMs++) {
+      host.distributor.upstreamAlive(0, host.nowMs);
+      if (host.distributor.nextTickAtMs() <= host.nowMs) {
+        host.distributor.tick(host.nowMs);
       }
     }
   }
 
   @Test
-  void manyThatStartAtOnceAreServedWithinTheBudget() {
-    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
-    host.takesAtOnce = true;
+  void snapshotsToManyNewWatchersStayWithinBudget() {
+    Host host = hostWithList(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
+    host.drainsAtOnce = true;
     long listBytes = 64
         + IntStream.range(0, 100).mapToLong(number -> entry(number, 0).json().length() + 1L).sum();
     for (int watcher = 0; watcher < WATCHERS; watcher++) {
       host.distributor.watcherOpened(watcher, watcher % 3 == 0 ? new Version(6, 5) : Version.NONE,
-          host.now);
+          host.nowMs);
     }
-    run(host, 60 * SECOND);
+    advanceTo(host, 60 * SECOND_MS);
     List<Sent> snapshots = host.snapshots();
     assertEquals(WATCHERS, snapshots.stream().map(Sent::watcher).distinct().count());
     assertEquals(WATCHERS, snapshots.size());
     for (Sent first : snapshots) {
-      long inASecond = snapshots.stream()
-          .filter(one -> one.at >= first.at && one.at <= first.at + SECOND).count();
-      assertTrue(inASecond * listBytes <= BUDGET + listBytes, inASecond + " lists in a second");
+      long snapshotsInASecond = snapshots.stream()
+          .filter(sentMessage -> sentMessage.atMs >= first.atMs
+              && sentMessage.atMs <= first.atMs + SECOND_MS)
+          .count();
+      assertTrue(snapshotsInASecond * listBytes <= BUDGET_BYTES_PER_SECOND + listBytes,
+          snapshotsInASecond + " snapshots in one second");
     }
-    // Budget in use throughout, and who had none was first; but for the very first, before the
-    // others were there.
-    long seconds = snapshots.get(WATCHERS - 1).at / SECOND;
-    assertTrue(seconds <= WATCHERS * listBytes / (BUDGET * 9 / 10) + 1, seconds + " s");
-    Set<Long> early = new HashSet<>();
-    snapshots.subList(3, 200).forEach(one -> early.add(one.watcher % 3));
-    assertEquals(Set.of(1L, 2L), early);
-    assertEquals(0, host.distributor.status(host.now).waiting());
+    // The budget is used fully, and watchers without a list are served first, except for the first
+    // snapshots, which are sent before the other watchers connect.
+    long lastAtSeconds = snapshots.get(WATCHERS - 1).atMs / SECOND_MS;
+    assertTrue(lastAtSeconds <= WATCHERS * listBytes / (BUDGET_BYTES_PER_SECOND * 9 / 10) + 1,
+        lastAtSeconds + " s");
+    Set<Long> earlyGroups = new HashSet<>();
+    snapshots.subList(3, 200).forEach(sentMessage -> earlyGroups.add(sentMessage.watcher % 3));
+    assertEquals(Set.of(1L, 2L), earlyGroups);
+    assertEquals(0, host.distributor.status(host.nowMs).waiting());
   }
 
   @Test
-  void limitsBelowOneAreRefused() {
+  void limitsBelowOneAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new RelayLimits(1, 1, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new RelayLimits(0, 1, 1, 1));
   }
 
   @Test
-  void oneMessageForAllAtTheSamePosition() {
-    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
+  void watchersAtTheSameVersionShareOneMessage() {
+    Host host = hostWithList(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
     for (int watcher = 0; watcher < WATCHERS; watcher++) {
       host.distributor.watcherOpened(watcher, new Version(7, 1), 0);
       host.distributor.watcherDrained(watcher, 0);
@@ -121,69 +128,75 @@
     host.distributor.upstreamUpdated(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))),
         1);
     assertEquals(WATCHERS, host.sent.size());
-    host.sent.forEach(one -> assertSame(host.sent.get(0).message, one.message));
+    host.sent.forEach(sentMessage -> assertSame(host.sent.get(0).message, sentMessage.message));
     assertEquals(List.of(entry(5, 1)), host.sent.get(0).message.entries());
   }
 
-  /** Outcomes reported from within an action neither nest without bound nor change the order. */
+  /**
+   * Guards against a stack overflow and against reordered messages if the host reports each message
+   * as drained from within the send action.
+   */
   @Test
-  void anyNumberMayTakeAtOnce() {
-    int many = 50_000;
-    Host host = listed(new RelayLimits(many, 1_000, 1_000, BUDGET), 100);
-    host.takesAtOnce = true;
-    for (int watcher = 0; watcher < many; watcher++) {
+  void drainsWithinTheSendActionNeitherRecurseNorReorder() {
+    int watchers = 50_000;
+    Host host = hostWithList(new RelayLimits(watchers, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
+    host.drainsAtOnce = true;
+    for (int watcher = 0; watcher < watchers; watcher++) {
       host.distributor.watcherOpened(watcher, new Version(7, 1), 0);
     }
     host.sent.clear();
     host.distributor.upstreamUpdated(0, new Update(new Version(7, 2), false, List.of(entry(5, 1))),
         1);
-    assertEquals(LongStream.range(0, many).boxed().toList(),
+    assertEquals(LongStream.range(0, watchers).boxed().toList(),
         host.sent.stream().map(Sent::watcher).toList());
   }
 
   @Test
-  void slowWatcherIsNotAStalledOne() {
-    Host host = listed(new RelayLimits(2, 1_000, 1_000, BUDGET), 100);
+  void progressPostponesTheStallTimeout() {
+    Host host = hostWithList(new RelayLimits(2, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
     host.distributor.watcherOpened(1, Version.NONE, 0);
     host.distributor.watcherOpened(2, Version.NONE, 0);
-    run(host, 20 * SECOND);
-    host.distributor.watcherProgressed(1, host.now);
-    run(host, 49 * SECOND);
+    advanceTo(host, 20 * SECOND_MS);
+    host.distributor.watcherProgressed(1, host.nowMs);
+    advanceTo(host, 49 * SECOND_MS);
     assertEquals(List.of("2 STALLED"), host.closed);
-    run(host, 51 * SECOND);
+    advanceTo(host, 51 * SECOND_MS);
     assertEquals(List.of("2 STALLED", "1 STALLED"), host.closed);
   }
 
-  /** One that takes a little now and then does not keep a list's memory for ever. */
+  /**
+   * Guards against a watcher that reads a few bytes at a time and so keeps a snapshot in memory.
+   */
   @Test
-  void tricklingWatcherIsClosedInTheEnd() {
-    Host host = listed(new RelayLimits(1, 1_000, 1_000, BUDGET), 100);
+  void tricklingWatcherIsClosedAfterTheMaximumSendTime() {
+    Host host = hostWithList(new RelayLimits(1, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
     host.distributor.watcherOpened(1, Version.NONE, 0);
-    while (host.closed.isEmpty() && host.now < 300 * SECOND) {
-      run(host, host.now + SECOND);
-      host.distributor.watcherProgressed(1, host.now);
+    while (host.closed.isEmpty() && host.nowMs < 300 * SECOND_MS) {
+      advanceTo(host, host.nowMs + SECOND_MS);
+      host.distributor.watcherProgressed(1, host.nowMs);
     }
     assertEquals(List.of("1 STALLED"), host.closed);
-    assertTrue(host.now >= 119 * SECOND && host.now <= 121 * SECOND, host.now + " ms");
+    assertTrue(host.nowMs >= 119 * SECOND_MS && host.nowMs <= 121 * SECOND_MS, host.nowMs + " ms");
   }
 
   /**
-   * A stream of changes while whole lists go out: few are made, and all reach the latest version.
+   * Sends snapshots to new watchers while the list changes continuously: few snapshots are created
+   * and all watchers reach the latest version.
    */
   @Test
-  void snapshotIsReusedWhileChangesGoOn() {
-    Host host = listed(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET), 100);
-    host.takesAtOnce = true;
+  void snapshotIsReusedDuringChanges() {
+    Host host = hostWithList(new RelayLimits(WATCHERS, 1_000, 1_000, BUDGET_BYTES_PER_SECOND), 100);
+    host.drainsAtOnce = true;
     for (int change = 2; change < 202; change++) {
       host.distributor.upstreamUpdated(0,
-          new Update(new Version(7, change), false, List.of(entry(change, change))), host.now);
-      host.distributor.watcherOpened(change, Version.NONE, host.now);
-      run(host, host.now + SECOND / 10);
+          new Update(new Version(7, change), false, List.of(entry(change, change))), host.nowMs);
+      host.distributor.watcherOpened(change, Version.NONE, host.nowMs);
+      advanceTo(host, host.nowMs + SECOND_MS / 10);
     }
     List<Sent> snapshots = host.snapshots();
     assertEquals(200, snapshots.size());
-    long made = snapshots.stream().map(Sent::message).distinct().count();
-    assertTrue(made <= 5, made + " whole lists made in 20 s");
-    assertEquals(0, host.distributor.status(host.now).behind());
+    long distinctSnapshots = snapshots.stream().map(Sent::message).distinct().count();
+    assertTrue(distinctSnapshots <= 5, distinctSnapshots + " snapshots created in 20 s");
+    assertEquals(0, host.distributor.status(host.nowMs).behind());
   }
 }
--- a/src/test/java/saltlatch/distribution/ModelAgent.java
+++ b/src/test/java/saltlatch/distribution/ModelAgent.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * Discovery as a relay of the first tier sees it: may be frozen, then it tells older lists to who
- * comes anew.
+ * A discovery agent as seen by a relay of the first tier. While it is frozen it receives no changes
+ * and sends its older list to new watches.
  */
 final class ModelAgent implements ModelLink.Server {
   private static final long KEEP_ALIVE_MS = 2_000;
@@ -22,51 +22,51 @@
   private final Set<ModelLink> watches = new LinkedHashSet<>();
   private final Map<String, Entry> list = new LinkedHashMap<>();
   private final List<Change> log = new ArrayList<>();
-  private final Deque<Runnable> held = new ArrayDeque<>();
+  private final Deque<Runnable> deferred = new ArrayDeque<>();
   private Version version;
-  private long logBegin;
+  private long logStart;
   private boolean frozen;
-  private Message last;
+  private Message lastMessage;
 
   ModelAgent(Simulation simulation) {
     this.simulation = simulation;
-    keepAlives();
+    sendKeepAlives();
   }
 
-  void freeze(boolean freeze) {
-    frozen = freeze;
-    while (!frozen && !held.isEmpty()) {
-      held.poll().run();
+  void setFrozen(boolean frozen) {
+    this.frozen = frozen;
+    while (!this.frozen && !deferred.isEmpty()) {
+      deferred.poll().run();
     }
   }
 
-  void reset(Version to, List<Entry> whole) {
-    learn(() -> {
-      version = to;
+  void reset(Version newVersion, List<Entry> entries) {
+    applyOrDefer(() -> {
+      version = newVersion;
       list.clear();
       log.clear();
-      whole.forEach(entry -> list.put(entry.name(), entry));
-      logBegin = to.index();
-      // Every other series is told to open watches by a change alone.
-      tell(to.series() % 2 == 0 ? whole()
-          : new Message(Message.Kind.CHANGES, to, whole.subList(0, 1)));
+      entries.forEach(entry -> list.put(entry.name(), entry));
+      logStart = newVersion.index();
+      // Open watches receive every other series only as a change, without a snapshot.
+      broadcast(newVersion.series() % 2 == 0 ? snapshot()
+          : new Message(Message.Kind.CHANGES, newVersion, entries.subList(0, 1)));
     });
   }
 
-  void changed(Version to, List<Entry> entries) {
-    learn(() -> {
-      version = to;
-      entries.forEach(this::put);
-      Message former = last;
-      last = new Message(Message.Kind.CHANGES, version, entries);
-      tell(last);
-      if (former != null && to.index() % 7 == 0) {
-        tell(former); // told twice, and late
+  void changed(Version newVersion, List<Entry> entries) {
+    applyOrDefer(() -> {
+      version = newVersion;
+      entries.forEach(this::apply);
+      Message previous = lastMessage;
+      lastMessage = new Message(Message.Kind.CHANGES, version, entries);
+      broadcast(lastMessage);
+      if (previous != null && newVersion.index() % 7 == 0) {
+        broadcast(previous); // a duplicate, out of order
       }
     });
   }
 
-  /** Ends all watches with a line that can't be read. */
+  /** Sends a malformed line on all watches and closes them. */
   void sendMalformedLine() {
     List<ModelLink> all = new ArrayList<>(watches);
     watches.clear();
@@ -76,9 +76,9 @@
   @Override
   public void accept(ModelLink link, Version since) {
     watches.add(link);
-    boolean covered = since.series() == version.series() && since.index() >= logBegin
+    boolean resumable = since.series() == version.series() && since.index() >= logStart
         && since.index() <= version.index();
-    link.send(covered ? since(since.index()) : whole());
+    link.send(resumable ? changesSince(since.index()) : snapshot());
   }
 
   @Override
@@ -89,15 +89,15 @@
     watches.remove(link);
   }
 
-  private void learn(Runnable news) {
+  private void applyOrDefer(Runnable update) {
     if (frozen) {
-      held.add(news);
+      deferred.add(update);
     } else {
-      news.run();
+      update.run();
     }
   }
 
-  private void put(Entry entry) {
+  private void apply(Entry entry) {
     log.add(new Change(version.index(), entry));
     if (entry.removed()) {
       list.remove(entry.name());
@@ -106,23 +106,23 @@
     }
   }
 
-  private Message whole() {
+  private Message snapshot() {
     return new Message(Message.Kind.SNAPSHOT, version, List.copyOf(list.values()));
   }
 
-  private Message since(long index) {
+  private Message changesSince(long index) {
     Map<String, Entry> latest = new LinkedHashMap<>();
     log.stream().filter(change -> change.index > index)
         .forEach(change -> latest.put(change.entry.name(), change.entry));
     return new Message(Message.Kind.CHANGES, version, List.copyOf(latest.values()));
   }
 
-  private void tell(Message message) {
+  private void broadcast(Message message) {
     watches.forEach(link -> link.send(message));
   }
 
-  private void keepAlives() {
-    tell(new Message(Message.Kind.KEEP_ALIVE, Version.NONE, List.of()));
-    simulation.after(KEEP_ALIVE_MS, this::keepAlives);
+  private void sendKeepAlives() {
+    broadcast(new Message(Message.Kind.KEEP_ALIVE, Version.NONE, List.of()));
+    simulation.schedule(KEEP_ALIVE_MS, this::sendKeepAlives);
   }
 }
--- a/src/test/java/saltlatch/distribution/ModelFleet.java
+++ b/src/test/java/saltlatch/distribution/ModelFleet.java
@@ -11,40 +11,40 @@
 import java.util.SplittableRandom;
 
 /**
- * A source with two agents, two tiers of relays and watchers of the second, over a network that
- * delays and breaks.
+ * A model of a source with two discovery agents, two tiers of relays, and watchers of the second
+ * tier, on a simulated network with delays and failures.
  */
 final class ModelFleet {
-  /** What a fault planted in the model alters. */
+  /** A deliberate fault of the model, which its checks must detect. */
   interface InjectedFault {
-    /** What is delivered in place of a message. */
-    default Message onTheWay(ModelLink link, Message message) {
+    /** Returns the message that is delivered instead of the given one. */
+    default Message deliveredMessage(ModelLink link, Message message) {
       return message;
     }
 
-    /** The budget that a relay is held to. */
-    default long budget(RelayLimits limits) {
+    /** Returns the snapshot budget that the model checks, in bytes per second. */
+    default long checkedBudget(RelayLimits limits) {
       return limits.snapshotBytesPerSecond();
     }
 
-    /** By how much ticks are late, ms. */
-    default long ticksLate() {
+    /** Returns the delay of each tick, in ms. */
+    default long tickDelayMs() {
       return 0;
     }
 
-    /** Whether a message is reported as taken while it is still on the way. */
+    /** Returns whether a message is reported as drained while it is still in flight. */
     default boolean drainsEarly() {
       return false;
     }
   }
 
-  /** A process. */
+  /** A simulated process. */
   static final class Node {
     private final String name;
     private final Simulation simulation;
     private boolean alive = true;
-    private int life;
-    private long stalledUntil;
+    private int incarnation;
+    private long stalledUntilMs;
     private ModelLink.Server server;
     private ModelLink.Client client;
 
@@ -58,12 +58,12 @@
     }
 
     int incarnation() {
-      return life;
+      return incarnation;
     }
 
-    /** Whether it takes what is sent to it. */
+    /** Returns whether the process reads from its sockets. */
     boolean reads() {
-      return simulation.now() >= stalledUntil;
+      return simulation.now() >= stalledUntilMs;
     }
 
     ModelLink.Server server() {
@@ -80,13 +80,20 @@
     }
   }
 
-  /** Sizes of a model. */
-  record FleetSize(int first, int second, int watchers, int names, int fill, RelayLimits limits) {}
-
-  /** A whole list as all who got the same message hold it. */
+  /**
+   * Sizes of a model.
+   *
+   * @param names        number of names that the source uses; three quarters are in the first
+   *     list
+   * @param paddingBytes bytes of padding in each entry
+   */
+  record FleetSize(int firstTierRelays, int secondTierRelays, int watchers, int names,
+      int paddingBytes, RelayLimits limits) {}
+
+  /** The list of a snapshot message, shared by all watchers that received the message. */
   record Snapshot(Map<String, Entry> entries, long checksum) {}
 
-  private record Path(Node one, Node other) {}
+  private record Path(Node from, Node to) {}
 
   final Simulation simulation = new Simulation();
   final SplittableRandom random;
@@ -95,27 +102,27 @@
   final long bytesPerMs;
   final Set<String> violations = new LinkedHashSet<>();
   final List<Long> applyDelaysMs = new ArrayList<>();
-  final Map<Message.Kind, Long> messages = new LinkedHashMap<>();
+  final Map<Message.Kind, Long> messagesSent = new LinkedHashMap<>();
   final List<ModelAgent> agents = new ArrayList<>();
   final List<Node> agentNodes = new ArrayList<>();
   final List<Node> relayNodes = new ArrayList<>();
   final List<ModelRelay> relays = new ArrayList<>();
   final List<Node> watcherNodes = new ArrayList<>();
   final List<ModelWatcher> watchers = new ArrayList<>();
-  private final IdentityHashMap<Message, Snapshot> lists = new IdentityHashMap<>();
-  private final Map<Path, Long> cutUntil = new HashMap<>();
-  private long links;
+  private final IdentityHashMap<Message, Snapshot> snapshots = new IdentityHashMap<>();
+  private final Map<Path, Long> cutUntilMs = new HashMap<>();
+  private long linkCount;
 
-  ModelFleet(FleetSize shape, long bytesPerMs, long seed, InjectedFault injectedFault) {
+  ModelFleet(FleetSize size, long bytesPerMs, long seed, InjectedFault injectedFault) {
     random = new SplittableRandom(seed);
-    source = new ModelSource(shape.names(), shape.fill(), random.split());
+    source = new ModelSource(size.names(), size.paddingBytes(), random.split());
     this.bytesPerMs = bytesPerMs;
     this.injectedFault = injectedFault;
     addAgent();
     addAgent();
-    List<Node> first = addRelays("first", shape.first(), agentNodes, shape.limits());
-    List<Node> second = addRelays("second", shape.second(), first, shape.limits());
-    for (int number = 0; number < shape.watchers(); number++) {
+    List<Node> first = addRelays("first", size.firstTierRelays(), agentNodes, size.limits());
+    List<Node> second = addRelays("second", size.secondTierRelays(), first, size.limits());
+    for (int number = 0; number < size.watchers(); number++) {
       addWatcher(number, second);
     }
   }
@@ -130,68 +137,68 @@
     }
   }
 
-  void sent(Message message) {
-    messages.merge(message.kind(), 1L, Long::sum);
+  void countSent(Message message) {
+    messagesSent.merge(message.kind(), 1L, Long::sum);
   }
 
   void recordApplied(Version version, Message.Kind kind) {
     if (kind == Message.Kind.CHANGES) {
-      applyDelaysMs.add(simulation.now() - source.time(version));
+      applyDelaysMs.add(simulation.now() - source.createdAtMs(version));
     }
   }
 
-  Snapshot listOf(Message message) {
-    return lists.computeIfAbsent(message, whole -> {
+  Snapshot snapshotOf(Message message) {
+    return snapshots.computeIfAbsent(message, snapshot -> {
       Map<String, Entry> list = new HashMap<>();
-      whole.entries().forEach(entry -> list.put(entry.name(), entry));
+      snapshot.entries().forEach(entry -> list.put(entry.name(), entry));
       return new Snapshot(list, list.values().stream().mapToLong(ModelSource::checksum).sum());
     });
   }
 
   ModelLink open(Node from, Node to, Version since) {
-    ModelLink link = new ModelLink(this, from, to, ++links, random.nextLong(1, 30));
+    ModelLink link = new ModelLink(this, from, to, ++linkCount, random.nextLong(1, 30));
     link.open(since);
     return link;
   }
 
   boolean connected(Node from, Node to) {
-    return simulation.now() >= cutUntil.getOrDefault(new Path(from, to), 0L);
+    return simulation.now() >= cutUntilMs.getOrDefault(new Path(from, to), 0L);
   }
 
-  void cut(Node from, Node to, long duration) {
-    cutUntil.put(new Path(from, to), simulation.now() + duration);
+  void cut(Node from, Node to, long durationMs) {
+    cutUntilMs.put(new Path(from, to), simulation.now() + durationMs);
   }
 
-  void stall(Node node, long duration) {
-    node.stalledUntil = simulation.now() + duration;
+  void stall(Node node, long durationMs) {
+    node.stalledUntilMs = simulation.now() + durationMs;
   }
 
-  void freeze(int agent, long duration) {
-    agents.get(agent).freeze(true);
-    simulation.after(duration, () -> agents.get(agent).freeze(false));
+  void freeze(int agent, long durationMs) {
+    agents.get(agent).setFrozen(true);
+    simulation.schedule(durationMs, () -> agents.get(agent).setFrozen(false));
   }
 
-  void killRelay(int relay, long duration) {
+  void killRelay(int relay, long durationMs) {
     if (kill(relayNodes.get(relay))) {
       relays.get(relay).processKilled();
-      simulation.after(duration, () -> {
+      simulation.schedule(durationMs, () -> {
         relayNodes.get(relay).alive = true;
         relays.get(relay).start(random.nextLong());
       });
     }
   }
 
-  void killWatcher(int watcher, long duration) {
+  void killWatcher(int watcher, long durationMs) {
     if (kill(watcherNodes.get(watcher))) {
       watchers.get(watcher).processKilled();
-      simulation.after(duration, () -> {
+      simulation.schedule(durationMs, () -> {
         watcherNodes.get(watcher).alive = true;
         watchers.get(watcher).start();
       });
     }
   }
 
-  /** Whether all relays and watchers have the source's version. */
+  /** Returns whether all relays and watchers have the version of the source. */
   boolean converged() {
     return relays.stream().allMatch(relay -> relay.status().version().equals(source.version()))
         && watchersConverged();
@@ -202,10 +209,10 @@
   }
 
   private boolean kill(Node node) {
-    boolean was = node.alive;
+    boolean wasAlive = node.alive;
     node.alive = false;
-    node.life += was ? 1 : 0;
-    return was;
+    node.incarnation += wasAlive ? 1 : 0;
+    return wasAlive;
   }
 
   private void addAgent() {
@@ -217,30 +224,33 @@
     agentNodes.add(node);
   }
 
-  private List<Node> addRelays(String tier, int count, List<Node> above, RelayLimits limits) {
+  private List<Node> addRelays(String tier, int count, List<Node> upstreamNodes,
+      RelayLimits limits) {
     List<Node> nodes = new ArrayList<>();
     for (int number = 0; number < count; number++) {
       Node node = new Node(tier + number, simulation);
-      List<Node> order = new ArrayList<>(above.subList(number % above.size(), above.size()));
-      order.addAll(above.subList(0, number % above.size()));
-      ModelRelay relay = new ModelRelay(this, node, order, limits);
+      int preferred = number % upstreamNodes.size();
+      List<Node> upstreams = new ArrayList<>(
+          upstreamNodes.subList(preferred, upstreamNodes.size()));
+      upstreams.addAll(upstreamNodes.subList(0, preferred));
+      ModelRelay relay = new ModelRelay(this, node, upstreams, limits);
       node.server = relay;
       node.client = relay;
       nodes.add(node);
       relays.add(relay);
       long seed = random.nextLong();
-      simulation.after(0, () -> relay.start(seed));
+      simulation.schedule(0, () -> relay.start(seed));
     }
     relayNodes.addAll(nodes);
     return nodes;
   }
 
-  private void addWatcher(int number, List<Node> above) {
+  private void addWatcher(int number, List<Node> upstreamNodes) {
     Node node = new Node("watcher" + number, simulation);
-    ModelWatcher watcher = new ModelWatcher(this, node, above, number);
+    ModelWatcher watcher = new ModelWatcher(this, node, upstreamNodes, number);
     node.client = watcher;
     watcherNodes.add(node);
     watchers.add(watcher);
-    simulation.after(1, watcher::start);
+    simulation.schedule(1, watcher::start);
   }
 }
--- a/src/test/java/saltlatch/distribution/ModelLink.java
+++ b/src/test/java/saltlatch/distribution/ModelLink.java
@@ -4,11 +4,11 @@
 import java.util.Deque;
 
 /**
- * One watch on the model's network: in order, delayed, and with nothing told to anybody while the
- * path is cut.
+ * One watch on the simulated network. It delivers messages in order and with a delay. While the
+ * path is cut it delivers nothing, and neither side detects the cut.
  */
 final class ModelLink {
-  /** Who serves watches. */
+  /** The side that serves watches. */
   interface Server {
     void accept(ModelLink link, Version since);
 
@@ -17,7 +17,7 @@
     void closed(ModelLink link);
   }
 
-  /** Who follows one. */
+  /** The side that opens a watch. */
   interface Client {
     void opened(ModelLink link);
 
@@ -32,118 +32,118 @@
   final ModelFleet.Node from;
   final ModelFleet.Node to;
   final long id;
-  private final long delay;
-  private final int fromLife;
-  private final int toLife;
-  private final Deque<Message> sent = new ArrayDeque<>();
+  private final long delayMs;
+  private final int fromIncarnation;
+  private final int toIncarnation;
+  private final Deque<Message> inFlight = new ArrayDeque<>();
   private boolean accepted;
   private boolean ended;
 
-  ModelLink(ModelFleet fleet, ModelFleet.Node from, ModelFleet.Node to, long id, long delay) {
+  ModelLink(ModelFleet fleet, ModelFleet.Node from, ModelFleet.Node to, long id, long delayMs) {
     this.fleet = fleet;
     this.from = from;
     this.to = to;
     this.id = id;
-    this.delay = delay;
-    fromLife = from.incarnation();
-    toLife = to.incarnation();
+    this.delayMs = delayMs;
+    fromIncarnation = from.incarnation();
+    toIncarnation = to.incarnation();
   }
 
-  /** Messages written and not yet taken. */
+  /** Returns the number of messages written and not yet accepted by the client. */
   int outstanding() {
-    return sent.size();
+    return inFlight.size();
   }
 
   void open(Version since) {
-    whenUp(delay, () -> {
-      if (!to.alive() || to.incarnation() != toLife) {
-        end(false);
+    whenConnected(delayMs, () -> {
+      if (!to.alive() || to.incarnation() != toIncarnation) {
+        endForClient(false);
         return;
       }
       accepted = true;
-      whenUp(delay, () -> toClient(() -> from.client().opened(this)));
+      whenConnected(delayMs, () -> ifClientOpen(() -> from.client().opened(this)));
       to.server().accept(this, since);
     });
   }
 
   void send(Message message) {
-    sent.add(message);
-    if (sent.size() == 1) {
-      carry();
+    inFlight.add(message);
+    if (inFlight.size() == 1) {
+      deliverNext();
     }
     if (fleet.injectedFault.drainsEarly()) {
-      fleet.simulation.after(1, () -> to.server().drained(this));
+      fleet.simulation.schedule(1, () -> to.server().drained(this));
     }
   }
 
-  /** The client ends it; the server hears of it once the path is up. */
+  /** Closes the watch by the client; the server is notified when the path is up. */
   void closeByClient() {
     ended = true;
-    whenUp(delay, this::serverHearsOfEnd);
+    whenConnected(delayMs, this::notifyServerClosed);
   }
 
-  /** The server ends it, or sends what can't be read. */
+  /** Closes the watch by the server, optionally after a malformed line. */
   void closeByServer(boolean malformed) {
     accepted = false;
-    whenUp(delay, () -> end(malformed));
+    whenConnected(delayMs, () -> endForClient(malformed));
   }
 
-  /** One of the two processes died. */
+  /** Closes the watch because one of the two processes was killed. */
   void breakOff() {
     if (!from.alive()) {
       ended = true;
     }
-    whenUp(delay, () -> {
-      end(false);
-      serverHearsOfEnd();
+    whenConnected(delayMs, () -> {
+      endForClient(false);
+      notifyServerClosed();
     });
   }
 
-  private void serverHearsOfEnd() {
-    if (accepted && to.alive() && to.incarnation() == toLife) {
+  private void notifyServerClosed() {
+    if (accepted && to.alive() && to.incarnation() == toIncarnation) {
       accepted = false;
       to.server().closed(this);
     }
   }
 
-  private void end(boolean malformed) {
-    toClient(() -> {
+  private void endForClient(boolean malformed) {
+    ifClientOpen(() -> {
       ended = true;
       from.client().ended(this, malformed);
     });
   }
 
-  private void toClient(Runnable event) {
-    if (!ended && from.alive() && from.incarnation() == fromLife) {
+  private void ifClientOpen(Runnable event) {
+    if (!ended && from.alive() && from.incarnation() == fromIncarnation) {
       event.run();
     }
   }
 
-  private void carry() {
-    long transfer = ModelFleet.bytes(sent.peek()) / fleet.bytesPerMs;
-    whenUp(delay + transfer, () -> {
-      if (!accepted || !to.alive() || to.incarnation() != toLife) {
+  private void deliverNext() {
+    long transferMs = ModelFleet.bytes(inFlight.peek()) / fleet.bytesPerMs;
+    whenConnected(delayMs + transferMs, () -> {
+      if (!accepted || !to.alive() || to.incarnation() != toIncarnation) {
         return;
       }
       if (!ended && !from.reads()) {
-        fleet.simulation.after(RETRY_MS, this::carry);
+        fleet.simulation.schedule(RETRY_MS, this::deliverNext);
         return;
       }
-      Message message = fleet.injectedFault.onTheWay(this, sent.poll());
-      if (!sent.isEmpty()) {
-        carry();
+      Message message = fleet.injectedFault.deliveredMessage(this, inFlight.poll());
+      if (!inFlight.isEmpty()) {
+        deliverNext();
       }
-      toClient(() -> from.client().messageReceived(this, message));
+      ifClientOpen(() -> from.client().messageReceived(this, message));
       to.server().drained(this);
     });
   }
 
-  private void whenUp(long after, Runnable event) {
-    fleet.simulation.after(after, () -> {
+  private void whenConnected(long delayMs, Runnable event) {
+    fleet.simulation.schedule(delayMs, () -> {
       if (fleet.connected(from, to)) {
         event.run();
       } else {
-        whenUp(RETRY_MS, event);
+        whenConnected(RETRY_MS, event);
       }
     });
   }
--- a/src/test/java/saltlatch/distribution/ModelRelay.java
+++ b/src/test/java/saltlatch/distribution/ModelRelay.java
@@ -7,51 +7,51 @@
 import java.util.Map;
 
 /**
- * A host around a Distributor on the model's network, which holds it to its bounds at every action.
+ * A host that runs a Distributor on the simulated network and checks its limits at every action.
  */
 final class ModelRelay implements ModelLink.Server, ModelLink.Client, DistributorActions {
-  private static final long SECOND = 1_000;
+  private static final long SECOND_MS = 1_000;
   private static final long KEEP_ALIVE_MS = 2_000;
 
-  private record Spent(long at, long bytes) {}
+  private record SentSnapshot(long atMs, long bytes) {}
 
   private final ModelFleet fleet;
   private final ModelFleet.Node node;
-  private final List<ModelFleet.Node> above;
+  private final List<ModelFleet.Node> upstreams;
   private final RelayLimits limits;
   private final Map<Long, ModelLink> watchers = new LinkedHashMap<>();
-  private final Map<Long, Long> takenAt = new LinkedHashMap<>();
-  private final Deque<Spent> spent = new ArrayDeque<>();
+  private final Map<Long, Long> drainedAtMs = new LinkedHashMap<>();
+  private final Deque<SentSnapshot> recentSnapshots = new ArrayDeque<>();
   private Distributor distributor;
   private ModelLink upstream;
-  private int upstreamNumber;
-  private long tickAt = Long.MAX_VALUE;
-  private int ticks;
-  long mostSnapshotBytesInASecond;
+  private int currentUpstream;
+  private long tickAtMs = Long.MAX_VALUE;
+  private int tickGeneration;
+  long maxSnapshotBytesPerSecond;
 
-  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> above,
+  ModelRelay(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> upstreams,
       RelayLimits limits) {
     this.fleet = fleet;
     this.node = node;
-    this.above = above;
+    this.upstreams = upstreams;
     this.limits = limits;
   }
 
-  /** Starts anew, with nothing. */
+  /** Starts or restarts the relay without any state. */
   void start(long seed) {
     watchers.clear();
-    takenAt.clear();
-    spent.clear();
+    drainedAtMs.clear();
+    recentSnapshots.clear();
     upstream = null;
-    ticks++;
-    tickAt = Long.MAX_VALUE;
-    distributor = new Distributor(limits, above.size(), seed, this);
+    tickGeneration++;
+    tickAtMs = Long.MAX_VALUE;
+    distributor = new Distributor(limits, upstreams.size(), seed, this);
     distributor.start(now());
-    next();
+    scheduleTick();
   }
 
   void processKilled() {
-    ticks++;
+    tickGeneration++;
     watchers.values().forEach(ModelLink::breakOff);
     if (upstream != null) {
       upstream.breakOff();
@@ -66,28 +66,28 @@
   public void accept(ModelLink link, Version since) {
     watchers.put(link.id, link);
     distributor.watcherOpened(link.id, since, now());
-    next();
+    scheduleTick();
   }
 
   @Override
   public void drained(ModelLink link) {
-    takenAt.put(link.id, now());
+    drainedAtMs.put(link.id, now());
     distributor.watcherDrained(link.id, now());
-    next();
+    scheduleTick();
   }
 
   @Override
   public void closed(ModelLink link) {
-    forget(link.id);
+    removeWatcher(link.id);
     distributor.watcherClosed(link.id, now());
-    next();
+    scheduleTick();
   }
 
   @Override
   public void opened(ModelLink link) {
     if (link == upstream) {
-      distributor.upstreamOpened(upstreamNumber, now());
-      next();
+      distributor.upstreamOpened(currentUpstream, now());
+      scheduleTick();
     }
   }
 
@@ -97,36 +97,37 @@
       return;
     }
     if (message.kind() == Message.Kind.KEEP_ALIVE) {
-      distributor.upstreamAlive(upstreamNumber, now());
+      distributor.upstreamAlive(currentUpstream, now());
     } else {
-      boolean whole = message.kind() == Message.Kind.SNAPSHOT;
-      Version before = status().version();
-      distributor.upstreamUpdated(upstreamNumber,
-          new Update(message.version(), whole, message.entries()), now());
-      fleet.check(status().version().compareTo(before) >= 0, node + " went back from " + before);
+      boolean snapshot = message.kind() == Message.Kind.SNAPSHOT;
+      Version previous = status().version();
+      distributor.upstreamUpdated(currentUpstream,
+          new Update(message.version(), snapshot, message.entries()), now());
+      fleet.check(status().version().compareTo(previous) >= 0,
+          node + " reverted to a version older than " + previous);
     }
-    next();
+    scheduleTick();
   }
 
   @Override
   public void ended(ModelLink link, boolean malformed) {
     if (link == upstream) {
       upstream = null;
-      distributor.upstreamFailed(upstreamNumber,
+      distributor.upstreamFailed(currentUpstream,
           malformed ? Distributor.Failure.MALFORMED : Distributor.Failure.CONNECTION, now());
-      next();
+      scheduleTick();
     }
   }
 
   @Override
-  public void openUpstream(int number, Version since) {
-    fleet.check(upstream == null, node + " opens a second upstream");
-    upstreamNumber = number;
-    upstream = fleet.open(node, above.get(number), since);
+  public void openUpstream(int upstreamIndex, Version since) {
+    fleet.check(upstream == null, node + " opens a second upstream watch");
+    currentUpstream = upstreamIndex;
+    upstream = fleet.open(node, upstreams.get(upstreamIndex), since);
   }
 
   @Override
-  public void closeUpstream(int number, Reason reason) {
+  public void closeUpstream(int upstreamIndex, Reason reason) {
     upstream.closeByClient();
     upstream = null;
   }
@@ -135,55 +136,56 @@
   public void send(long watcher, Message message) {
     ModelLink link = watchers.get(watcher);
     fleet.check(link.outstanding() == 0, node + " queues a second message for " + link.from);
-    fleet.check(now() - takenAt.getOrDefault(watcher, now()) <= KEEP_ALIVE_MS,
-        node + " left " + link.from + " unaware");
+    fleet.check(now() - drainedAtMs.getOrDefault(watcher, now()) <= KEEP_ALIVE_MS,
+        node + " sent " + link.from + " nothing for more than " + KEEP_ALIVE_MS + " ms");
     if (message.kind() == Message.Kind.SNAPSHOT) {
-      spend(ModelFleet.bytes(message));
+      recordSnapshotBytes(ModelFleet.bytes(message));
     }
-    fleet.sent(message);
+    fleet.countSent(message);
     link.send(message);
   }
 
   @Override
   public void closeWatcher(long watcher, Reason reason) {
     ModelLink link = watchers.get(watcher);
-    forget(watcher);
+    removeWatcher(watcher);
     link.closeByServer(false);
   }
 
-  private void forget(long watcher) {
+  private void removeWatcher(long watcher) {
     watchers.remove(watcher);
-    takenAt.remove(watcher);
+    drainedAtMs.remove(watcher);
   }
 
-  private void spend(long bytes) {
-    spent.add(new Spent(now(), bytes));
-    while (spent.peek().at < now() - SECOND) {
-      spent.poll();
+  private void recordSnapshotBytes(long bytes) {
+    recentSnapshots.add(new SentSnapshot(now(), bytes));
+    while (recentSnapshots.peek().atMs < now() - SECOND_MS) {
+      recentSnapshots.poll();
     }
-    long inASecond = spent.stream().mapToLong(Spent::bytes).sum();
-    mostSnapshotBytesInASecond = Math.max(mostSnapshotBytesInASecond, inASecond);
-    fleet.check(inASecond <= fleet.injectedFault.budget(limits) + bytes,
-        node + " sent " + inASecond + " bytes of lists in a second");
+    long bytesInWindow = recentSnapshots.stream().mapToLong(SentSnapshot::bytes).sum();
+    maxSnapshotBytesPerSecond = Math.max(maxSnapshotBytesPerSecond, bytesInWindow);
+    fleet.check(bytesInWindow <= fleet.injectedFault.checkedBudget(limits) + bytes,
+        node + " sent " + bytesInWindow + " bytes of snapshots within one second");
   }
 
-  private void next() {
-    next(now());
+  private void scheduleTick() {
+    scheduleTick(now());
   }
 
-  private void next(long earliest) {
-    long due = Math.max(earliest, distributor.nextTickAtMs());
-    if (due == Long.MAX_VALUE || (due >= tickAt && tickAt > now())) {
+  private void scheduleTick(long earliestMs) {
+    long dueMs = Math.max(earliestMs, distributor.nextTickAtMs());
+    if (dueMs == Long.MAX_VALUE || (dueMs >= tickAtMs && tickAtMs > now())) {
       return;
     }
-    tickAt = due;
-    int tick = ++ticks;
-    fleet.simulation.after(due - now() + fleet.injectedFault.ticksLate(), () -> {
-      if (tick == ticks && node.alive()) {
-        tickAt = Long.MAX_VALUE;
+    tickAtMs = dueMs;
+    int generation = ++tickGeneration;
+    fleet.simulation.schedule(dueMs - now() + fleet.injectedFault.tickDelayMs(), () -> {
+      if (generation == tickGeneration && node.alive()) {
+        tickAtMs = Long.MAX_VALUE;
         distributor.tick(now());
-        fleet.check(distributor.nextTickAtMs() > now(), node + " wants a tick that does nothing");
-        next(now() + 1);
+        fleet.check(distributor.nextTickAtMs() > now(),
+            node + " requests another tick immediately after a tick");
+        scheduleTick(now() + 1);
       }
     });
   }
--- a/src/test/java/saltlatch/distribution/ModelSource.java
+++ b/src/test/java/saltlatch/distribution/ModelSource.java
@@ -6,28 +6,31 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The true list, with a checksum of each version that it ever had, and the agents that tell it. */
+/**
+ * The source of the list, with a checksum of each version that it ever had, and the agents that
+ * receive its changes.
+ */
 final class ModelSource {
   private final SplittableRandom random;
   private final Map<Version, Long> checksums = new LinkedHashMap<>();
-  private final Map<Version, Long> times = new LinkedHashMap<>();
+  private final Map<Version, Long> creationTimesMs = new LinkedHashMap<>();
   private final List<ModelAgent> agents = new ArrayList<>();
   private final Map<String, Entry> list = new LinkedHashMap<>();
-  private final int names;
-  private final int fill;
+  private final int nameCount;
+  private final int paddingBytes;
   private Version version = new Version(1_000, 1);
   private long checksum;
-  private long written;
+  private long entriesCreated;
 
-  ModelSource(int names, int fill, SplittableRandom random) {
-    this.names = names;
-    this.fill = fill;
+  ModelSource(int nameCount, int paddingBytes, SplittableRandom random) {
+    this.nameCount = nameCount;
+    this.paddingBytes = paddingBytes;
     this.random = random;
-    for (int name = 0; name < names * 3 / 4; name++) {
-      put(entry(name));
+    for (int name = 0; name < nameCount * 3 / 4; name++) {
+      apply(entry(name));
     }
     checksums.put(version, checksum);
-    times.put(version, 0L);
+    creationTimesMs.put(version, 0L);
   }
 
   static long checksum(Entry entry) {
@@ -40,14 +43,16 @@
     return version;
   }
 
-  /** The checksum of the whole list at a version, null if there never was such a version. */
+  /**
+   * Returns the checksum of the complete list at a version, or null if the version never existed.
+   */
   Long checksum(Version at) {
     return checksums.get(at);
   }
 
-  /** When a version began, ms. */
-  long time(Version at) {
-    return times.get(at);
+  /** Returns when a version was created, in ms. */
+  long createdAtMs(Version at) {
+    return creationTimesMs.get(at);
   }
 
   List<Entry> entries() {
@@ -59,48 +64,48 @@
     agent.reset(version, entries());
   }
 
-  /** One to three names are added, altered or removed; indexes leap now and then. */
+  /** Adds, modifies or removes one to three names; one index in ten skips two numbers. */
   void change(long now) {
     List<Entry> changed = new ArrayList<>();
-    for (int left = random.nextInt(1, 4); left > 0; left--) {
-      Entry entry = entry(random.nextInt(names));
+    for (int remaining = random.nextInt(1, 4); remaining > 0; remaining--) {
+      Entry entry = entry(random.nextInt(nameCount));
       if (list.containsKey(entry.name()) && random.nextInt(3) == 0) {
         entry = list.get(entry.name()).asRemoved();
       }
-      put(entry);
+      apply(entry);
       changed.add(entry);
     }
     version = new Version(version.series(), version.index() + (random.nextInt(10) == 0 ? 3 : 1));
-    record(now);
+    recordVersion(now);
     agents.forEach(agent -> agent.changed(version, changed));
   }
 
-  /** The numbering begins anew, with what happened meanwhile. */
+  /** Starts a new series; its first list includes five random changes. */
   void beginSeries(long now) {
-    for (int left = 5; left > 0; left--) {
-      Entry entry = entry(random.nextInt(names));
-      put(random.nextBoolean() ? entry.asRemoved() : entry);
+    for (int remaining = 5; remaining > 0; remaining--) {
+      Entry entry = entry(random.nextInt(nameCount));
+      apply(random.nextBoolean() ? entry.asRemoved() : entry);
     }
     version = new Version(version.series() + 1, 1);
-    record(now);
-    List<Entry> whole = entries();
-    agents.forEach(agent -> agent.reset(version, whole));
+    recordVersion(now);
+    List<Entry> snapshot = entries();
+    agents.forEach(agent -> agent.reset(version, snapshot));
   }
 
-  private void record(long now) {
+  private void recordVersion(long now) {
     checksums.put(version, checksum);
-    times.put(version, now);
+    creationTimesMs.put(version, now);
   }
 
   private Entry entry(int name) {
-    String json = "{\"name\":\"s" + name + "\",\"state\":" + written++ + ",\"x\":\""
-        + "x".repeat(fill) + "\"}";
+    String json = "{\"name\":\"s" + name + "\",\"state\":" + entriesCreated++ + ",\"x\":\""
+        + "x".repeat(paddingBytes) + "\"}";
     return new Entry("s" + name, false, json);
   }
 
-  private void put(Entry entry) {
-    Entry former = entry.removed() ? list.remove(entry.name()) : list.put(entry.name(), entry);
-    checksum -= former == null ? 0 : checksum(former);
+  private void apply(Entry entry) {
+    Entry previous = entry.removed() ? list.remove(entry.name()) : list.put(entry.name(), entry);
+    checksum -= previous == null ? 0 : checksum(previous);
     checksum += entry.removed() ? 0 : checksum(entry);
   }
 }
--- a/src/test/java/saltlatch/distribution/ModelWatcher.java
+++ b/src/test/java/saltlatch/distribution/ModelWatcher.java
@@ -5,33 +5,35 @@
 import java.util.Map;
 
 /**
- * A node that follows one of several relays and holds the list; every list it ever holds is
- * compared with the true one.
+ * A node that follows one of several relays and keeps the list. After each message its list is
+ * compared with the one of the source at the same version.
  */
 final class ModelWatcher implements ModelLink.Client {
-  private static final long SILENT_MS = 4_500;
-  private static final long LOOK_MS = 500;
+  private static final long SILENCE_TIMEOUT_MS = 4_500;
+  private static final long CHECK_INTERVAL_MS = 500;
   private static final Backoff BACKOFF = new Backoff(50, 1_000, 15_000);
 
   private final ModelFleet fleet;
   private final ModelFleet.Node node;
   private final List<ModelFleet.Node> relays;
-  /** The whole list last got, shared by all who got that message, and what changed since. */
-  private Map<String, Entry> base = Map.of();
-  private final Map<String, Entry> changed = new HashMap<>();
+  /** The last snapshot, shared by all watchers that received the same message. */
+  private Map<String, Entry> snapshotEntries = Map.of();
+  /** Entries changed since the last snapshot; null for a removed entry. */
+  private final Map<String, Entry> changedEntries = new HashMap<>();
   private Version version = Version.NONE;
   private long checksum;
   private ModelLink link;
-  private int relay;
+  private int relayIndex;
   private int failures;
-  private long heardAt;
+  private long aliveAtMs;
 
-  ModelWatcher(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> relays, int first) {
+  ModelWatcher(ModelFleet fleet, ModelFleet.Node node, List<ModelFleet.Node> relays,
+      int firstRelay) {
     this.fleet = fleet;
     this.node = node;
     this.relays = relays;
-    relay = first;
-    fleet.simulation.after(LOOK_MS, this::look);
+    relayIndex = firstRelay;
+    fleet.simulation.schedule(CHECK_INTERVAL_MS, this::checkSilence);
   }
 
   Version version() {
@@ -39,8 +41,8 @@
   }
 
   void start() {
-    base = Map.of();
-    changed.clear();
+    snapshotEntries = Map.of();
+    changedEntries.clear();
     version = Version.NONE;
     checksum = 0;
     connect();
@@ -55,7 +57,7 @@
 
   @Override
   public void opened(ModelLink from) {
-    heardAt = fleet.simulation.now();
+    aliveAtMs = fleet.simulation.now();
   }
 
   @Override
@@ -63,7 +65,7 @@
     if (from != link) {
       return;
     }
-    heardAt = fleet.simulation.now();
+    aliveAtMs = fleet.simulation.now();
     failures = 0;
     if (message.kind() != Message.Kind.KEEP_ALIVE) {
       apply(message);
@@ -73,60 +75,60 @@
   @Override
   public void ended(ModelLink from, boolean malformed) {
     if (from == link) {
-      leave();
+      reconnectLater();
     }
   }
 
   private void apply(Message message) {
     fleet.check(message.version().compareTo(version) > 0,
-        node + " is sent back from " + version + " to " + message.version());
+        node + " received " + message.version() + ", which is not newer than " + version);
     if (message.kind() == Message.Kind.SNAPSHOT) {
-      ModelFleet.Snapshot whole = fleet.listOf(message);
-      base = whole.entries();
-      changed.clear();
-      checksum = whole.checksum();
+      ModelFleet.Snapshot snapshot = fleet.snapshotOf(message);
+      snapshotEntries = snapshot.entries();
+      changedEntries.clear();
+      checksum = snapshot.checksum();
     } else {
       fleet.check(message.version().series() == version.series(),
-          node + " is sent changes of another series");
-      message.entries().forEach(this::put);
+          node + " received changes of another series");
+      message.entries().forEach(this::applyChange);
     }
     version = message.version();
-    Long truth = fleet.source.checksum(version);
-    fleet.check(truth != null && truth == checksum,
-        node + " holds another list than the source at " + version);
+    Long expected = fleet.source.checksum(version);
+    fleet.check(expected != null && expected == checksum,
+        node + " has a different list than the source at " + version);
     fleet.recordApplied(version, message.kind());
   }
 
-  private void put(Entry entry) {
-    Entry former = changed.containsKey(entry.name()) ? changed.get(entry.name())
-        : base.get(entry.name());
-    checksum -= former == null ? 0 : ModelSource.checksum(former);
+  private void applyChange(Entry entry) {
+    Entry previous = changedEntries.containsKey(entry.name()) ? changedEntries.get(entry.name())
+        : snapshotEntries.get(entry.name());
+    checksum -= previous == null ? 0 : ModelSource.checksum(previous);
     checksum += entry.removed() ? 0 : ModelSource.checksum(entry);
-    changed.put(entry.name(), entry.removed() ? null : entry);
+    changedEntries.put(entry.name(), entry.removed() ? null : entry);
   }
 
   private void connect() {
-    heardAt = fleet.simulation.now();
-    link = fleet.open(node, relays.get(relay % relays.size()), version);
+    aliveAtMs = fleet.simulation.now();
+    link = fleet.open(node, relays.get(relayIndex % relays.size()), version);
   }
 
-  private void leave() {
+  private void reconnectLater() {
     link = null;
-    relay++;
-    int life = node.incarnation();
-    fleet.simulation.after(BACKOFF.delayMs(failures++, fleet.random), () -> {
-      if (node.alive() && node.incarnation() == life && link == null) {
+    relayIndex++;
+    int incarnation = node.incarnation();
+    fleet.simulation.schedule(BACKOFF.delayMs(failures++, fleet.random), () -> {
+      if (node.alive() && node.incarnation() == incarnation && link == null) {
         connect();
       }
     });
   }
 
-  private void look() {
+  private void checkSilence() {
     if (node.alive() && node.reads() && link != null
-        && fleet.simulation.now() - heardAt > SILENT_MS) {
+        && fleet.simulation.now() - aliveAtMs > SILENCE_TIMEOUT_MS) {
       link.closeByClient();
-      leave();
+      reconnectLater();
     }
-    fleet.simulation.after(LOOK_MS, this::look);
+    fleet.simulation.schedule(CHECK_INTERVAL_MS, this::checkSilence);
   }
 }
--- a/src/test/java/saltlatch/distribution/Simulation.java
+++ b/src/test/java/saltlatch/distribution/Simulation.java
@@ -3,32 +3,33 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time in ms: steps in the order of their times, and of their being set where these are
- * equal.
+ * Virtual time in ms. Steps run in order of their times; steps of the same time run in the order in
+ * which they were scheduled.
  */
 final class Simulation {
-  private record Step(long at, long order, Runnable action) {}
+  private record Step(long atMs, long sequence, Runnable action) {}
 
-  private final PriorityQueue<Step> steps = new PriorityQueue<>((one, other) -> one.at != other.at
-      ? Long.compare(one.at, other.at) : Long.compare(one.order, other.order));
-  private long order;
-  private long now;
+  private final PriorityQueue<Step> steps = new PriorityQueue<>(
+      (one, other) -> one.atMs != other.atMs ? Long.compare(one.atMs, other.atMs)
+          : Long.compare(one.sequence, other.sequence));
+  private long sequence;
+  private long nowMs;
 
   long now() {
-    return now;
+    return nowMs;
   }
 
-  void after(long delay, Runnable action) {
-    steps.add(new Step(now + delay, order++, action));
+  void schedule(long delayMs, Runnable action) {
+    steps.add(new Step(nowMs + delayMs, sequence++, action));
   }
 
-  void run(long duration) {
-    long end = now + duration;
-    while (!steps.isEmpty() && steps.peek().at <= end) {
+  void run(long durationMs) {
+    long endMs = nowMs + durationMs;
+    while (!steps.isEmpty() && steps.peek().atMs <= endMs) {
       Step step = steps.poll();
-      now = step.at;
+      nowMs = step.atMs;
       step.action.run();
     }
-    now = end;
+    nowMs = endMs;
   }
 }
