--- a/src/main/java/saltlatch/lab/plan/GroundTruth.java
+++ b/src/main/java/saltlatch/lab/plan/GroundTruth.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * The emulator's ledger of what really happened at the app servers: every dispatch of every req,
- * the units charged for each req that ran, a customer's units per one-second window. It is the
- * reference the nodes' own counters and the load tool's outcomes are checked against. No I/O; fed
- * from one event loop.
+ * The emulator's record of what happened at the app servers: every attempt of every request, the
+ * units charged for each request that ran, and each customer's units per one-second window. The
+ * nodes' own counters and the load generator's outcomes are checked against it. It does no I/O and
+ * is updated from one event loop.
  */
 public final class GroundTruth {
   /**
-   * One req as the app servers saw it: dispatches that came whole, of them served, and its customer
-   * and units.
+   * One request as seen by the app servers: its customer and units, the attempts that were fully
+   * received, and how many of these were served.
    */
   public static final class TrackedRequest {
     public final long customer;
@@ -23,7 +23,8 @@
     public final int units;
     public int attempts;
     public int served;
-    public boolean mayHaveRun; // a dispatch was taken in, failed or spoilt: not a plain -BUSY
+    // Set once an attempt was served, failed or spoilt, that is, not answered with a plain -BUSY.
+    public boolean mayHaveRun;
 
     TrackedRequest(long customer, boolean submit, int units) {
       this.customer = customer;
@@ -32,105 +33,116 @@
     }
   }
 
-  /** What a run's checks read: counts over all reqs seen. */
+  /** The counts over all requests, as the checks of a run read them. */
   public record Totals(long requests, long attempts, long served, long unitsCharged,
       long doubleCharges, long repeatedNonReplayable) {}
 
-  private final Map<String, TrackedRequest> byId = new HashMap<>();
+  private final Map<String, TrackedRequest> requestsById = new HashMap<>();
   // customer -> second -> units
   private final TreeMap<Long, TreeMap<Long, Long>> unitsBySecond = new TreeMap<>();
   private long attempts;
   private long served;
-  private long units;
-  private long doubles;
-  private long repeats;
+  private long unitsCharged;
+  private long doubleCharges;
+  private long repeatedNonReplayable;
 
   /**
-   * A dispatch came whole to an app server; returns whether it repeats a non-replayable req that
-   * may have run: an earlier dispatch of it was not answered {@code -BUSY} (the one answer that
-   * says it never ran).
+   * Records an attempt that an app server received completely. Returns whether it repeats a
+   * non-replayable request that may have run: an earlier attempt was not answered {@code -BUSY},
+   * the only answer which guarantees that the request did not run.
    */
-  public boolean recordAttempt(String id, long customer, boolean submit, int unitsAsked) {
+  public boolean recordAttempt(String id, long customer, boolean submit, int requestUnits) {
     attempts++;
-    TrackedRequest s = byId.computeIfAbsent(id,
-        k -> new TrackedRequest(customer, submit, unitsAsked));
-    s.attempts++;
-    boolean repeat = s.submit && s.mayHaveRun;
-    if (repeat) repeats++;
+    TrackedRequest request = requestsById.computeIfAbsent(id,
+        key -> new TrackedRequest(customer, submit, requestUnits));
+    request.attempts++;
+    boolean repeat = request.submit && request.mayHaveRun;
+    if (repeat) repeatedNonReplayable++;
     return repeat;
   }
 
   /**
-   * The dispatch just told was not turned away: it runs, or failed or spoilt in a way that may have
-   * run.
+   * Records that the attempt just recorded was not rejected with {@code -BUSY}: it runs, or it
+   * failed or was spoilt in a way that may have run the request.
    */
   public void recordPossibleRun(String id) {
-    TrackedRequest s = byId.get(id);
-    if (s != null) s.mayHaveRun = true;
+    TrackedRequest request = requestsById.get(id);
+    if (request != null) request.mayHaveRun = true;
   }
 
   /**
-   * The app server ran it and charged its units at {@code ms}. A second charge of one req is a
-   * double charge.
+   * Records that the app server ran the request and charged its units at {@code ms} since the
+   * start. A second charge of the same request counts as a double charge.
    */
   public void recordServed(String id, long ms) {
-    TrackedRequest s = byId.get(id);
-    if (s == null) return;
-    s.served++;
+    TrackedRequest request = requestsById.get(id);
+    if (request == null) return;
+    request.served++;
     served++;
-    if (s.served > 1) {
-      doubles++;
+    if (request.served > 1) {
+      doubleCharges++;
       return;
     }
-    units += s.units;
-    unitsBySecond.computeIfAbsent(s.customer, c -> new TreeMap<>()).merge(ms / 1000, (long) s.units,
-        Long::sum);
+    unitsCharged += request.units;
+    unitsBySecond.computeIfAbsent(request.customer, key -> new TreeMap<>()).merge(ms / 1000,
+        (long) request.units, Long::sum);
   }
 
+  /** Returns the counts over all requests recorded so far. */
   public Totals totals() {
-    return new Totals(byId.size(), attempts, served, units, doubles, repeats);
+    return new Totals(requestsById.size(), attempts, served, unitsCharged, doubleCharges,
+        repeatedNonReplayable);
   }
 
+  /** Returns the request with this id, or null if no attempt of it was recorded. */
   public TrackedRequest request(String id) {
-    return byId.get(id);
+    return requestsById.get(id);
   }
 
   /**
-   * Units each customer was charged beyond its plan: the most, over time, by which the running
-   * total exceeded {@code burst + rate * seconds}. Customers in order of number.
+   * Returns the units that each customer was charged beyond its quota plan: the largest amount, at
+   * any second, by which its running total exceeded {@code burst + rate * seconds}; 0 if it never
+   * did. The map is ordered by customer number.
    */
   public Map<Long, Double> overshoot(double rate, double burst) {
-    Map<Long, Double> out = new TreeMap<>();
-    for (var e : unitsBySecond.entrySet()) {
+    Map<Long, Double> overshoots = new TreeMap<>();
+    for (var customer : unitsBySecond.entrySet()) {
       double total = 0;
       double worst = 0;
-      long first = e.getValue().firstKey();
-      for (var sec : e.getValue().entrySet()) {
-        total += sec.getValue();
-        worst = Math.max(worst, total - burst - rate * (sec.getKey() - first + 1));
+      long firstSecond = customer.getValue().firstKey();
+      for (var second : customer.getValue().entrySet()) {
+        total += second.getValue();
+        worst = Math.max(worst, total - burst - rate * (second.getKey() - firstSecond + 1));
       }
-      out.put(e.getKey(), worst);
+      overshoots.put(customer.getKey(), worst);
     }
-    return out;
+    return overshoots;
   }
 
-  /** A customer's charged units a second, from its first second on, for plots. */
+  /**
+   * Returns rows of second and units charged to the customer in it, for plots. Seconds without a
+   * charge have no row.
+   */
   public List<long[]> unitsPerSecond(long customer) {
-    List<long[]> out = new ArrayList<>();
-    TreeMap<Long, Long> m = unitsBySecond.get(customer);
-    if (m != null) for (var e : m.entrySet()) out.add(new long[] {e.getKey(), e.getValue()});
-    return out;
+    List<long[]> rows = new ArrayList<>();
+    TreeMap<Long, Long> seconds = unitsBySecond.get(customer);
+    if (seconds != null) {
+      for (var second : seconds.entrySet())
+        rows.add(new long[] {second.getKey(), second.getValue()});
+    }
+    return rows;
   }
 
-  /** Customers by units charged, most first, at most {@code n}. */
-  public List<Long> heaviest(int n) {
-    List<Map.Entry<Long, Long>> all = new ArrayList<>();
-    for (var e : unitsBySecond.entrySet()) {
-      all.add(
-          Map.entry(e.getKey(), e.getValue().values().stream().mapToLong(Long::longValue).sum()));
+  /** Returns at most {@code count} customers in descending order of units charged. */
+  public List<Long> heaviest(int count) {
+    List<Map.Entry<Long, Long>> totals = new ArrayList<>();
+    for (var customer : unitsBySecond.entrySet()) {
+      totals.add(Map.entry(customer.getKey(),
+          customer.getValue().values().stream().mapToLong(Long::longValue).sum()));
     }
-    all.sort((a, b) -> a.getValue().equals(b.getValue()) ? Long.compare(a.getKey(), b.getKey())
-        : Long.compare(b.getValue(), a.getValue()));
-    return all.stream().limit(n).map(Map.Entry::getKey).toList();
+    totals.sort((left, right) -> left.getValue().equals(right.getValue())
+        ? Long.compare(left.getKey(), right.getKey())
+        : Long.compare(right.getValue(), left.getValue()));
+    return totals.stream().limit(count).map(Map.Entry::getKey).toList();
   }
 }
--- a/src/main/java/saltlatch/lab/plan/Links.java
+++ b/src/main/java/saltlatch/lab/plan/Links.java
@@ -9,91 +9,102 @@
 import saltlatch.lab.scenario.Scenario.LinkFault;
 
 /**
- * What becomes of traffic between two endpoints by the scenario's link faults, each direction on
- * its own. No I/O, no clock; every link draws from a generator of its own, so one link's traffic
- * does not change another's fate.
+ * Applies the scenario's link faults to the traffic between two endpoints, separately for each
+ * direction. It does no I/O and reads no clock. Each direction of a link has its own random
+ * generator, so that the traffic of one link does not change the losses and delays of another.
  */
 public final class Links {
-  // ms: a lost TCP segment comes a least retransmission time-out later
-  private static final double RESENT_MS = 200;
+  // A lost TCP segment arrives later by at least the minimum retransmission time-out.
+  private static final double RETRANSMISSION_MS = 200;
 
   private record Rule(LinkFault fault, Group from, Group to) {
-    boolean touches(String a, String b) {
-      return (from.holds(a) && to.holds(b)) || (!fault.oneWay() && from.holds(b) && to.holds(a));
+    boolean touches(String sender, String receiver) {
+      return (from.holds(sender) && to.holds(receiver))
+          || (!fault.oneWay() && from.holds(receiver) && to.holds(sender));
     }
   }
 
   private final List<Rule> rules = new ArrayList<>();
-  private final Map<String, SplittableRandom> chances = new HashMap<>();
+  private final Map<String, SplittableRandom> generators = new HashMap<>();
   private final long seed;
 
+  /** Creates the links of one run; losses and random delays are drawn from {@code seed}. */
   public Links(List<LinkFault> faults, long seed) {
     this.seed = seed;
-    for (LinkFault f : faults) rules.add(new Rule(f, Group.of(f.from()), Group.of(f.to())));
+    for (LinkFault fault : faults) {
+      rules.add(new Rule(fault, Group.of(fault.from()), Group.of(fault.to())));
+    }
   }
 
   /**
-   * Whether any fault ever touches this pair, in either direction: only such links need a relay.
+   * Returns whether any fault affects this pair of endpoints at any time, in either direction. Only
+   * such links need a relay.
    */
-  public boolean everTouches(String a, String b) {
-    return rules.stream().anyMatch(r -> r.touches(a, b) || r.touches(b, a));
+  public boolean everTouches(String one, String other) {
+    return rules.stream().anyMatch(rule -> rule.touches(one, other) || rule.touches(other, one));
   }
 
   /**
-   * Nothing gets from {@code a} to {@code b} at {@code ms}: a cut, or the dead half of a flapping
-   * link's period.
+   * Returns whether the link from {@code sender} to {@code receiver} carries nothing at {@code ms}
+   * since the start: it is cut, or it is flapping and in the first half of a period.
    */
-  public boolean cut(String a, String b, double ms) {
-    for (Rule r : rules) {
-      LinkFault f = r.fault;
-      if (!f.holds(ms) || !r.touches(a, b)) continue;
-      if (f.kind().equals("cut")) return true;
-      if (f.kind().equals("flap") && (ms - f.atS() * 1000) % f.periodMs() < f.periodMs() / 2)
+  public boolean cut(String sender, String receiver, double ms) {
+    for (Rule rule : rules) {
+      LinkFault fault = rule.fault;
+      if (!fault.holds(ms) || !rule.touches(sender, receiver)) continue;
+      if (fault.kind().equals("cut")) return true;
+      if (fault.kind().equals("flap")
+          && (ms - fault.atS() * 1000) % fault.periodMs() < fault.periodMs() / 2)
         return true;
     }
     return false;
   }
 
-  /** The delays in ms of the copies of a datagram that get through, none if it is lost. */
-  public List<Double> datagram(String a, String b, double ms) {
-    List<Double> copies = new ArrayList<>();
-    if (cut(a, b, ms)) return copies;
-    copies.add(0.0);
-    SplittableRandom chance = chance(a, b);
-    for (Rule r : rules) {
-      LinkFault f = r.fault;
-      if (!f.holds(ms) || !r.touches(a, b)) continue;
-      switch (f.kind()) {
-        case "loss" -> copies.removeIf(d -> chance.nextDouble() < f.share());
-        case "delay" -> copies.replaceAll(d -> d + f.extraMs());
-        case "reorder" -> copies.replaceAll(
-            d -> chance.nextDouble() < f.share() ? d + f.extraMs() * chance.nextDouble() : d);
+  /**
+   * Returns the delay in ms of each copy of a datagram that arrives; the list is empty if the
+   * datagram is lost.
+   */
+  public List<Double> datagram(String sender, String receiver, double ms) {
+    List<Double> delaysMs = new ArrayList<>();
+    if (cut(sender, receiver, ms)) return delaysMs;
+    delaysMs.add(0.0);
+    SplittableRandom random = generator(sender, receiver);
+    for (Rule rule : rules) {
+      LinkFault fault = rule.fault;
+      if (!fault.holds(ms) || !rule.touches(sender, receiver)) continue;
+      switch (fault.kind()) {
+        case "loss" -> delaysMs.removeIf(delayMs -> random.nextDouble() < fault.share());
+        case "delay" -> delaysMs.replaceAll(delayMs -> delayMs + fault.extraMs());
+        case "reorder" -> delaysMs.replaceAll(delayMs -> random.nextDouble() < fault.share()
+            ? delayMs + fault.extraMs() * random.nextDouble() : delayMs);
         case "duplicate" -> {
-          if (!copies.isEmpty() && chance.nextDouble() < f.share())
-            copies.add(copies.get(0) + f.extraMs());
+          if (!delaysMs.isEmpty() && random.nextDouble() < fault.share())
+            delaysMs.add(delaysMs.get(0) + fault.extraMs());
         }
         default -> {}
       }
     }
-    return copies;
+    return delaysMs;
   }
 
   /**
-   * The delay in ms of bytes on a TCP connection, whose order holds: a lost segment is sent again.
+   * Returns the delay in ms of bytes on a TCP connection. TCP keeps the order and sends a lost
+   * segment again, so a loss only adds the retransmission time-out.
    */
-  public double stream(String a, String b, double ms) {
-    double delay = 0;
-    for (Rule r : rules) {
-      LinkFault f = r.fault;
-      if (!f.holds(ms) || !r.touches(a, b)) continue;
-      if (f.kind().equals("delay")) delay += f.extraMs();
-      if (f.kind().equals("loss") && chance(a, b).nextDouble() < f.share()) delay += RESENT_MS;
+  public double stream(String sender, String receiver, double ms) {
+    double delayMs = 0;
+    for (Rule rule : rules) {
+      LinkFault fault = rule.fault;
+      if (!fault.holds(ms) || !rule.touches(sender, receiver)) continue;
+      if (fault.kind().equals("delay")) delayMs += fault.extraMs();
+      if (fault.kind().equals("loss") && generator(sender, receiver).nextDouble() < fault.share())
+        delayMs += RETRANSMISSION_MS;
     }
-    return delay;
+    return delayMs;
   }
 
-  private SplittableRandom chance(String a, String b) {
-    return chances.computeIfAbsent(a + ">" + b,
-        k -> new SplittableRandom(seed * 0x9E3779B97F4A7C15L + k.hashCode()));
+  private SplittableRandom generator(String sender, String receiver) {
+    return generators.computeIfAbsent(sender + ">" + receiver,
+        key -> new SplittableRandom(seed * 0x9E3779B97F4A7C15L + key.hashCode()));
   }
 }
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -7,11 +7,11 @@
 import saltlatch.lab.scenario.Scenario.ProcessFault;
 
 /**
- * The scenario's process faults as single steps in order of time, all of one instant together. No
- * I/O.
+ * Turns the scenario's process faults into single steps in order of time; one step acts on all its
+ * nodes at once. The class does no I/O.
  */
 public final class Timeline {
-  /** What is done to a process. */
+  /** An action on a node's process. */
   public enum Action {
     KILL,
     TERM,
@@ -21,37 +21,42 @@
     START_OLD
   }
 
-  /** At {@code atMs} from the load's start, to these nodes at once. */
+  /** An action on all the {@code nodes} at once, {@code atMs} after the load's start. */
   public record Step(double atMs, Action action, List<Integer> nodes) {}
 
   private Timeline() {}
 
-  public static List<Step> of(List<ProcessFault> faults, int nodes) {
+  /** Returns the steps of the faults for a run with {@code nodeCount} nodes, in order of time. */
+  public static List<Step> of(List<ProcessFault> faults, int nodeCount) {
     List<Step> steps = new ArrayList<>();
-    for (ProcessFault f : faults) {
-      List<Integer> hit = Group.of(f.nodes()).nodes(nodes);
-      if (f.stepS() <= 0) {
-        add(steps, f, f.atS() * 1000, hit);
+    for (ProcessFault fault : faults) {
+      List<Integer> affected = Group.of(fault.nodes()).nodes(nodeCount);
+      if (fault.stepS() <= 0) {
+        add(steps, fault, fault.atS() * 1000, affected);
         continue;
       }
-      for (int i = 0; i < hit.size(); i++)
-        add(steps, f, (f.atS() + i * f.stepS()) * 1000, List.of(hit.get(i)));
+      for (int i = 0; i < affected.size(); i++)
+        add(steps, fault, (fault.atS() + i * fault.stepS()) * 1000, List.of(affected.get(i)));
     }
-    // stable: the faults' order holds within an instant
+    // The sort is stable: steps at the same time stay in the order of the faults.
     steps.sort(Comparator.comparingDouble(Step::atMs));
     return steps;
   }
 
-  private static void add(List<Step> steps, ProcessFault f, double at, List<Integer> hit) {
-    switch (f.kind()) {
-      case "kill" -> steps.add(new Step(at, Action.KILL, hit));
-      case "term" -> steps.add(new Step(at, Action.TERM, hit));
+  private static void add(List<Step> steps, ProcessFault fault, double atMs,
+      List<Integer> affected) {
+    switch (fault.kind()) {
+      case "kill" -> steps.add(new Step(atMs, Action.KILL, affected));
+      case "term" -> steps.add(new Step(atMs, Action.TERM, affected));
       default -> {
-        steps.add(new Step(at, Action.STOP, hit));
-        if (f.forS() > 0) steps.add(new Step(at + f.forS() * 1000, Action.CONT, hit));
+        steps.add(new Step(atMs, Action.STOP, affected));
+        if (fault.forS() > 0)
+          steps.add(new Step(atMs + fault.forS() * 1000, Action.CONT, affected));
       }
     }
-    if (f.restart()) steps
-        .add(new Step(at + f.backS() * 1000, f.oldConfig() ? Action.START_OLD : Action.START, hit));
+    if (fault.restart()) {
+      steps.add(new Step(atMs + fault.backS() * 1000,
+          fault.oldConfig() ? Action.START_OLD : Action.START, affected));
+    }
   }
 }
