--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -10,151 +10,167 @@
 import java.util.List;
 
 /**
- * A laboratory scenario, read from TOML (docs/lab.md gives the format). Times are seconds
- * ({@code _s}) or milliseconds ({@code _ms}) as the name says; rates are a second. Unknown keys are
- * an error, so a misspelt fault does not pass quietly.
+ * A laboratory scenario, read from TOML (docs/lab.md describes the format). Times are in seconds
+ * ({@code _s}) or milliseconds ({@code _ms}) as the suffix of the key says; rates are per second.
+ * Unknown keys are an error, so that a misspelt key is reported and not ignored.
  *
- * @param name what the run is called in its report
- * @param seed the one seed of every chance in the run: offered schedule, latencies, losses
- * @param seconds how long the load is offered
- * @param nodes edge nodes started by {@code lab}
+ * @param name the name of the run in its report
+ * @param seed the only seed of the run, from which the offered schedule, the latencies and the
+ *     losses are drawn
+ * @param seconds how long load is offered
+ * @param nodes the number of edge nodes started by {@code lab}
  */
 public record Scenario(String name, long seed, double seconds, int nodes, Servers servers,
     Counter counter, Discovery discovery, Peers peers, Load load, Plan plan, Plan oldPlan,
     LoadBalancer front, Processes processes, Links links, Bounds bounds, RandomFaults drawn) {
 
   /**
-   * Faults drawn from the seed: nodes killed and stopped from {@code at_s} on, then splits
-   * (lab.plan.Drawn).
+   * The number of faults to draw from the seed: from {@code at_s} on, nodes are killed and stopped,
+   * then the network is partitioned ({@code splits} times). {@code saltlatch.lab.plan.RandomFaults}
+   * draws them.
    */
   public record RandomFaults(int kills, int pauses, int splits, double atS) {}
 
   /**
-   * Stated bounds that a run is checked against: units beyond its quota for any customer; 0: not
-   * checked.
+   * The bounds that a run is checked against: {@code beyond_units} is the largest number of units
+   * that any customer may be charged beyond its quota, 0 for no check.
    */
   public record Bounds(double beyondUnits) {}
 
   /**
-   * A stand-in for the operators' front, which notices {@code notice_s} late that a node has died
-   * or hangs; 0: none.
+   * The emulated load balancer in front of the nodes. It detects that a node died or hangs after
+   * {@code notice_s}; 0 for no load balancer.
    */
   public record LoadBalancer(double noticeS) {}
 
-  /** Faults on the nodes' processes; child processes only. */
+  /** Faults of the nodes' processes; the nodes must run as child processes. */
   public record Processes(List<ProcessFault> faults) {}
 
-  /** Faults on what links processes, stand-ins and clients. */
+  /** Faults of the network links between nodes, emulated systems and clients. */
   public record Links(List<LinkFault> faults) {}
 
   /**
-   * {@code kill} (SIGKILL), {@code term} (SIGTERM) or {@code pause} (SIGSTOP, SIGCONT after
-   * {@code for_s}) of the group {@code nodes}, all at one instant or {@code step_s} apart
-   * (rolling). {@code restart}: started again under the same name {@code back_s} after that, with
-   * {@code old_plan} where {@code old_config} says so.
+   * A fault of the processes of the group {@code nodes}: {@code kill} (SIGKILL), {@code term}
+   * (SIGTERM) or {@code pause} (SIGSTOP, then SIGCONT after {@code for_s}). It affects all nodes at
+   * once, or one after another with {@code step_s} between them. If {@code restart} is set, each
+   * node is started again under the same name {@code back_s} after its fault, with the quota plan
+   * {@code old_plan} if {@code old_config} is set.
    */
   public record ProcessFault(String kind, double atS, double forS, String nodes, double stepS,
       boolean restart, double backS, boolean oldConfig) {}
 
   /**
+   * A fault of the links between two groups, in both directions unless {@code one_way} is set:
    * {@code cut}, {@code loss} ({@code share}), {@code delay} ({@code extra_ms}), {@code duplicate}
-   * and {@code reorder} ({@code share}, {@code extra_ms}; datagrams), {@code flap} (dead for the
-   * first half of each {@code period_ms}), between two groups, both ways unless {@code one_way}.
+   * and {@code reorder} ({@code share}, {@code extra_ms}; datagrams only), or {@code flap} (cut for
+   * the first half of each {@code period_ms}).
    */
   public record LinkFault(String kind, double atS, double forS, String from, String to,
       boolean oneWay, double share, double extraMs, double periodMs) {
+    /** Returns whether the fault is active at {@code ms} since the start. */
     public boolean holds(double ms) {
       return within(atS, forS, ms);
     }
   }
 
-  /** Whether a fault of that beginning and length (0 or less: to the end) holds at {@code ms}. */
+  /**
+   * Returns whether {@code ms} is within {@code forS} seconds from {@code atS} on. If {@code forS}
+   * is 0 or less, the interval has no end.
+   */
   private static boolean within(double atS, double forS, double ms) {
     return ms >= atS * 1000 && (forS <= 0 || ms < (atS + forS) * 1000);
   }
 
-  /** The same with another number of nodes. */
-  public Scenario withNodes(int n) {
-    return new Scenario(name, seed, seconds, n, servers, counter, discovery, peers, load, plan,
-        oldPlan, front, processes, links, bounds, drawn);
+  /** Returns a copy with {@code nodeCount} nodes. */
+  public Scenario withNodes(int nodeCount) {
+    return new Scenario(name, seed, seconds, nodeCount, servers, counter, discovery, peers, load,
+        plan, oldPlan, front, processes, links, bounds, drawn);
   }
 
-  /** The same with other faults on processes and links. */
-  public Scenario withFaults(List<ProcessFault> onProcesses, List<LinkFault> onLinks) {
+  /** Returns a copy that has only these faults of processes and links, and no drawn faults. */
+  public Scenario withFaults(List<ProcessFault> processFaults, List<LinkFault> linkFaults) {
     return new Scenario(name, seed, seconds, nodes, servers, counter, discovery, peers, load, plan,
-        oldPlan, front, new Processes(List.copyOf(onProcesses)), new Links(List.copyOf(onLinks)),
-        bounds, null);
+        oldPlan, front, new Processes(List.copyOf(processFaults)),
+        new Links(List.copyOf(linkFaults)), bounds, null);
   }
 
-  /** The same with another seed. */
-  public Scenario withSeed(long other) {
-    return new Scenario(name, other, seconds, nodes, servers, counter, discovery, peers, load, plan,
-        oldPlan, front, processes, links, bounds, drawn);
+  /** Returns a copy with the seed {@code newSeed}. */
+  public Scenario withSeed(long newSeed) {
+    return new Scenario(name, newSeed, seconds, nodes, servers, counter, discovery, peers, load,
+        plan, oldPlan, front, processes, links, bounds, drawn);
   }
 
-  /** The app servers: {@code count} of them, latency lognormal by median and 99th percentile. */
+  /**
+   * The {@code count} app servers. Their latency has a lognormal distribution with the given median
+   * and 99th percentile.
+   */
   public record Servers(int count, double medianMs, double p99Ms, int concurrency,
       double idleCloseMs, List<Fault> faults) {}
 
   /**
-   * The counter: its own latency, the calls a second that it serves in turn (0: all), the calls
-   * that may wait for that (more are turned away), and faults ({@code silent}, {@code slow},
-   * {@code refuse}, {@code empty}, {@code split}).
+   * The counter: its latency, the calls per second that it serves one after another (0 for no
+   * limit), the number of calls that may wait in the queue ({@code line}; further calls are
+   * rejected), and its faults ({@code silent}, {@code slow}, {@code refuse}, {@code empty},
+   * {@code split}).
    */
   public record Counter(double latencyMs, double callsPerSecond, int line, List<Fault> faults) {}
 
   /**
-   * Discovery: faults {@code late} (changes held back by {@code extra_ms}) and {@code stale} (the
-   * old list served).
+   * Discovery and its faults: {@code late} (changes are published {@code extra_ms} late) and
+   * {@code stale} (the old endpoint list is served).
    */
   public record Discovery(List<Fault> faults) {}
 
   /**
-   * Peer datagrams through the emulator's relay: share lost, extra delay up to {@code reorder_ms};
-   * {@code intake} a second that a node says it takes in (0: nodes tell each other nothing);
-   * {@code membership}: the nodes know each other.
+   * The datagrams between nodes, which pass through the emulator's relay: {@code loss} is the share
+   * lost, {@code reorder_ms} the upper bound of a random extra delay, {@code intake} the datagrams
+   * per second that a node's settings allow it to receive from its peers (0 disables gossip), and
+   * {@code membership} enables membership among the nodes.
    */
   public record Peers(double loss, double reorderMs, double intake, boolean membership) {}
 
   /**
-   * The offered load: {@code rate} reqs a second in all, Poisson, over {@code customers} with Zipf
-   * skew {@code zipf}; {@code submit_share} are non-replayable; {@code give_up_share} of clients
-   * leave at a {@code give_up_at} share of their client timeout; {@code eager_share} come back at
-   * once after a denial, up to {@code eager_tries} times.
+   * The offered load: Poisson arrivals of {@code rate} requests per second in total, over
+   * {@code customers} with Zipf skew {@code zipf}. The share {@code submit_share} of requests is
+   * non-replayable. The share {@code give_up_share} of clients closes its connection after the
+   * share {@code give_up_at} of its client timeout. The share {@code eager_share} retries
+   * immediately after a denial, up to {@code eager_tries} times.
    */
   public record Load(double rate, int customers, double zipf, double submitShare, int unitsMin,
       int unitsMax, double deadlineMs, double giveUpShare, double giveUpAt, double eagerShare,
       int eagerTries, int connectionsPerNode, List<Burst> bursts) {}
 
-  /** From {@code at_s} for {@code for_s} the offered rate is {@code factor} times the base. */
+  /** Multiplies the offered rate by {@code factor} for {@code for_s} from {@code at_s} on. */
   public record Burst(double atS, double forS, double factor) {}
 
   /**
-   * Every customer's plan: {@code rate} units a second refilled, {@code burst} units at most; the
-   * frontends' times.
+   * The quota plan of every customer: {@code rate} units are refilled per second, up to
+   * {@code burst} units. {@code aim_ms} and {@code deadline_ms} are the target latency and the
+   * deadline of the request classes.
    */
   public record Plan(double rate, double burst, double aimMs, double deadlineMs) {}
 
   /**
-   * One fault on a schedule. {@code first}/{@code count} pick app servers (count 0: all);
-   * {@code extra_ms} is added latency; {@code idle_ms} the idle time after which connections close;
-   * {@code ramp_s} a cold start's warm-up; {@code from} the share of capacity a cold server starts
-   * with; {@code groups} the nodes' split ({@code split}).
+   * One scheduled fault of the app servers, the counter or discovery. {@code first} and
+   * {@code count} select app servers (count 0 selects all); {@code extra_ms} is added latency;
+   * {@code idle_ms} is the idle time after which connections are closed; {@code ramp_s} is the
+   * warm-up time of a cold start and {@code from} the share of capacity at its beginning;
+   * {@code groups} is the number of groups into which a {@code split} divides the nodes.
    */
   public record Fault(String kind, double atS, double forS, int first, int count, double extraMs,
       double idleMs, double rampS, double from, int groups) {
-    /** True while the fault holds at {@code ms} since the start. */
+    /** Returns whether the fault is active at {@code ms} since the start. */
     public boolean holds(double ms) {
       return within(atS, forS, ms);
     }
 
-    /** True while any of the {@code faults} of this kind holds at {@code ms} since the start. */
+    /** Returns whether any of the faults of this kind is active at {@code ms} since the start. */
     public static boolean anyHolds(List<Fault> faults, String kind, double ms) {
-      for (Fault f : faults) if (f.kind.equals(kind) && f.holds(ms)) return true;
+      for (Fault fault : faults) if (fault.kind.equals(kind) && fault.holds(ms)) return true;
       return false;
     }
 
-    /** True if it touches app server {@code index}. */
+    /** Returns whether the fault affects app server {@code index}. */
     public boolean touches(int index) {
       return count <= 0 || (index >= first && index < first + count);
     }
@@ -167,19 +183,19 @@
       .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
 
   /**
-   * Reads a file; throws {@link IOException} with the line at fault, or
-   * {@link IllegalArgumentException} if out of range.
+   * Reads a scenario file. Throws {@link IOException} with the line number if the file is not valid
+   * TOML or has an unknown key, and {@link IllegalArgumentException} if a value is out of range.
    */
   public static Scenario read(Path path) throws IOException {
     return parse(Files.readString(path));
   }
 
-  /** Reads TOML text; defaults fill what is left out. */
+  /** Reads a scenario from TOML text; keys that are missing get their default values. */
   public static Scenario parse(String toml) throws IOException {
     return TOML.readValue(toml, Scenario.class).withDefaults();
   }
 
-  /** The scenario as JSON, kept in the run file. */
+  /** Returns the scenario as JSON, as stored in the run file. */
   public String json() {
     try {
       return JSON.writeValueAsString(this);
@@ -189,73 +205,108 @@
   }
 
   private Scenario withDefaults() {
-    Servers s = servers == null ? new Servers(4, 5, 30, 64, 0, List.of()) : servers;
-    s = new Servers(pos(s.count, 4), s.medianMs > 0 ? s.medianMs : 5,
-        s.p99Ms > 0 ? s.p99Ms : 6 * Math.max(1, s.medianMs), pos(s.concurrency, 64), s.idleCloseMs,
-        faults(s.faults));
-    Counter c = counter == null ? new Counter(0.2, 0, 0, List.of()) : new Counter(counter.latencyMs,
-        counter.callsPerSecond, pos(counter.line, 32), faults(counter.faults));
-    Discovery d = new Discovery(discovery == null ? List.of() : faults(discovery.faults));
-    Peers p = peers == null ? new Peers(0, 0, 0, false) : peers;
-    Load l = load == null ? new Load(100, 20, 1.0, 0.2, 1, 1, 3000, 0, 0.5, 0, 0, 64, List.of())
-        : load;
-    l = new Load(l.rate > 0 ? l.rate : 100, pos(l.customers, 20), l.zipf, l.submitShare,
-        pos(l.unitsMin, 1), Math.max(pos(l.unitsMin, 1), l.unitsMax),
-        l.deadlineMs > 0 ? l.deadlineMs : 3000, l.giveUpShare, l.giveUpAt > 0 ? l.giveUpAt : 0.5,
-        l.eagerShare, l.eagerTries, pos(l.connectionsPerNode, 64),
-        l.bursts == null ? List.of() : List.copyOf(l.bursts));
-    Plan q = plan == null ? new Plan(20, 100, 1000, 3000) : plan;
-    Scenario out = new Scenario(name == null ? "unnamed" : name, seed, seconds > 0 ? seconds : 20,
-        pos(nodes, 1), s, c, d, p, l, q, oldPlan == null ? q : oldPlan,
+    Servers givenServers = servers == null ? new Servers(4, 5, 30, 64, 0, List.of()) : servers;
+    Servers newServers = new Servers(positiveOr(givenServers.count, 4),
+        givenServers.medianMs > 0 ? givenServers.medianMs : 5,
+        givenServers.p99Ms > 0 ? givenServers.p99Ms : 6 * Math.max(1, givenServers.medianMs),
+        positiveOr(givenServers.concurrency, 64), givenServers.idleCloseMs,
+        copyOf(givenServers.faults));
+    Counter newCounter = counter == null ? new Counter(0.2, 0, 0, List.of())
+        : new Counter(counter.latencyMs, counter.callsPerSecond, positiveOr(counter.line, 32),
+            copyOf(counter.faults));
+    Discovery newDiscovery = new Discovery(
+        discovery == null ? List.of() : copyOf(discovery.faults));
+    Peers newPeers = peers == null ? new Peers(0, 0, 0, false) : peers;
+    Load givenLoad = load == null
+        ? new Load(100, 20, 1.0, 0.2, 1, 1, 3000, 0, 0.5, 0, 0, 64, List.of()) : load;
+    Load newLoad = new Load(givenLoad.rate > 0 ? givenLoad.rate : 100,
+        positiveOr(givenLoad.customers, 20), givenLoad.zipf, givenLoad.submitShare,
+        positiveOr(givenLoad.unitsMin, 1),
+        Math.max(positiveOr(givenLoad.unitsMin, 1), givenLoad.unitsMax),
+        givenLoad.deadlineMs > 0 ? givenLoad.deadlineMs : 3000, givenLoad.giveUpShare,
+        givenLoad.giveUpAt > 0 ? givenLoad.giveUpAt : 0.5, givenLoad.eagerShare,
+        givenLoad.eagerTries, positiveOr(givenLoad.connectionsPerNode, 64),
+        givenLoad.bursts == null ? List.of() : List.copyOf(givenLoad.bursts));
+    Plan newPlan = plan == null ? new Plan(20, 100, 1000, 3000) : plan;
+    Scenario complete = new Scenario(name == null ? "unnamed" : name, seed,
+        seconds > 0 ? seconds : 20, positiveOr(nodes, 1), newServers, newCounter, newDiscovery,
+        newPeers, newLoad, newPlan, oldPlan == null ? newPlan : oldPlan,
         front == null ? new LoadBalancer(0) : front,
         new Processes(processes == null || processes.faults == null ? List.of()
             : List.copyOf(processes.faults)),
         new Links(links == null || links.faults == null ? List.of() : List.copyOf(links.faults)),
         bounds == null ? new Bounds(0) : bounds, drawn);
-    out.check();
-    return out;
+    complete.check();
+    return complete;
   }
 
   private void check() {
-    must(nodes <= 64, "nodes: at most 64");
-    must(servers.count <= 256, "servers.count: at most 256");
-    must(load.rate <= 50_000, "load.rate: at most 50000 a second");
-    must(load.submitShare >= 0 && load.submitShare <= 1, "load.submit_share: a share from 0 to 1");
-    must(!peers.membership || peers.intake > 0, "peers.membership wants peers.intake above 0");
-    must(peers.loss >= 0 && peers.loss <= 1, "peers.loss: a share from 0 to 1");
-    for (ProcessFault f : processes.faults) {
-      must(List.of("kill", "term", "pause").contains(f.kind),
-          "processes.faults: kind not known: " + f.kind);
-      must(f.nodes != null && !Group.of(f.nodes).nodes(nodes).isEmpty(),
-          "processes.faults: no such nodes: " + f.nodes);
+    require(nodes <= MAX_NODES, "nodes must be at most " + MAX_NODES + ", found " + nodes);
+    require(servers.count <= MAX_SERVERS,
+        "servers.count must be at most " + MAX_SERVERS + ", found " + servers.count);
+    require(load.rate <= MAX_RATE,
+        "load.rate must be at most " + MAX_RATE + " requests per second, found " + load.rate);
+    require(load.submitShare >= 0 && load.submitShare <= 1,
+        "load.submit_share must be from 0 to 1, found " + load.submitShare);
+    require(!peers.membership || peers.intake > 0,
+        "peers.intake must be above 0 if peers.membership is true, found " + peers.intake);
+    require(peers.loss >= 0 && peers.loss <= 1,
+        "peers.loss must be from 0 to 1, found " + peers.loss);
+    for (ProcessFault fault : processes.faults) {
+      require(PROCESS_FAULT_KINDS.contains(fault.kind), "the kind of processes.faults must be one"
+          + " of " + PROCESS_FAULT_KINDS + ", found " + quote(fault.kind));
+      require(fault.nodes != null && !Group.of(fault.nodes).nodes(nodes).isEmpty(),
+          "the nodes of processes.faults must name at least one of the " + nodes + " nodes, found "
+              + quote(fault.nodes));
     }
-    for (LinkFault f : links.faults) {
-      must(List.of("cut", "loss", "delay", "duplicate", "reorder", "flap").contains(f.kind),
-          "links.faults: kind not known: " + f.kind);
-      must(f.from != null && f.to != null, "links.faults: from and to");
-      Group.of(f.from);
-      Group.of(f.to);
-      must(!f.kind.equals("flap") || f.periodMs > 0, "links.faults: flap wants period_ms");
+    for (LinkFault fault : links.faults) {
+      require(LINK_FAULT_KINDS.contains(fault.kind), "the kind of links.faults must be one of "
+          + LINK_FAULT_KINDS + ", found " + quote(fault.kind));
+      require(fault.from != null && fault.to != null,
+          "links.faults must have both from and to, found from " + quote(fault.from) + " and to "
+              + quote(fault.to));
+      Group.of(fault.from);
+      Group.of(fault.to);
+      require(!fault.kind.equals("flap") || fault.periodMs > 0,
+          "the period_ms of a flap in links.faults must be above 0, found " + fault.periodMs);
     }
-    must(plan.rate > 0 && plan.burst > 0, "plan: rate and burst above 0");
-    for (List<Fault> fs : List.of(servers.faults, counter.faults, discovery.faults)) {
-      for (Fault f : fs) must(KINDS.contains(f.kind), "fault kind not known: " + f.kind);
+    require(plan.rate > 0 && plan.burst > 0, "plan.rate and plan.burst must be above 0, found rate "
+        + plan.rate + " and burst " + plan.burst);
+    for (List<Fault> faults : List.of(servers.faults, counter.faults, discovery.faults)) {
+      for (Fault fault : faults) {
+        require(KINDS.contains(fault.kind),
+            "the kind of a fault must be one of " + KINDS + ", found " + quote(fault.kind));
+      }
     }
   }
 
-  /** Every kind of fault that the emulator plays. */
+  /** The kinds of faults that the emulator supports. */
   public static final List<String> KINDS = List.of("slow", "pause", "fail_fast", "spoil",
       "idle_close", "cold_start", "refuse", "silent", "empty", "split", "late", "stale");
+  private static final List<String> PROCESS_FAULT_KINDS = List.of("kill", "term", "pause");
+  private static final List<String> LINK_FAULT_KINDS = List.of("cut", "loss", "delay", "duplicate",
+      "reorder", "flap");
+  private static final int MAX_NODES = 64;
+  private static final int MAX_SERVERS = 256;
+  private static final int MAX_RATE = 50_000; // requests per second
+  // Limits the part of a scenario's text that an error message repeats.
+  private static final int MAX_QUOTED_CHARS = 64;
+
+  private static List<Fault> copyOf(List<Fault> faults) {
+    return faults == null ? List.of() : List.copyOf(faults);
+  }
 
-  private static List<Fault> faults(List<Fault> list) {
-    return list == null ? List.of() : List.copyOf(list);
+  private static int positiveOr(int value, int defaultValue) {
+    return value > 0 ? value : defaultValue;
   }
 
-  private static int pos(int v, int otherwise) {
-    return v > 0 ? v : otherwise;
+  /** Returns a value of the scenario for an error message, limited in length. */
+  static String quote(String value) {
+    if (value == null) return "none";
+    return '"' + value.substring(0, Math.min(value.length(), MAX_QUOTED_CHARS)) + '"';
   }
 
-  private static void must(boolean ok, String what) {
-    if (!ok) throw new IllegalArgumentException("scenario: " + what);
+  private static void require(boolean valid, String message) {
+    if (!valid) throw new IllegalArgumentException("scenario: " + message);
   }
 }
