--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -28,126 +28,143 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * The open-loop load: each arrival of the fixed schedule is sent at its time whatever earlier
- * answers do, as RESP2 clients speak to edge nodes
- * ({@code SVC.QUERY}/{@code SVC.SUBMIT CUSTOMER ID TERMS [BODY]}). A customer's reqs go round its
- * set of nodes (all nodes, from {@code customer mod nodes}). A try takes an idle connection of its
- * node, or opens one up to {@code connections_per_node}, else waits behind the shortest queue.
- * Clients that give up early close their own connection; at the client timeout the client closes
- * too. Eager clients send again at once after a denial, with a new id and {@code r=1}. One event
- * loop of its own; latencies in HdrHistogram.
+ * An open-loop load generator. It sends each arrival of the fixed schedule at its time, regardless
+ * of the answers to earlier requests, to edge nodes in RESP2
+ * ({@code SVC.QUERY}/{@code SVC.SUBMIT CUSTOMER ID TERMS [BODY]}). The requests of a customer go
+ * round-robin to the nodes of its set, which is all nodes, from {@code customer mod nodes} on. An
+ * attempt uses an idle connection to its node. If there is none, it opens a connection, up to
+ * {@code connections_per_node}; beyond that it waits on the connection with the shortest queue.
+ * Clients that give up early have a connection of their own and close it; a client also closes its
+ * connection at the client timeout. Eager clients send a denied request again immediately, with a
+ * new id and {@code r=1}. The generator runs on one event loop and records latencies in
+ * HdrHistogram.
  */
 public final class LoadRunner {
-  // the loop looks for due arrivals this often, besides the pacer's wake-ups
+  // Interval at which the event loop checks for due arrivals, in addition to the pacer's wake-ups.
   private static final long TICK_MS = 1;
-  // the pacer parks until this much before an arrival, then spins: park overshoots
+  // The pacer parks until this long before an arrival and then spins, because park overshoots.
   private static final long SPIN_US = 80;
-  // between the front's looks at a node: fine beside a notice of seconds
+  // Interval between the load balancer's PINGs to a node: short compared with its detection time,
+  // which is in the order of seconds.
   private static final long PING_MS = 250;
-  // connections to a node: clients behind a front open more when all are busy
-  private static final int FRONT_LINKS = 256;
-  // part of the burst unused that makes a denial one with room: nearer is the edge
-  private static final double ROOM = 0.5;
+  // Maximum connections to one node if there is a load balancer. It is higher than usual because a
+  // load balancer opens more connections when all are busy.
+  private static final int MAX_BALANCER_CONNECTIONS = 256;
+  // A denial counts as one with room if, had the request passed, at least this fraction of the
+  // burst would have remained. Closer to the quota, a denial may be correct.
+  private static final double ROOM_FRACTION = 0.5;
   private static final long HIGHEST_US = 120_000_000; // the histograms' range: two minutes
-  // the sender's lateness is kept apart for the first 2 s: JIT, connects
-  private static final long WARM_US = 2_000_000;
+  // The sender's lateness in the first 2 s is recorded separately, because JIT compilation and new
+  // connections increase it.
+  private static final long WARM_UP_US = 2_000_000;
 
-  private final Scenario s;
+  private final Scenario scenario;
   private final List<Arrival> schedule;
   private final List<Integer> nodePorts;
   private final LabClock clock;
   private final Vertx vertx;
   private final NetClient net;
-  private final List<List<Conn>> conns = new ArrayList<>();
-  private final int[] turn;
+  private final List<List<Connection>> connectionsByNode = new ArrayList<>();
+  // For each first node of a set, the number of requests sent so far: the round-robin position.
+  private final int[] nextOffset;
   private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-  private final Histogram passed = new Histogram(HIGHEST_US, 3);
-  private final Histogram answered = new Histogram(HIGHEST_US, 3);
-  private final Histogram late = new Histogram(HIGHEST_US, 3);
-  private final Histogram lateWarming = new Histogram(HIGHEST_US, 3);
-  private final TreeMap<Long, long[]> perSecond = new TreeMap<>();
-  private final TreeMap<Long, Histogram> perSecondLatency = new TreeMap<>();
-  // customer -> {units passed, first ms}
+  private final Histogram passedLatency = new Histogram(HIGHEST_US, 3);
+  private final Histogram answeredLatency = new Histogram(HIGHEST_US, 3);
+  private final Histogram senderLateness = new Histogram(HIGHEST_US, 3);
+  private final Histogram senderLatenessWarmUp = new Histogram(HIGHEST_US, 3);
+  private final TreeMap<Long, long[]> outcomesPerSecond = new TreeMap<>();
+  private final TreeMap<Long, Histogram> latencyPerSecond = new TreeMap<>();
+  // customer -> {units passed, ms of its first passed request}
   private final Map<Long, double[]> customerUse = new HashMap<>();
   private final List<String> passedIds = new ArrayList<>();
   private volatile long startUs;
   private volatile boolean pacing = true;
-  private int next;
-  private long tries;
-  private long open;
-  private long retryAfter;
+  private int nextArrival;
+  private long attempts;
+  private long openAttempts;
+  private long deniedWithRetryAfter;
   private long deniedWithRoom;
   private Promise<Void> done;
 
-  /** One try in flight. */
-  private static final class Try {
-    final Arrival a;
+  /** One request as sent to a node, until it ends. */
+  private static final class Attempt {
+    final Arrival arrival;
     final String id;
     final int node;
-    final int triesLeft;
+    final int retriesLeft;
     final long dueUs;
-    Conn conn;
-    boolean over;
+    Connection connection;
+    boolean ended;
 
-    Try(Arrival a, String id, int node, int triesLeft, long dueUs) {
-      this.a = a;
+    Attempt(Arrival arrival, String id, int node, int retriesLeft, long dueUs) {
+      this.arrival = arrival;
       this.id = id;
       this.node = node;
-      this.triesLeft = triesLeft;
+      this.retriesLeft = retriesLeft;
       this.dueUs = dueUs;
     }
   }
 
-  /** A client connection to one node, with its tries in order. */
-  private static final class Conn {
+  /** A client connection to one node, with its unanswered attempts in order. */
+  private static final class Connection {
     final int node;
-    final ArrayDeque<Try> queue = new ArrayDeque<>();
-    final RespDecoder reader = new RespDecoder();
+    final ArrayDeque<Attempt> unanswered = new ArrayDeque<>();
+    final RespDecoder decoder = new RespDecoder();
     final List<Buffer> unsent = new ArrayList<>();
-    final boolean own; // opened for a client that will close it
+    final boolean exclusive; // used only by one client, which closes it when it gives up
     NetSocket socket;
     boolean closed;
 
-    Conn(int node, boolean own) {
+    Connection(int node, boolean exclusive) {
       this.node = node;
-      this.own = own;
+      this.exclusive = exclusive;
     }
 
-    void send(Try t, Buffer b) {
-      queue.addLast(t);
-      t.conn = this;
-      if (socket != null) socket.write(b);
-      else unsent.add(b);
+    void send(Attempt attempt, Buffer command) {
+      unanswered.addLast(attempt);
+      attempt.connection = this;
+      if (socket != null) socket.write(command);
+      else unsent.add(command);
     }
   }
 
-  private final LoadBalancer loadBalancer; // null: reqs go round all nodes, dead ones too
+  // null: requests go round-robin to all nodes, including failed ones
+  private final LoadBalancer loadBalancer;
   private final Pinger[] pingers;
-  private final HistoryWriter history; // null: none is kept
+  private final HistoryWriter history; // null: no history is written
 
-  public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock) {
-    this(s, schedule, nodePorts, clock, null);
+  /** Creates a load generator that writes no history. */
+  public LoadRunner(Scenario scenario, List<Arrival> schedule, List<Integer> nodePorts,
+      LabClock clock) {
+    this(scenario, schedule, nodePorts, clock, null);
   }
 
-  public LoadRunner(Scenario s, List<Arrival> schedule, List<Integer> nodePorts, LabClock clock,
-      HistoryWriter history) {
+  /**
+   * Creates a load generator that sends the schedule to the nodes at {@code nodePorts} on loopback.
+   * If {@code history} is null, it writes no history.
+   */
+  public LoadRunner(Scenario scenario, List<Arrival> schedule, List<Integer> nodePorts,
+      LabClock clock, HistoryWriter history) {
     this.history = history;
-    this.loadBalancer = s.front().noticeS() > 0
-        ? new LoadBalancer(nodePorts.size(), s.front().noticeS() * 1000) : null;
+    this.loadBalancer = scenario.front().noticeS() > 0
+        ? new LoadBalancer(nodePorts.size(), scenario.front().noticeS() * 1000) : null;
     this.pingers = new Pinger[loadBalancer == null ? 0 : nodePorts.size()];
-    this.s = s;
+    this.scenario = scenario;
     this.schedule = schedule;
     this.nodePorts = nodePorts;
     this.clock = clock;
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
         .setPreferNativeTransport(true));
     net = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000).setTcpNoDelay(true));
-    for (int i = 0; i < nodePorts.size(); i++) conns.add(new ArrayList<>());
-    turn = new int[nodePorts.size()];
-    for (Outcome o : Outcome.values()) outcomes.put(o, 0L);
+    for (int i = 0; i < nodePorts.size(); i++) connectionsByNode.add(new ArrayList<>());
+    nextOffset = new int[nodePorts.size()];
+    for (Outcome outcome : Outcome.values()) outcomes.put(outcome, 0L);
   }
 
-  /** The front's look at one node: PING on a connection of its own, opened again when it ends. */
+  /**
+   * The load balancer's health check of one node: PING on a separate connection, which is opened
+   * again after it ends.
+   */
   private final class Pinger {
     final int node;
     NetSocket socket;
@@ -164,12 +181,13 @@
       }
       if (opening) return;
       opening = true;
-      net.connect(nodePorts.get(node), "127.0.0.1").onComplete(r -> {
+      net.connect(nodePorts.get(node), "127.0.0.1").onComplete(connected -> {
         opening = false;
-        if (r.failed()) return;
-        socket = r.result();
-        socket.handler(b -> {
-          if (b.toString().startsWith("+PONG")) loadBalancer.recordPong(node, frontMs());
+        if (connected.failed()) return;
+        socket = connected.result();
+        socket.handler(data -> {
+          if (data.toString().startsWith("+PONG"))
+            loadBalancer.recordPong(node, loadBalancerNowMs());
         });
         socket.closeHandler(v -> socket = null);
         ping();
@@ -177,28 +195,35 @@
     }
   }
 
-  /** The front's own clock, which the beginning of the run does not set. */
-  private static double frontMs() {
+  /**
+   * Returns the time of the load balancer's clock in ms. It is independent of {@link LabClock},
+   * which is set when the run begins.
+   */
+  private static double loadBalancerNowMs() {
     return System.nanoTime() / 1e6;
   }
 
-  /** Done once the front has taken every node in; at once where there is none. */
+  /**
+   * Returns a future that completes once the load balancer has found every node healthy, or
+   * immediately if there is no load balancer.
+   */
   public Future<Void> ready() {
-    Promise<Void> in = Promise.promise();
+    Promise<Void> allHealthy = Promise.promise();
     if (loadBalancer == null) return Future.succeededFuture();
     vertx.getOrCreateContext().runOnContext(v -> {
       for (int i = 0; i < pingers.length; i++) pingers[i] = new Pinger(i);
-      vertx.setPeriodic(PING_MS, t -> {
-        for (Pinger p : pingers) p.ping();
+      vertx.setPeriodic(PING_MS, timer -> {
+        for (Pinger pinger : pingers) pinger.ping();
         boolean all = true;
-        for (int i = 0; i < pingers.length; i++) all &= loadBalancer.isHealthy(i, frontMs());
-        if (all) in.tryComplete();
+        for (int i = 0; i < pingers.length; i++)
+          all &= loadBalancer.isHealthy(i, loadBalancerNowMs());
+        if (all) allHealthy.tryComplete();
       });
     });
-    return in.future();
+    return allHealthy.future();
   }
 
-  /** Sends the whole schedule, then waits for every try's end; done then. */
+  /** Sends the complete schedule; the returned future completes when every attempt has ended. */
   public Future<Void> run() {
     done = Promise.promise();
     io.vertx.core.Context loop = vertx.getOrCreateContext();
@@ -207,12 +232,15 @@
       Thread pacer = new Thread(() -> pace(loop), "lab-pacer");
       pacer.setDaemon(true);
       pacer.start();
-      vertx.setPeriodic(TICK_MS, t -> {
-        tick();
-        if (next >= schedule.size() && open == 0) {
+      vertx.setPeriodic(TICK_MS, timer -> {
+        sendDueArrivals();
+        if (nextArrival >= schedule.size() && openAttempts == 0) {
           pacing = false;
-          vertx.cancelTimer(t);
-          for (List<Conn> list : conns) for (Conn c : list) if (c.socket != null) c.socket.close();
+          vertx.cancelTimer(timer);
+          for (List<Connection> connections : connectionsByNode) {
+            for (Connection connection : connections)
+              if (connection.socket != null) connection.socket.close();
+          }
           done.tryComplete();
         }
       });
@@ -221,244 +249,276 @@
   }
 
   /**
-   * Wakes the loop at each arrival's time, to the microsecond as far as the machine allows: parks
-   * until {@link #SPIN_US} before it, then spins. It only wakes the loop; the loop owns all state
-   * and sends.
+   * Wakes the event loop at each arrival's time, as close to the microsecond as the machine allows:
+   * parks until {@link #SPIN_US} before it, then spins. The pacer thread only wakes the event loop,
+   * which owns all state and sends the requests.
    */
   private void pace(io.vertx.core.Context loop) {
     for (int i = 0; i < schedule.size() && pacing; i++) {
-      long at = schedule.get(i).atUs();
-      long wait = at - (clock.nowUs() - startUs);
-      if (wait > SPIN_US) java.util.concurrent.locks.LockSupport.parkNanos((wait - SPIN_US) * 1000);
-      while (clock.nowUs() - startUs < at) Thread.onSpinWait();
-      while (i + 1 < schedule.size() && schedule.get(i + 1).atUs() <= at) i++;
-      loop.runOnContext(v -> tick());
+      long atUs = schedule.get(i).atUs();
+      long waitUs = atUs - (clock.nowUs() - startUs);
+      if (waitUs > SPIN_US)
+        java.util.concurrent.locks.LockSupport.parkNanos((waitUs - SPIN_US) * 1000);
+      while (clock.nowUs() - startUs < atUs) Thread.onSpinWait();
+      while (i + 1 < schedule.size() && schedule.get(i + 1).atUs() <= atUs) i++;
+      loop.runOnContext(v -> sendDueArrivals());
     }
   }
 
-  private void tick() {
-    long now = clock.nowUs() - startUs;
-    while (next < schedule.size() && schedule.get(next).atUs() <= now) {
-      Arrival a = schedule.get(next++);
-      (a.atUs() < WARM_US ? lateWarming : late)
-          .recordValue(Math.min(HIGHEST_US, Math.max(0, now - a.atUs())));
-      int node = nodeFor(a.customer());
-      Try t = new Try(a, a.id(), node, a.eagerTries(), a.atUs());
+  private void sendDueArrivals() {
+    long nowUs = clock.nowUs() - startUs;
+    while (nextArrival < schedule.size() && schedule.get(nextArrival).atUs() <= nowUs) {
+      Arrival arrival = schedule.get(nextArrival++);
+      (arrival.atUs() < WARM_UP_US ? senderLatenessWarmUp : senderLateness)
+          .recordValue(Math.min(HIGHEST_US, Math.max(0, nowUs - arrival.atUs())));
+      int node = nodeFor(arrival.customer());
+      Attempt attempt = new Attempt(arrival, arrival.id(), node, arrival.eagerTries(),
+          arrival.atUs());
       if (node >= 0) {
-        send(t, false);
+        send(attempt, false);
         continue;
       }
-      tries++; // the front has no node to deal it to
-      open++;
-      finish(t, Outcome.BROKEN, now);
+      attempts++; // the load balancer has no healthy node for it
+      openAttempts++;
+      finish(attempt, Outcome.BROKEN, nowUs);
     }
   }
 
   private int nodeFor(long customer) {
-    int k = nodePorts.size();
-    int first = (int) (customer % k);
-    if (loadBalancer != null) return loadBalancer.route(first, k, frontMs());
-    return (first + turn[first]++ % k) % k;
+    int nodeCount = nodePorts.size();
+    int first = (int) (customer % nodeCount);
+    if (loadBalancer != null) return loadBalancer.route(first, nodeCount, loadBalancerNowMs());
+    return (first + nextOffset[first]++ % nodeCount) % nodeCount;
   }
 
-  private void send(Try t, boolean repeat) {
-    tries++;
-    open++;
-    Arrival a = t.a;
-    int k = nodePorts.size();
-    String terms = "c=" + (a.submit() ? "write" : "read") + ",t=plan,d=" + a.deadlineMs()
-        + ",units=" + a.units() + ",spread=" + k + ",first=" + (a.customer() % k)
-        + (repeat ? ",r=1" : "");
-    List<String> words = new ArrayList<>(List.of(a.submit() ? "SVC.SUBMIT" : "SVC.QUERY",
-        String.format("%016x", a.customer()), t.id, terms));
-    if (a.submit()) words.add("progress-save");
-    Buffer b = Buffer.buffer().appendString("*" + words.size() + "\r\n");
-    for (String w : words) RespEncoder.appendBulk(b, w.getBytes(StandardCharsets.ISO_8859_1));
+  private void send(Attempt attempt, boolean retry) {
+    attempts++;
+    openAttempts++;
+    Arrival arrival = attempt.arrival;
+    int nodeCount = nodePorts.size();
+    String terms = "c=" + (arrival.submit() ? "write" : "read") + ",t=plan,d="
+        + arrival.deadlineMs() + ",units=" + arrival.units() + ",spread=" + nodeCount + ",first="
+        + (arrival.customer() % nodeCount) + (retry ? ",r=1" : "");
+    List<String> words = new ArrayList<>(List.of(arrival.submit() ? "SVC.SUBMIT" : "SVC.QUERY",
+        String.format("%016x", arrival.customer()), attempt.id, terms));
+    if (arrival.submit()) words.add("progress-save");
+    Buffer command = Buffer.buffer().appendString("*" + words.size() + "\r\n");
+    for (String word : words)
+      RespEncoder.appendBulk(command, word.getBytes(StandardCharsets.ISO_8859_1));
     if (history != null) {
-      history.add("sent", "id", t.id, "node", "n" + t.node, "customer", a.customer(), "units",
-          a.units(), "submit", a.submit(), "wait_ms", a.deadlineMs());
+      history.add("sent", "id", attempt.id, "node", "n" + attempt.node, "customer",
+          arrival.customer(), "units", arrival.units(), "submit", arrival.submit(), "wait_ms",
+          arrival.deadlineMs());
     }
-    conn(t.node, a.abandonUs() > 0).send(t, b);
+    connectionFor(attempt.node, arrival.abandonUs() > 0).send(attempt, command);
     long nowMs = (clock.nowUs() - startUs) / 1000;
-    long deadlineMs = Math.max(1, t.dueUs / 1000 + a.deadlineMs() - nowMs);
-    vertx.setTimer(deadlineMs, x -> expire(t, Outcome.TIMED_OUT));
-    if (a.abandonUs() > 0) {
-      vertx.setTimer(Math.max(1, (t.dueUs + a.abandonUs()) / 1000 - nowMs),
-          x -> expire(t, Outcome.LEFT));
+    long timeoutMs = Math.max(1, attempt.dueUs / 1000 + arrival.deadlineMs() - nowMs);
+    vertx.setTimer(timeoutMs, timer -> abandon(attempt, Outcome.TIMED_OUT));
+    if (arrival.abandonUs() > 0) {
+      vertx.setTimer(Math.max(1, (attempt.dueUs + arrival.abandonUs()) / 1000 - nowMs),
+          timer -> abandon(attempt, Outcome.LEFT));
     }
   }
 
-  /** An idle connection of the node, else a new one under the cap, else the shortest queue. */
-  private Conn conn(int node, boolean own) {
-    List<Conn> list = conns.get(node);
-    if (!own) {
-      Conn best = null;
-      for (Conn c : list) {
-        if (c.closed || c.own) continue;
-        if (c.queue.isEmpty()) return c;
-        if (best == null || c.queue.size() < best.queue.size()) best = c;
+  /**
+   * Returns an idle connection to the node, or a new one if fewer than the maximum are open, or the
+   * connection with the shortest queue. An exclusive connection is always new.
+   */
+  private Connection connectionFor(int node, boolean exclusive) {
+    List<Connection> connections = connectionsByNode.get(node);
+    if (!exclusive) {
+      Connection leastLoaded = null;
+      for (Connection open : connections) {
+        if (open.closed || open.exclusive) continue;
+        if (open.unanswered.isEmpty()) return open;
+        if (leastLoaded == null || open.unanswered.size() < leastLoaded.unanswered.size())
+          leastLoaded = open;
       }
-      if (best != null
-          && list.size() >= (loadBalancer != null ? FRONT_LINKS : s.load().connectionsPerNode()))
-        return best;
+      if (leastLoaded != null && connections.size() >= (loadBalancer != null
+          ? MAX_BALANCER_CONNECTIONS : scenario.load().connectionsPerNode()))
+        return leastLoaded;
     }
-    Conn c = new Conn(node, own);
-    list.add(c);
-    net.connect(nodePorts.get(node), "127.0.0.1").onComplete(r -> {
-      if (r.failed()) {
-        broken(c);
+    Connection connection = new Connection(node, exclusive);
+    connections.add(connection);
+    net.connect(nodePorts.get(node), "127.0.0.1").onComplete(connected -> {
+      if (connected.failed()) {
+        connectionEnded(connection);
         return;
       }
-      NetSocket socket = r.result();
-      if (c.closed) {
+      NetSocket socket = connected.result();
+      if (connection.closed) {
         socket.close();
         return;
       }
-      c.socket = socket;
-      socket.handler(data -> read(c, data));
-      socket.closeHandler(v -> broken(c));
+      connection.socket = socket;
+      socket.handler(data -> read(connection, data));
+      socket.closeHandler(v -> connectionEnded(connection));
       socket.exceptionHandler(e -> socket.close());
-      for (Buffer b : c.unsent) socket.write(b);
-      c.unsent.clear();
+      for (Buffer command : connection.unsent) socket.write(command);
+      connection.unsent.clear();
     });
-    return c;
+    return connection;
   }
 
-  private void read(Conn c, Buffer data) {
-    c.reader.feed(data);
+  private void read(Connection connection, Buffer data) {
+    connection.decoder.feed(data);
     try {
-      for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) {
-        Try t = c.queue.pollFirst();
-        if (t == null) continue;
-        answered(t, r);
+      for (RespValue answer = connection.decoder.next(); answer != null; answer = connection.decoder
+          .next()) {
+        Attempt attempt = connection.unanswered.pollFirst();
+        if (attempt == null) continue;
+        recordAnswer(attempt, answer);
       }
     } catch (FramingException e) {
-      c.socket.close();
+      connection.socket.close();
     }
   }
 
-  private void answered(Try t, RespValue r) {
-    if (t.over) return;
-    long now = clock.nowUs() - startUs;
-    long latency = Math.min(HIGHEST_US, Math.max(0, now - t.dueUs));
-    answered.recordValue(latency);
-    Outcome o;
-    if ((r instanceof RespValue.Bulk b && b.bytes() != null)
-        || (r instanceof RespValue.Array m && m.elements() != null && !m.elements().isEmpty()
-            && m.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null)) {
-      o = Outcome.PASSED;
-      passed.recordValue(latency);
-      passedIds.add(t.id);
-      double[] use = customerUse.computeIfAbsent(t.a.customer(),
-          k -> new double[] {0, now / 1000.0});
-      use[0] += t.a.units();
-    } else if (r instanceof RespValue.Line l && l.type() == '-' && l.text().startsWith("BUSY")) {
-      o = Outcome.DENIED;
-      if (l.text().length() > 5) retryAfter++;
-      double[] use = customerUse.get(t.a.customer());
-      double allowance = s.plan().burst()
-          + (use == null ? 0 : s.plan().rate() * (now / 1000.0 - use[1]) / 1000);
-      if ((use == null ? 0 : use[0]) + t.a.units() <= allowance - ROOM * s.plan().burst())
-        deniedWithRoom++;
-    } else {
-      o = Outcome.ABORTED;
-    }
-    perSecondLatency.computeIfAbsent(now / 1_000_000, k -> new Histogram(HIGHEST_US, 2))
-        .recordValue(latency);
-    finish(t, o, now);
-    if (o == Outcome.DENIED && t.triesLeft > 0) {
-      send(new Try(t.a, t.id + "-r" + t.triesLeft, t.node, t.triesLeft - 1, now), true);
+  private void recordAnswer(Attempt attempt, RespValue answer) {
+    if (attempt.ended) return;
+    long nowUs = clock.nowUs() - startUs;
+    long latencyUs = Math.min(HIGHEST_US, Math.max(0, nowUs - attempt.dueUs));
+    answeredLatency.recordValue(latencyUs);
+    Arrival arrival = attempt.arrival;
+    Outcome outcome;
+    if ((answer instanceof RespValue.Bulk bulk && bulk.bytes() != null)
+        || (answer instanceof RespValue.Array array && array.elements() != null
+            && !array.elements().isEmpty()
+            && array.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null)) {
+      outcome = Outcome.PASSED;
+      passedLatency.recordValue(latencyUs);
+      passedIds.add(attempt.id);
+      double[] use = customerUse.computeIfAbsent(arrival.customer(),
+          customer -> new double[] {0, nowUs / 1000.0});
+      use[0] += arrival.units();
+    } else if (answer instanceof RespValue.Line line && line.type() == '-'
+        && line.text().startsWith("BUSY")) {
+          outcome = Outcome.DENIED;
+          if (line.text().length() > "BUSY ".length()) deniedWithRetryAfter++;
+          double[] use = customerUse.get(arrival.customer());
+          double burst = scenario.plan().burst();
+          double allowance = burst
+              + (use == null ? 0 : scenario.plan().rate() * (nowUs / 1000.0 - use[1]) / 1000);
+          if ((use == null ? 0 : use[0]) + arrival.units() <= allowance - ROOM_FRACTION * burst)
+            deniedWithRoom++;
+        } else {
+          outcome = Outcome.ABORTED;
+        }
+    latencyPerSecond.computeIfAbsent(nowUs / 1_000_000, second -> new Histogram(HIGHEST_US, 2))
+        .recordValue(latencyUs);
+    finish(attempt, outcome, nowUs);
+    if (outcome == Outcome.DENIED && attempt.retriesLeft > 0) {
+      send(new Attempt(arrival, attempt.id + "-r" + attempt.retriesLeft, attempt.node,
+          attempt.retriesLeft - 1, nowUs), true);
     }
   }
 
-  private void expire(Try t, Outcome o) {
-    if (t.over) return;
-    finish(t, o, clock.nowUs() - startUs);
-    Conn c = t.conn;
-    if (c != null) {
-      c.closed = true;
-      if (c.socket != null) c.socket.close();
-      else broken(c);
+  /** Ends an attempt whose client stops waiting, and closes the connection as the client does. */
+  private void abandon(Attempt attempt, Outcome outcome) {
+    if (attempt.ended) return;
+    finish(attempt, outcome, clock.nowUs() - startUs);
+    Connection connection = attempt.connection;
+    if (connection != null) {
+      connection.closed = true;
+      if (connection.socket != null) connection.socket.close();
+      else connectionEnded(connection);
     }
   }
 
-  private void broken(Conn c) {
-    c.closed = true;
-    conns.get(c.node).remove(c);
-    long now = clock.nowUs() - startUs;
-    for (Try t = c.queue.pollFirst(); t != null; t = c.queue.pollFirst())
-      if (!t.over) finish(t, Outcome.BROKEN, now);
+  private void connectionEnded(Connection connection) {
+    connection.closed = true;
+    connectionsByNode.get(connection.node).remove(connection);
+    long nowUs = clock.nowUs() - startUs;
+    for (Attempt attempt = connection.unanswered
+        .pollFirst(); attempt != null; attempt = connection.unanswered.pollFirst())
+      if (!attempt.ended) finish(attempt, Outcome.BROKEN, nowUs);
   }
 
-  private void finish(Try t, Outcome o, long nowUs) {
-    t.over = true;
-    open--;
-    outcomes.merge(o, 1L, Long::sum);
-    if (history != null)
-      history.add("got", "id", t.id, "node", "n" + t.node, "how", o.name(), "ms", nowUs / 1000);
-    long[] row = perSecond.computeIfAbsent(nowUs / 1_000_000, k -> new long[3]);
-    row[o == Outcome.PASSED ? 0 : o == Outcome.DENIED ? 1 : 2]++;
+  private void finish(Attempt attempt, Outcome outcome, long nowUs) {
+    attempt.ended = true;
+    openAttempts--;
+    outcomes.merge(outcome, 1L, Long::sum);
+    if (history != null) history.add("got", "id", attempt.id, "node", "n" + attempt.node, "how",
+        outcome.name(), "ms", nowUs / 1000);
+    long[] counts = outcomesPerSecond.computeIfAbsent(nowUs / 1_000_000, second -> new long[3]);
+    counts[outcome == Outcome.PASSED ? 0 : outcome == Outcome.DENIED ? 1 : 2]++;
   }
 
-  // ---- what the run file takes; read after run() is done
+  // The figures for the run file; they are complete once the future of run() has completed.
 
+  /** Returns the number of attempts, including the retries of eager clients. */
   public long attempts() {
-    return tries;
+    return attempts;
   }
 
+  /** Returns the number of attempts with each outcome. */
   public Map<Outcome, Long> outcomes() {
     return outcomes;
   }
 
+  /** Returns the number of denials that gave a retry-after time. */
   public long retryAfter() {
-    return retryAfter;
+    return deniedWithRetryAfter;
   }
 
+  /**
+   * Returns the number of denials received although at least half of the customer's burst would
+   * have remained if the request had passed.
+   */
   public long deniedWithRoom() {
     return deniedWithRoom;
   }
 
+  /** Returns the ids of the requests that passed. */
   public List<String> passedIds() {
     return passedIds;
   }
 
+  /** Returns percentiles of the latency of passed and of all answered attempts, in microseconds. */
   public Map<String, Long> latency() {
-    return percentiles(passed, answered);
+    return percentiles(passedLatency, answeredLatency);
   }
 
+  /**
+   * Returns percentiles of the delay between an arrival's scheduled time and its sending, in
+   * microseconds.
+   */
   public Map<String, Long> senderLate() {
-    Map<String, Long> m = new TreeMap<>();
-    m.put("p50", late.getValueAtPercentile(50));
-    m.put("p99", late.getValueAtPercentile(99));
-    m.put("p999", late.getValueAtPercentile(99.9));
-    m.put("max", late.getMaxValue());
-    m.put("warming_p99", lateWarming.getValueAtPercentile(99));
-    return m;
+    Map<String, Long> lateness = new TreeMap<>();
+    lateness.put("p50", senderLateness.getValueAtPercentile(50));
+    lateness.put("p99", senderLateness.getValueAtPercentile(99));
+    lateness.put("p999", senderLateness.getValueAtPercentile(99.9));
+    lateness.put("max", senderLateness.getMaxValue());
+    lateness.put("warming_p99", senderLatenessWarmUp.getValueAtPercentile(99));
+    return lateness;
   }
 
+  /** Returns the rows of {@link RunResult#perSecond()}. */
   public List<long[]> perSecond() {
-    List<long[]> out = new ArrayList<>();
-    for (var e : perSecond.entrySet()) {
-      Histogram h = perSecondLatency.get(e.getKey());
-      out.add(new long[] {e.getKey(), e.getValue()[0], e.getValue()[1], e.getValue()[2],
-          h == null ? 0 : h.getValueAtPercentile(99)});
+    List<long[]> rows = new ArrayList<>();
+    for (var second : outcomesPerSecond.entrySet()) {
+      Histogram latency = latencyPerSecond.get(second.getKey());
+      long[] counts = second.getValue();
+      rows.add(new long[] {second.getKey(), counts[0], counts[1], counts[2],
+          latency == null ? 0 : latency.getValueAtPercentile(99)});
     }
-    return out;
+    return rows;
   }
 
+  /** Closes the event loop and every connection. */
   public Future<Void> close() {
     return vertx.close();
   }
 
-  private static Map<String, Long> percentiles(Histogram passed, Histogram all) {
-    Map<String, Long> m = new TreeMap<>();
-    m.put("passed_p50", passed.getValueAtPercentile(50));
-    m.put("passed_p99", passed.getValueAtPercentile(99));
-    m.put("passed_p999", passed.getValueAtPercentile(99.9));
-    m.put("answered_p50", all.getValueAtPercentile(50));
-    m.put("answered_p99", all.getValueAtPercentile(99));
-    m.put("answered_p999", all.getValueAtPercentile(99.9));
-    m.put("answered_max", all.getMaxValue());
-    return m;
+  private static Map<String, Long> percentiles(Histogram passed, Histogram answered) {
+    Map<String, Long> latencies = new TreeMap<>();
+    latencies.put("passed_p50", passed.getValueAtPercentile(50));
+    latencies.put("passed_p99", passed.getValueAtPercentile(99));
+    latencies.put("passed_p999", passed.getValueAtPercentile(99.9));
+    latencies.put("answered_p50", answered.getValueAtPercentile(50));
+    latencies.put("answered_p99", answered.getValueAtPercentile(99));
+    latencies.put("answered_p999", answered.getValueAtPercentile(99.9));
+    latencies.put("answered_max", answered.getMaxValue());
+    return latencies;
   }
 }
--- a/src/main/java/saltlatch/lab/load/Outcome.java
+++ b/src/main/java/saltlatch/lab/load/Outcome.java
@@ -1,11 +1,10 @@
 package saltlatch.lab.load;
 
 /**
- * How a try ended as the client saw it; one value each, mapped from what came back in
- * {@link LoadRunner}.
+ * The result of one attempt as seen by the client. {@link LoadRunner} derives it from the answer.
  */
 public enum Outcome {
-  /** A bulk string, or an array that begins with one: the value. */
+  /** The value arrived: a bulk string, or an array whose first element is one. */
   PASSED,
   /** {@code -BUSY} or {@code -BUSY MS}. */
   DENIED,
@@ -13,8 +12,10 @@
   ABORTED,
   /** No answer within the client timeout; the client closed its connection. */
   TIMED_OUT,
-  /** The client gave up early on purpose and closed its connection. */
+  /** The client gave up early, as scheduled, and closed its connection. */
   LEFT,
-  /** The connection ended, or never came up, before the answer. */
+  /**
+   * The connection ended before the answer, could not be opened, or no node was healthy.
+   */
   BROKEN
 }
--- a/src/main/java/saltlatch/lab/load/RunResult.java
+++ b/src/main/java/saltlatch/lab/load/RunResult.java
@@ -5,9 +5,10 @@
 import saltlatch.lab.check.MemberTimes;
 
 /**
- * One run's figures as the run file holds them (JSON through Gson). Latencies are microseconds,
- * counted from a try's scheduled time, so a late sender's delay is part of them. {@code perSecond}
- * rows are {@code [second, passed, denied, aborted (all others), p99 us of answers that second]}.
+ * The figures of one run as stored in the run file (JSON, written by Gson). Latencies are in
+ * microseconds and start at the scheduled time of an attempt, so they include the delay of a late
+ * sender. The rows of {@code perSecond} are
+ * {@code [second, passed, denied, all other outcomes, p99 latency of the second's answers in us]}.
  */
 public record RunResult(String scenario, String scenarioJson, long seed, String scheduleDigest,
     double seconds, int nodes, int servers, long offered, long tries, Map<Outcome, Long> outcomes,
@@ -18,33 +19,35 @@
     List<String> violations, double recoveryS, MemberTimes members) {
 
   /**
-   * A fault of the schedule on a process or a link, for the time line: seconds since the load's
-   * start, and the units by which the worst customer's standing beyond its quota grew from its
-   * start to two seconds after its end.
+   * A scheduled fault of a process or a link, for the report's timeline. {@code fromS} and
+   * {@code untilS} are seconds since the load's start. {@code beyondUnits} is the number of units
+   * by which the worst customer's excess over its quota grew from the start of the fault until two
+   * seconds after its end.
    */
   public record Fault(String what, List<String> nodes, double fromS, double untilS,
       double beyondUnits) {}
 
-  /** The emulator's ledger summed. */
+  /** The totals of the emulator's record of what happened at the app servers. */
   public record GroundTruth(long reqs, long dispatches, long served, long unitsCharged,
       long doubleCharges, long repeatedNonReplayable, long passedNotRun, double unitsBeyondPlan) {}
 
   /**
-   * A customer's units charged a second, against its plan's allowance; {@code beyond} is the worst
-   * overshoot.
+   * The units charged to a customer per second, and the rate and burst of its quota plan;
+   * {@code beyond} is the largest number of units that it used beyond the plan.
    */
   public record Customer(long id, List<long[]> unitsPerSecond, double rate, double burst,
       double beyond) {}
 
   /**
-   * CPU seconds and resident MB of the lab's process (nodes in-process share it), and its threads.
+   * The CPU seconds, resident memory in MB and threads of the laboratory's process, including nodes
+   * that run in it.
    */
   public record ProcessUsage(double cpuSeconds, double rssMb, int threads) {}
 
-  /** A pass/fail check of the run and what it saw. */
+  /** A check of the run, its result and the figures behind it. */
   public record Check(String name, boolean passed, String detail) {}
 
-  /** True if every check passed. */
+  /** Returns whether every check passed. */
   public boolean passed() {
     return checks.stream().allMatch(Check::passed);
   }
