--- a/src/main/java/saltlatch/lab/emulator/AppServers.java
+++ b/src/main/java/saltlatch/lab/emulator/AppServers.java
@@ -24,16 +24,16 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * Stand-in app servers speaking RESP2 as the protocol page says:
- * {@code SVC.QUERY}/{@code SVC.SUBMIT} answered with an array of value, figures on use
- * ({@code cost=UNITS}) and load report; {@code -BUSY} when full; {@code -ERR failed}; answers in
- * the order of a connection's commands. What each command meets is {@link AppServerModel}'s
- * decision; what ran is written to {@link GroundTruth}. All on the one event loop of the emulator's
- * Vert.x.
+ * Emulated app servers, which speak RESP2 as the protocol documentation describes. They answer
+ * {@code SVC.QUERY} and {@code SVC.SUBMIT} with an array of the value, the use
+ * ({@code cost=UNITS}) and a load report, with {@code -BUSY} if they are at capacity, or with
+ * {@code -ERR failed}. The answers on a connection are in the order of its commands.
+ * {@link AppServerModel} decides the result of each command, and {@link GroundTruth} records which
+ * requests ran. Everything runs on the emulator's one event loop.
  */
 public final class AppServers {
-  // how often idle connections are looked at: finer than any idle time used
-  private static final long SWEEP_MS = 50;
+  // Interval between checks for idle connections: shorter than any idle time of a scenario.
+  private static final long IDLE_CHECK_MS = 50;
 
   private final Vertx vertx;
   private final LabClock clock;
@@ -42,11 +42,11 @@
   private long commands;
   private long spoilt;
 
-  /** One stand-in server, listening on a port of its own. */
+  /** One emulated app server, which listens on its own port. */
   static final class Server {
     final AppServerModel model;
-    final Set<Conn> conns = new LinkedHashSet<>();
-    NetServer net;
+    final Set<Connection> connections = new LinkedHashSet<>();
+    NetServer listener;
     int inProgress;
 
     Server(AppServerModel model) {
@@ -54,89 +54,96 @@
     }
 
     int port() {
-      return net.actualPort();
+      return listener.actualPort();
     }
   }
 
-  /** A connection with its answers waiting in order. */
-  final class Conn {
+  /** A connection and its answers that are not written yet, in the order of the commands. */
+  final class Connection {
     final Server server;
     final NetSocket socket;
-    final RespDecoder reader = new RespDecoder();
-    // a slot each command, filled when its answer is ready
-    final ArrayDeque<Buffer[]> pending = new ArrayDeque<>();
-    double lastMs;
+    final RespDecoder decoder = new RespDecoder();
+    // One slot per command, filled when its answer is ready.
+    final ArrayDeque<Buffer[]> answerSlots = new ArrayDeque<>();
+    double lastActiveMs;
     boolean closed;
 
-    Conn(Server server, NetSocket socket, double nowMs) {
+    Connection(Server server, NetSocket socket, double nowMs) {
       this.server = server;
       this.socket = socket;
-      this.lastMs = nowMs;
+      this.lastActiveMs = nowMs;
     }
 
-    void ready(Buffer[] slot, Buffer answer) {
+    /** Fills a slot and writes every answer that no earlier command delays. */
+    void answer(Buffer[] slot, Buffer answer) {
       slot[0] = answer;
-      while (!pending.isEmpty() && pending.peekFirst()[0] != null) {
-        Buffer out = pending.pollFirst()[0];
-        if (!closed) socket.write(out);
+      while (!answerSlots.isEmpty() && answerSlots.peekFirst()[0] != null) {
+        Buffer next = answerSlots.pollFirst()[0];
+        if (!closed) socket.write(next);
       }
-      lastMs = clock.nowMs();
+      lastActiveMs = clock.nowMs();
     }
   }
 
-  private final HistoryWriter history; // null: none is kept
+  private final HistoryWriter history; // null: no history is written
 
-  AppServers(Vertx vertx, LabClock clock, GroundTruth truth, Scenario s, HistoryWriter history) {
+  AppServers(Vertx vertx, LabClock clock, GroundTruth truth, Scenario scenario,
+      HistoryWriter history) {
     this.history = history;
     this.vertx = vertx;
     this.clock = clock;
     this.truth = truth;
-    for (int i = 0; i < s.servers().count(); i++)
-      servers.add(new Server(new AppServerModel(i, s.servers(), s.seed())));
+    for (int i = 0; i < scenario.servers().count(); i++)
+      servers.add(new Server(new AppServerModel(i, scenario.servers(), scenario.seed())));
   }
 
-  /** Listens on loopback, a port each; done when all listen. */
+  /** Listens on one loopback port per server; completes when all servers listen. */
   Future<Void> start() {
-    List<Future<NetServer>> all = new ArrayList<>();
-    for (Server srv : servers) {
-      srv.net = vertx.createNetServer(
+    List<Future<NetServer>> listening = new ArrayList<>();
+    for (Server server : servers) {
+      server.listener = vertx.createNetServer(
           new NetServerOptions().setHost("127.0.0.1").setPort(0).setAcceptBacklog(1024));
-      srv.net.connectHandler(socket -> accept(srv, socket));
-      all.add(srv.net.listen());
+      server.listener.connectHandler(socket -> accept(server, socket));
+      listening.add(server.listener.listen());
     }
-    vertx.setPeriodic(SWEEP_MS, t -> sweep());
-    return Future.all(all).mapEmpty();
+    vertx.setPeriodic(IDLE_CHECK_MS, timer -> closeIdleConnections());
+    return Future.all(listening).mapEmpty();
   }
 
+  /** Returns the servers' ports, in the order of their numbers. */
   List<Integer> ports() {
     return servers.stream().map(Server::port).toList();
   }
 
+  /** Returns the number of {@code SVC} commands received. */
   long commands() {
     return commands;
   }
 
+  /** Returns the number of spoilt answers. */
   long spoilt() {
     return spoilt;
   }
 
-  private void accept(Server srv, NetSocket socket) {
-    double now = clock.nowMs();
-    if (!srv.model.accepts(now)) {
+  private void accept(Server server, NetSocket socket) {
+    double nowMs = clock.nowMs();
+    if (!server.model.accepts(nowMs)) {
       socket.close();
       return;
     }
-    Conn c = new Conn(srv, socket, now);
-    srv.conns.add(c);
+    Connection connection = new Connection(server, socket, nowMs);
+    server.connections.add(connection);
     socket.closeHandler(v -> {
-      c.closed = true;
-      srv.conns.remove(c);
+      connection.closed = true;
+      server.connections.remove(connection);
     });
     socket.exceptionHandler(e -> socket.close());
     socket.handler(data -> {
-      c.reader.feed(data);
+      connection.decoder.feed(data);
       try {
-        for (RespValue r = c.reader.next(); r != null; r = c.reader.next()) command(c, r);
+        for (RespValue value = connection.decoder.next(); value != null; value = connection.decoder
+            .next())
+          execute(connection, value);
       } catch (FramingException e) {
         socket.close();
       }
@@ -144,44 +151,49 @@
   }
 
   /**
-   * Connections idle past the box's idle time are closed, as a real server does, whatever the
-   * client is about to send.
+   * Closes connections that have been idle for the server's idle time, as a real server does, even
+   * if the client is about to send a command.
    */
-  private void sweep() {
-    double now = clock.nowMs();
-    for (Server srv : servers) {
-      double idle = srv.model.idleCloseMs(now);
-      if (idle <= 0) continue;
-      for (Conn c : List.copyOf(srv.conns)) {
-        if (c.pending.isEmpty() && now - c.lastMs >= idle) c.socket.close();
+  private void closeIdleConnections() {
+    double nowMs = clock.nowMs();
+    for (Server server : servers) {
+      double idleMs = server.model.idleCloseMs(nowMs);
+      if (idleMs <= 0) continue;
+      for (Connection connection : List.copyOf(server.connections)) {
+        if (connection.answerSlots.isEmpty() && nowMs - connection.lastActiveMs >= idleMs)
+          connection.socket.close();
       }
     }
   }
 
-  private void command(Conn c, RespValue r) {
-    double now = clock.nowMs();
-    c.lastMs = now;
+  private void execute(Connection connection, RespValue command) {
+    double nowMs = clock.nowMs();
+    connection.lastActiveMs = nowMs;
     Buffer[] slot = new Buffer[1];
-    c.pending.addLast(slot);
-    if (!(r instanceof RespValue.Array m) || m.elements() == null || m.elements().isEmpty()) {
-      c.ready(slot, line("-ERR no command"));
+    connection.answerSlots.addLast(slot);
+    if (!(command instanceof RespValue.Array array) || array.elements() == null
+        || array.elements().isEmpty()) {
+      connection.answer(slot, line("-ERR no command"));
       return;
     }
     List<String> words = new ArrayList<>();
-    for (RespValue item : m.elements()) words.add(item instanceof RespValue.Bulk b ? b.text() : "");
-    String verb = words.get(0).toUpperCase(java.util.Locale.ROOT);
-    switch (verb) {
-      case "PING" -> c.ready(slot, line("+PONG"));
-      case "CLIENT", "SELECT" -> c.ready(slot, line("+OK"));
-      case "INFO" -> c.ready(slot, line("-NOPERM"));
-      case "SVC.QUERY", "SVC.SUBMIT" -> work(c, slot, verb.equals("SVC.SUBMIT"), words, now);
-      default -> c.ready(slot, line("-ERR unknown command"));
+    for (RespValue element : array.elements())
+      words.add(element instanceof RespValue.Bulk bulk ? bulk.text() : "");
+    String name = words.get(0).toUpperCase(java.util.Locale.ROOT);
+    switch (name) {
+      case "PING" -> connection.answer(slot, line("+PONG"));
+      case "CLIENT", "SELECT" -> connection.answer(slot, line("+OK"));
+      case "INFO" -> connection.answer(slot, line("-NOPERM"));
+      case "SVC.QUERY", "SVC.SUBMIT" ->
+        executeRequest(connection, slot, name.equals("SVC.SUBMIT"), words, nowMs);
+      default -> connection.answer(slot, line("-ERR unknown command"));
     }
   }
 
-  private void work(Conn c, Buffer[] slot, boolean submit, List<String> words, double now) {
+  private void executeRequest(Connection connection, Buffer[] slot, boolean submit,
+      List<String> words, double nowMs) {
     if (words.size() < 4) {
-      c.ready(slot, line("-SYNTAX"));
+      connection.answer(slot, line("-SYNTAX"));
       return;
     }
     commands++;
@@ -189,52 +201,55 @@
     try {
       customer = Long.parseUnsignedLong(words.get(1), 16);
     } catch (NumberFormatException e) {
-      c.ready(slot, line("-SYNTAX"));
+      connection.answer(slot, line("-SYNTAX"));
       return;
     }
     String id = words.get(2);
     int units = (int) Math.max(1, NamedNumbers.find(words.get(3), "units"));
     truth.recordAttempt(id, customer, submit, units);
-    Server srv = c.server;
-    AppServerModel.Decision decision = srv.model.decide(now, srv.inProgress);
+    Server server = connection.server;
+    AppServerModel.Decision decision = server.model.decide(nowMs, server.inProgress);
     if (decision.verdict() != AppServerModel.Verdict.BUSY) truth.recordPossibleRun(id);
     if (history != null) {
-      history.add("command", "id", id, "srv", "s-" + srv.model.index(), "submit", submit, "verdict",
-          decision.verdict().name(), "units", units, "customer", customer);
+      history.add("command", "id", id, "srv", "s-" + server.model.index(), "submit", submit,
+          "verdict", decision.verdict().name(), "units", units, "customer", customer);
     }
     switch (decision.verdict()) {
-      case BUSY -> c.ready(slot, line("-BUSY"));
-      case FAIL -> c.ready(slot, line("-ERR failed"));
+      case BUSY -> connection.answer(slot, line("-BUSY"));
+      case FAIL -> connection.answer(slot, line("-ERR failed"));
       case SPOIL, SERVE -> {
-        srv.inProgress++;
-        double at = Math.max(now + decision.latencyMs(), decision.heldUntilMs());
-        vertx.setTimer(Math.max(1, (long) Math.ceil(at - now)), t -> {
-          srv.inProgress--;
+        server.inProgress++;
+        double answerAtMs = Math.max(nowMs + decision.latencyMs(), decision.heldUntilMs());
+        vertx.setTimer(Math.max(1, (long) Math.ceil(answerAtMs - nowMs)), timer -> {
+          server.inProgress--;
           truth.recordServed(id, (long) clock.nowMs());
           if (history != null)
             history.add("served", "id", id, "units", units, "customer", customer);
           if (decision.verdict() == AppServerModel.Verdict.SPOIL) {
             spoilt++;
-            c.ready(slot, line("+spoilt"));
+            connection.answer(slot, line("+spoilt"));
             return;
           }
-          String load = "inflight=" + srv.inProgress + ",util=" + String.format(
-              java.util.Locale.ROOT, "%.2f", srv.inProgress / srv.model.capacity(clock.nowMs()));
-          c.ready(slot, array("v:" + id, "cost=" + units, load));
+          double utilization = server.inProgress / server.model.capacity(clock.nowMs());
+          String loadReport = "inflight=" + server.inProgress + ",util="
+              + String.format(java.util.Locale.ROOT, "%.2f", utilization);
+          connection.answer(slot, array("v:" + id, "cost=" + units, loadReport));
         });
       }
     }
   }
 
+  /** Returns a RESP line: its text, type character included, and the end of line. */
   static Buffer line(String text) {
     return Buffer.buffer(text + "\r\n");
   }
 
-  static Buffer array(String... items) {
-    Buffer out = Buffer.buffer().appendString("*" + items.length + "\r\n");
-    for (String s : items) {
-      RespEncoder.appendBulk(out, s.getBytes(StandardCharsets.ISO_8859_1));
+  /** Returns a RESP array of bulk strings. */
+  static Buffer array(String... elements) {
+    Buffer encoded = Buffer.buffer().appendString("*" + elements.length + "\r\n");
+    for (String element : elements) {
+      RespEncoder.appendBulk(encoded, element.getBytes(StandardCharsets.ISO_8859_1));
     }
-    return out;
+    return encoded;
   }
 }
--- a/src/main/java/saltlatch/lab/emulator/CounterStub.java
+++ b/src/main/java/saltlatch/lab/emulator/CounterStub.java
@@ -20,240 +20,262 @@
 import saltlatch.lab.scenario.Scenario.Fault;
 
 /**
- * A stand-in counter speaking the counter's lines: {@code bump NAME AMOUNT LIFE_MS} answered
- * {@code ok TOTAL}, {@code busy} or {@code error}; {@code ping} answered {@code pong}. Answers in
- * order of calls on a connection; at most {@link #MOST_CONNECTIONS} connections a node, idle ones
- * closed after {@link #IDLE_MS}. One listening address a node, by which the stand-in tells them
- * apart on loopback, and they fall into groups; the groups share one store until a {@code split}
- * holds, when each side keeps its own and the second side's writes are lost when it heals. Faults:
- * {@code silent} (calls held and answered when it ends), {@code slow} ({@code extra_ms} each),
- * {@code refuse} (new connections closed, calls answered {@code busy}), {@code empty} (all totals
- * forgotten at {@code at_s}). With {@code calls_per_second} calls are served in turn, and turned
- * away with {@code busy} while more than {@code line} wait.
+ * An emulated counter, which speaks the counter's line protocol: {@code bump NAME AMOUNT LIFE_MS}
+ * is answered with {@code ok TOTAL}, {@code busy} or {@code error}, and {@code ping} with
+ * {@code pong}. The answers on a connection are in the order of its calls. A node may have at most
+ * {@link #MAX_CONNECTIONS} connections, and connections idle for more than {@link #IDLE_MS} are
+ * closed.
+ *
+ * <p>Each node has its own listening address, because on loopback the address is the only way to
+ * distinguish the nodes. The nodes are divided into groups. The groups share one store, except
+ * while a {@code split} fault is active: then the first group keeps the store and the other groups
+ * share a copy, whose writes are lost when the split ends. The other faults are {@code silent}
+ * (calls are held and answered when the fault ends), {@code slow} (each call takes
+ * {@code extra_ms} longer), {@code refuse} (new connections are closed and calls answered
+ * {@code busy}) and {@code empty} (all totals are deleted at {@code at_s}).
+ *
+ * <p>If {@code calls_per_second} is set, calls are served one after another at that rate, and a
+ * call is rejected with {@code busy} if more than {@code line} calls would be waiting.
  */
 public final class CounterStub {
-  // an edge node's connections at one address, as the protocol page says
-  static final int MOST_CONNECTIONS = 32;
-  static final double IDLE_MS = 10_000; // a connection idle this long is closed
-  private static final double LONGEST_LIFE_MS = 60_000;
+  // The protocol's limit on the connections of an edge node to one address.
+  static final int MAX_CONNECTIONS = 32;
+  static final double IDLE_MS = 10_000;
+  private static final double MAX_LIFE_MS = 60_000;
+  private static final int MAX_LINE_BYTES = 256;
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final BigDecimal MAX_AMOUNT = BigDecimal.valueOf(1e9);
+  private static final long TICK_MS = 50;
   private static final String END_OF_LINE = "\r\n";
-  private static final MathContext SEVEN = new MathContext(7);
+  private static final MathContext SEVEN_DIGITS = new MathContext(7);
 
   private final Vertx vertx;
   private final LabClock clock;
   private final Scenario.Counter spec;
-  private final int groups;
-  private final int nodes;
-  private final List<NetServer> nets = new ArrayList<>();
-  private final List<List<Conn>> conns = new ArrayList<>();
-  private final Map<String, Entry> shared = new HashMap<>();
-  private Map<String, Entry> split; // the second side's store while a split holds
-  private final List<Boolean> emptied = new ArrayList<>();
+  private final int groupCount;
+  private final int nodeCount;
+  private final List<NetServer> listeners = new ArrayList<>();
+  private final List<List<Connection>> connectionsByNode = new ArrayList<>();
+  private final Map<String, Entry> store = new HashMap<>();
+  private Map<String, Entry> splitStore; // of all groups but the first; null if there is no split
+  private final List<Boolean> emptied = new ArrayList<>(); // per fault: an empty that was applied
   private long calls;
   private long bytesIn;
   private long bytesOut;
   private long held;
-  private long turnedAway;
-  private double freeMs; // when the calls taken so far will have had their turn
+  private long rejected;
+  private double freeAtMs; // when all calls accepted so far will have been served
 
   private static final class Entry {
     BigDecimal total = BigDecimal.ZERO;
     double expiresMs;
   }
 
-  private static final class Conn {
+  private static final class Connection {
     final NetSocket socket;
     final int group;
-    final ArrayDeque<String[]> slots = new ArrayDeque<>();
-    double lastMs;
+    // One slot per call, filled when its answer is ready.
+    final ArrayDeque<String[]> answerSlots = new ArrayDeque<>();
+    double lastActiveMs;
     double lastDueMs;
 
-    Conn(NetSocket socket, int group) {
+    Connection(NetSocket socket, int group) {
       this.socket = socket;
       this.group = group;
     }
   }
 
-  CounterStub(Vertx vertx, LabClock clock, Scenario.Counter spec, int nodes) {
-    this.nodes = nodes;
+  CounterStub(Vertx vertx, LabClock clock, Scenario.Counter spec, int nodeCount) {
+    this.nodeCount = nodeCount;
     this.vertx = vertx;
     this.clock = clock;
     this.spec = spec;
-    int g = 1;
-    for (Fault f : spec.faults())
-      if (f.kind().equals("split")) g = Math.max(g, Math.max(2, f.groups()));
-    this.groups = g;
+    int groups = 1;
+    for (Fault fault : spec.faults()) {
+      if (fault.kind().equals("split")) groups = Math.max(groups, Math.max(2, fault.groups()));
+    }
+    this.groupCount = groups;
     emptied.addAll(Collections.nCopies(spec.faults().size(), false));
   }
 
+  /** Listens on one loopback port per node; completes when all ports are open. */
   Future<Void> start() {
-    List<Future<NetServer>> all = new ArrayList<>();
-    for (int n = 0; n < Math.max(nodes, groups); n++) {
-      int node = n;
-      conns.add(new ArrayList<>());
-      NetServer net = vertx.createNetServer(new NetServerOptions().setHost("127.0.0.1").setPort(0));
-      net.connectHandler(s -> accept(s, node));
-      nets.add(net);
-      all.add(net.listen());
+    List<Future<NetServer>> listening = new ArrayList<>();
+    for (int i = 0; i < Math.max(nodeCount, groupCount); i++) {
+      int node = i;
+      connectionsByNode.add(new ArrayList<>());
+      NetServer listener = vertx
+          .createNetServer(new NetServerOptions().setHost("127.0.0.1").setPort(0));
+      listener.connectHandler(socket -> accept(socket, node));
+      listeners.add(listener);
+      listening.add(listener.listen());
     }
-    vertx.setPeriodic(50, t -> tick());
-    return Future.all(all).mapEmpty();
+    vertx.setPeriodic(TICK_MS, timer -> tick());
+    return Future.all(listening).mapEmpty();
   }
 
-  /** A node's address each, in order. */
+  /** Returns the ports, one per node, in the order of the nodes. */
   List<Integer> ports() {
-    return nets.stream().map(NetServer::actualPort).toList();
+    return listeners.stream().map(NetServer::actualPort).toList();
   }
 
+  /** Returns the number of calls received. */
   long calls() {
     return calls;
   }
 
-  /** Bytes of calls, their ends of line with them. */
+  /** Returns the bytes of all calls, including their line ends. */
   long bytesIn() {
     return bytesIn;
   }
 
-  /** Bytes of answers, their ends of line with them. */
+  /** Returns the bytes of all answers, including their line ends. */
   long bytesOut() {
     return bytesOut;
   }
 
-  /** Calls that a silence held back. */
+  /** Returns the number of calls that a {@code silent} fault held back. */
   long held() {
     return held;
   }
 
-  /** Calls turned away because too many waited. */
-  long turnedAway() {
-    return turnedAway;
+  /** Returns the number of calls rejected because too many were waiting. */
+  long rejected() {
+    return rejected;
   }
 
-  private boolean holds(String kind, double now) {
-    return Fault.anyHolds(spec.faults(), kind, now);
+  private boolean isFaultActive(String kind, double nowMs) {
+    return Fault.anyHolds(spec.faults(), kind, nowMs);
   }
 
   private void accept(NetSocket socket, int node) {
-    double now = clock.nowMs();
-    List<Conn> mine = conns.get(node);
-    if (holds("refuse", now) || mine.size() >= MOST_CONNECTIONS) {
+    double nowMs = clock.nowMs();
+    List<Connection> connections = connectionsByNode.get(node);
+    if (isFaultActive("refuse", nowMs) || connections.size() >= MAX_CONNECTIONS) {
       socket.close();
       return;
     }
-    Conn c = new Conn(socket, node % groups);
-    c.lastMs = now;
-    mine.add(c);
-    socket.closeHandler(v -> mine.remove(c));
+    Connection connection = new Connection(socket, node % groupCount);
+    connection.lastActiveMs = nowMs;
+    connections.add(connection);
+    socket.closeHandler(v -> connections.remove(connection));
     socket.exceptionHandler(e -> socket.close());
-    socket.handler(RecordParser.newDelimited(END_OF_LINE, line -> call(c, line.toString()))
-        .maxRecordSize(256));
+    socket.handler(
+        RecordParser.newDelimited(END_OF_LINE, line -> execute(connection, line.toString()))
+            .maxRecordSize(MAX_LINE_BYTES));
   }
 
-  private void call(Conn c, String line) {
-    double now = clock.nowMs();
-    c.lastMs = now;
+  private void execute(Connection connection, String line) {
+    double nowMs = clock.nowMs();
+    connection.lastActiveMs = nowMs;
     calls++;
     bytesIn += line.length() + END_OF_LINE.length();
     String[] slot = new String[1];
-    c.slots.addLast(slot);
-    String[] w = line.split(" ", 0);
-    if (w.length == 1 && w[0].equals("ping")) {
-      answer(c, slot, "pong", now);
+    connection.answerSlots.addLast(slot);
+    String[] words = line.split(" ", 0);
+    if (words.length == 1 && words[0].equals("ping")) {
+      answer(connection, slot, "pong", nowMs);
       return;
     }
-    if (holds("refuse", now)) {
-      answer(c, slot, "busy", now);
+    if (isFaultActive("refuse", nowMs)) {
+      answer(connection, slot, "busy", nowMs);
       return;
     }
-    if (w.length != 4 || !w[0].equals("bump") || w[1].isEmpty() || w[1].length() > 64) {
-      answer(c, slot, "error", now);
+    if (words.length != 4 || !words[0].equals("bump") || words[1].isEmpty()
+        || words[1].length() > MAX_NAME_LENGTH) {
+      answer(connection, slot, "error", nowMs);
       return;
     }
-    BigDecimal amount;
-    double life;
+    BigDecimal parsedAmount;
+    double lifeMs;
     try {
-      amount = new BigDecimal(w[2]);
-      life = Math.min(LONGEST_LIFE_MS, Double.parseDouble(w[3]));
-      if (life < 1 || amount.abs().compareTo(BigDecimal.valueOf(1e9)) > 0)
+      parsedAmount = new BigDecimal(words[2]);
+      lifeMs = Math.min(MAX_LIFE_MS, Double.parseDouble(words[3]));
+      if (lifeMs < 1 || parsedAmount.abs().compareTo(MAX_AMOUNT) > 0)
         throw new NumberFormatException();
     } catch (NumberFormatException e) {
-      answer(c, slot, "error", now);
+      answer(connection, slot, "error", nowMs);
       return;
     }
-    double turn = now;
+    double servedAtMs = nowMs;
     if (spec.callsPerSecond() > 0) {
-      turn = Math.max(now, freeMs) + 1000 / spec.callsPerSecond();
-      if (turn - now > spec.line() * 1000 / spec.callsPerSecond()) {
-        turnedAway++;
-        answer(c, slot, "busy", now);
+      servedAtMs = Math.max(nowMs, freeAtMs) + 1000 / spec.callsPerSecond();
+      if (servedAtMs - nowMs > spec.line() * 1000 / spec.callsPerSecond()) {
+        rejected++;
+        answer(connection, slot, "busy", nowMs);
         return;
       }
-      freeMs = turn;
+      freeAtMs = servedAtMs;
     }
-    double due = turn + spec.latencyMs();
-    for (Fault f : spec.faults()) {
-      if (!f.holds(now)) continue;
-      if (f.kind().equals("slow")) due += f.extraMs();
-      if (f.kind().equals("silent")) {
-        due = Math.max(due, (f.atS() + f.forS()) * 1000);
+    double dueMs = servedAtMs + spec.latencyMs();
+    for (Fault fault : spec.faults()) {
+      if (!fault.holds(nowMs)) continue;
+      if (fault.kind().equals("slow")) dueMs += fault.extraMs();
+      if (fault.kind().equals("silent")) {
+        dueMs = Math.max(dueMs, (fault.atS() + fault.forS()) * 1000);
         held++;
       }
     }
-    due = Math.max(due, c.lastDueMs);
-    c.lastDueMs = due;
-    String name = w[1];
-    BigDecimal add = amount;
-    vertx.setTimer(Math.max(1, (long) Math.ceil(due - now)), t -> {
-      double at = clock.nowMs();
+    dueMs = Math.max(dueMs, connection.lastDueMs);
+    connection.lastDueMs = dueMs;
+    String name = words[1];
+    BigDecimal amount = parsedAmount;
+    vertx.setTimer(Math.max(1, (long) Math.ceil(dueMs - nowMs)), timer -> {
+      double servedMs = clock.nowMs();
       tick();
-      Map<String, Entry> store = split != null && c.group > 0 ? split : shared;
-      Entry e = store.get(name);
-      if (e == null || e.expiresMs <= at) {
-        e = new Entry();
-        e.expiresMs = at + life;
-        store.put(name, e);
+      Map<String, Entry> groupStore = splitStore != null && connection.group > 0 ? splitStore
+          : store;
+      Entry entry = groupStore.get(name);
+      if (entry == null || entry.expiresMs <= servedMs) {
+        entry = new Entry();
+        entry.expiresMs = servedMs + lifeMs;
+        groupStore.put(name, entry);
       }
-      e.total = e.total.add(add, SEVEN);
-      answer(c, slot, "ok " + e.total.round(SEVEN).stripTrailingZeros().toPlainString(), at);
+      entry.total = entry.total.add(amount, SEVEN_DIGITS);
+      answer(connection, slot,
+          "ok " + entry.total.round(SEVEN_DIGITS).stripTrailingZeros().toPlainString(), servedMs);
     });
   }
 
-  private void answer(Conn c, String[] slot, String text, double now) {
+  /** Fills a slot and writes every answer that no earlier call delays. */
+  private void answer(Connection connection, String[] slot, String text, double nowMs) {
     slot[0] = text;
-    while (!c.slots.isEmpty() && c.slots.peekFirst()[0] != null) {
-      Buffer out = Buffer.buffer(c.slots.pollFirst()[0] + END_OF_LINE);
-      bytesOut += out.length();
-      c.socket.write(out);
+    while (!connection.answerSlots.isEmpty() && connection.answerSlots.peekFirst()[0] != null) {
+      Buffer line = Buffer.buffer(connection.answerSlots.pollFirst()[0] + END_OF_LINE);
+      bytesOut += line.length();
+      connection.socket.write(line);
     }
-    c.lastMs = now;
+    connection.lastActiveMs = nowMs;
   }
 
-  /** Applies what time brings: empties, a split's start and end, idle closes. */
+  /** Applies {@code empty} faults and the start and end of splits, and closes idle connections. */
   private void tick() {
-    double now = clock.nowMs();
+    double nowMs = clock.nowMs();
     for (int i = 0; i < spec.faults().size(); i++) {
-      Fault f = spec.faults().get(i);
-      if (f.kind().equals("empty") && !emptied.get(i) && now >= f.atS() * 1000) {
+      Fault fault = spec.faults().get(i);
+      if (fault.kind().equals("empty") && !emptied.get(i) && nowMs >= fault.atS() * 1000) {
         emptied.set(i, true);
-        shared.clear();
-        if (split != null) split.clear();
+        store.clear();
+        if (splitStore != null) splitStore.clear();
       }
     }
-    boolean splitNow = holds("split", now);
-    if (splitNow && split == null) {
-      split = new HashMap<>();
-      for (var e : shared.entrySet()) {
+    boolean splitActive = isFaultActive("split", nowMs);
+    if (splitActive && splitStore == null) {
+      splitStore = new HashMap<>();
+      for (var entry : store.entrySet()) {
         Entry copy = new Entry();
-        copy.total = e.getValue().total;
-        copy.expiresMs = e.getValue().expiresMs;
-        split.put(e.getKey(), copy);
+        copy.total = entry.getValue().total;
+        copy.expiresMs = entry.getValue().expiresMs;
+        splitStore.put(entry.getKey(), copy);
       }
-    } else if (!splitNow && split != null) {
-      split = null;
+    } else if (!splitActive && splitStore != null) {
+      splitStore = null;
     }
-    for (List<Conn> group : conns) {
-      for (Conn c : List.copyOf(group))
-        if (c.slots.isEmpty() && now - c.lastMs > IDLE_MS) c.socket.close();
+    for (List<Connection> connections : connectionsByNode) {
+      for (Connection connection : List.copyOf(connections)) {
+        if (connection.answerSlots.isEmpty() && nowMs - connection.lastActiveMs > IDLE_MS)
+          connection.socket.close();
+      }
     }
   }
 }
--- a/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
+++ b/src/main/java/saltlatch/lab/emulator/DiscoveryStub.java
@@ -18,144 +18,164 @@
 import saltlatch.lab.scenario.Scenario.Fault;
 
 /**
- * Stand-in discovery agent on HTTP/1.1: {@code GET /api/targets} gives the whole list;
- * {@code ?follow=1&since=N} a chunked watch of one JSON object a line, an empty line every 2 s
- * while nothing changes. An app server with a {@code cold_start} fault joins the list at its
- * {@code at_s} with {@code since_ms} then. Faults: {@code late} (news told {@code extra_ms} after
- * it happened), {@code stale} (while it holds, the list as it was when it began, and no news).
+ * An emulated discovery agent on HTTP/1.1. {@code GET /api/targets} returns the complete endpoint
+ * list. With {@code ?follow=1&since=N} the answer is a chunked watch of one JSON object per line,
+ * with an empty line every 2 s. An app server with a {@code cold_start} fault is added to the list
+ * at its {@code at_s}, and its {@code since_ms} is that time. The faults are {@code late} (changes
+ * are published {@code extra_ms} after they happened) and {@code stale} (while it is active, the
+ * list stays as it was at its beginning, and no changes are published).
  */
 public final class DiscoveryStub {
-  // an empty line this often on a quiet watch, as the protocol page says
+  // Interval of empty lines on a watch, as the protocol documentation says.
   static final long KEEP_ALIVE_MS = 2_000;
-  private static final long LOOK_MS = 50;
+  private static final long UPDATE_CHECK_MS = 50;
 
   private final Vertx vertx;
   private final LabClock clock;
-  private final Scenario s;
-  // and whose they are
-  private final Map<HttpServerResponse, Integer> watches = new LinkedHashMap<>();
-  private final List<HttpServer> https = new ArrayList<>();
-  private final IntBinaryOperator reach; // the port at which a node reaches an app server
+  private final Scenario scenario;
+  private final Map<HttpServerResponse, Integer> watches = new LinkedHashMap<>(); // by node
+  private final List<HttpServer> listeners = new ArrayList<>();
+  // (node, app server) -> the port at which the node reaches the app server
+  private final IntBinaryOperator serverPort;
   private int index = 1;
-  private List<Boolean> told; // which servers the list holds now, as told
+  private List<Boolean> published; // for each app server, whether the published list contains it
   private long fetches;
 
-  DiscoveryStub(Vertx vertx, LabClock clock, Scenario s, IntBinaryOperator reach) {
+  DiscoveryStub(Vertx vertx, LabClock clock, Scenario scenario, IntBinaryOperator serverPort) {
     this.vertx = vertx;
     this.clock = clock;
-    this.s = s;
-    this.reach = reach;
-    told = present(0);
+    this.scenario = scenario;
+    this.serverPort = serverPort;
+    published = present(0);
   }
 
+  /** Listens on one loopback port per node; completes when all ports are open. */
   Future<Void> start() {
-    List<Future<HttpServer>> all = new ArrayList<>();
-    for (int i = 0; i < s.nodes(); i++) {
+    List<Future<HttpServer>> listening = new ArrayList<>();
+    for (int i = 0; i < scenario.nodes(); i++) {
       int node = i;
-      HttpServer http = vertx
+      HttpServer listener = vertx
           .createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
-      http.requestHandler(req -> request(req, node));
-      https.add(http);
-      all.add(http.listen());
+      listener.requestHandler(request -> handle(request, node));
+      listeners.add(listener);
+      listening.add(listener.listen());
     }
-    vertx.setPeriodic(LOOK_MS, t -> look());
-    vertx.setPeriodic(KEEP_ALIVE_MS, t -> {
-      for (HttpServerResponse r : List.copyOf(watches.keySet())) r.write("\n");
+    vertx.setPeriodic(UPDATE_CHECK_MS, timer -> publishChanges());
+    vertx.setPeriodic(KEEP_ALIVE_MS, timer -> {
+      for (HttpServerResponse watch : List.copyOf(watches.keySet())) watch.write("\n");
     });
-    return Future.all(all).mapEmpty();
+    return Future.all(listening).mapEmpty();
   }
 
-  /** The address of a node's own agent. */
+  /** Returns the port of the node's discovery agent. */
   int port(int node) {
-    return https.get(node).actualPort();
+    return listeners.get(node).actualPort();
   }
 
+  /** Returns the number of HTTP requests received. */
   long fetches() {
     return fetches;
   }
 
-  /** The list that nodes are given at start, as JSON: what is present at time 0. */
+  /**
+   * Returns the endpoint list for a node's start-up configuration as JSON: the app servers that are
+   * present at time 0.
+   */
   JsonObject known(int node) {
-    return list(told, null, true, node);
+    return list(published, null, true, node);
   }
 
-  /** Which servers are in the list at {@code ms}: all but those whose cold start is still ahead. */
+  /**
+   * Returns for each app server whether it is present at {@code ms}: all are, except those whose
+   * cold start is later.
+   */
   List<Boolean> present(double ms) {
-    List<Boolean> out = new ArrayList<>();
-    for (int i = 0; i < s.servers().count(); i++) {
-      boolean in = true;
-      for (Fault f : s.servers().faults())
-        if (f.kind().equals("cold_start") && f.touches(i) && ms < f.atS() * 1000) in = false;
-      out.add(in);
+    List<Boolean> presence = new ArrayList<>();
+    for (int i = 0; i < scenario.servers().count(); i++) {
+      boolean present = true;
+      for (Fault fault : scenario.servers().faults()) {
+        if (fault.kind().equals("cold_start") && fault.touches(i) && ms < fault.atS() * 1000)
+          present = false;
+      }
+      presence.add(present);
     }
-    return out;
+    return presence;
   }
 
-  private double lateBy(double ms) {
-    double late = 0;
-    for (Fault f : s.discovery().faults())
-      if (f.kind().equals("late") && f.holds(ms)) late = Math.max(late, f.extraMs());
-    return late;
+  private double publicationDelayMs(double nowMs) {
+    double delayMs = 0;
+    for (Fault fault : scenario.discovery().faults()) {
+      if (fault.kind().equals("late") && fault.holds(nowMs))
+        delayMs = Math.max(delayMs, fault.extraMs());
+    }
+    return delayMs;
   }
 
-  private void look() {
-    double now = clock.nowMs();
-    if (Fault.anyHolds(s.discovery().faults(), "stale", now)) return;
-    List<Boolean> truthNow = present(Math.max(0, now - lateBy(now)));
-    if (truthNow.equals(told)) return;
-    List<Boolean> before = told;
-    told = truthNow;
+  private void publishChanges() {
+    double nowMs = clock.nowMs();
+    if (Fault.anyHolds(scenario.discovery().faults(), "stale", nowMs)) return;
+    List<Boolean> current = present(Math.max(0, nowMs - publicationDelayMs(nowMs)));
+    if (current.equals(published)) return;
+    List<Boolean> previous = published;
+    published = current;
     index++;
-    Map.copyOf(watches).forEach((r, node) -> r.write(list(told, before, false, node) + "\n"));
+    Map.copyOf(watches)
+        .forEach((watch, node) -> watch.write(list(published, previous, false, node) + "\n"));
   }
 
-  private JsonObject list(List<Boolean> now, List<Boolean> before, boolean snapshot, int node) {
-    JsonObject o = new JsonObject();
-    o.addProperty("index", index);
-    o.addProperty("snapshot", snapshot);
-    JsonArray eps = new JsonArray();
-    for (int i = 0; i < now.size(); i++) {
-      if (before != null && before.get(i).equals(now.get(i))) continue;
-      if (before == null && !now.get(i)) continue;
-      JsonObject e = new JsonObject();
-      e.addProperty("name", "s-" + i);
-      e.addProperty("address", "127.0.0.1:" + reach.applyAsInt(node, i));
-      e.addProperty("zone", "a");
-      e.addProperty("type", "m");
-      e.addProperty("group", 0);
-      e.addProperty("status", now.get(i) ? "Ready" : "Gone");
-      e.addProperty("weight", 1.0);
-      e.addProperty("since_ms", sinceMs(i));
-      eps.add(e);
+  /**
+   * Returns the list as JSON for one node. If {@code previous} is null, it has all present app
+   * servers, else only those whose presence changed.
+   */
+  private JsonObject list(List<Boolean> current, List<Boolean> previous, boolean snapshot,
+      int node) {
+    JsonObject list = new JsonObject();
+    list.addProperty("index", index);
+    list.addProperty("snapshot", snapshot);
+    JsonArray endpoints = new JsonArray();
+    for (int i = 0; i < current.size(); i++) {
+      if (previous != null && previous.get(i).equals(current.get(i))) continue;
+      if (previous == null && !current.get(i)) continue;
+      JsonObject endpoint = new JsonObject();
+      endpoint.addProperty("name", "s-" + i);
+      endpoint.addProperty("address", "127.0.0.1:" + serverPort.applyAsInt(node, i));
+      endpoint.addProperty("zone", "a");
+      endpoint.addProperty("type", "m");
+      endpoint.addProperty("group", 0);
+      endpoint.addProperty("status", current.get(i) ? "Ready" : "Gone");
+      endpoint.addProperty("weight", 1.0);
+      endpoint.addProperty("since_ms", sinceMs(i));
+      endpoints.add(endpoint);
     }
-    o.add("endpoints", eps);
-    return o;
+    list.add("endpoints", endpoints);
+    return list;
   }
 
-  private long sinceMs(int i) {
-    for (Fault f : s.servers().faults()) {
-      if (f.kind().equals("cold_start") && f.touches(i) && f.atS() > 0)
-        return clock.epochMs(f.atS() * 1000);
+  /** Returns the Unix time in ms at which the app server started, or 0 before the run began. */
+  private long sinceMs(int server) {
+    for (Fault fault : scenario.servers().faults()) {
+      if (fault.kind().equals("cold_start") && fault.touches(server) && fault.atS() > 0)
+        return clock.epochMs(fault.atS() * 1000);
     }
     return 0;
   }
 
-  private void request(HttpServerRequest req, int node) {
+  private void handle(HttpServerRequest request, int node) {
     fetches++;
-    HttpServerResponse r = req.response();
-    if (!req.path().equals("/api/targets")) {
-      r.setStatusCode(404).end();
+    HttpServerResponse response = request.response();
+    if (!request.path().equals("/api/targets")) {
+      response.setStatusCode(404).end();
       return;
     }
-    r.putHeader("content-type", "application/json");
-    if (!"1".equals(req.getParam("follow"))) {
-      r.end(list(told, null, true, node).toString());
+    response.putHeader("content-type", "application/json");
+    if (!"1".equals(request.getParam("follow"))) {
+      response.end(list(published, null, true, node).toString());
       return;
     }
-    r.setChunked(true);
-    r.write(list(told, null, true, node) + "\n");
-    watches.put(r, node);
-    r.closeHandler(v -> watches.remove(r));
-    req.connection().closeHandler(v -> watches.remove(r));
+    response.setChunked(true);
+    response.write(list(published, null, true, node) + "\n");
+    watches.put(response, node);
+    response.closeHandler(v -> watches.remove(response));
+    request.connection().closeHandler(v -> watches.remove(response));
   }
 }
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -21,195 +21,213 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * The systems an edge node serves, emulated on loopback from one scenario: app servers, the
- * counter, discovery's agent and the datagrams between nodes. All on one event loop of its own,
- * which also owns {@link GroundTruth}. {@link #nodeConfig(int)} writes the JSON configuration a
- * node is started with, as the platform would give it.
+ * The systems that an edge node uses, emulated on loopback from one scenario: the app servers, the
+ * counter, the discovery agent and the relay for datagrams between nodes. They run on one event
+ * loop, which also owns {@link GroundTruth}. {@link #nodeConfig(int)} returns the JSON
+ * configuration with which a node is started, as the platform would provide it.
  */
 public final class Emulator {
-  private final Scenario s;
+  private final Scenario scenario;
   private final Vertx vertx;
   private final LabClock clock;
   private final GroundTruth truth = new GroundTruth();
   private final AppServers servers;
   private final CounterStub counter;
-  private final LinkProxies relays;
-  private final String historyDir; // null: nodes keep none
-  private final PeerRelay relay;
+  private final LinkProxies linkProxies; // null: all links are direct
+  private final String historyDir; // null: the nodes write no history
+  private final PeerRelay peerRelay;
   private DiscoveryStub discovery;
   private final List<Integer> nodePeerPorts = new ArrayList<>();
-  private final Map<String, Integer> vias = new java.util.concurrent.ConcurrentHashMap<>();
+  private final Map<String, Integer> linkPorts = new java.util.concurrent.ConcurrentHashMap<>();
 
-  public Emulator(Scenario s, LabClock clock) {
-    this(s, clock, null, null, null);
+  /** Creates an emulator with direct links and without histories. */
+  public Emulator(Scenario scenario, LabClock clock) {
+    this(scenario, clock, null, null, null);
   }
 
   /**
-   * With relays for the links that faults touch, a history of the stand-ins, and a directory for
-   * the nodes'.
+   * Creates an emulator.
+   *
+   * @param linkProxies relays for the links that faults affect, or null for direct links
+   * @param history the history of the emulated app servers, or null for none
+   * @param historyDir the directory for the nodes' histories, or null for none
    */
-  public Emulator(Scenario s, LabClock clock, LinkProxies relays, HistoryWriter history,
+  public Emulator(Scenario scenario, LabClock clock, LinkProxies linkProxies, HistoryWriter history,
       String historyDir) {
-    this.relays = relays;
+    this.linkProxies = linkProxies;
     this.historyDir = historyDir;
-    this.s = s;
+    this.scenario = scenario;
     this.clock = clock;
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
         .setPreferNativeTransport(true));
-    servers = new AppServers(vertx, clock, truth, s, history);
-    counter = new CounterStub(vertx, clock, s.counter(), s.nodes());
-    relay = new PeerRelay(vertx, s, clock);
+    servers = new AppServers(vertx, clock, truth, scenario, history);
+    counter = new CounterStub(vertx, clock, scenario.counter(), scenario.nodes());
+    peerRelay = new PeerRelay(vertx, scenario, clock);
   }
 
-  /** Starts every stand-in on its own port; done when all listen. Runs on the emulator's loop. */
+  /** Starts every emulated system on its own ports; completes when all of them listen. */
   public Future<Void> start() {
     try {
-      for (int i = 0; i < s.nodes(); i++) nodePeerPorts.add(freeUdpPort());
+      for (int i = 0; i < scenario.nodes(); i++) nodePeerPorts.add(freeUdpPort());
     } catch (IOException e) {
       return Future.failedFuture(e);
     }
-    Promise<Void> done = Promise.promise();
+    Promise<Void> started = Promise.promise();
     vertx.runOnContext(v -> servers.start().compose(x -> counter.start()).compose(x -> {
-      List<int[]> reach = new ArrayList<>();
-      for (int n = 0; n < s.nodes(); n++) {
-        int[] to = new int[servers.ports().size()];
-        for (int i = 0; i < to.length; i++) to[i] = via("n" + n, "s" + i, servers.ports().get(i));
-        reach.add(to);
+      List<int[]> serverPortsByNode = new ArrayList<>();
+      for (int node = 0; node < scenario.nodes(); node++) {
+        int[] ports = new int[servers.ports().size()];
+        for (int i = 0; i < ports.length; i++)
+          ports[i] = linkPort("n" + node, "s" + i, servers.ports().get(i));
+        serverPortsByNode.add(ports);
       }
-      discovery = new DiscoveryStub(vertx, clock, s, (node, i) -> reach.get(node)[i]);
+      discovery = new DiscoveryStub(vertx, clock, scenario,
+          (node, server) -> serverPortsByNode.get(node)[server]);
       return discovery.start();
-    }).compose(x -> relay.start(nodePeerPorts)).onComplete(done));
-    return done.future();
+    }).compose(x -> peerRelay.start(nodePeerPorts)).onComplete(started));
+    return started.future();
   }
 
   /**
-   * Node {@code i}'s configuration: its listener on a free port, the stand-ins' addresses, peers
-   * through the relay, the list at time 0, and settings from the scenario's plan (one replayable
-   * frontend {@code read}, one non-replayable {@code write}, one plan {@code plan}).
+   * Returns the configuration of node {@code node}: its listener on a free port, the addresses of
+   * the emulated systems, its peers through the relay, the endpoint list at time 0, and settings
+   * from the scenario's quota plan. The settings have one replayable request class {@code read},
+   * one non-replayable request class {@code write} and one quota plan {@code plan}.
    */
-  public String nodeConfig(int i) {
-    return nodeConfig(i, false);
+  public String nodeConfig(int node) {
+    return nodeConfig(node, false);
   }
 
-  /** The same, or the older one, which has the scenario's old plan. */
-  public String nodeConfig(int i, boolean old) {
-    JsonObject c = new JsonObject();
-    c.addProperty("name", "n" + i);
-    c.addProperty("listen", "127.0.0.1:0");
-    c.addProperty("discovery", "127.0.0.1:" + via("n" + i, "discovery", discovery.port(i)));
-    c.addProperty("seed", String.format("%016x", s.seed() * 1000 + i + 1));
+  /**
+   * Returns the configuration of node {@code node}, with the scenario's old quota plan if
+   * {@code old} is set.
+   */
+  public String nodeConfig(int node, boolean old) {
+    JsonObject config = new JsonObject();
+    config.addProperty("name", "n" + node);
+    config.addProperty("listen", "127.0.0.1:0");
+    config.addProperty("discovery",
+        "127.0.0.1:" + linkPort("n" + node, "discovery", discovery.port(node)));
+    config.addProperty("seed", String.format("%016x", scenario.seed() * 1000 + node + 1));
     JsonObject limits = new JsonObject();
     limits.addProperty("cores", 1.0);
     limits.addProperty("memory_mb", 192);
     limits.addProperty("sockets", 1024);
-    c.add("limits", limits);
-    c.addProperty("peer_listen", "127.0.0.1:" + nodePeerPorts.get(i));
+    config.add("limits", limits);
+    config.addProperty("peer_listen", "127.0.0.1:" + nodePeerPorts.get(node));
     JsonArray peers = new JsonArray();
-    for (int port : relay.peerPorts()) peers.add("127.0.0.1:" + port);
-    c.add("peers", peers);
-    c.addProperty("peers_all", "127.0.0.1:" + relay.allPort());
-    c.addProperty("counter", "127.0.0.1:" + via("n" + i, "counter", counter.ports().get(i)));
-    c.add("known", discovery.known(i));
-    c.add("settings", settings(i, old ? s.oldPlan() : s.plan()));
-    if (s.peers().membership()) c.addProperty("membership", true);
-    if (historyDir != null) c.addProperty("history", historyDir);
-    return c.toString();
+    for (int port : peerRelay.peerPorts()) peers.add("127.0.0.1:" + port);
+    config.add("peers", peers);
+    config.addProperty("peers_all", "127.0.0.1:" + peerRelay.broadcastPort());
+    config.addProperty("counter",
+        "127.0.0.1:" + linkPort("n" + node, "counter", counter.ports().get(node)));
+    config.add("known", discovery.known(node));
+    config.add("settings", settings(node, old ? scenario.oldPlan() : scenario.plan()));
+    if (scenario.peers().membership()) config.addProperty("membership", true);
+    if (historyDir != null) config.addProperty("history", historyDir);
+    return config.toString();
   }
 
-  /** The port by which one reaches the other: a relay's where the link has faults, made once. */
-  private int via(String from, String to, int port) {
-    return relays == null ? port
-        : vias.computeIfAbsent(from + ">" + to, k -> relays.port(from, to, port));
+  /**
+   * Returns the port through which {@code from} reaches {@code to}, which itself listens on
+   * {@code port}. If the links may have faults, it is the port of a relay, which is created once
+   * per link.
+   */
+  private int linkPort(String from, String to, int port) {
+    return linkProxies == null ? port
+        : linkPorts.computeIfAbsent(from + ">" + to, key -> linkProxies.port(from, to, port));
   }
 
-  private JsonObject settings(int me, Scenario.Plan p) {
-    String text = """
+  private JsonObject settings(int node, Scenario.Plan plan) {
+    String template = """
         {"azs":["a"],"machineTypes":["m"],"stages":["app"],"discovery":"automatic","family":"gate",
          "quantum":2.0,"clients":{"marksRetry":true},"report":{"fields":["utilization"],"how":"inline"},
          "contract":{"cold":10000,"coldFrom":0.2,"fallMultiple":3,"tipAfter":3000},
          "familyInfo":{"counter":true,"countLimit":30,"costAfter":false,"unitsTop":64},
          "limits":{"cancelling":true,"connIdle":15000,"connectTimeout":250,"maxRetryAfter":1000,"mayTell":true,
            "retryAfter":true,"sendCap":4}}""";
-    JsonObject o = JsonParser.parseString(text).getAsJsonObject();
-    o.getAsJsonObject("familyInfo").addProperty("peerInPerS", s.peers().intake());
-    o.addProperty("me", me);
-    o.addProperty("peersTotal", s.nodes());
-    double idle = s.servers().idleCloseMs();
-    for (Scenario.Fault f : s.servers().faults()) {
-      if (f.kind().equals("idle_close")) idle = idle > 0 ? Math.min(idle, f.idleMs()) : f.idleMs();
+    JsonObject settings = JsonParser.parseString(template).getAsJsonObject();
+    settings.getAsJsonObject("familyInfo").addProperty("peerInPerS", scenario.peers().intake());
+    settings.addProperty("me", node);
+    settings.addProperty("peersTotal", scenario.nodes());
+    double idleMs = scenario.servers().idleCloseMs();
+    for (Scenario.Fault fault : scenario.servers().faults()) {
+      if (fault.kind().equals("idle_close"))
+        idleMs = idleMs > 0 ? Math.min(idleMs, fault.idleMs()) : fault.idleMs();
     }
-    if (idle > 0) o.getAsJsonObject("limits").addProperty("connIdle", idle);
-    JsonArray cats = new JsonArray();
-    cats.add(category("read", "idempotent", p));
-    cats.add(category("write", "none", p));
-    o.add("categories", cats);
-    JsonArray plans = new JsonArray();
-    JsonObject plan = new JsonObject();
-    plan.addProperty("name", "plan");
-    plan.addProperty("refill", p.rate());
-    plan.addProperty("peakUnits", p.burst());
-    plan.addProperty("pays", 1);
-    plan.addProperty("capRate", 0);
-    plan.addProperty("hardBurst", 0);
-    plan.addProperty("parallel", 0);
-    plans.add(plan);
-    o.add("contracts", plans);
-    return o;
+    if (idleMs > 0) settings.getAsJsonObject("limits").addProperty("connIdle", idleMs);
+    JsonArray requestClasses = new JsonArray();
+    requestClasses.add(requestClass("read", "idempotent", plan));
+    requestClasses.add(requestClass("write", "none", plan));
+    settings.add("categories", requestClasses);
+    JsonArray quotaPlans = new JsonArray();
+    JsonObject quotaPlan = new JsonObject();
+    quotaPlan.addProperty("name", "plan");
+    quotaPlan.addProperty("refill", plan.rate());
+    quotaPlan.addProperty("peakUnits", plan.burst());
+    quotaPlan.addProperty("pays", 1);
+    quotaPlan.addProperty("capRate", 0);
+    quotaPlan.addProperty("hardBurst", 0);
+    quotaPlan.addProperty("parallel", 0);
+    quotaPlans.add(quotaPlan);
+    settings.add("contracts", quotaPlans);
+    return settings;
   }
 
-  private static JsonObject category(String name, String effect, Scenario.Plan p) {
-    JsonObject c = new JsonObject();
-    c.addProperty("name", name);
-    c.addProperty("aim", p.aimMs());
-    c.addProperty("deadline", p.deadlineMs());
-    c.addProperty("effect", effect);
-    c.addProperty("importance", 1);
-    c.addProperty("keyScope", "all");
-    c.addProperty("lateWorth", 0);
-    c.addProperty("stream", false);
-    c.addProperty("window", 5000);
-    return c;
+  private static JsonObject requestClass(String name, String effect, Scenario.Plan plan) {
+    JsonObject requestClass = new JsonObject();
+    requestClass.addProperty("name", name);
+    requestClass.addProperty("aim", plan.aimMs());
+    requestClass.addProperty("deadline", plan.deadlineMs());
+    requestClass.addProperty("effect", effect);
+    requestClass.addProperty("importance", 1);
+    requestClass.addProperty("keyScope", "all");
+    requestClass.addProperty("lateWorth", 0);
+    requestClass.addProperty("stream", false);
+    requestClass.addProperty("window", 5000);
+    return requestClass;
   }
 
-  /** Reads the ledger on the emulator's loop. */
-  public <T> Future<T> read(java.util.function.Function<GroundTruth, T> what) {
-    Promise<T> out = Promise.promise();
-    vertx.runOnContext(v -> out.complete(what.apply(truth)));
-    return out.future();
+  /** Applies the function to {@link GroundTruth} on the emulator's event loop. */
+  public <T> Future<T> read(java.util.function.Function<GroundTruth, T> reader) {
+    Promise<T> result = Promise.promise();
+    vertx.runOnContext(v -> result.complete(reader.apply(truth)));
+    return result.future();
   }
 
-  /** The stand-ins' own counts, for the run file. */
+  /** Returns the counts of the emulated systems by name, for the run file. */
   public Future<Map<String, Long>> metrics() {
-    return read(t -> {
-      Map<String, Long> m = new LinkedHashMap<>();
-      m.put("server_commands", servers.commands());
-      m.put("server_spoilt", servers.spoilt());
-      m.put("counter_calls", counter.calls());
-      m.put("counter_bytes_in", counter.bytesIn());
-      m.put("counter_bytes_out", counter.bytesOut());
-      m.put("counter_held_by_silence", counter.held());
-      m.put("counter_turned_away", counter.turnedAway());
-      m.put("discovery_fetches", discovery.fetches());
-      m.put("peer_datagrams_carried", relay.carried());
-      m.put("peer_bytes_in", relay.bytesIn());
-      m.put("peer_bytes_out", relay.bytesOut());
-      m.put("peer_datagrams_lost", relay.lost());
-      return m;
+    return read(unused -> {
+      Map<String, Long> metrics = new LinkedHashMap<>();
+      metrics.put("server_commands", servers.commands());
+      metrics.put("server_spoilt", servers.spoilt());
+      metrics.put("counter_calls", counter.calls());
+      metrics.put("counter_bytes_in", counter.bytesIn());
+      metrics.put("counter_bytes_out", counter.bytesOut());
+      metrics.put("counter_held_by_silence", counter.held());
+      metrics.put("counter_turned_away", counter.rejected());
+      metrics.put("discovery_fetches", discovery.fetches());
+      metrics.put("peer_datagrams_carried", peerRelay.sentDatagrams());
+      metrics.put("peer_bytes_in", peerRelay.bytesIn());
+      metrics.put("peer_bytes_out", peerRelay.bytesOut());
+      metrics.put("peer_datagrams_lost", peerRelay.lostDatagrams());
+      return metrics;
     });
   }
 
-  /** App servers' ports, in the order of their names {@code s-0, s-1, ...}. */
+  /** Returns the app servers' ports, in the order of their names {@code s-0, s-1, ...}. */
   public List<Integer> serverPorts() {
     return servers.ports();
   }
 
+  /** Stops every emulated system. */
   public Future<Void> stop() {
     return vertx.close();
   }
 
   private static int freeUdpPort() throws IOException {
-    try (DatagramSocket d = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      return d.getLocalPort();
+    try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 }
--- a/src/main/java/saltlatch/lab/emulator/PeerRelay.java
+++ b/src/main/java/saltlatch/lab/emulator/PeerRelay.java
@@ -15,112 +15,118 @@
 import saltlatch.lab.scenario.Scenario;
 
 /**
- * Carries datagrams between nodes so that they can be lost and reordered. Node i's {@code peers}
- * are the relay's sockets {@code R_0..R_k-1}; a datagram from node i to {@code R_j} goes on to node
- * j from {@code R_i}, so node j reads it as from peer i. {@code peers_all} is one more socket that
- * copies to every other node. Loss and delay from the scenario's seed.
+ * Relays the datagrams between nodes, so that they can be lost, delayed and reordered. The relay
+ * has one socket per node, {@code R_0} to {@code R_k-1}, and these are the {@code peers} of every
+ * node. A datagram that node i sends to {@code R_j} is sent from {@code R_i} to node j, so that
+ * node j sees it as a datagram of peer i. One more socket, {@code peers_all}, copies each datagram
+ * to all nodes except its sender. Losses and delays are drawn from the scenario's seed.
  */
 public final class PeerRelay {
   private final Vertx vertx;
   private final Scenario.Peers spec;
-  private final SplittableRandom chance;
-  private final List<DatagramSocket> out = new ArrayList<>();
+  private final SplittableRandom random;
+  private final List<DatagramSocket> peerSockets = new ArrayList<>();
   private final List<Integer> nodePorts = new ArrayList<>();
   private final Map<Integer, Integer> nodeByPort = new HashMap<>();
-  private DatagramSocket all;
-  private long carried;
-  private long lost;
+  private DatagramSocket broadcastSocket;
+  private long sentDatagrams;
+  private long lostDatagrams;
   private long bytesIn;
   private long bytesOut;
 
   private final Links links;
   private final LabClock clock;
 
-  PeerRelay(Vertx vertx, Scenario s, LabClock clock) {
-    this.links = new Links(s.links().faults(), s.seed());
+  PeerRelay(Vertx vertx, Scenario scenario, LabClock clock) {
+    this.links = new Links(scenario.links().faults(), scenario.seed());
     this.clock = clock;
     this.vertx = vertx;
-    this.spec = s.peers();
-    this.chance = new SplittableRandom(s.seed() ^ 0x9ee5L);
+    this.spec = scenario.peers();
+    this.random = new SplittableRandom(scenario.seed() ^ 0x9ee5L);
   }
 
   /**
-   * Binds one socket a node and one for all; {@code ports} are where the nodes listen for
-   * datagrams.
+   * Binds one socket per node and one for datagrams to all nodes. {@code ports} are the UDP ports
+   * on which the nodes listen, in the order of the nodes.
    */
   Future<Void> start(List<Integer> ports) {
-    List<Future<DatagramSocket>> binds = new ArrayList<>();
-    for (int j = 0; j < ports.size(); j++) {
-      nodePorts.add(ports.get(j));
-      nodeByPort.put(ports.get(j), j);
-      DatagramSocket d = vertx.createDatagramSocket(new DatagramSocketOptions());
-      int to = j;
-      d.handler(p -> {
-        bytesIn += p.data().length();
-        forward(p.sender().port(), p.data(), to);
+    List<Future<DatagramSocket>> bound = new ArrayList<>();
+    for (int i = 0; i < ports.size(); i++) {
+      nodePorts.add(ports.get(i));
+      nodeByPort.put(ports.get(i), i);
+      DatagramSocket socket = vertx.createDatagramSocket(new DatagramSocketOptions());
+      int receiver = i;
+      socket.handler(packet -> {
+        bytesIn += packet.data().length();
+        forward(packet.sender().port(), packet.data(), receiver);
       });
-      out.add(d);
-      binds.add(d.listen(0, "127.0.0.1"));
+      peerSockets.add(socket);
+      bound.add(socket.listen(0, "127.0.0.1"));
     }
-    all = vertx.createDatagramSocket(new DatagramSocketOptions());
-    all.handler(p -> {
-      bytesIn += p.data().length();
-      for (int j = 0; j < nodePorts.size(); j++) {
-        Integer from = nodeByPort.get(p.sender().port());
-        if (from != null && from != j) forward(p.sender().port(), p.data(), j);
+    broadcastSocket = vertx.createDatagramSocket(new DatagramSocketOptions());
+    broadcastSocket.handler(packet -> {
+      bytesIn += packet.data().length();
+      for (int receiver = 0; receiver < nodePorts.size(); receiver++) {
+        Integer sender = nodeByPort.get(packet.sender().port());
+        if (sender != null && sender != receiver)
+          forward(packet.sender().port(), packet.data(), receiver);
       }
     });
-    binds.add(all.listen(0, "127.0.0.1"));
-    return Future.all(binds).mapEmpty();
+    bound.add(broadcastSocket.listen(0, "127.0.0.1"));
+    return Future.all(bound).mapEmpty();
   }
 
-  /** The relay's addresses, as node i is to name its peers. */
+  /** Returns the relay's ports that a node uses as its peers, in the order of the nodes. */
   List<Integer> peerPorts() {
-    return out.stream().map(d -> d.localAddress().port()).toList();
+    return peerSockets.stream().map(socket -> socket.localAddress().port()).toList();
   }
 
-  int allPort() {
-    return all.localAddress().port();
+  /** Returns the port whose datagrams are copied to all nodes except the sender. */
+  int broadcastPort() {
+    return broadcastSocket.localAddress().port();
   }
 
-  long carried() {
-    return carried;
+  /** Returns the number of datagrams sent to nodes; copies count separately. */
+  long sentDatagrams() {
+    return sentDatagrams;
   }
 
-  /** Bytes of datagrams that nodes have sent, one to all counted once. */
+  /** Returns the bytes of datagrams sent by nodes; a datagram to all nodes counts once. */
   long bytesIn() {
     return bytesIn;
   }
 
-  /** Bytes of datagrams sent on to nodes. */
+  /** Returns the bytes of datagrams sent to nodes. */
   long bytesOut() {
     return bytesOut;
   }
 
-  long lost() {
-    return lost;
+  /** Returns the number of datagrams lost on the way to a node. */
+  long lostDatagrams() {
+    return lostDatagrams;
   }
 
-  private void forward(int senderPort, Buffer data, int to) {
-    Integer from = nodeByPort.get(senderPort);
-    if (from == null) return;
-    if (chance.nextDouble() < spec.loss()) {
-      lost++;
+  private void forward(int senderPort, Buffer data, int receiver) {
+    Integer sender = nodeByPort.get(senderPort);
+    if (sender == null) return;
+    if (random.nextDouble() < spec.loss()) {
+      lostDatagrams++;
       return;
     }
-    double base = spec.reorderMs() > 0 ? 1 + chance.nextDouble() * spec.reorderMs() : 0;
-    List<Double> copies = links.datagram("n" + from, "n" + to, clock.nowMs());
-    if (copies.isEmpty()) lost++;
-    for (double extra : copies) send(from, to, data, (long) (base + extra));
+    double delayMs = spec.reorderMs() > 0 ? 1 + random.nextDouble() * spec.reorderMs() : 0;
+    List<Double> copyDelaysMs = links.datagram("n" + sender, "n" + receiver, clock.nowMs());
+    if (copyDelaysMs.isEmpty()) lostDatagrams++;
+    for (double copyDelayMs : copyDelaysMs)
+      send(sender, receiver, data, (long) (delayMs + copyDelayMs));
   }
 
-  private void send(int from, int to, Buffer data, long delay) {
+  private void send(int sender, int receiver, Buffer data, long delayMs) {
     Runnable send = () -> {
-      carried++;
+      sentDatagrams++;
       bytesOut += data.length();
-      out.get(from).send(data, nodePorts.get(to), "127.0.0.1");
+      peerSockets.get(sender).send(data, nodePorts.get(receiver), "127.0.0.1");
     };
-    if (delay == 0) send.run();
-    else vertx.setTimer(delay, t -> send.run());
+    if (delayMs == 0) send.run();
+    else vertx.setTimer(delayMs, timer -> send.run());
   }
 }
