--- a/src/test/java/saltlatch/lab/EmulatorTest.java
+++ b/src/test/java/saltlatch/lab/EmulatorTest.java
@@ -16,14 +16,15 @@
 import saltlatch.lab.emulator.Emulator;
 import saltlatch.lab.scenario.Scenario;
 
-/**
- * The counter stand-in on loopback: a split keeps two stores, a silence holds answers, an empty
- * forgets.
- */
+/** Tests the emulated counter and the emulated discovery agent on loopback. */
 class EmulatorTest {
+  /**
+   * While a {@code split} is active, the two groups have separate stores; {@code silent} holds
+   * answers back; {@code empty} deletes all totals.
+   */
   @Test
-  void counterSplitsFallsSilentAndComesBackEmpty() throws Exception {
-    Scenario s = Scenario.parse("""
+  void counterAppliesSplitSilentAndEmptyFaults() throws Exception {
+    Scenario scenario = Scenario.parse("""
         seed = 1
         seconds = 5
         nodes = 2
@@ -41,36 +42,38 @@
         at_s = 3
         """);
     LabClock clock = new LabClock();
-    Emulator e = new Emulator(s, clock);
-    e.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    Emulator emulator = new Emulator(scenario, clock);
+    emulator.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     try {
-      int a = counterPort(e, 0);
-      int b = counterPort(e, 1);
-      assertTrue(a != b, "a split gives each group its own address");
-      try (Line one = new Line(a); Line two = new Line(b)) {
-        assertEquals("ok 2", one.call("bump c1 2 60000"));
-        assertEquals("ok 3", two.call("bump c1 3 60000")); // the other side does not see the 2
+      int firstPort = counterPort(emulator, 0);
+      int secondPort = counterPort(emulator, 1);
+      assertTrue(firstPort != secondPort,
+          "expected a separate counter port for each node, found " + firstPort + " for both");
+      try (CounterConnection first = new CounterConnection(firstPort);
+          CounterConnection second = new CounterConnection(secondPort)) {
+        assertEquals("ok 2", first.call("bump c1 2 60000"));
+        // The 2 units are in the first group's store only.
+        assertEquals("ok 3", second.call("bump c1 3 60000"));
         Thread.sleep(Math.max(0, 1_700 - (long) clock.nowMs()));
-        long sent = System.nanoTime();
-        // healed: side one's store; held to the silence's end
-        assertEquals("ok 3", one.call("bump c1 1 60000"));
-        double heldMs = (System.nanoTime() - sent) / 1e6;
-        assertTrue(heldMs > 500, "held " + heldMs + " ms");
+        long sentNanos = System.nanoTime();
+        // The split has ended, so the first group's store counts; the answer is held until the
+        // silent fault ends.
+        assertEquals("ok 3", first.call("bump c1 1 60000"));
+        double heldMs = (System.nanoTime() - sentNanos) / 1e6;
+        assertTrue(heldMs > 500, "expected an answer after more than 500 ms, found " + heldMs);
         Thread.sleep(Math.max(0, 3_200 - (long) clock.nowMs()));
-        assertEquals("ok 1", one.call("bump c1 1 60000")); // back empty
+        // The total was deleted at 3 s.
+        assertEquals("ok 1", first.call("bump c1 1 60000"));
       }
     } finally {
-      e.stop();
+      emulator.stop();
     }
   }
 
-  /**
-   * A server's cold start reaches a watch only after a {@code late} fault's delay; a plain fetch
-   * shows it then too.
-   */
+  /** A watch receives a server's cold start only after the delay of a {@code late} fault. */
   @Test
-  void discoveryTellsAColdStartLate() throws Exception {
-    Scenario s = Scenario.parse("""
+  void discoveryPublishesColdStartLate() throws Exception {
+    Scenario scenario = Scenario.parse("""
         seed = 1
         seconds = 5
         [servers]
@@ -87,12 +90,12 @@
         extra_ms = 1000
         """);
     LabClock clock = new LabClock();
-    Emulator e = new Emulator(s, clock);
-    e.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    Emulator emulator = new Emulator(scenario, clock);
+    emulator.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     try {
-      var config = JsonParser.parseString(e.nodeConfig(0)).getAsJsonObject();
+      var config = JsonParser.parseString(emulator.nodeConfig(0)).getAsJsonObject();
       assertEquals(2, config.getAsJsonObject("known").getAsJsonArray("endpoints").size(),
-          "s-2 not started yet");
+          "s-2 must not be in the list before its cold start");
       String address = config.get("discovery").getAsString();
       try (Socket watch = new Socket(InetAddress.getLoopbackAddress(),
           Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
@@ -100,28 +103,30 @@
         watch.getOutputStream()
             .write("GET /api/targets?follow=1&since=1 HTTP/1.1\r\nHost: x\r\n\r\n"
                 .getBytes(StandardCharsets.ISO_8859_1));
-        BufferedReader in = new BufferedReader(
+        BufferedReader lines = new BufferedReader(
             new InputStreamReader(watch.getInputStream(), StandardCharsets.ISO_8859_1));
-        double toldAt = -1;
-        for (String line = in.readLine(); line != null && toldAt < 0; line = in.readLine()) {
+        double publishedAtMs = -1;
+        for (String line = lines.readLine(); line != null
+            && publishedAtMs < 0; line = lines.readLine()) {
           if (line.contains("\"s-2\"") && line.contains("Ready")
               && line.contains("\"snapshot\":false"))
-            toldAt = clock.nowMs();
+            publishedAtMs = clock.nowMs();
         }
-        assertTrue(toldAt >= 1_500 && toldAt < 2_500, "told at " + toldAt + " ms");
+        assertTrue(publishedAtMs >= 1_500 && publishedAtMs < 2_500,
+            "expected publication from 1500 to 2500 ms, found " + publishedAtMs);
       }
     } finally {
-      e.stop();
+      emulator.stop();
     }
   }
 
   /**
-   * A counter of ten calls a second, with three that may wait: of eight at once it serves three in
-   * turn.
+   * A counter that serves ten calls per second, and lets three wait, receives eight calls at once:
+   * it serves three one after another and rejects five.
    */
   @Test
-  void counterServesInTurn() throws Exception {
-    Scenario s = Scenario.parse("""
+  void counterServesCallsAtItsRateAndRejectsTheRest() throws Exception {
+    Scenario scenario = Scenario.parse("""
         name = "narrow"
         nodes = 1
         [counter]
@@ -129,35 +134,36 @@
         line = 3
         """);
     LabClock clock = new LabClock();
-    Emulator e = new Emulator(s, clock);
-    e.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
-    try (Line one = new Line(counterPort(e, 0))) {
-      double from = clock.nowMs();
-      one.out.write("bump n 1 5000\r\n".repeat(8).getBytes(StandardCharsets.ISO_8859_1));
-      StringBuilder seen = new StringBuilder();
-      for (int i = 0; i < 8; i++) seen.append(one.in.readLine()).append(' ');
-      assertEquals("ok 1 ok 2 ok 3 busy busy busy busy busy ", seen.toString());
-      assertTrue(clock.nowMs() - from >= 300, "in turn");
-      assertEquals(5L, e.metrics().toCompletionStage().toCompletableFuture()
+    Emulator emulator = new Emulator(scenario, clock);
+    emulator.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    try (CounterConnection connection = new CounterConnection(counterPort(emulator, 0))) {
+      double sentMs = clock.nowMs();
+      connection.out.write("bump n 1 5000\r\n".repeat(8).getBytes(StandardCharsets.ISO_8859_1));
+      StringBuilder answers = new StringBuilder();
+      for (int i = 0; i < 8; i++) answers.append(connection.in.readLine()).append(' ');
+      assertEquals("ok 1 ok 2 ok 3 busy busy busy busy busy ", answers.toString());
+      assertTrue(clock.nowMs() - sentMs >= 300,
+          "three calls at 10 per second must take at least 300 ms");
+      assertEquals(5L, emulator.metrics().toCompletionStage().toCompletableFuture()
           .get(5, TimeUnit.SECONDS).get("counter_turned_away"));
     } finally {
-      e.stop();
+      emulator.stop();
     }
   }
 
-  private static int counterPort(Emulator e, int node) {
-    String address = JsonParser.parseString(e.nodeConfig(node)).getAsJsonObject().get("counter")
-        .getAsString();
+  private static int counterPort(Emulator emulator, int node) {
+    String address = JsonParser.parseString(emulator.nodeConfig(node)).getAsJsonObject()
+        .get("counter").getAsString();
     return Integer.parseInt(address.substring(address.indexOf(':') + 1));
   }
 
-  /** One connection speaking the counter's lines. */
-  private static final class Line implements AutoCloseable {
+  /** A connection that speaks the counter's line protocol. */
+  private static final class CounterConnection implements AutoCloseable {
     final Socket socket;
     final BufferedReader in;
     final OutputStream out;
 
-    Line(int port) throws Exception {
+    CounterConnection(int port) throws Exception {
       socket = new Socket(InetAddress.getLoopbackAddress(), port);
       socket.setSoTimeout(5_000);
       in = new BufferedReader(
--- a/src/test/java/saltlatch/lab/LabTest.java
+++ b/src/test/java/saltlatch/lab/LabTest.java
@@ -17,14 +17,14 @@
 import saltlatch.lab.run.Lab;
 import saltlatch.lab.scenario.Scenario;
 
-/** Real edge nodes against the emulator on loopback, with the faults the issue names. */
+/** Tests complete laboratory runs: edge nodes against the emulator on loopback, with faults. */
 class LabTest {
   /**
-   * Twenty seconds, four nodes: app servers that close idle connections after 1.5 s while reqs are
-   * in flight, a cold server started at 6 s with a fifth of its capacity, the counter emptied at
-   * the burst's peak, lossy peers.
+   * Four nodes for twenty seconds. App servers close idle connections after 1.5 s while requests
+   * are in flight, one app server starts cold at 6 s with a fifth of its capacity, the counter is
+   * emptied in the middle of the burst, and datagrams between nodes are lost and reordered.
    */
-  static final String FAULTY = """
+  private static final String SCENARIO_WITH_FAULTS = """
       name = "ci-faults"
       seed = 3
       seconds = 20
@@ -73,32 +73,33 @@
       """;
 
   @Test
-  void faultyDayHoldsItsTruth() throws Exception {
-    RunResult r = Lab.run(Scenario.parse(FAULTY), 0);
-    assertTrue(r.passed(), r.checks().toString());
-    long answered = r.outcomes().get(Outcome.PASSED) + r.outcomes().get(Outcome.DENIED);
-    assertTrue(answered > r.tries() * 0.9,
-        "answered " + answered + " of " + r.tries() + ": " + r.outcomes());
-    assertTrue(r.outcomes().get(Outcome.PASSED) > r.tries() * 0.2,
-        "a good part passes: " + r.outcomes());
-    assertTrue(r.outcomes().get(Outcome.DENIED) > 0,
-        "a plan of 6 units a second denies some: " + r.outcomes());
-    String html = Report.html(r, r);
+  void runWithFaultsPassesAllChecks() throws Exception {
+    RunResult result = Lab.run(Scenario.parse(SCENARIO_WITH_FAULTS), 0);
+    assertTrue(result.passed(), result.checks().toString());
+    long answered = result.outcomes().get(Outcome.PASSED) + result.outcomes().get(Outcome.DENIED);
+    assertTrue(answered > result.tries() * 0.9, "expected more than 90 % of " + result.tries()
+        + " attempts answered, found " + answered + ": " + result.outcomes());
+    assertTrue(result.outcomes().get(Outcome.PASSED) > result.tries() * 0.2,
+        "expected more than 20 % of " + result.tries() + " attempts to pass: " + result.outcomes());
+    assertTrue(result.outcomes().get(Outcome.DENIED) > 0,
+        "expected denials with a quota of 6 units per second: " + result.outcomes());
+    String html = Report.html(result, result);
     assertTrue(html.contains("<svg") && html.contains("ratio") && !html.contains("FAILED"));
   }
 
   /**
-   * No answer ever comes: the load still sends every try at its time, and each ends at its client
-   * timeout.
+   * If a node never answers, the load generator still sends every request at its scheduled time,
+   * and every attempt ends at its client timeout.
    */
   @Test
-  void loadKeepsItsScheduleWhenNoAnswerComes() throws Exception {
+  void loadKeepsItsScheduleWithoutAnswers() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
-      NetServer mute = vertx.createNetServer().connectHandler(socket -> socket.handler(data -> {}));
-      int port = mute.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture()
+      NetServer silentServer = vertx.createNetServer()
+          .connectHandler(socket -> socket.handler(data -> {}));
+      int port = silentServer.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture()
           .get(5, TimeUnit.SECONDS).actualPort();
-      Scenario s = Scenario.parse("""
+      Scenario scenario = Scenario.parse("""
           seed = 5
           seconds = 3
           [load]
@@ -106,13 +107,14 @@
           deadline_ms = 500
           connections_per_node = 16
           """);
-      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(s);
-      LoadRunner load = new LoadRunner(s, schedule, List.of(port), new LabClock());
+      List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(scenario);
+      LoadRunner load = new LoadRunner(scenario, schedule, List.of(port), new LabClock());
       load.run().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
       assertEquals(schedule.size(), load.attempts());
       assertEquals(schedule.size(),
           (long) load.outcomes().get(Outcome.TIMED_OUT) + load.outcomes().get(Outcome.BROKEN));
-      assertTrue(load.senderLate().get("p99") < 20_000, "sender late " + load.senderLate());
+      assertTrue(load.senderLate().get("p99") < 20_000,
+          "expected a p99 sender lateness below 20000 us, found " + load.senderLate());
       load.close();
     } finally {
       vertx.close();
--- a/src/test/java/saltlatch/lab/PlanTest.java
+++ b/src/test/java/saltlatch/lab/PlanTest.java
@@ -16,9 +16,12 @@
 import saltlatch.lab.plan.OpenLoopSchedule;
 import saltlatch.lab.scenario.Scenario;
 
-/** The lab's decisions without I/O: the offered schedule, a stand-in box's verdicts, the ledger. */
+/**
+ * Tests the parts of the laboratory that do no I/O: the offered schedule, the decisions of an
+ * emulated app server, and the record of what the app servers ran.
+ */
 class PlanTest {
-  static final String BASE = """
+  private static final String SCENARIO = """
       name = "t"
       seed = 11
       seconds = 20
@@ -53,80 +56,90 @@
       """;
 
   @Test
-  void oneSeedOneSchedule() throws IOException {
-    List<OpenLoopSchedule.Arrival> a = OpenLoopSchedule.of(Scenario.parse(BASE));
-    List<OpenLoopSchedule.Arrival> b = OpenLoopSchedule.of(Scenario.parse(BASE));
-    assertEquals(OpenLoopSchedule.digest(a), OpenLoopSchedule.digest(b));
-    assertNotEquals(OpenLoopSchedule.digest(a), OpenLoopSchedule
-        .digest(OpenLoopSchedule.of(Scenario.parse(BASE.replace("seed = 11", "seed = 12")))));
+  void sameSeedGivesSameSchedule() throws IOException {
+    List<OpenLoopSchedule.Arrival> first = OpenLoopSchedule.of(Scenario.parse(SCENARIO));
+    List<OpenLoopSchedule.Arrival> second = OpenLoopSchedule.of(Scenario.parse(SCENARIO));
+    List<OpenLoopSchedule.Arrival> otherSeed = OpenLoopSchedule
+        .of(Scenario.parse(SCENARIO.replace("seed = 11", "seed = 12")));
+    assertEquals(OpenLoopSchedule.digest(first), OpenLoopSchedule.digest(second));
+    assertNotEquals(OpenLoopSchedule.digest(first), OpenLoopSchedule.digest(otherSeed));
   }
 
   @Test
-  void burstsRaiseTheOfferedRate() throws IOException {
-    List<OpenLoopSchedule.Arrival> a = OpenLoopSchedule.of(Scenario.parse(BASE));
-    long calm = a.stream().filter(x -> x.atUs() < 5_000_000).count(); // 5 s at 500/s
-    // 5 s at 1500/s
-    long burst = a.stream().filter(x -> x.atUs() >= 10_000_000 && x.atUs() < 15_000_000).count();
-    assertTrue(Math.abs(calm - 2500) < 250, "calm " + calm);
-    assertTrue(Math.abs(burst - 7500) < 450, "burst " + burst);
-    for (int i = 1; i < a.size(); i++) assertTrue(a.get(i).atUs() >= a.get(i - 1).atUs());
+  void burstRaisesOfferedRate() throws IOException {
+    List<OpenLoopSchedule.Arrival> schedule = OpenLoopSchedule.of(Scenario.parse(SCENARIO));
+    // 5 s at 500 requests per second
+    long beforeBurst = schedule.stream().filter(arrival -> arrival.atUs() < 5_000_000).count();
+    // 5 s at 1500 requests per second
+    long inBurst = schedule.stream()
+        .filter(arrival -> arrival.atUs() >= 10_000_000 && arrival.atUs() < 15_000_000).count();
+    assertTrue(Math.abs(beforeBurst - 2500) < 250,
+        "expected about 2500 arrivals before the burst, found " + beforeBurst);
+    assertTrue(Math.abs(inBurst - 7500) < 450,
+        "expected about 7500 arrivals in the burst, found " + inBurst);
+    for (int i = 1; i < schedule.size(); i++)
+      assertTrue(schedule.get(i).atUs() >= schedule.get(i - 1).atUs());
   }
 
   @Test
-  void badScenariosAreRefused() {
-    assertThrows(IOException.class, () -> Scenario.parse(BASE + "\nbogus = 1\n"));
+  void unknownKeysAndFaultKindsAreRejected() {
+    assertThrows(IOException.class, () -> Scenario.parse(SCENARIO + "\nbogus = 1\n"));
     assertThrows(IllegalArgumentException.class,
-        () -> Scenario.parse(BASE.replace("\"slow\"", "\"slowly\"")));
+        () -> Scenario.parse(SCENARIO.replace("\"slow\"", "\"slowly\"")));
   }
 
   /**
-   * A cold box that twenty nodes pile onto tips over, fails for a while, then serves at its ramped
-   * capacity.
+   * An app server that receives twenty requests at once during its cold start becomes overloaded,
+   * fails all requests for a while, and then serves at the capacity of its ramp.
    */
   @Test
-  void coldBoxTrace() throws IOException {
-    Scenario s = Scenario.parse(BASE);
-    AppServerModel box = new AppServerModel(1, s.servers(), s.seed());
+  void overloadedColdServerFailsThenServes() throws IOException {
+    Scenario scenario = Scenario.parse(SCENARIO);
+    AppServerModel server = new AppServerModel(1, scenario.servers(), scenario.seed());
     StringBuilder trace = new StringBuilder();
     int inProgress = 0;
     for (double ms = 1_000; ms <= 9_000; ms += 500) {
-      int load = ms < 2_000 ? 1 : ms < 3_000 ? 20 : 2; // twenty nodes at once, then they back off
+      // One request from each of twenty nodes at once, then fewer because the nodes back off.
+      int requests = ms < 2_000 ? 1 : ms < 3_000 ? 20 : 2;
       StringBuilder verdicts = new StringBuilder();
-      for (int k = 0; k < load; k++) {
-        AppServerModel.Decision t = box.decide(ms, inProgress + k);
-        verdicts.append(t.verdict().name().charAt(0));
-        if (k == 0 && t.verdict() == AppServerModel.Verdict.SERVE)
-          verdicts.append(String.format(Locale.ROOT, "(%.0fms)", t.latencyMs()));
+      for (int i = 0; i < requests; i++) {
+        AppServerModel.Decision decision = server.decide(ms, inProgress + i);
+        verdicts.append(decision.verdict().name().charAt(0));
+        if (i == 0 && decision.verdict() == AppServerModel.Verdict.SERVE)
+          verdicts.append(String.format(Locale.ROOT, "(%.0fms)", decision.latencyMs()));
       }
       trace.append(
-          String.format(Locale.ROOT, "t=%5.0f cap=%5.2f %s%n", ms, box.capacity(ms), verdicts));
+          String.format(Locale.ROOT, "t=%5.0f cap=%5.2f %s%n", ms, server.capacity(ms), verdicts));
     }
-    assertEquals(kept("box-cold.txt"), trace.toString());
+    assertEquals(readTrace("box-cold.txt"), trace.toString());
   }
 
   @Test
-  void ledgerFindsDoubleChargesAndRepeats() {
-    GroundTruth t = new GroundTruth();
-    t.recordAttempt("a", 1, false, 2);
-    t.recordServed("a", 100);
-    t.recordAttempt("a", 1, false, 2); // a hedged copy of a replayable req that also ran
-    t.recordServed("a", 120);
-    assertTrue(!t.recordAttempt("b", 1, true, 1));
-    assertTrue(!t.recordAttempt("b", 1, true, 1)); // the first was turned away: it never ran
-    t.recordPossibleRun("b");
-    assertTrue(t.recordAttempt("b", 1, true, 1)); // sent again after it may have run
-    t.recordServed("b", 1_500);
-    GroundTruth.Totals totals = t.totals();
+  void groundTruthDetectsDoubleChargesAndRepeats() {
+    GroundTruth truth = new GroundTruth();
+    truth.recordAttempt("a", 1, false, 2);
+    truth.recordServed("a", 100);
+    truth.recordAttempt("a", 1, false, 2); // a hedged copy of a replayable request that also ran
+    truth.recordServed("a", 120);
+    assertTrue(!truth.recordAttempt("b", 1, true, 1));
+    // The first attempt was answered -BUSY, so it never ran.
+    assertTrue(!truth.recordAttempt("b", 1, true, 1));
+    truth.recordPossibleRun("b");
+    assertTrue(truth.recordAttempt("b", 1, true, 1)); // sent again although it may have run
+    truth.recordServed("b", 1_500);
+    GroundTruth.Totals totals = truth.totals();
     assertEquals(1, totals.doubleCharges());
     assertEquals(1, totals.repeatedNonReplayable());
     assertEquals(3, totals.unitsCharged());
-    assertEquals(0.0, t.overshoot(1, 2).get(1L)); // 2 units in s0, 1 in s1: inside burst 2 + 1/s
-    assertEquals(1.0, t.overshoot(0.5, 1).get(1L)); // by s1: 3 units against 1 + 2 * 0.5
+    // Customer 1 was charged 2 units in second 0 and 1 unit in second 1: within a burst of 2 plus 1
+    // unit per second, but 1 unit more than 1 + 2 * 0.5.
+    assertEquals(0.0, truth.overshoot(1, 2).get(1L));
+    assertEquals(1.0, truth.overshoot(0.5, 1).get(1L));
   }
 
-  static String kept(String name) throws IOException {
+  private static String readTrace(String name) throws IOException {
     try (InputStream in = PlanTest.class.getResourceAsStream("/traces/" + name)) {
-      return in == null ? "(no kept trace " + name + ")"
+      return in == null ? "(trace file " + name + " not found)"
           : new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
   }
