--- a/src/main/java/saltlatch/lab/capacity/CapacityData.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityData.java
@@ -11,21 +11,21 @@
 import saltlatch.lab.scale.Measurement;
 
 /**
- * All that the page's tables are made of, as committed in docs/capacity.
+ * The input data of the capacity page's tables, as committed in docs/capacity.
  *
- * @param inputs       target and assumptions
- * @param measurements all lines of the scale tests
- * @param before       lines of the scale tests of an older text, {@code before/*.jsonl}
- * @param benchDays    days of the operators' bench
+ * @param inputs       values of the target, the constants and the assumptions
+ * @param measurements measurements of the scale tests
+ * @param before       measurements of the scale tests on an older commit, {@code before/*.jsonl}
+ * @param benchDays    days measured on the operators' bench
  */
 public record CapacityData(Inputs inputs, List<Measurement> measurements, List<Measurement> before,
     List<BenchDay> benchDays) {
-  private static final String INPUTS = "assumptions.toml";
-  private static final String BENCH = "bench-prices.jsonl";
-  private static final String BEFORE = "before";
-  private static final String LINES = ".jsonl";
+  private static final String INPUTS_FILE = "assumptions.toml";
+  private static final String BENCH_FILE = "bench-prices.jsonl";
+  private static final String BEFORE_DIRECTORY = "before";
+  private static final String JSON_LINES_SUFFIX = ".jsonl";
 
-  /** A file that can't be used; the message names file and line or key. */
+  /** Thrown if a file cannot be used; the message names the file and the line or key. */
   public static final class UnreadableDataException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -35,28 +35,29 @@
   }
 
   /**
-   * Reads a directory: {@code assumptions.toml}, {@code bench-prices.jsonl} if there, all other
-   * {@code *.jsonl}.
+   * Reads a data directory: {@code assumptions.toml}, {@code bench-prices.jsonl} if it exists, all
+   * other {@code *.jsonl} as measurements, and {@code before/*.jsonl} if that directory exists.
    */
   public static CapacityData read(Path directory) throws IOException {
-    Inputs inputs = inputs(directory.resolve(INPUTS));
+    Inputs inputs = inputs(directory.resolve(INPUTS_FILE));
     List<Measurement> measurements = new ArrayList<>();
     List<BenchDay> benchDays = new ArrayList<>();
-    for (Path file : lineFiles(directory)) {
-      if (file.getFileName().toString().equals(BENCH))
+    for (Path file : jsonLinesFiles(directory)) {
+      if (file.getFileName().toString().equals(BENCH_FILE))
         benchDays.addAll(lines(file, BenchDay::parse));
       else measurements.addAll(lines(file, Measurement::parse));
     }
     List<Measurement> before = new ArrayList<>();
-    Path older = directory.resolve(BEFORE);
-    if (Files.isDirectory(older)) {
-      for (Path file : lineFiles(older)) before.addAll(lines(file, Measurement::parse));
+    Path beforeDirectory = directory.resolve(BEFORE_DIRECTORY);
+    if (Files.isDirectory(beforeDirectory)) {
+      for (Path file : jsonLinesFiles(beforeDirectory))
+        before.addAll(lines(file, Measurement::parse));
     }
     return new CapacityData(inputs, List.copyOf(measurements), List.copyOf(before),
         List.copyOf(benchDays));
   }
 
-  /** What the formulas use. */
+  /** Returns the model that the formulas use. */
   public CapacityModel model() {
     return CapacityModel.of(inputs, measurements);
   }
@@ -69,25 +70,26 @@
     }
   }
 
-  private static List<Path> lineFiles(Path directory) throws IOException {
+  private static List<Path> jsonLinesFiles(Path directory) throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
-      return files.filter(file -> file.getFileName().toString().endsWith(LINES))
+      return files.filter(file -> file.getFileName().toString().endsWith(JSON_LINES_SUFFIX))
           .sorted(Comparator.comparing(file -> file.getFileName().toString())).toList();
     }
   }
 
   private static <T> List<T> lines(Path file, Function<String, T> parse) throws IOException {
-    List<T> all = new ArrayList<>();
-    int number = 0;
+    List<T> records = new ArrayList<>();
+    int lineNumber = 0;
     for (String line : Files.readAllLines(file)) {
-      number++;
+      lineNumber++;
       if (line.isBlank()) continue;
       try {
-        all.add(parse.apply(line));
+        records.add(parse.apply(line));
       } catch (RuntimeException e) {
-        throw new UnreadableDataException(file + ": line " + number + ": no measurement", e);
+        throw new UnreadableDataException(file + ": line " + lineNumber
+            + ": expected a measurement or bench day as a JSON object", e);
       }
     }
-    return all;
+    return records;
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/CapacityModel.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityModel.java
@@ -5,54 +5,57 @@
 import saltlatch.lab.scale.Quantity;
 
 /**
- * All that a formula may use.
+ * The inputs and measurements that the formulas use.
  *
- * @param inputs target and assumptions
- * @param fits   lines through the measurements
- * @param runs   runs of relays at size
+ * @param inputs values of the target, the constants and the assumptions
+ * @param fits   regression lines through the measurements
+ * @param runs   runs of the relay tiers at or near the target's size
  */
 public record CapacityModel(Inputs inputs, Fits fits, RelayRuns runs) {
 
-  /** All of it, from these measurements. */
+  /** Returns the model for these inputs and measurements. */
   public static CapacityModel of(Inputs inputs, Collection<Measurement> measurements) {
     return new CapacityModel(inputs, Fits.of(measurements), RelayRuns.of(measurements));
   }
 
-  /** The same with one input changed. */
+  /** Returns a copy of this model in which one input has another value. */
   public CapacityModel with(Input input, double value) {
     return new CapacityModel(inputs.with(input, value), fits, runs);
   }
 
-  /** An input as a figure. */
+  /** Returns an input as a figure. */
   public Figure input(Input input) {
     return inputs.figure(input);
   }
 
-  /** What a series' line gives at the size of an input. */
+  /** Returns a series' figure at the size that an input gives. */
   public Figure at(Series series, Quantity quantity, Input size) {
     return at(series, quantity, input(size));
   }
 
-  /** What a series' line gives at a computed size; the size's own error goes in by the slope. */
+  /**
+   * Returns a series' figure at a computed size. The standard error of the size, multiplied by
+   * the slope, is combined with the figure's error as an independent error.
+   */
   public Figure at(Series series, Quantity quantity, Figure size) {
     if (!size.known()) return fits.at(series.id(), quantity, 0).withConfidence(Confidence.MISSING);
-    Figure there = fits.at(series.id(), quantity, size.value());
-    Figure bySize = fits.slope(series.id(), quantity)
+    Figure atSize = fits.at(series.id(), quantity, size.value());
+    Figure errorFromSize = fits.slope(series.id(), quantity)
         .times(new Figure(0, size.error(), size.confidence(), size.sources()));
-    return there.plus(bySize);
+    return atSize.plus(errorFromSize);
   }
 
-  /** What one more adds in a series. */
+  /** Returns the slope of a series' regression line: the increase for each unit of size. */
   public Figure slope(Series series, Quantity quantity) {
     return fits.slope(series.id(), quantity);
   }
 
-  /** What is there at size 0 of a series. */
+  /** Returns the value of a series' regression line at size 0. */
   public Figure intercept(Series series, Quantity quantity) {
     return fits.intercept(series.id(), quantity);
   }
 
-  /** What a series measured at the largest size that was run. */
+  /** Returns a series' figure at the largest size that was run. */
   public Figure atLargest(Series series, Quantity quantity) {
     Fit fit = fits.find(series.id(), quantity);
     return fit == null ? fits.at(series.id(), quantity, 0) : fit.at(fit.largest());
--- a/src/main/java/saltlatch/lab/capacity/CapacityPage.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityPage.java
@@ -8,16 +8,16 @@
 import java.util.regex.Pattern;
 
 /**
- * The page's text: prose by hand, and tables between {@code <!-- table:NAME -->} and
- * {@code <!-- end:NAME -->}.
+ * The text of the capacity page: handwritten prose, and generated tables between
+ * {@code <!-- table:NAME -->} and {@code <!-- end:NAME -->}.
  */
 public final class CapacityPage {
-  private static final Pattern PLACE = Pattern
+  private static final Pattern MARKED_TABLE = Pattern
       .compile("<!-- table:([a-z-]+) -->\n(.*?)<!-- end:\\1 -->", Pattern.DOTALL);
 
   private CapacityPage() {}
 
-  /** A page whose markers don't fit the tables; the message names the table. */
+  /** Thrown if the page's markers do not match the tables; the message names the table. */
   public static final class PageMismatchException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -27,42 +27,45 @@
   }
 
   /**
-   * The page with these tables in their places; each has one place and each place one table, or
-   * {@link PageMismatchException}.
+   * Returns the page with these tables between their markers.
+   *
+   * @throws PageMismatchException if a table does not have exactly one pair of markers, or if a
+   *     pair of markers has no table
    */
   public static String withTables(String page, List<Table> tables) {
-    Map<String, Table> left = new LinkedHashMap<>();
-    for (Table table : tables) left.put(table.name(), table);
-    Matcher place = PLACE.matcher(page);
+    Map<String, Table> remaining = new LinkedHashMap<>();
+    for (Table table : tables) remaining.put(table.name(), table);
+    Matcher marked = MARKED_TABLE.matcher(page);
     StringBuilder text = new StringBuilder();
-    while (place.find()) {
-      Table table = left.remove(place.group(1));
+    while (marked.find()) {
+      Table table = remaining.remove(marked.group(1));
       if (table == null) throw new PageMismatchException(
-          "table:" + place.group(1) + ": no such table, or placed twice");
-      place.appendReplacement(text, Matcher.quoteReplacement(placed(table)));
+          "table:" + marked.group(1) + ": the page has markers for an unknown table"
+              + ", or a second pair of markers for this table");
+      marked.appendReplacement(text, Matcher.quoteReplacement(withMarkers(table)));
     }
-    place.appendTail(text);
-    if (!left.isEmpty()) throw new PageMismatchException(
-        "table:" + left.keySet().iterator().next() + ": the page has no place");
+    marked.appendTail(text);
+    if (!remaining.isEmpty()) throw new PageMismatchException("table:"
+        + remaining.keySet().iterator().next() + ": the page has no markers for this table");
     return text.toString();
   }
 
-  /** Tables whose text on the page is another than these would give. */
+  /** Returns the names of the tables whose text on the page differs from the generated text. */
   public static List<String> outdatedTables(String page, List<Table> tables) {
     withTables(page, tables);
-    Map<String, String> there = new TreeMap<>();
-    Matcher place = PLACE.matcher(page);
-    while (place.find()) there.put(place.group(1), place.group());
-    return tables.stream().filter(table -> !placed(table).equals(there.get(table.name())))
+    Map<String, String> onPage = new TreeMap<>();
+    Matcher marked = MARKED_TABLE.matcher(page);
+    while (marked.find()) onPage.put(marked.group(1), marked.group());
+    return tables.stream().filter(table -> !withMarkers(table).equals(onPage.get(table.name())))
         .map(Table::name).toList();
   }
 
-  /** The page without its generated tables. */
+  /** Returns the page without its generated tables. */
   public static String prose(String page) {
-    return PLACE.matcher(page).replaceAll("");
+    return MARKED_TABLE.matcher(page).replaceAll("");
   }
 
-  private static String placed(Table table) {
+  private static String withMarkers(Table table) {
     return "<!-- table:" + table.name() + " -->\n" + table.markdown() + "<!-- end:" + table.name()
         + " -->";
   }
--- a/src/main/java/saltlatch/lab/capacity/CapacityTables.java
+++ b/src/main/java/saltlatch/lab/capacity/CapacityTables.java
@@ -9,13 +9,13 @@
 import saltlatch.lab.scale.LineFit;
 
 /**
- * All generated tables of docs/CAPACITY.md, from the data alone: no clock, locale, machine or hash
- * order.
+ * Generates all tables of docs/CAPACITY.md from the data alone. The result does not depend on the
+ * clock, the locale, the machine or the iteration order of hash tables.
  */
 public final class CapacityTables {
-  // app servers: small, mean, large, largest
+  // app servers of a small, a mean, a large and the largest service
   private static final List<Integer> SERVICE_SIZES = List.of(3, 15, 60, 200);
-  private static final String NONE = "";
+  private static final String EMPTY_CELL = "";
 
   private final CapacityData data;
   private final CapacityModel model;
@@ -25,7 +25,7 @@
     this.model = data.model();
   }
 
-  /** The tables. */
+  /** Returns all tables, in a fixed order. */
   public static List<Table> of(CapacityData data) {
     CapacityTables tables = new CapacityTables(data);
     List<Table> all = new ArrayList<>();
@@ -33,9 +33,9 @@
     all.add(MeasurementTables.slopes(tables.model.fits()));
     all.add(MeasurementTables.tests(data.measurements()));
     for (Role role : Role.all()) all.add(tables.role(role));
-    List<ScalingLimit> walls = ScalingLimits.of(tables.model, data.benchDays());
-    all.add(walls(walls));
-    all.add(mechanisms(walls));
+    List<ScalingLimit> limits = ScalingLimits.of(tables.model, data.benchDays());
+    all.add(scalingLimits(limits));
+    all.add(mechanisms(limits));
     all.add(MeasurementTables.runs(data.measurements()));
     all.add(MeasurementTables.before(data.before()));
     all.add(tables.bench());
@@ -50,9 +50,9 @@
     List<List<String>> rows = new ArrayList<>();
     for (Input input : Input.values()) {
       if (input.kind() != kind) continue;
-      Inputs.InputValue given = data.inputs().inputValue(input);
-      rows.add(List.of("`" + input.key() + "`", Numbers.unrounded(given.value()), given.unit(),
-          given.reason()));
+      Inputs.InputValue inputValue = data.inputs().inputValue(input);
+      rows.add(List.of("`" + input.key() + "`", Numbers.unrounded(inputValue.value()),
+          inputValue.unit(), inputValue.reason()));
     }
     return new Table(name, List.of("name", "value", "unit", "from"), rows);
   }
@@ -66,18 +66,18 @@
 
   private List<String> row(Row row) {
     Figure figure = row.figure();
-    String budget = row.budget() == null ? NONE
+    String budget = row.budget() == null ? EMPTY_CELL
         : Numbers.format(row.budget().value()) + " " + row.unit();
-    return List.of(row.what(), row.condition().title(), shown(figure, row.unit()), budget,
+    return List.of(row.what(), row.condition().title(), formatted(figure, row.unit()), budget,
         within(row), figure.confidence().toString(), sources(figure), row.mechanism());
   }
 
   private static String within(Row row) {
-    if (row.budget() == null || !row.figure().known()) return NONE;
+    if (row.budget() == null || !row.figure().known()) return EMPTY_CELL;
     return row.figure().value() <= row.budget().value() ? "yes" : "**no**";
   }
 
-  private static String shown(Figure figure, String unit) {
+  private static String formatted(Figure figure, String unit) {
     if (!figure.known()) return "missing";
     return Numbers.withError(figure.value(), figure.error()) + (unit.isEmpty() ? "" : " " + unit);
   }
@@ -86,62 +86,66 @@
     return figure.sources().isEmpty() ? "target" : String.join(", ", figure.sources());
   }
 
-  private static Table walls(List<ScalingLimit> walls) {
+  private static Table scalingLimits(List<ScalingLimit> limits) {
     List<List<String>> rows = new ArrayList<>();
-    for (ScalingLimit wall : walls) {
-      Figure part = wall.fractionOfTarget();
-      rows.add(List.of(part.known() ? Numbers.format(part.value()) : "missing", wall.term(),
-          wall.consequence().title(), shown(wall.limit(), wall.unit()),
-          Numbers.format(wall.target().value()), part.confidence().toString(), sources(part),
-          wall.mechanism().title()));
+    for (ScalingLimit limit : limits) {
+      Figure fraction = limit.fractionOfTarget();
+      rows.add(List.of(fraction.known() ? Numbers.format(fraction.value()) : "missing",
+          limit.term(), limit.consequence().title(), formatted(limit.limit(), limit.unit()),
+          Numbers.format(limit.target().value()), fraction.confidence().toString(),
+          sources(fraction), limit.mechanism().title()));
     }
     return new Table("walls", List.of("part of the target", "what breaks", "then", "holds up to",
         "target", "stands", "from", "taken away by"), rows);
   }
 
   /**
-   * The mechanisms: those first without which nodes stop working, then by the first wall that each
-   * takes away.
+   * Returns the table of mechanisms. Mechanisms without which nodes stop working below the target's
+   * size come first; within both groups, the order is that of the first scaling limit that each
+   * removes.
    */
-  private static Table mechanisms(List<ScalingLimit> walls) {
+  private static Table mechanisms(List<ScalingLimit> limits) {
     Map<Mechanism, List<ScalingLimit>> byMechanism = new EnumMap<>(Mechanism.class);
-    for (ScalingLimit wall : walls)
-      byMechanism.computeIfAbsent(wall.mechanism(), m -> new ArrayList<>()).add(wall);
+    for (ScalingLimit limit : limits)
+      byMechanism.computeIfAbsent(limit.mechanism(), key -> new ArrayList<>()).add(limit);
     List<Mechanism> order = new ArrayList<>(byMechanism.keySet());
-    order.sort(Comparator.comparing((Mechanism mechanism) -> !stops(byMechanism.get(mechanism)))
-        .thenComparingInt(mechanism -> walls.indexOf(byMechanism.get(mechanism).get(0))));
+    order.sort(Comparator
+        .comparing((Mechanism mechanism) -> !stopsNodesBelowTarget(byMechanism.get(mechanism)))
+        .thenComparingInt(mechanism -> limits.indexOf(byMechanism.get(mechanism).get(0))));
     List<List<String>> rows = new ArrayList<>();
     for (Mechanism mechanism : order) {
-      Figure first = byMechanism.get(mechanism).get(0).fractionOfTarget();
-      String terms = String.join("; ",
+      Figure firstFraction = byMechanism.get(mechanism).get(0).fractionOfTarget();
+      String limitedTerms = String.join("; ",
           byMechanism.get(mechanism).stream().map(ScalingLimit::term).toList());
       rows.add(List.of(Integer.toString(rows.size() + 1), mechanism.title(), mechanism.state(),
-          first.known() ? Numbers.format(first.value()) : "missing", terms));
+          firstFraction.known() ? Numbers.format(firstFraction.value()) : "missing", limitedTerms));
     }
     return new Table("mechanisms",
         List.of("order", "mechanism", "state", "needed from this part on", "walls"), rows);
   }
 
-  /** Whether one of these walls stands below the target and stops nodes. */
-  private static boolean stops(List<ScalingLimit> walls) {
-    return walls.stream().anyMatch(wall -> wall.consequence() == Consequence.STOPS
-        && wall.fractionOfTarget().known() && wall.fractionOfTarget().value() < 1);
+  /** Returns whether one of these limits is below the target and stops nodes. */
+  private static boolean stopsNodesBelowTarget(List<ScalingLimit> limits) {
+    return limits.stream().anyMatch(limit -> limit.consequence() == Consequence.STOPS
+        && limit.fractionOfTarget().known() && limit.fractionOfTarget().value() < 1);
   }
 
   private Table bench() {
     List<List<String>> rows = new ArrayList<>();
     for (BenchDay day : data.benchDays()) {
-      String beyond = day.beyondMost() == 0 ? "none told"
+      String unitsBeyondQuotas = day.beyondMost() == 0 ? "none told"
           : Numbers.format(day.beyondLeast()) + " to " + Numbers.format(day.beyondMost());
       rows.add(List.of(day.deployment(), day.day(), Integer.toString(day.nodes()),
           day.seed() == null ? "not told" : day.seed().toString(), day.commit(),
-          Numbers.format(day.overQuota()), beyond, day.source()));
+          Numbers.format(day.overQuota()), unitsBeyondQuotas, day.source()));
     }
     return new Table("bench", List.of("deployment", "day", "nodes", "seed", "commit",
         "price `over_quota`", "part of units beyond quotas, steps of 5 s", "from"), rows);
   }
 
-  /** A line for each deployment over its fleets. */
+  /**
+   * Fits a line to the price over the number of nodes, for each deployment with two or more sizes.
+   */
   private Table benchSlopes() {
     Map<String, List<LineFit.Point>> byDeployment = new TreeMap<>();
     for (BenchDay day : data.benchDays()) {
@@ -179,6 +183,6 @@
     return List.of(Integer.toString(outcome.servers()), Integer.toString(outcome.kept()),
         outcome.policy().title(), Numbers.format(outcome.p50()), Numbers.format(outcome.p99()),
         Numbers.format(outcome.max()), Numbers.format(outcome.connections()),
-        Numbers.format(outcome.moved()), Numbers.format(outcome.least()));
+        Numbers.format(outcome.movedFraction()), Numbers.format(outcome.minimumMovedFraction()));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Confidence.java
+++ b/src/main/java/saltlatch/lab/capacity/Confidence.java
@@ -3,22 +3,25 @@
 import java.util.Locale;
 
 /**
- * What a figure rests on, the firmest first; a computed figure stands no firmer than the weakest of
- * its inputs.
+ * How well a figure is supported, in descending order. A computed figure has the lowest confidence
+ * of its inputs.
  */
 public enum Confidence {
-  /** A figure of the operators' letter or a constant of the text, or arithmetic on such alone. */
+  /**
+   * A figure of the operators' target, a constant of the source code, or a figure computed from
+   * these alone.
+   */
   GIVEN,
-  /** Measured at that size or a larger one. */
+  /** Measured at that size, or taken from a regression line measured up to a larger size. */
   MEASURED,
-  /** A straight line through measurements, beyond the largest size that was run. */
+  /** Extrapolated by a regression line, beyond the largest size that was run. */
   EXTRAPOLATED,
-  /** At least one input is an assumption of docs/capacity/assumptions.toml. */
+  /** Computed from at least one assumption of docs/capacity/assumptions.toml. */
   ASSUMED,
-  /** No measurement and no assumption: nothing is known. */
+  /** Neither measured nor assumed: the figure has no value. */
   MISSING;
 
-  /** The weaker of two. */
+  /** Returns the lower of this confidence and another. */
   public Confidence and(Confidence other) {
     return compareTo(other) >= 0 ? this : other;
   }
--- a/src/main/java/saltlatch/lab/capacity/Consequence.java
+++ b/src/main/java/saltlatch/lab/capacity/Consequence.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.capacity;
 
-/** What comes of a wall once it is reached, the worst first. */
+/** The consequence of exceeding a scaling limit, in descending order of severity. */
 public enum Consequence {
   STOPS("nodes don't start, or follow nothing"),
   WRONG_QUOTAS("quotas or shares are wrong"),
@@ -14,7 +14,7 @@
     this.title = title;
   }
 
-  /** Its name on the page. */
+  /** Returns the name used on the page. */
   public String title() {
     return title;
   }
--- a/src/main/java/saltlatch/lab/capacity/CounterService.java
+++ b/src/main/java/saltlatch/lab/capacity/CounterService.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The counter service, an outside system: what all nodes together ask of it. */
+/** The counter service, an external system: the load that all edge nodes together put on it. */
 public final class CounterService implements Role {
-  private static final String ONE = "one counter for all customers";
-  private static final String DIVIDED = "none yet: a counter divided by customer";
+  private static final String SINGLE_COUNTER = "one counter for all customers";
+  private static final String DIVIDED_COUNTER = "none yet: a counter divided by customer";
 
   @Override
   public String table() {
@@ -17,14 +17,15 @@
   public List<Row> rows(CapacityModel model) {
     List<Row> rows = new ArrayList<>();
     rows.add(Row.of("counts held", LoadCondition.ORDINARY,
-        model.input(Input.TENANTS).times(model.input(Input.COUNTER_BYTES_PER_TENANT)), "B", ONE));
+        model.input(Input.TENANTS).times(model.input(Input.COUNTER_BYTES_PER_TENANT)), "B",
+        SINGLE_COUNTER));
     rows.add(Row.of("connections of nodes", LoadCondition.ORDINARY, model.input(Input.EDGE_NODES),
-        "connections", ONE));
+        "connections", SINGLE_COUNTER));
     load(model, LoadCondition.ORDINARY, rows);
     load(model, LoadCondition.PEAK, rows);
     rows.add(Row.of("processor time for a call", LoadCondition.PEAK,
         Figure.missing("a counter of the operators' kind: the stand-in says nothing of it"), "ms",
-        DIVIDED));
+        DIVIDED_COUNTER));
     rows.add(Row.of("counts that begin anew", LoadCondition.COUNTER_EMPTY,
         model.input(Input.TENANTS), "counts", "nodes tell each other what they passed, `Gossip`"));
     return rows;
@@ -36,11 +37,12 @@
         : rates.dayRequestsPerNode();
     Figure nodes = model.input(Input.EDGE_NODES);
     Figure calls = rates.counterCalls(perNode).times(nodes);
-    rows.add(Row.of("calls", condition, calls, "calls/s", DIVIDED)
+    rows.add(Row.of("calls", condition, calls, "calls/s", DIVIDED_COUNTER)
         .withBudget(model.input(Input.COUNTER_CALLS_PER_PROCESS)));
     rows.add(Row.of("bytes, both ways", condition, rates.counterBytes(perNode).times(nodes), "B/s",
-        DIVIDED));
+        DIVIDED_COUNTER));
     rows.add(Row.of("processes that the calls want", condition,
-        calls.dividedBy(model.input(Input.COUNTER_CALLS_PER_PROCESS)), "processes", DIVIDED));
+        calls.dividedBy(model.input(Input.COUNTER_CALLS_PER_PROCESS)), "processes",
+        DIVIDED_COUNTER));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/EdgeNode.java
+++ b/src/main/java/saltlatch/lab/capacity/EdgeNode.java
@@ -6,7 +6,8 @@
 import saltlatch.membership.MembershipTimings;
 
 /**
- * An edge node: what control costs it. Bytes are both ways together, processor time is ms a second.
+ * An edge node: the cost of control traffic and state. Figures in bytes count both directions
+ * together; processor time is in ms per second.
  */
 public final class EdgeNode implements Role {
   private static final String LIST = "discovery's watch, `node.TargetDirectory`";
@@ -14,7 +15,7 @@
   private static final String MEMBERSHIP = "`member.Membership`, off unless configured";
   private static final String COUNTER = "`wire.CounterClient`, calls thinned by gaps";
   private static final double MS_PER_SECOND = 1000;
-  private static final double TENTHS_PER_SECOND = 10_000; // membership's times are tenths of a ms
+  private static final double TICKS_PER_SECOND = 10_000; // membership timings are in tenths of a ms
 
   @Override
   public String table() {
@@ -24,16 +25,16 @@
   @Override
   public List<Row> rows(CapacityModel model) {
     List<Row> rows = new ArrayList<>();
-    state(model, rows);
-    day(model, LoadCondition.ORDINARY, rows);
-    day(model, LoadCondition.PEAK, rows);
+    memory(model, rows);
+    load(model, LoadCondition.ORDINARY, rows);
+    load(model, LoadCondition.PEAK, rows);
     latency(model, rows);
     failures(model, rows);
-    badMinutes(model, rows);
+    exceptionalConditions(model, rows);
     return rows;
   }
 
-  private static void state(CapacityModel model, List<Row> rows) {
+  private static void memory(CapacityModel model, List<Row> rows) {
     Figure list = model.slope(Series.LIST_START, Quantity.HEAP_BYTES)
         .times(model.input(Input.APP_SERVERS));
     Figure plans = model.slope(Series.PLANS_START, Quantity.HEAP_BYTES).times(plans(model));
@@ -61,7 +62,7 @@
         .withBudget(model.input(Input.NODE_MEMORY_BYTES)));
   }
 
-  /** The process with its list, and what the plans add to it. */
+  /** Returns the resident memory of a process with its list, plus the increase due to the plans. */
   private static Figure resident(CapacityModel model) {
     return model.at(Series.LIST_START, Quantity.RSS_BYTES, Input.APP_SERVERS)
         .plus(model.slope(Series.PLANS_START, Quantity.RSS_BYTES).times(plans(model)));
@@ -71,7 +72,7 @@
     return model.input(Input.TENANTS).times(model.input(Input.PLANS_PER_TENANT));
   }
 
-  private static void day(CapacityModel model, LoadCondition condition, List<Row> rows) {
+  private static void load(CapacityModel model, LoadCondition condition, List<Row> rows) {
     Rates rates = new Rates(model);
     boolean peak = condition == LoadCondition.PEAK;
     Figure changes = peak ? rates.peakChanges() : rates.changes();
@@ -123,12 +124,13 @@
   private static void latency(CapacityModel model, List<Row> rows) {
     Figure requests = new Rates(model).peakRequestsPerNode();
     Figure added = model.input(Input.ADDED_P99_MS);
-    Figure choice = model.at(Series.MODULE_REQUEST, Quantity.CPU_MS, Input.APP_SERVERS);
+    Figure timePerRequest = model.at(Series.MODULE_REQUEST, Quantity.CPU_MS, Input.APP_SERVERS);
     rows.add(Row.of("the decision module for a request, among all app servers", LoadCondition.PEAK,
-        choice, "ms", "`Control`").withBudget(added));
-    rows.add(
-        Row.of("the decision module for all requests, among all app servers", LoadCondition.PEAK,
-            choice.times(requests), "ms/s", "`Control`").withBudget(Figure.exact(MS_PER_SECOND)));
+        timePerRequest, "ms", "`Control`").withBudget(added));
+    rows.add(Row
+        .of("the decision module for all requests, among all app servers", LoadCondition.PEAK,
+            timePerRequest.times(requests), "ms/s", "`Control`")
+        .withBudget(Figure.exact(MS_PER_SECOND)));
     rows.add(Row
         .of("added for 99 in 100 requests", LoadCondition.PEAK,
             model.at(Series.REQUESTS, Quantity.P99_MS, requests), "ms", "`Control`, `wire`")
@@ -142,24 +144,24 @@
   }
 
   private static void failures(CapacityModel model, List<Row> rows) {
-    String stated = Input.DATAGRAMS_PER_SECOND.key();
+    String source = Input.DATAGRAMS_PER_SECOND.key();
     rows.add(Row
         .of("until all hold a dead node failed", LoadCondition.ORDINARY,
             model.at(Series.MEMBERS_FAILURE, Quantity.SECONDS, Input.EDGE_NODES), "s", MEMBERSHIP)
-        .withBudget(seconds(timings(model).failureDetectionTicks(), stated)));
+        .withBudget(seconds(timings(model).failureDetectionTicks(), source)));
     rows.add(Row
         .of("until a dead node's share is in use again, stated", LoadCondition.ORDINARY,
-            seconds(timings(model).takeoverTicks(), stated), "s", MEMBERSHIP)
+            seconds(timings(model).takeoverTicks(), source), "s", MEMBERSHIP)
         .withBudget(model.input(Input.TAKEOVER_WITHIN_SECONDS)));
   }
 
-  private static void badMinutes(CapacityModel model, List<Row> rows) {
+  private static void exceptionalConditions(CapacityModel model, List<Row> rows) {
     Rates rates = new Rates(model);
-    Figure bytes = model.input(Input.NODE_BYTES_PER_SECOND);
+    Figure bytesPerSecond = model.input(Input.NODE_BYTES_PER_SECOND);
     rows.add(Row.of("whole list", LoadCondition.ZONE_STARTS, rates.listBytes(), "B", LIST));
     rows.add(Row
         .of("whole list at the budget's pace", LoadCondition.ZONE_STARTS,
-            rates.listBytes().dividedBy(bytes), "s", "a list kept on disk and `since`")
+            rates.listBytes().dividedBy(bytesPerSecond), "s", "a list kept on disk and `since`")
         .withBudget(model.input(Input.START_WITHIN_SECONDS)));
     rows.add(Row.of("start with the list", LoadCondition.ZONE_STARTS,
         model.at(Series.LIST_START, Quantity.CPU_MS, Input.APP_SERVERS), "ms of processor", LIST));
@@ -167,7 +169,7 @@
     rows.add(Row.of("changes missed", LoadCondition.REGION_RETURNS, missed, "changes", "`since`"));
     rows.add(Row.of("changes missed, bytes", LoadCondition.REGION_RETURNS,
         missed.times(model.at(Series.LIST_CHANGE, Quantity.BYTES_IN, Input.APP_SERVERS)), "B",
-        "`since`").withBudget(bytes.times(model.input(Input.IN_FORCE_SECONDS))));
+        "`since`").withBudget(bytesPerSecond.times(model.input(Input.IN_FORCE_SECONDS))));
     rows.add(Row.of("until all agree, all started at once", LoadCondition.REGION_RETURNS,
         model.at(Series.MEMBERS_BEGIN, Quantity.SECONDS, Input.EDGE_NODES), "s", MEMBERSHIP));
     rows.add(Row.of("until all views are equal, stated", LoadCondition.REGION_RETURNS,
@@ -178,26 +180,29 @@
         Figure.missing("a hollow node that changes relays"), "lists", "`since` at another relay"));
   }
 
-  /** Nodes tell sums no faster than the others may take them in: more nodes make a round longer. */
+  /**
+   * Adds the rows of the sums that nodes exchange while the counter is empty. Nodes send sums at
+   * the rate at which others may receive them, so that a round takes longer with more nodes.
+   */
   private static void sums(CapacityModel model, List<Row> rows) {
-    Figure datagrams = model.input(Input.DATAGRAMS_PER_SECOND)
+    Figure messagesPerSecond = model.input(Input.DATAGRAMS_PER_SECOND)
         .times(model.input(Input.SUMS_INTAKE_PART));
-    Figure each = model.atLargest(Series.SUMS_JAM, Quantity.BYTES_IN)
+    Figure bytesPerMessage = model.atLargest(Series.SUMS_JAM, Quantity.BYTES_IN)
         .dividedBy(model.atLargest(Series.SUMS_JAM, Quantity.MESSAGES_IN));
-    Figure bothWays = datagrams.times(each).times(2);
+    Figure bothWays = messagesPerSecond.times(bytesPerMessage).times(2);
     rows.add(Row.of("sums told and taken in, at the most", LoadCondition.COUNTER_EMPTY, bothWays,
         "B/s", "`Gossip`").withBudget(model.input(Input.NODE_BYTES_PER_SECOND)));
     rows.add(Row.of("a round of sums, if all nodes share customers", LoadCondition.COUNTER_EMPTY,
-        model.input(Input.EDGE_NODES).dividedBy(datagrams), "s", "`Gossip`"));
+        model.input(Input.EDGE_NODES).dividedBy(messagesPerSecond), "s", "`Gossip`"));
   }
 
-  /** Membership's promised times at the target. */
+  /** Returns the upper bounds of membership's timings at the target's size. */
   static MembershipTimings timings(CapacityModel model) {
     return MembershipTimings.of((int) model.inputs().value(Input.EDGE_NODES),
         model.inputs().value(Input.DATAGRAMS_PER_SECOND));
   }
 
-  private static Figure seconds(long tenthsOfMs, String source) {
-    return Figure.assumed(tenthsOfMs / TENTHS_PER_SECOND, source).withSource("member.Terms");
+  private static Figure seconds(long ticks, String source) {
+    return Figure.assumed(ticks / TICKS_PER_SECOND, source).withSource("member.Terms");
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Figure.java
+++ b/src/main/java/saltlatch/lab/capacity/Figure.java
@@ -6,92 +6,93 @@
 import java.util.function.DoubleBinaryOperator;
 
 /**
- * A value with its standard error, what it rests on and where it comes from. Errors of different
- * figures are taken as independent.
+ * A value with its standard error, confidence and sources. Arithmetic treats the errors of
+ * different figures as independent.
  *
- * @param value    in a unit that the user of the figure knows; 0 if missing
+ * @param value    in a unit that the caller defines; 0 if missing
  * @param error    standard error in the same unit
- * @param confidence the weakest of the inputs
- * @param sources  tests and assumptions that went in, in alphabetical order
+ * @param confidence the lowest confidence of the inputs
+ * @param sources  names of the tests and assumptions used, in alphabetical order
  */
 public record Figure(double value, double error, Confidence confidence, List<String> sources) {
 
-  /** A figure without an error: an operators' figure or a constant of the text. */
+  /** Returns a figure without an error: a value of the target or a constant of the source code. */
   public static Figure exact(double value) {
     return new Figure(value, 0, Confidence.GIVEN, List.of());
   }
 
-  /** A figure of a stated assumption. */
+  /** Returns a figure that is an assumption; {@code source} names it. */
   public static Figure assumed(double value, String source) {
     return new Figure(value, 0, Confidence.ASSUMED, List.of(source));
   }
 
-  /** Nothing is known; {@code source} names the test or mechanism that would tell. */
+  /** Returns a missing figure; {@code source} names the test or mechanism that would provide it. */
   public static Figure missing(String source) {
     return new Figure(0, 0, Confidence.MISSING, List.of(source));
   }
 
-  /** False if nothing is known. */
+  /** Returns false if the figure is missing. */
   public boolean known() {
     return confidence != Confidence.MISSING;
   }
 
-  /** This, or the other where nothing is known of this. */
+  /** Returns this figure, or the other one if this one is missing. */
   public Figure orElse(Figure other) {
     return known() ? this : other;
   }
 
-  /** The sum. */
+  /** Returns the sum. */
   public Figure plus(Figure other) {
-    return with(other, Double::sum, Math.hypot(error, other.error));
+    return combine(other, Double::sum, Math.hypot(error, other.error));
   }
 
-  /** The difference. */
+  /** Returns the difference. */
   public Figure minus(Figure other) {
-    return with(other, (a, b) -> a - b, Math.hypot(error, other.error));
+    return combine(other, (left, right) -> left - right, Math.hypot(error, other.error));
   }
 
-  /** The product. */
+  /** Returns the product. */
   public Figure times(Figure other) {
-    return with(other, (a, b) -> a * b, Math.hypot(error * other.value, value * other.error));
+    return combine(other, (left, right) -> left * right,
+        Math.hypot(error * other.value, value * other.error));
   }
 
-  /** The product with a pure number. */
+  /** Returns the product with a dimensionless number that has no error. */
   public Figure times(double factor) {
     return new Figure(value * factor, error * Math.abs(factor), confidence, sources);
   }
 
-  /** The quotient; a divisor of 0 or less means that nothing is known. */
+  /** Returns the quotient; the result is missing if the divisor is 0 or less. */
   public Figure dividedBy(Figure other) {
     if (known() && other.known() && other.value <= 0) return withConfidence(Confidence.MISSING);
     double quotient = other.value == 0 ? 0 : value / other.value;
-    double relative = other.value == 0 ? 0 : other.error / other.value;
-    return with(other, (a, b) -> quotient,
-        other.value == 0 ? 0 : Math.hypot(error / other.value, quotient * relative));
+    double relativeError = other.value == 0 ? 0 : other.error / other.value;
+    return combine(other, (left, right) -> quotient,
+        other.value == 0 ? 0 : Math.hypot(error / other.value, quotient * relativeError));
   }
 
-  /** The same, standing no firmer than this. */
-  public Figure withConfidence(Confidence weakest) {
-    Confidence weaker = confidence.and(weakest);
-    return weaker == Confidence.MISSING ? new Figure(0, 0, weaker, sources)
-        : new Figure(value, error, weaker, sources);
+  /** Returns this figure with its confidence limited to at most {@code limit}. */
+  public Figure withConfidence(Confidence limit) {
+    Confidence lower = confidence.and(limit);
+    return lower == Confidence.MISSING ? new Figure(0, 0, lower, sources)
+        : new Figure(value, error, lower, sources);
   }
 
-  /** The same with one more source. */
+  /** Returns this figure with one more source. */
   public Figure withSource(String source) {
     return new Figure(value, error, confidence, union(List.of(source)));
   }
 
-  private Figure with(Figure other, DoubleBinaryOperator operation, double newError) {
-    Confidence weaker = confidence.and(other.confidence);
-    List<String> all = union(other.sources);
-    if (weaker == Confidence.MISSING) return new Figure(0, 0, weaker, all);
-    return new Figure(operation.applyAsDouble(value, other.value), newError, weaker, all);
+  private Figure combine(Figure other, DoubleBinaryOperator operation, double newError) {
+    Confidence lower = confidence.and(other.confidence);
+    List<String> combined = union(other.sources);
+    if (lower == Confidence.MISSING) return new Figure(0, 0, lower, combined);
+    return new Figure(operation.applyAsDouble(value, other.value), newError, lower, combined);
   }
 
-  private List<String> union(Collection<String> others) {
-    TreeSet<String> all = new TreeSet<>(sources);
-    all.addAll(others);
-    return List.copyOf(all);
+  private List<String> union(Collection<String> otherSources) {
+    TreeSet<String> combined = new TreeSet<>(sources);
+    combined.addAll(otherSources);
+    return List.copyOf(combined);
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Fit.java
+++ b/src/main/java/saltlatch/lab/capacity/Fit.java
@@ -6,65 +6,71 @@
 import saltlatch.lab.scale.Quantity;
 
 /**
- * One quantity of one scale test over the size that grew: every repeat is a point of the line.
+ * A regression line of one quantity of one scale test over the size that was varied. Every repeat
+ * is one point.
  *
  * @param test     name of the test
- * @param grows    what grew
- * @param quantity what was measured
- * @param points   the repeats, sizes ascending
- * @param line     the line of least squares through them; null where a single size was run
- * @param commits  texts measured
+ * @param grows    what the size counts
+ * @param quantity the measured quantity
+ * @param points   the repeats, by ascending size
+ * @param line     the line of least squares through the points; null if only one size was run
+ * @param commits  commits that were measured
  */
 public record Fit(String test, String grows, Quantity quantity, List<Point> points, LineFit line,
     List<String> commits) {
 
-  // part by which a size may differ from one that was run and count as that
-  private static final double SAME = 0.005;
+  // a size within this relative distance of a size that was run counts as that size
+  private static final double SAME_SIZE_TOLERANCE = 0.005;
 
-  /** The largest size that was run. */
+  /** Returns the largest size that was run. */
   public double largest() {
     return points.get(points.size() - 1).size();
   }
 
-  /** The sizes that were run, ascending. */
+  /** Returns the distinct sizes that were run, ascending. */
   public List<Double> sizes() {
     return points.stream().map(Point::size).distinct().toList();
   }
 
-  /** Standard error of the slope. */
+  /** Returns the standard error of the slope. */
   public double slopeError() {
-    return deviation() / Math.sqrt(squares());
+    return residualDeviation() / Math.sqrt(squaredSizeDeviations());
   }
 
   /**
-   * Standard error of the line's value at a size; it grows with the distance from what was
-   * measured.
+   * Returns the standard error of the line's value at a size. It grows with the distance from the
+   * mean of the measured sizes.
    */
   public double errorAt(double size) {
     double distance = size - meanSize();
-    return deviation() * Math.sqrt(1.0 / points.size() + distance * distance / squares());
+    return residualDeviation()
+        * Math.sqrt(1.0 / points.size() + distance * distance / squaredSizeDeviations());
   }
 
   /**
-   * What the smaller sizes alone predict for the largest; null where there are fewer than two
-   * smaller sizes.
+   * Returns the prediction for the largest size by a line through the smaller sizes alone, or null
+   * if there are fewer than two smaller sizes.
    */
   public Double predictedLargest() {
     if (sizes().size() < 3) return null;
-    return LineFit.of(points.stream().filter(p -> p.size() < largest()).toList()).at(largest());
+    return LineFit.of(points.stream().filter(point -> point.size() < largest()).toList())
+        .at(largest());
   }
 
-  /** Mean of the repeats at the largest size. */
+  /** Returns the mean of the repeats at the largest size. */
   public double measuredLargest() {
-    return mean(points.stream().filter(p -> p.size() == largest()).map(Point::value).toList());
+    return mean(
+        points.stream().filter(point -> point.size() == largest()).map(Point::value).toList());
   }
 
   /**
-   * The value at a size: the repeats' mean and its standard error where the size was run; else the
-   * line's, measured up to the largest size run and extrapolated beyond.
+   * Returns the figure at a size. If the size was run, this is the mean of its repeats with the
+   * standard error of the mean. Otherwise it is the line's value, which counts as measured up to
+   * the largest size that was run and as extrapolated beyond it.
    */
   public Figure at(double size) {
-    List<Double> repeats = points.stream().filter(p -> Math.abs(p.size() - size) <= SAME * size)
+    List<Double> repeats = points.stream()
+        .filter(point -> Math.abs(point.size() - size) <= SAME_SIZE_TOLERANCE * size)
         .map(Point::value).toList();
     if (!repeats.isEmpty()) {
       return cost(mean(repeats), meanError(repeats), Confidence.MEASURED);
@@ -75,21 +81,21 @@
   }
 
   /**
-   * Nothing costs less than nothing: where a difference of two readings is below 0, nothing is
-   * known.
+   * Returns a figure of a cost, or a missing figure if the value is below 0. A cost cannot be
+   * negative; a negative value comes from the difference of two readings.
    */
   private Figure cost(double value, double error, Confidence confidence) {
     if (value < 0) return Figure.missing(name() + " (below 0 there)");
     return new Figure(value, error, confidence, List.of(name()));
   }
 
-  /** The line's value at size 0, which may be below 0. */
+  /** Returns the line's value at size 0, which may be below 0. */
   public Figure intercept() {
     if (line == null) return withoutLine();
     return new Figure(line.intercept(), errorAt(0), Confidence.MEASURED, List.of(name()));
   }
 
-  /** What one more adds. */
+  /** Returns the line's slope: the increase for each unit of size. */
   public Figure slope() {
     if (line == null) return withoutLine();
     return new Figure(line.slope(), slopeError(), Confidence.MEASURED, List.of(name()));
@@ -99,7 +105,7 @@
     return Figure.missing(name() + " (one size alone)");
   }
 
-  /** Test and quantity, as the page names them. */
+  /** Returns the name of test and quantity, as used on the page. */
   public String name() {
     return Fits.name(test, quantity);
   }
@@ -108,28 +114,31 @@
     return values.stream().mapToDouble(Double::doubleValue).average().orElseThrow();
   }
 
-  /** Standard error of a mean; 0 of a single value, of which nothing is known. */
+  /** Returns the standard error of a mean; 0 for a single value, whose error is unknown. */
   static double meanError(List<Double> values) {
     if (values.size() < 2) return 0;
     double mean = mean(values);
-    double squares = values.stream().mapToDouble(value -> (value - mean) * (value - mean)).sum();
-    return Math.sqrt(squares / (values.size() - 1) / values.size());
+    double sumOfSquares = values.stream().mapToDouble(value -> (value - mean) * (value - mean))
+        .sum();
+    return Math.sqrt(sumOfSquares / (values.size() - 1) / values.size());
   }
 
   private double meanSize() {
     return points.stream().mapToDouble(Point::size).average().orElseThrow();
   }
 
-  private double squares() {
+  private double squaredSizeDeviations() {
     double mean = meanSize();
-    return points.stream().mapToDouble(p -> (p.size() - mean) * (p.size() - mean)).sum();
+    return points.stream().mapToDouble(point -> (point.size() - mean) * (point.size() - mean))
+        .sum();
   }
 
   /**
-   * Standard deviation of a point from the line: two of the points' freedoms went into the line.
+   * Returns the standard deviation of the points from the line. The line's two parameters reduce
+   * the degrees of freedom by two.
    */
-  private double deviation() {
-    int free = Math.max(1, points.size() - 2);
-    return line.residual() * Math.sqrt((double) points.size() / free);
+  private double residualDeviation() {
+    int degreesOfFreedom = Math.max(1, points.size() - 2);
+    return line.residual() * Math.sqrt((double) points.size() / degreesOfFreedom);
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Input.java
+++ b/src/main/java/saltlatch/lab/capacity/Input.java
@@ -3,8 +3,9 @@
 import java.util.Locale;
 
 /**
- * What the formulas take as given, each with its value, unit and reason in
- * docs/capacity/assumptions.toml: figures of the operators' target, and this project's assumptions.
+ * The inputs of the formulas. docs/capacity/assumptions.toml gives the value, unit and reason of
+ * each: values of the operators' target, constants of the source code, and this project's
+ * assumptions.
  */
 public enum Input {
   EDGE_NODES(Kind.TARGET),
@@ -53,13 +54,13 @@
   QUOTA_SLIP_PART(Kind.ASSUMPTION),
   SUBSET_SEED(Kind.ASSUMPTION);
 
-  /** Who gave it. */
+  /** The origin of an input's value. */
   public enum Kind {
-    /** The operators' letter. */
+    /** A requirement of the operators. */
     TARGET,
-    /** A constant of the text, which the reason names. */
+    /** A constant of the source code, which the reason names. */
     CONSTANT,
-    /** This project; the file names the reason. */
+    /** An assumption of this project; the file gives the reason. */
     ASSUMPTION
   }
 
@@ -69,12 +70,12 @@
     this.kind = kind;
   }
 
-  /** Who gave it. */
+  /** Returns the origin of the value. */
   public Kind kind() {
     return kind;
   }
 
-  /** Its name in the file and on the page. */
+  /** Returns the name used in the file and on the page. */
   public String key() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/saltlatch/lab/capacity/Inputs.java
+++ b/src/main/java/saltlatch/lab/capacity/Inputs.java
@@ -11,15 +11,15 @@
 /** The values of all {@link Input}s. */
 public final class Inputs {
   /**
-   * One input as the file has it.
+   * One input as given in the file.
    *
-   * @param value  the figure
-   * @param unit   of the figure
-   * @param reason who gave it, or why it is assumed
+   * @param value  the value
+   * @param unit   unit of the value
+   * @param reason origin of the value, or why it is assumed
    */
   public record InputValue(double value, String unit, String reason) {}
 
-  /** A file of inputs that can't be used; the message names the key. */
+  /** Thrown if the text of the inputs is invalid; the message names the key. */
   public static final class InvalidInputException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
@@ -28,30 +28,34 @@
     }
   }
 
-  private final Map<Input, InputValue> given;
+  private final Map<Input, InputValue> values;
 
-  private Inputs(Map<Input, InputValue> given) {
-    this.given = given;
+  private Inputs(Map<Input, InputValue> values) {
+    this.values = values;
   }
 
   /**
-   * Reads the file's text: a section for each input and no other, or {@link InvalidInputException}.
+   * Parses the text of the file, which must have one section for each input and no other section.
+   *
+   * @throws InvalidInputException if a section is missing, unknown or invalid
    */
   public static Inputs parse(String toml) {
     Map<String, InputValue> sections = sections(toml);
-    Map<Input, InputValue> given = new EnumMap<>(Input.class);
+    Map<Input, InputValue> values = new EnumMap<>(Input.class);
     for (Input input : Input.values()) {
-      InputValue one = sections.remove(input.key());
-      if (one == null || one.unit == null || one.reason == null) {
-        throw new InvalidInputException(input.key() + ": wants value, unit and reason");
+      InputValue inputValue = sections.remove(input.key());
+      if (inputValue == null || inputValue.unit == null || inputValue.reason == null) {
+        throw new InvalidInputException(
+            input.key() + ": expected a section with value, unit and reason");
       }
-      if (!Double.isFinite(one.value) || one.value <= 0)
-        throw new InvalidInputException(input.key() + ": not above 0: " + one.value);
-      given.put(input, one);
+      if (!Double.isFinite(inputValue.value) || inputValue.value <= 0)
+        throw new InvalidInputException(
+            input.key() + ": value must be finite and above 0, found " + inputValue.value);
+      values.put(input, inputValue);
     }
     if (!sections.isEmpty())
-      throw new InvalidInputException(sections.keySet().iterator().next() + ": no such input");
-    return new Inputs(given);
+      throw new InvalidInputException(sections.keySet().iterator().next() + ": unknown input");
+    return new Inputs(values);
   }
 
   private static Map<String, InputValue> sections(String toml) {
@@ -66,25 +70,28 @@
     }
   }
 
-  /** The same with one value changed. */
+  /** Returns a copy of these inputs in which one has another value. */
   public Inputs with(Input input, double value) {
-    Map<Input, InputValue> changed = new EnumMap<>(given);
-    InputValue before = given.get(input);
+    Map<Input, InputValue> changed = new EnumMap<>(values);
+    InputValue before = values.get(input);
     changed.put(input, new InputValue(value, before.unit, before.reason));
     return new Inputs(changed);
   }
 
-  /** Value, unit and reason. */
+  /** Returns value, unit and reason of an input. */
   public InputValue inputValue(Input input) {
-    return given.get(input);
+    return values.get(input);
   }
 
-  /** The value alone. */
+  /** Returns the value of an input. */
   public double value(Input input) {
-    return given.get(input).value;
+    return values.get(input).value;
   }
 
-  /** The value as a figure: the target's and the text's are given, an assumption's are assumed. */
+  /**
+   * Returns the value as a figure. Values of the target and of the source code have the confidence
+   * {@link Confidence#GIVEN}, assumptions have {@link Confidence#ASSUMED}.
+   */
   public Figure figure(Input input) {
     return switch (input.kind()) {
       case TARGET -> Figure.exact(value(input));
--- a/src/main/java/saltlatch/lab/capacity/LoadCondition.java
+++ b/src/main/java/saltlatch/lab/capacity/LoadCondition.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.capacity;
 
-/** When a figure is looked at. */
+/** The operating condition that a figure applies to. */
 public enum LoadCondition {
   ORDINARY("ordinary day"),
   PEAK("peak"),
@@ -15,7 +15,7 @@
     this.title = title;
   }
 
-  /** Its name on the page. */
+  /** Returns the name used on the page. */
   public String title() {
     return title;
   }
--- a/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
+++ b/src/main/java/saltlatch/lab/capacity/MeasurementTables.java
@@ -11,22 +11,23 @@
 import saltlatch.lab.scale.Quantity;
 
 /**
- * The page's tables of what was measured: lines, what the tests count, and outcomes that are no
- * lines.
+ * Generates the page's tables of measurements: regression lines, the values that the tests count,
+ * and runs that have no regression line.
  */
 final class MeasurementTables {
-  // how their measurements' names begin
-  private static final List<String> RUNS = List.of("relay.", "fleet.");
-  private static final String NONE = "";
+  // prefixes of the names of runs that have no regression line
+  private static final List<String> RUN_PREFIXES = List.of("relay.", "fleet.");
+  private static final String EMPTY_CELL = "";
   private static final int PERCENT = 100;
 
   private MeasurementTables() {}
 
-  /** Every line. */
+  /** Returns the table of all regression lines. */
   static Table slopes(Fits fits) {
     List<List<String>> rows = new ArrayList<>();
     for (Fit fit : fits.all()) {
-      boolean cost = fit.quantity() != Quantity.COUNT; // a count says how a test ended
+      // a count is the result of a test, not a cost
+      boolean cost = fit.quantity() != Quantity.COUNT;
       if (cost && fit.line() != null) rows.add(slope(fit));
     }
     return new Table("slopes",
@@ -43,57 +44,64 @@
         Numbers.withError(fit.line().slope(), fit.slopeError()),
         Numbers.format(fit.line().residual()),
         predicted == null ? "too few sizes" : Numbers.format(predicted),
-        Numbers.format(fit.measuredLargest()), offBy(predicted, fit.measuredLargest()),
+        Numbers.format(fit.measuredLargest()), relativeError(predicted, fit.measuredLargest()),
         String.join(", ", fit.commits()));
   }
 
-  private static String offBy(Double predicted, double measured) {
-    if (predicted == null || measured == 0) return NONE;
+  private static String relativeError(Double predicted, double measured) {
+    if (predicted == null || measured == 0) return EMPTY_CELL;
     return Math.round(PERCENT * (predicted - measured) / measured) + " %";
   }
 
-  /** What one value of each series counts. */
+  /** Returns the table of what one value of each series counts. */
   static Table tests(Collection<Measurement> measurements) {
     List<List<String>> rows = new ArrayList<>();
     for (Series series : Series.values()) {
-      boolean there = measurements.stream().anyMatch(one -> one.what().equals(series.id()));
-      rows.add(List.of("`" + series.id() + "`", series.description(), there ? "yes" : "missing"));
+      boolean measured = measurements.stream()
+          .anyMatch(measurement -> measurement.what().equals(series.id()));
+      rows.add(
+          List.of("`" + series.id() + "`", series.description(), measured ? "yes" : "missing"));
     }
     return new Table("tests", List.of("test", "one value counts", "run"), rows);
   }
 
-  /** Runs of relays and hollow nodes together. */
+  /** Returns the table of the runs of relays and of hollow nodes. */
   static Table runs(Collection<Measurement> measurements) {
-    return outcomes("runs", measurements.stream()
-        .filter(one -> RUNS.stream().anyMatch(one.what()::startsWith)).toList());
+    return meansOfRepeats("runs",
+        measurements.stream()
+            .filter(measurement -> RUN_PREFIXES.stream().anyMatch(measurement.what()::startsWith))
+            .toList());
   }
 
-  /** Measurements of an older text. */
+  /** Returns the table of measurements on an older commit. */
   static Table before(Collection<Measurement> measurements) {
-    return outcomes("before", measurements);
+    return meansOfRepeats("before", measurements);
   }
 
-  private static Table outcomes(String name, Collection<Measurement> measurements) {
+  private static Table meansOfRepeats(String name, Collection<Measurement> measurements) {
     Map<String, List<Measurement>> byKind = new TreeMap<>();
-    for (Measurement one : measurements) {
-      String kind = String.format(Locale.ROOT, "%s %012d %s", one.what(), one.size(), one.grows());
-      byKind.computeIfAbsent(kind, k -> new ArrayList<>()).add(one);
+    for (Measurement measurement : measurements) {
+      String kind = String.format(Locale.ROOT, "%s %012d %s", measurement.what(),
+          measurement.size(), measurement.grows());
+      byKind.computeIfAbsent(kind, key -> new ArrayList<>()).add(measurement);
     }
     List<List<String>> rows = new ArrayList<>();
-    for (List<Measurement> repeats : byKind.values()) rows.add(outcome(repeats));
-    if (rows.isEmpty()) rows.add(List.of("missing", NONE, NONE, NONE, NONE));
+    for (List<Measurement> repeats : byKind.values()) rows.add(meanOfRepeats(repeats));
+    if (rows.isEmpty())
+      rows.add(List.of("missing", EMPTY_CELL, EMPTY_CELL, EMPTY_CELL, EMPTY_CELL));
     return new Table(name,
         List.of("run", "size", "repeats", "measured, mean of the repeats", "commit"), rows);
   }
 
-  private static List<String> outcome(List<Measurement> repeats) {
+  private static List<String> meanOfRepeats(List<Measurement> repeats) {
     List<String> values = new ArrayList<>();
     for (Quantity quantity : Quantity.values()) {
-      double[] all = repeats.stream().filter(one -> one.values().containsKey(quantity))
-          .mapToDouble(one -> one.values().get(quantity)).filter(Double::isFinite).sorted()
-          .toArray();
-      if (all.length == 0) continue;
-      double mean = Arrays.stream(all).average().orElseThrow();
+      double[] finite = repeats.stream()
+          .filter(measurement -> measurement.values().containsKey(quantity))
+          .mapToDouble(measurement -> measurement.values().get(quantity)).filter(Double::isFinite)
+          .sorted().toArray();
+      if (finite.length == 0) continue;
+      double mean = Arrays.stream(finite).average().orElseThrow();
       values.add(quantity.name().toLowerCase(Locale.ROOT) + " " + Numbers.format(mean));
     }
     Measurement first = repeats.get(0);
--- a/src/main/java/saltlatch/lab/capacity/Mechanism.java
+++ b/src/main/java/saltlatch/lab/capacity/Mechanism.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.capacity;
 
-/** What takes a wall away. */
+/** A change to the system that removes a scaling limit. */
 public enum Mechanism {
   RUNNING_SETTINGS("settings applied to a running node", "open, issue 28"),
   RELAYS("distribution through relays: `saltlatch.distribution`, `saltlatch relay`",
@@ -23,12 +23,12 @@
     this.state = state;
   }
 
-  /** Its name on the page. */
+  /** Returns the name used on the page. */
   public String title() {
     return title;
   }
 
-  /** Whether it is there. */
+  /** Returns whether it is implemented, as shown on the page. */
   public String state() {
     return state;
   }
--- a/src/main/java/saltlatch/lab/capacity/Numbers.java
+++ b/src/main/java/saltlatch/lab/capacity/Numbers.java
@@ -5,35 +5,35 @@
 import java.math.RoundingMode;
 
 /**
- * Numbers as the page shows them: three significant digits, whole numbers below 10,000 in full,
- * thousands apart; no locale.
+ * Formats numbers for the page, independently of the locale: three significant digits, whole
+ * numbers below 10,000 with all digits, and a comma between groups of thousands.
  */
 final class Numbers {
-  // more would claim more than is known
-  private static final MathContext SHOWN = new MathContext(3, RoundingMode.HALF_EVEN);
-  // below it a whole number is shown with all its digits
-  private static final double WHOLE = 10_000;
-  private static final int GROUP = 3;
+  // more digits would suggest more precision than the measurements have
+  private static final MathContext SIGNIFICANT_DIGITS = new MathContext(3, RoundingMode.HALF_EVEN);
+  // whole numbers below this value are shown with all digits
+  private static final double FULL_DIGITS_BELOW = 10_000;
+  private static final int DIGITS_PER_GROUP = 3;
 
   private Numbers() {}
 
-  /** A value to three significant digits. */
+  /** Formats a value with three significant digits. */
   static String format(double value) {
     if (!Double.isFinite(value))
-      throw new IllegalArgumentException("not a number to show: " + value);
+      throw new IllegalArgumentException("expected a finite number, found " + value);
     if (value == 0) return "0";
-    boolean whole = Math.abs(value) < WHOLE && value == Math.rint(value);
-    BigDecimal rounded = whole ? BigDecimal.valueOf((long) value)
-        : new BigDecimal(value).round(SHOWN);
+    boolean wholeNumber = Math.abs(value) < FULL_DIGITS_BELOW && value == Math.rint(value);
+    BigDecimal rounded = wholeNumber ? BigDecimal.valueOf((long) value)
+        : new BigDecimal(value).round(SIGNIFICANT_DIGITS);
     return grouped(rounded.stripTrailingZeros().toPlainString());
   }
 
-  /** A value and its standard error, where it has one. */
+  /** Formats a value and, if it is not 0, its standard error. */
   static String withError(double value, double error) {
     return error == 0 ? format(value) : format(value) + " ± " + format(error);
   }
 
-  /** A value given as such, every digit of it. */
+  /** Formats an input value with all of its digits. */
   static String unrounded(double value) {
     if (value == 0) return "0";
     return grouped(BigDecimal.valueOf(value).stripTrailingZeros().toPlainString());
@@ -43,8 +43,9 @@
     String sign = plain.startsWith("-") ? "-" : "";
     String digits = plain.substring(sign.length());
     int point = digits.indexOf('.');
-    StringBuilder whole = new StringBuilder(point < 0 ? digits : digits.substring(0, point));
-    for (int i = whole.length() - GROUP; i > 0; i -= GROUP) whole.insert(i, ',');
-    return sign + whole + (point < 0 ? "" : digits.substring(point));
+    StringBuilder wholePart = new StringBuilder(point < 0 ? digits : digits.substring(0, point));
+    for (int i = wholePart.length() - DIGITS_PER_GROUP; i > 0; i -= DIGITS_PER_GROUP)
+      wholePart.insert(i, ',');
+    return sign + wholePart + (point < 0 ? "" : digits.substring(point));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Rates.java
+++ b/src/main/java/saltlatch/lab/capacity/Rates.java
@@ -2,9 +2,9 @@
 
 import saltlatch.lab.scale.Quantity;
 
-/** Rates at the target that several roles share. */
+/** Rates at the target's size that several roles use. */
 final class Rates {
-  private static final double DAY = 86_400; // s
+  private static final double SECONDS_PER_DAY = 86_400;
 
   private final CapacityModel model;
 
@@ -13,73 +13,80 @@
   }
 
   /**
-   * Changes a second of an ordinary day that reach every node: of the configuration, and of app
-   * servers restarted.
+   * Returns the changes per second that reach every node on an ordinary day: changes of the
+   * configuration, and changes of the list due to restarts of app servers.
    */
   Figure changes() {
-    return model.input(Input.CHANGES_PER_DAY).plus(listChangesPerDay()).times(1 / DAY);
+    return model.input(Input.CHANGES_PER_DAY).plus(listChangesPerDay()).times(1 / SECONDS_PER_DAY);
   }
 
-  /** Changes a second of the busiest minute. */
+  /** Returns the changes per second of the busiest minute. */
   Figure peakChanges() {
-    return model.input(Input.PEAK_CHANGES_PER_SECOND).plus(listChangesPerDay().times(1 / DAY));
+    return model.input(Input.PEAK_CHANGES_PER_SECOND)
+        .plus(listChangesPerDay().times(1 / SECONDS_PER_DAY));
   }
 
-  /** Restarts fall on app servers as they do on edge nodes, by their number. */
+  /**
+   * Returns the list changes per day. Restarts are divided between app servers and edge nodes in
+   * proportion to their numbers.
+   */
   private Figure listChangesPerDay() {
     Figure appServers = model.input(Input.APP_SERVERS);
-    Figure part = appServers.dividedBy(appServers.plus(model.input(Input.EDGE_NODES)));
-    return model.input(Input.RESTARTS_PER_DAY).times(part)
+    Figure fraction = appServers.dividedBy(appServers.plus(model.input(Input.EDGE_NODES)));
+    return model.input(Input.RESTARTS_PER_DAY).times(fraction)
         .times(model.input(Input.LIST_CHANGES_PER_RESTART));
   }
 
-  /** Requests a second at an app server, at the peak. */
+  /** Returns the requests per second at an app server at peak load. */
   Figure peakRequestsPerAppServer() {
     return model.input(Input.REQUESTS_PER_SECOND).dividedBy(model.input(Input.APP_SERVERS))
         .times(model.input(Input.APP_SERVER_OVER_MEAN));
   }
 
-  /** Requests a second at a node, at the peak. */
+  /** Returns the requests per second at an edge node at peak load. */
   Figure peakRequestsPerNode() {
     return model.input(Input.REQUESTS_PER_SECOND).dividedBy(model.input(Input.EDGE_NODES))
         .times(model.input(Input.NODE_OVER_MEAN));
   }
 
-  /** Requests a second at a node, in the mean of an ordinary day. */
+  /** Returns the mean requests per second at an edge node on an ordinary day. */
   Figure dayRequestsPerNode() {
     return peakRequestsPerNode().times(model.input(Input.DAY_MEAN_OVER_PEAK));
   }
 
-  /** Calls a second of a node to the counter at so many requests a second. */
+  /** Returns a node's counter calls per second at this number of requests per second. */
   Figure counterCalls(Figure requests) {
     return model.at(Series.COUNTER_CALLS, Quantity.MESSAGES_OUT, requests)
         .orElse(requests.times(model.input(Input.COUNTER_CALLS_PER_REQUEST)));
   }
 
-  /** Bytes a second of a node's calls to the counter, both ways, at so many requests a second. */
+  /**
+   * Returns the bytes per second, in both directions, of a node's counter calls at this number of
+   * requests per second.
+   */
   Figure counterBytes(Figure requests) {
     return model.at(Series.COUNTER_CALLS, Quantity.BYTES_OUT, requests)
         .plus(model.at(Series.COUNTER_CALLS, Quantity.BYTES_IN, requests))
         .orElse(assumedCounterBytes(requests));
   }
 
-  /** The same by the assumptions alone. */
+  /** Returns the same as {@link #counterBytes}, computed from the assumptions alone. */
   Figure assumedCounterBytes(Figure requests) {
     return requests.times(model.input(Input.COUNTER_CALLS_PER_REQUEST))
         .times(model.input(Input.COUNTER_BYTES_PER_CALL));
   }
 
-  /** Pairs of a node and an app server between which a connection is used. */
+  /** Returns the number of app servers to which an edge node uses connections. */
   Figure pairsPerNode() {
     return model.input(Input.SERVICES_PER_NODE).times(model.input(Input.SERVERS_KEPT_PER_SERVICE));
   }
 
-  /** Relays that nodes follow. */
+  /** Returns the number of relays in the tier that nodes follow. */
   Figure lastTier() {
     return model.input(Input.CONTROL_MACHINES).minus(model.input(Input.FIRST_TIER_RELAYS));
   }
 
-  /** Bytes of a whole list. */
+  /** Returns the bytes of a complete list. */
   Figure listBytes() {
     return model.at(Series.LIST_START, Quantity.BYTES_IN, Input.APP_SERVERS);
   }
--- a/src/main/java/saltlatch/lab/capacity/RelayRuns.java
+++ b/src/main/java/saltlatch/lab/capacity/RelayRuns.java
@@ -10,33 +10,34 @@
 import saltlatch.lab.scale.Quantity;
 
 /**
- * Runs of relays at size. Two things are large in them, nodes and app servers, and one machine does
- * not hold both at once: a figure comes from the run that is largest in what it depends on, and is
- * measured only where both are those of the target.
+ * Runs of the relay tiers at the target's number of nodes or of app servers. One machine cannot run
+ * both numbers at once. A figure is therefore taken from the largest run of the number that it
+ * depends on, and counts as measured only if that run reaches the target in both numbers.
  */
 public final class RelayRuns {
   private static final Pattern ENTRIES = Pattern.compile("before (\\d+) app servers");
 
   /** One measurement of a run. */
-  private record Run(Measurement measured, long nodes, long entries) {}
+  private record Run(Measurement measurement, long nodes, long entries) {}
 
   private final List<Run> runs = new ArrayList<>();
 
   private RelayRuns() {}
 
-  /** Those of these measurements that tell nodes and app servers. */
+  /** Returns the runs among these measurements: those that record a number of app servers. */
   public static RelayRuns of(Collection<Measurement> measurements) {
-    RelayRuns all = new RelayRuns();
-    for (Measurement one : measurements) {
-      Matcher entries = ENTRIES.matcher(one.grows());
-      if (entries.find()) all.runs.add(new Run(one, one.size(), Long.parseLong(entries.group(1))));
+    RelayRuns relayRuns = new RelayRuns();
+    for (Measurement measurement : measurements) {
+      Matcher entries = ENTRIES.matcher(measurement.grows());
+      if (entries.find()) relayRuns.runs
+          .add(new Run(measurement, measurement.size(), Long.parseLong(entries.group(1))));
     }
-    return all;
+    return relayRuns;
   }
 
   /**
-   * What depends on the nodes, as changes do, from the run with the most of them; missing below the
-   * target's number.
+   * Returns a figure that depends on the number of nodes, for example of changes, from the run with
+   * the most nodes. The figure is missing if that run has fewer nodes than the target.
    */
   public Figure ofMostNodes(Series series, Quantity quantity, Inputs target) {
     Run largest = largest(series, quantity,
@@ -46,8 +47,9 @@
   }
 
   /**
-   * What depends on the app servers, as whole lists do, from the run with the most; missing below
-   * the target's number.
+   * Returns a figure that depends on the number of app servers, for example of complete lists, from
+   * the run with the most app servers. The figure is missing if that run has fewer app servers than
+   * the target.
    */
   public Figure ofMostEntries(Series series, Quantity quantity, Inputs target) {
     Run largest = largest(series, quantity,
@@ -56,29 +58,29 @@
         largest != null && largest.entries >= target.value(Input.APP_SERVERS));
   }
 
-  private Run largest(Series series, Quantity quantity, Comparator<Run> order) {
-    return told(series, quantity).stream().max(order).orElse(null);
+  private Run largest(Series series, Quantity quantity, Comparator<Run> bySize) {
+    return withFiniteValue(series, quantity).stream().max(bySize).orElse(null);
   }
 
-  private List<Run> told(Series series, Quantity quantity) {
-    return runs.stream().filter(run -> run.measured.what().equals(series.id()))
-        .filter(run -> Double.isFinite(run.measured.values().getOrDefault(quantity, Double.NaN)))
+  private List<Run> withFiniteValue(Series series, Quantity quantity) {
+    return runs.stream().filter(run -> run.measurement.what().equals(series.id()))
+        .filter(run -> Double.isFinite(run.measurement.values().getOrDefault(quantity, Double.NaN)))
         .toList();
   }
 
   private Figure figure(Run largest, Series series, Quantity quantity, Inputs target,
-      boolean enough) {
+      boolean reachesTarget) {
     String name = Fits.name(series.id(), quantity);
     if (largest == null) return Figure.missing(name);
     String source = name + " (" + Numbers.unrounded((double) largest.nodes) + " nodes, "
         + Numbers.unrounded((double) largest.entries) + " app servers)";
-    if (!enough) return Figure.missing(source);
-    List<Double> repeats = told(series, quantity).stream()
+    if (!reachesTarget) return Figure.missing(source);
+    List<Double> repeats = withFiniteValue(series, quantity).stream()
         .filter(run -> run.nodes == largest.nodes && run.entries == largest.entries)
-        .map(run -> run.measured.values().get(quantity)).sorted().toList();
-    boolean whole = largest.nodes >= target.value(Input.EDGE_NODES)
+        .map(run -> run.measurement.values().get(quantity)).sorted().toList();
+    boolean reachesBoth = largest.nodes >= target.value(Input.EDGE_NODES)
         && largest.entries >= target.value(Input.APP_SERVERS);
     return new Figure(Fit.mean(repeats), Fit.meanError(repeats),
-        whole ? Confidence.MEASURED : Confidence.EXTRAPOLATED, List.of(source));
+        reachesBoth ? Confidence.MEASURED : Confidence.EXTRAPOLATED, List.of(source));
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/ScalingLimit.java
+++ b/src/main/java/saltlatch/lab/capacity/ScalingLimit.java
@@ -1,19 +1,19 @@
 package saltlatch.lab.capacity;
 
 /**
- * A term that breaks below the target's size.
+ * A limit up to which a property of the system holds, compared with the target's size.
  *
- * @param term      what breaks
- * @param consequence      what comes of it
- * @param limit     the largest size at which it holds
- * @param target    the size aimed at
- * @param unit      of both
- * @param mechanism what takes it away
+ * @param term        the property that fails above the limit
+ * @param consequence the consequence of exceeding the limit
+ * @param limit       the largest size at which the property holds
+ * @param target      the size that is required
+ * @param unit        unit of limit and target
+ * @param mechanism   the change that removes the limit
  */
 public record ScalingLimit(String term, Consequence consequence, Figure limit, Figure target,
     String unit, Mechanism mechanism) {
 
-  /** Part of the target at which the term breaks. */
+  /** Returns the limit as a fraction of the target; below 1, the limit is below the target. */
   public Figure fractionOfTarget() {
     return limit.dividedBy(target);
   }
--- a/src/main/java/saltlatch/lab/capacity/ScalingLimits.java
+++ b/src/main/java/saltlatch/lab/capacity/ScalingLimits.java
@@ -8,11 +8,14 @@
 import saltlatch.lab.scale.Quantity;
 import saltlatch.membership.MembershipTimings;
 
-/** All walls, those that come first at the top; what is not known stands last. */
+/**
+ * Computes all scaling limits, in ascending order of the fraction of the target at which they are
+ * reached; limits whose fraction is missing are last.
+ */
 public final class ScalingLimits {
-  private static final String BENCH = "bench-prices.jsonl";
+  private static final String BENCH_SOURCE = "bench-prices.jsonl";
   private static final double MS_PER_SECOND = 1000;
-  private static final double TENTHS_PER_SECOND = 10_000; // membership's times are tenths of a ms
+  private static final double TICKS_PER_SECOND = 10_000; // membership timings are in tenths of a ms
 
   private final CapacityModel model;
   private final List<BenchDay> benchDays;
@@ -22,33 +25,33 @@
     this.benchDays = benchDays;
   }
 
-  /** The walls, by part of the target. */
+  /** Returns all limits, in ascending order of the fraction of the target. */
   public static List<ScalingLimit> of(CapacityModel model, List<BenchDay> benchDays) {
-    ScalingLimits walls = new ScalingLimits(model, benchDays);
+    ScalingLimits scalingLimits = new ScalingLimits(model, benchDays);
     List<ScalingLimit> all = new ArrayList<>();
-    walls.distribution(all);
-    walls.memory(all);
-    walls.requests(all);
-    walls.membership(all);
-    all.sort(Comparator.comparing((ScalingLimit wall) -> !wall.fractionOfTarget().known())
-        .thenComparing(w -> w.fractionOfTarget().value()));
+    scalingLimits.addDistributionLimits(all);
+    scalingLimits.addMemoryLimits(all);
+    scalingLimits.addRequestLimits(all);
+    scalingLimits.addMembershipLimits(all);
+    all.sort(Comparator.comparing((ScalingLimit limit) -> !limit.fractionOfTarget().known())
+        .thenComparing(limit -> limit.fractionOfTarget().value()));
     return all;
   }
 
-  private void distribution(List<ScalingLimit> all) {
+  private void addDistributionLimits(List<ScalingLimit> all) {
     Figure appServers = model.input(Input.APP_SERVERS);
     Figure nodes = model.input(Input.EDGE_NODES);
-    Figure entry = model.slope(Series.LIST_START, Quantity.BYTES_IN);
+    Figure bytesPerEntry = model.slope(Series.LIST_START, Quantity.BYTES_IN);
     all.add(new ScalingLimit("settings change by a restart of every node alone", Consequence.LATE,
         Figure.exact(0), model.input(Input.CHANGES_PER_DAY), "changes a day",
         Mechanism.RUNNING_SETTINGS));
     all.add(new ScalingLimit("a line of the watch beyond its bound is refused, for ever",
-        Consequence.STOPS, model.input(Input.LIST_BOUND_BYTES).dividedBy(entry), appServers,
+        Consequence.STOPS, model.input(Input.LIST_BOUND_BYTES).dividedBy(bytesPerEntry), appServers,
         "app servers", Mechanism.BOUNDED_LIST));
     Figure bytesToStart = model.input(Input.NODE_BYTES_PER_SECOND)
         .times(model.input(Input.START_WITHIN_SECONDS));
     all.add(new ScalingLimit("a starting node reads the whole list within its budget of bytes",
-        Consequence.BUDGET, bytesToStart.dividedBy(entry), appServers, "app servers",
+        Consequence.BUDGET, bytesToStart.dividedBy(bytesPerEntry), appServers, "app servers",
         Mechanism.KEPT_LIST));
     Figure msPerChange = Figure.exact(MS_PER_SECOND).dividedBy(new Rates(model).peakChanges());
     all.add(new ScalingLimit("one discovery's whole core goes to changes at the peak",
@@ -59,15 +62,15 @@
         "one discovery's core sends all the whole list, as after its restart, in the time to be in force",
         Consequence.LATE, sizeAt(Series.WATCHERS_WHOLE, Quantity.CPU_MS, inForce), nodes,
         "watchers", Mechanism.RELAYS));
-    Figure sent = model.input(Input.NETWORK_BYTES_PER_SECOND)
+    Figure bytesInTime = model.input(Input.NETWORK_BYTES_PER_SECOND)
         .times(model.input(Input.IN_FORCE_SECONDS));
     all.add(new ScalingLimit(
         "one discovery's network sends all the whole list, as after its restart, in the time to be in force",
-        Consequence.LATE, sent.dividedBy(new Rates(model).listBytes()), nodes, "watchers",
+        Consequence.LATE, bytesInTime.dividedBy(new Rates(model).listBytes()), nodes, "watchers",
         Mechanism.RELAYS));
   }
 
-  private void memory(List<ScalingLimit> all) {
+  private void addMemoryLimits(List<ScalingLimit> all) {
     Figure heap = model.input(Input.HEAP_BYTES);
     Figure plans = model.input(Input.TENANTS).times(model.input(Input.PLANS_PER_TENANT));
     all.add(new ScalingLimit("plans in the settings fill the heap", Consequence.STOPS,
@@ -77,9 +80,9 @@
         "app servers", Mechanism.SUBSETS));
   }
 
-  private void requests(List<ScalingLimit> all) {
+  private void addRequestLimits(List<ScalingLimit> all) {
     Rates rates = new Rates(model);
-    Figure peak = model.input(Input.REQUESTS_PER_SECOND);
+    Figure peakRequests = model.input(Input.REQUESTS_PER_SECOND);
     all.add(
         new ScalingLimit("connections idle out between two requests of a pair", Consequence.BUDGET,
             rates.peakRequestsPerNode().times(model.input(Input.IDLE_CLOSE_SECONDS)),
@@ -92,8 +95,8 @@
             Figure.exact(MS_PER_SECOND).dividedBy(rates.peakRequestsPerNode())),
         model.input(Input.APP_SERVERS), "app servers", Mechanism.SUBSETS));
     all.add(new ScalingLimit("one counter process answers all calls", Consequence.WRONG_QUOTAS,
-        model.input(Input.COUNTER_CALLS_PER_PROCESS).dividedBy(callsPerRequest), peak, "requests/s",
-        Mechanism.DIVIDED_COUNTER));
+        model.input(Input.COUNTER_CALLS_PER_PROCESS).dividedBy(callsPerRequest), peakRequests,
+        "requests/s", Mechanism.DIVIDED_COUNTER));
     Figure bytesPerRequest = model.slope(Series.COUNTER_CALLS, Quantity.BYTES_OUT)
         .plus(model.slope(Series.COUNTER_CALLS, Quantity.BYTES_IN))
         .orElse(rates.assumedCounterBytes(Figure.exact(1)));
@@ -101,34 +104,34 @@
         Consequence.BUDGET, model.input(Input.NODE_BYTES_PER_SECOND).dividedBy(bytesPerRequest),
         rates.peakRequestsPerNode(), "requests/s at a node", Mechanism.DIVIDED_COUNTER));
     all.add(new ScalingLimit("units beyond quotas on a calm day, on the bench",
-        Consequence.WRONG_QUOTAS, quotasHold(), model.input(Input.EDGE_NODES), "nodes",
-        Mechanism.FLEET_QUOTAS));
-    Figure late = model.input(Input.ADDED_P99_MS).times(model.input(Input.LATENESS_PART));
+        Consequence.WRONG_QUOTAS, largestFleetWithinQuotas(), model.input(Input.EDGE_NODES),
+        "nodes", Mechanism.FLEET_QUOTAS));
+    Figure maxLateness = model.input(Input.ADDED_P99_MS).times(model.input(Input.LATENESS_PART));
     all.add(new ScalingLimit("the load tool's own lateness hides the added latency",
-        Consequence.UNSEEN, sizeAt(Series.REQUESTS_LATE, Quantity.P99_MS, late),
+        Consequence.UNSEEN, sizeAt(Series.REQUESTS_LATE, Quantity.P99_MS, maxLateness),
         rates.peakRequestsPerNode(), "requests/s at a node", Mechanism.PUNCTUAL_LOAD));
   }
 
   /**
-   * The largest fleet up to which every day of the bench stayed within the margin; 0: not the
-   * smallest played.
+   * Returns the largest fleet for which every bench day up to that size kept the excess over quotas
+   * within the margin; 0 if even the smallest fleet exceeded it.
    */
-  private Figure quotasHold() {
-    if (benchDays.isEmpty()) return Figure.missing(BENCH);
-    double most = model.inputs().value(Input.QUOTA_SLIP_PART);
-    int broken = benchDays.stream().filter(day -> day.overQuota() > most).mapToInt(BenchDay::nodes)
-        .min().orElse(Integer.MAX_VALUE);
-    int holds = benchDays.stream().mapToInt(BenchDay::nodes).filter(nodes -> nodes < broken).max()
-        .orElse(0);
-    return Figure.assumed(holds, Input.QUOTA_SLIP_PART.key()).withSource(BENCH);
+  private Figure largestFleetWithinQuotas() {
+    if (benchDays.isEmpty()) return Figure.missing(BENCH_SOURCE);
+    double maxOverQuota = model.inputs().value(Input.QUOTA_SLIP_PART);
+    int smallestFailingFleet = benchDays.stream().filter(day -> day.overQuota() > maxOverQuota)
+        .mapToInt(BenchDay::nodes).min().orElse(Integer.MAX_VALUE);
+    int largestFleet = benchDays.stream().mapToInt(BenchDay::nodes)
+        .filter(nodes -> nodes < smallestFailingFleet).max().orElse(0);
+    return Figure.assumed(largestFleet, Input.QUOTA_SLIP_PART.key()).withSource(BENCH_SOURCE);
   }
 
-  private void membership(List<ScalingLimit> all) {
+  private void addMembershipLimits(List<ScalingLimit> all) {
     Figure nodes = model.input(Input.EDGE_NODES);
-    double bound = model.inputs().value(Input.TAKEOVER_WITHIN_SECONDS) * TENTHS_PER_SECOND;
-    all.add(
-        new ScalingLimit("a dead node's share is in use again in time", Consequence.WRONG_QUOTAS,
-            fleet(terms -> terms.takeoverTicks(), bound), nodes, "nodes", Mechanism.MEMBER_CELLS));
+    double maxTicks = model.inputs().value(Input.TAKEOVER_WITHIN_SECONDS) * TICKS_PER_SECOND;
+    all.add(new ScalingLimit("a dead node's share is in use again in time",
+        Consequence.WRONG_QUOTAS, largestFleetWithin(timings -> timings.takeoverTicks(), maxTicks),
+        nodes, "nodes", Mechanism.MEMBER_CELLS));
     all.add(new ScalingLimit("a datagram tells whom a node hears", Consequence.WRONG_QUOTAS,
         Figure.exact(GossipMessage.MAX_NODES_WITH_REACHABILITY).withSource("api.Told.MOST_NODES"),
         nodes, "nodes", Mechanism.MEMBER_CELLS));
@@ -138,17 +141,21 @@
         Mechanism.REGIONAL_SHARES));
   }
 
-  /** The largest fleet whose time, by membership's own formulas, is within a bound. */
-  private Figure fleet(ToDoubleFunction<MembershipTimings> time, double most) {
+  /**
+   * Returns the largest fleet whose timing, by membership's formulas, is within a bound in ticks.
+   */
+  private Figure largestFleetWithin(ToDoubleFunction<MembershipTimings> timing, double upperBound) {
     double datagrams = model.inputs().value(Input.DATAGRAMS_PER_SECOND);
-    int holds = 0;
-    while (time.applyAsDouble(MembershipTimings.of(holds + 1, datagrams)) <= most) holds++;
-    return Figure.assumed(holds, Input.TAKEOVER_WITHIN_SECONDS.key())
+    int largestFleet = 0;
+    while (timing.applyAsDouble(MembershipTimings.of(largestFleet + 1, datagrams)) <= upperBound)
+      largestFleet++;
+    return Figure.assumed(largestFleet, Input.TAKEOVER_WITHIN_SECONDS.key())
         .withSource(Input.DATAGRAMS_PER_SECOND.key()).withSource("member.Terms");
   }
 
   /**
-   * The size at which a series' line reaches a value; 0 where the smallest size run is above it.
+   * Returns the size at which a series' line reaches a value; 0 if the smallest size that was run
+   * is already above it.
    */
   private Figure sizeAt(Series series, Quantity quantity, Figure value) {
     Fit fit = model.fits().find(series.id(), quantity);
@@ -158,7 +165,7 @@
     }
     Figure size = value.minus(model.intercept(series, quantity))
         .dividedBy(model.slope(series, quantity));
-    boolean beyond = fit != null && size.known() && size.value() > fit.largest();
-    return beyond ? size.withConfidence(Confidence.EXTRAPOLATED) : size;
+    boolean extrapolated = fit != null && size.known() && size.value() > fit.largest();
+    return extrapolated ? size.withConfidence(Confidence.EXTRAPOLATED) : size;
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/Series.java
+++ b/src/main/java/saltlatch/lab/capacity/Series.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.capacity;
 
-/** Measurements of the scale tests that the formulas use, and what one value of each counts. */
+/** Series of measurements of the scale tests, and what one value of each counts. */
 public enum Series {
   LIST_START("list.start", "a node from its start until it holds the list"),
   LIST_REST("list.rest", "a node a second, while nothing changes"),
@@ -47,12 +47,12 @@
     this.description = description;
   }
 
-  /** Its name in the measurements. */
+  /** Returns the name used in the measurements. */
   public String id() {
     return id;
   }
 
-  /** What one value counts. */
+  /** Returns what one value counts, as shown on the page. */
   public String description() {
     return description;
   }
--- a/src/main/java/saltlatch/lab/capacity/SubsetPolicy.java
+++ b/src/main/java/saltlatch/lab/capacity/SubsetPolicy.java
@@ -5,13 +5,14 @@
 import java.util.stream.IntStream;
 
 /**
- * How a node chooses the app servers of a service that it keeps to. Pure: the same seed, nodes and
- * servers give the same choice, and each node can make its own without asking another.
+ * Policies by which an edge node chooses its subset of a service's app servers. They are pure
+ * functions: the same seed, nodes and servers give the same choice, so that each node can compute
+ * its own subset without communication.
  */
 public enum SubsetPolicy {
   /**
-   * Each node draws for itself, as shuffle sharding deals customers out (MacCárthaigh, AWS
-   * Builders' Library).
+   * Each node draws its subset independently, as shuffle sharding assigns customers (MacCárthaigh,
+   * AWS Builders' Library).
    */
   RANDOM("random, a draw for each node") {
     @Override
@@ -26,56 +27,58 @@
   },
 
   /**
-   * Rounds of nodes share out one shuffle of the servers (Beyer et al., Site Reliability
-   * Engineering, chapter 20).
+   * Divides one shuffle of the servers among the nodes of a round; each round uses another shuffle
+   * (Beyer et al., Site Reliability Engineering, chapter 20).
    */
   DETERMINISTIC("deterministic subsetting") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
-      int perRound = servers.length / kept;
+      int nodesPerRound = servers.length / kept;
       int[][] chosen = new int[nodes][];
       for (int node = 0; node < nodes; node++) {
-        int[] shuffled = shuffled(servers, new SplittableRandom(mix(seed, node / perRound)));
-        int from = node % perRound * kept;
+        int[] shuffled = shuffled(servers, new SplittableRandom(mix(seed, node / nodesPerRound)));
+        int from = node % nodesPerRound * kept;
         chosen[node] = Arrays.copyOfRange(shuffled, from, from + kept);
       }
       return chosen;
     }
   },
 
-  /** The servers of the highest hash with the node (Thaler and Ravishankar 1998). */
+  /** Chooses the servers with the highest hashes with the node (Thaler and Ravishankar 1998). */
   RENDEZVOUS("rendezvous hashing") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
       int[][] chosen = new int[nodes][];
-      for (int node = 0; node < nodes; node++) chosen[node] = highest(node, servers, kept, seed);
+      for (int node = 0; node < nodes; node++)
+        chosen[node] = highestScores(node, servers, kept, seed);
       return chosen;
     }
   },
 
   /**
-   * Clockwise on a ring of servers, passing over what is full at {@link #BOUND} of the mean
-   * (Mirrokni et al. 2018).
+   * Walks clockwise on a ring of servers and skips each server whose load has reached {@link
+   * #BOUND} times the mean (Mirrokni et al. 2018).
    */
   BOUNDED_RING("consistent hashing with bounded loads") {
     @Override
     int[][] choose(int nodes, int[] servers, int kept, long seed) {
       int[] ring = ring(servers, seed);
-      int most = (int) Math.ceil(BOUND * nodes * kept / servers.length);
-      int[] held = new int[ring.length];
-      long[] places = Arrays.stream(ring).mapToLong(server -> mix(seed, server)).toArray();
+      int maxNodesPerServer = (int) Math.ceil(BOUND * nodes * kept / servers.length);
+      int[] nodesPerServer = new int[ring.length];
+      long[] serverHashes = Arrays.stream(ring).mapToLong(server -> mix(seed, server)).toArray();
       int[][] chosen = new int[nodes][];
       for (int node = 0; node < nodes; node++) {
-        int found = Arrays.binarySearch(places, mix(seed ^ NODES, node));
-        chosen[node] = clockwise(ring, held, found < 0 ? -found - 1 : found, kept, most);
+        int ringPosition = Arrays.binarySearch(serverHashes, mix(seed ^ NODE_HASH_SALT, node));
+        chosen[node] = walkRing(ring, nodesPerServer,
+            ringPosition < 0 ? -ringPosition - 1 : ringPosition, kept, maxNodesPerServer);
       }
       return chosen;
     }
   };
 
-  static final double BOUND = 1.25; // of the mean load: the middle of the paper's evaluation
-  // sets nodes' places on the ring apart from servers'
-  private static final long NODES = 0x9e3779b97f4a7c15L;
+  static final double BOUND = 1.25; // times the mean load; the middle of the paper's evaluation
+  // makes the nodes' hashes on the ring independent of the servers'
+  private static final long NODE_HASH_SALT = 0x9e3779b97f4a7c15L;
 
   private final String title;
 
@@ -83,24 +86,25 @@
     this.title = title;
   }
 
-  /** Its name on the page. */
+  /** Returns the name used on the page. */
   public String title() {
     return title;
   }
 
   /**
-   * The choice of every node.
+   * Returns the choice of every node.
    *
-   * @param nodes   how many
+   * @param nodes   number of nodes
    * @param servers the service's app servers by number, at least {@code kept}
-   * @param kept    app servers for a node
-   * @param seed    of all chance
-   * @return for each node the servers that it keeps to
+   * @param kept    number of app servers that each node uses
+   * @param seed    seed of all random choices
+   * @return the servers of each node, by the node's number
    */
   abstract int[][] choose(int nodes, int[] servers, int kept, long seed);
 
   /**
-   * A 64-bit hash of a seed and a number: the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+   * Returns a 64-bit hash of a seed and a number, by the finalizer of SplitMix64 (Steele, Lea and
+   * Flood 2014).
    */
   static long mix(long seed, long number) {
     long bits = seed + (number + 1) * 0x9e3779b97f4a7c15L;
@@ -109,30 +113,30 @@
     return bits ^ (bits >>> 31);
   }
 
-  private static int[] shuffled(int[] servers, SplittableRandom chance) {
+  private static int[] shuffled(int[] servers, SplittableRandom random) {
     int[] order = servers.clone();
     for (int i = order.length - 1; i > 0; i--) {
-      int other = chance.nextInt(i + 1);
-      int moved = order[i];
+      int other = random.nextInt(i + 1);
+      int swapped = order[i];
       order[i] = order[other];
-      order[other] = moved;
+      order[other] = swapped;
     }
     return order;
   }
 
-  private static int[] highest(int node, int[] servers, int kept, long seed) {
+  private static int[] highestScores(int node, int[] servers, int kept, long seed) {
     int[] best = new int[kept];
     long[] scores = new long[kept];
     Arrays.fill(scores, Long.MIN_VALUE);
     for (int server : servers) {
       long score = mix(mix(seed, node), server);
-      int place = kept;
-      while (place > 0 && score > scores[place - 1]) place--;
-      if (place == kept) continue;
-      System.arraycopy(best, place, best, place + 1, kept - place - 1);
-      System.arraycopy(scores, place, scores, place + 1, kept - place - 1);
-      best[place] = server;
-      scores[place] = score;
+      int position = kept;
+      while (position > 0 && score > scores[position - 1]) position--;
+      if (position == kept) continue;
+      System.arraycopy(best, position, best, position + 1, kept - position - 1);
+      System.arraycopy(scores, position, scores, position + 1, kept - position - 1);
+      best[position] = server;
+      scores[position] = score;
     }
     return best;
   }
@@ -143,15 +147,16 @@
         .mapToInt(Integer::intValue).toArray();
   }
 
-  private static int[] clockwise(int[] ring, int[] held, int from, int kept, int most) {
-    int[] taken = new int[kept];
+  private static int[] walkRing(int[] ring, int[] nodesPerServer, int from, int kept,
+      int maxNodesPerServer) {
+    int[] subset = new int[kept];
     int count = 0;
     for (int step = 0; step < ring.length && count < kept; step++) {
-      int place = (from + step) % ring.length;
-      if (held[place] >= most) continue;
-      held[place]++;
-      taken[count++] = ring[place];
+      int position = (from + step) % ring.length;
+      if (nodesPerServer[position] >= maxNodesPerServer) continue;
+      nodesPerServer[position]++;
+      subset[count++] = ring[position];
     }
-    return Arrays.copyOf(taken, count);
+    return Arrays.copyOf(subset, count);
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
+++ b/src/main/java/saltlatch/lab/capacity/SubsetSimulation.java
@@ -4,35 +4,38 @@
 import java.util.stream.IntStream;
 
 /**
- * What a policy of subsets does to a service: every node sends one unit of load, shared evenly by
- * the app servers that it keeps to. Simulated, pure and seeded.
+ * Simulates the load that a subset policy puts on the app servers of a service. Every node sends
+ * one unit of load, divided evenly among the app servers of its subset. The simulation is a pure
+ * function of its arguments, including the seed.
  */
 public final class SubsetSimulation {
   /**
-   * What came out for one service and policy.
+   * The result for one service and policy.
    *
-   * @param policy      how nodes chose
-   * @param servers     app servers of the service
-   * @param kept        app servers that a node keeps to
-   * @param p50         load of the median app server over the mean
-   * @param p99         of the one that 99 in 100 stay below
-   * @param max         of the most loaded
-   * @param connections held by the most loaded app server, one for each node that keeps to it
-   * @param moved       part of all choices that change when one app server goes
-   * @param least       the least part that must change: the choices of the one that went
+   * @param policy      the policy by which nodes chose
+   * @param servers     number of app servers of the service
+   * @param kept        number of app servers in a node's subset
+   * @param p50         load of the median app server, divided by the mean load
+   * @param p99         99th percentile of the loads, divided by the mean load
+   * @param max         the highest load, divided by the mean load
+   * @param connections the largest number of connections to one app server, with one connection for
+   *     each node whose subset contains it
+   * @param movedFraction fraction of all choices that change when one app server is removed
+   * @param minimumMovedFraction the smallest fraction that has to change: the choices of the
+   *     removed app server
    */
   public record Outcome(SubsetPolicy policy, int servers, int kept, double p50, double p99,
-      double max, int connections, double moved, double least) {}
+      double max, int connections, double movedFraction, double minimumMovedFraction) {}
 
-  private static final double HIGH = 0.99; // the percentile told beside the median and the maximum
+  private static final double HIGH_QUANTILE = 0.99; // shown beside median and maximum
 
   private SubsetSimulation() {}
 
-  /** Plays one service of so many app servers before so many nodes. */
+  /** Simulates one service with {@code servers} app servers and {@code nodes} edge nodes. */
   public static Outcome simulate(SubsetPolicy policy, int nodes, int servers, int kept, long seed) {
-    int[] all = IntStream.range(0, servers).toArray();
-    int each = Math.min(kept, servers);
-    int[][] before = policy.choose(nodes, all, each, seed);
+    int[] allServers = IntStream.range(0, servers).toArray();
+    int subsetSize = Math.min(kept, servers);
+    int[][] before = policy.choose(nodes, allServers, subsetSize, seed);
     double[] loads = new double[servers];
     int[] connections = new int[servers];
     for (int[] chosen : before) {
@@ -43,29 +46,31 @@
     }
     double mean = (double) nodes / servers;
     Arrays.sort(loads);
-    int gone = servers / 2;
+    int removed = servers / 2;
     double choices = Arrays.stream(connections).sum();
-    double moved = moved(policy, before,
-        IntStream.of(all).filter(server -> server != gone).toArray(), kept, seed);
-    return new Outcome(policy, servers, each, at(loads, 0.5) / mean, at(loads, HIGH) / mean,
-        loads[servers - 1] / mean, Arrays.stream(connections).max().orElseThrow(), moved / choices,
-        connections[gone] / choices);
+    int movedChoices = movedChoices(policy, before,
+        IntStream.of(allServers).filter(server -> server != removed).toArray(), kept, seed);
+    return new Outcome(policy, servers, subsetSize, quantile(loads, 0.5) / mean,
+        quantile(loads, HIGH_QUANTILE) / mean, loads[servers - 1] / mean,
+        Arrays.stream(connections).max().orElseThrow(), movedChoices / choices,
+        connections[removed] / choices);
   }
 
-  /** Choices that are not made any more once only these servers are left. */
-  private static int moved(SubsetPolicy policy, int[][] before, int[] left, int kept, long seed) {
-    int[][] after = policy.choose(before.length, left, Math.min(kept, left.length), seed);
-    int moved = 0;
+  /** Returns the number of choices that are not made again if only these servers remain. */
+  private static int movedChoices(SubsetPolicy policy, int[][] before, int[] remaining, int kept,
+      long seed) {
+    int[][] after = policy.choose(before.length, remaining, Math.min(kept, remaining.length), seed);
+    int movedChoices = 0;
     for (int node = 0; node < before.length; node++) {
-      int[] now = after[node];
+      int[] chosenAfter = after[node];
       for (int server : before[node]) {
-        if (Arrays.stream(now).noneMatch(other -> other == server)) moved++;
+        if (Arrays.stream(chosenAfter).noneMatch(other -> other == server)) movedChoices++;
       }
     }
-    return moved;
+    return movedChoices;
   }
 
-  private static double at(double[] sorted, double part) {
-    return sorted[(int) Math.ceil(part * sorted.length) - 1];
+  private static double quantile(double[] sorted, double probability) {
+    return sorted[(int) Math.ceil(probability * sorted.length) - 1];
   }
 }
--- a/src/main/java/saltlatch/lab/capacity/package-info.java
+++ b/src/main/java/saltlatch/lab/capacity/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The capacity page, docs/CAPACITY.md: what each role costs at the target's size, computed from
- * committed measurements and stated assumptions. No I/O but in
- * {@link saltlatch.lab.capacity.CapacityData}.
+ * The capacity page, docs/CAPACITY.md: the cost of each role at the target's size, computed from
+ * committed measurements and documented assumptions. Only
+ * {@link saltlatch.lab.capacity.CapacityData} performs I/O.
  */
 package saltlatch.lab.capacity;
--- a/src/test/java/saltlatch/lab/capacity/SubsetTest.java
+++ b/src/test/java/saltlatch/lab/capacity/SubsetTest.java
@@ -46,8 +46,9 @@
   void rendezvousMovesNoMoreThanItMust() {
     SubsetSimulation.Outcome outcome = SubsetSimulation.simulate(SubsetPolicy.RENDEZVOUS, NODES, 60,
         KEPT, SEED);
-    assertEquals(outcome.least(), outcome.moved(), 1e-12);
-    assertTrue(SubsetSimulation.simulate(SubsetPolicy.RANDOM, NODES, 60, KEPT, SEED).moved() > 0.5);
+    assertEquals(outcome.minimumMovedFraction(), outcome.movedFraction(), 1e-12);
+    assertTrue(SubsetSimulation.simulate(SubsetPolicy.RANDOM, NODES, 60, KEPT, SEED)
+        .movedFraction() > 0.5);
   }
 
   @Test
@@ -55,7 +56,7 @@
     SubsetSimulation.Outcome outcome = SubsetSimulation.simulate(SubsetPolicy.BOUNDED_RING, NODES,
         60, KEPT, SEED);
     assertTrue(outcome.connections() <= Math.ceil(SubsetPolicy.BOUND * NODES * KEPT / 60));
-    assertTrue(outcome.moved() < 0.2, "moved " + outcome.moved());
+    assertTrue(outcome.movedFraction() < 0.2, "moved " + outcome.movedFraction());
   }
 
   @Test
