--- a/src/main/java/saltlatch/lab/capacity/AppServer.java
+++ b/src/main/java/saltlatch/lab/capacity/AppServer.java
@@ -22,8 +22,7 @@
     Figure idleCloseSeconds = model.input(Input.IDLE_CLOSE_SECONDS);
     Figure nodesWithSubsets = nodes.times(new Rates(model).pairsPerNode()).dividedBy(appServers);
     rows.add(Row.of("requests", LoadCondition.PEAK, requests, "requests/s", ALL_SERVERS));
-    rows.add(
-        Row.of("nodes that send to it, all", LoadCondition.PEAK, nodes, "nodes", ALL_SERVERS));
+    rows.add(Row.of("nodes that send to it, all", LoadCondition.PEAK, nodes, "nodes", ALL_SERVERS));
     rows.add(Row.of("a request of one of these nodes, each", LoadCondition.PEAK,
         nodes.dividedBy(requests), "s", ALL_SERVERS).withBudget(idleCloseSeconds));
     rows.add(Row.of("nodes that send to it, subsets", LoadCondition.PEAK, nodesWithSubsets, "nodes",
--- a/src/main/java/saltlatch/lab/capacity/ControlMachines.java
+++ b/src/main/java/saltlatch/lab/capacity/ControlMachines.java
@@ -91,10 +91,9 @@
         ofMostEntries(model, Series.RELAY_START_LOWER, Quantity.CPU_MS), "ms/s", RELAYS));
     rows.add(startDuration(model, Series.RELAY_START, RELAYS));
     rows.add(startDuration(model, Series.RELAY_DIRECT_START, ONE_DISCOVERY));
-    rows.add(
-        Row.of("processor time of one discovery for a whole list to all", LoadCondition.ZONE_STARTS,
-            model.at(Series.WATCHERS_WHOLE, Quantity.CPU_MS, Input.EDGE_NODES), "ms",
-            ONE_DISCOVERY));
+    rows.add(Row.of("processor time of one discovery for a whole list to all",
+        LoadCondition.ZONE_STARTS,
+        model.at(Series.WATCHERS_WHOLE, Quantity.CPU_MS, Input.EDGE_NODES), "ms", ONE_DISCOVERY));
   }
 
   private static Row startDuration(CapacityModel model, Series series, String mechanism) {
--- a/src/main/java/saltlatch/lab/capacity/Series.java
+++ b/src/main/java/saltlatch/lab/capacity/Series.java
@@ -1,6 +1,6 @@
 package saltlatch.lab.capacity;
 
-/** Series of measurements of the scale tests, and what one value of each counts. */
+/** Series of scale test measurements that the formulas use, and what one value of each counts. */
 public enum Series {
   LIST_START("list.start", "a node from its start until it holds the list"),
   LIST_REST("list.rest", "a node a second, while nothing changes"),
--- a/src/main/java/saltlatch/lab/tiers/HollowGroup.java
+++ b/src/main/java/saltlatch/lab/tiers/HollowGroup.java
@@ -13,10 +13,10 @@
 import saltlatch.lab.rig.ProcessMetrics;
 import saltlatch.lab.tiers.PropagationDelay.Applied;
 
-/** A process of hollow nodes and the report that it writes. */
+/** A process that runs a group of hollow nodes, with the report and the log that it writes. */
 final class HollowGroup implements AutoCloseable {
-  // of what it says: hollow: N of N nodes have a list, all of them index I
-  private static final int INDEX_WORD = 12;
+  // word of the index in "hollow: N of N nodes have a list, all of them index I"
+  private static final int INDEX_WORD_POSITION = 12;
 
   private final ChildJvm process;
   private final Path report;
@@ -49,29 +49,33 @@
     return ProcessMetrics.rssBytes(process.pid());
   }
 
-  /** Whether all of its nodes have applied this index or a later one, as it last said. */
-  boolean allAt(long index) throws IOException {
-    if (!process.alive()) throw new IOException("a process of hollow nodes has ended, see " + log);
-    List<String> said = Files.readAllLines(log);
-    for (int i = said.size() - 1; i >= 0; i--) {
-      String[] words = said.get(i).replace(",", "").split(" ", 0);
-      if (!words[0].equals("hollow:") || words.length <= INDEX_WORD) continue;
-      return words[1].equals(words[3]) && Long.parseLong(words[INDEX_WORD]) >= index;
+  /**
+   * Returns whether all nodes have applied this index or a later one, according to the last status
+   * line in the log.
+   */
+  boolean allApplied(long index) throws IOException {
+    if (!process.alive()) throw new IOException(
+        "expected a running process of " + nodes + " hollow nodes, but it has ended, see " + log);
+    List<String> logLines = Files.readAllLines(log);
+    for (int i = logLines.size() - 1; i >= 0; i--) {
+      String[] words = logLines.get(i).replace(",", "").split(" ", 0);
+      if (!words[0].equals("hollow:") || words.length <= INDEX_WORD_POSITION) continue;
+      return words[1].equals(words[3]) && Long.parseLong(words[INDEX_WORD_POSITION]) >= index;
     }
     return false;
   }
 
-  /** What its nodes have applied, by their names, in the order of the times. */
+  /** Returns the indexes that each node has applied, by the node's name and in order of time. */
   Map<String, List<Applied>> applied() throws IOException {
-    Map<String, List<Applied>> all = new HashMap<>();
-    for (String text : Files.readAllLines(report)) {
-      // samples, and a line that is being written
-      if (!text.startsWith("{\"node\"") || !text.endsWith("}")) continue;
-      JsonObject line = JsonParser.parseString(text).getAsJsonObject();
-      all.computeIfAbsent(line.get("node").getAsString(), n -> new ArrayList<>())
+    Map<String, List<Applied>> appliedByNode = new HashMap<>();
+    for (String reportLine : Files.readAllLines(report)) {
+      // skips samples and an incompletely written last line
+      if (!reportLine.startsWith("{\"node\"") || !reportLine.endsWith("}")) continue;
+      JsonObject line = JsonParser.parseString(reportLine).getAsJsonObject();
+      appliedByNode.computeIfAbsent(line.get("node").getAsString(), name -> new ArrayList<>())
           .add(new Applied(line.get("index").getAsLong(), line.get("at_nanos").getAsLong()));
     }
-    return all;
+    return appliedByNode;
   }
 
   @Override
--- a/src/main/java/saltlatch/lab/tiers/PropagationDelay.java
+++ b/src/main/java/saltlatch/lab/tiers/PropagationDelay.java
@@ -6,19 +6,26 @@
 import java.util.Map;
 
 /**
- * When changes were in force: for each change and node the time from its put at the source until
- * the node had applied it, itself or within a later index. Times are of one monotonic clock, ns.
+ * Computes propagation delays: for each change and node, the time from the put at the source until
+ * the node has applied that index or a later one. All times are in ns of one monotonic clock.
  */
 final class PropagationDelay {
-  /** A change of the list at its source. */
+  /** A change of the list at the source. */
   record Put(long index, long atNanos) {}
 
-  /** That a node had applied all up to an index. */
+  /** The time at which a node had applied all changes up to an index. */
   record Applied(long index, long atNanos) {}
 
   /**
-   * Times in ms; {@code missing}: pairs of change and node that never came to be;
-   * {@code backwards}: a lower index applied.
+   * Distribution of the delays in ms.
+   *
+   * @param count     number of delays
+   * @param missing   number of expected delays without an end: changes that a node never applied,
+   *     or nodes that never applied a list
+   * @param backwards number of times that a node applied a lower index than before
+   * @param p50Ms     median, or NaN without delays
+   * @param p99Ms     99th percentile, or NaN without delays
+   * @param maxMs     maximum, or NaN without delays
    */
   record Times(int count, int missing, int backwards, double p50Ms, double p99Ms, double maxMs) {}
 
@@ -26,9 +33,14 @@
 
   private PropagationDelay() {}
 
-  /** Of these puts, which ascend, at all nodes; each node's indexes in the order of their times. */
+  /**
+   * Returns the delays of all puts at all nodes.
+   *
+   * @param puts  puts by ascending index
+   * @param nodes applied indexes of each node, in order of time
+   */
   static Times of(List<Put> puts, Map<String, List<Applied>> nodes) {
-    double[] took = new double[puts.size() * nodes.size()];
+    double[] delaysMs = new double[puts.size() * nodes.size()];
     int count = 0;
     int missing = 0;
     int backwards = 0;
@@ -36,33 +48,36 @@
       for (int i = 1; i < applied.size(); i++) {
         if (applied.get(i).index < applied.get(i - 1).index) backwards++;
       }
-      int at = 0;
+      int next = 0;
       for (Put put : puts) {
-        while (at < applied.size() && applied.get(at).index < put.index) at++;
-        if (at == applied.size()) missing++;
-        else took[count++] = Math.max(0, applied.get(at).atNanos - put.atNanos) / NANOS_PER_MS;
+        while (next < applied.size() && applied.get(next).index < put.index) next++;
+        if (next == applied.size()) missing++;
+        else
+          delaysMs[count++] = Math.max(0, applied.get(next).atNanos - put.atNanos) / NANOS_PER_MS;
       }
     }
-    double[] sorted = Arrays.copyOf(took, count);
+    double[] sorted = Arrays.copyOf(delaysMs, count);
     Arrays.sort(sorted);
-    return new Times(count, missing, backwards, at(sorted, 0.5), at(sorted, 0.99), at(sorted, 1));
+    return new Times(count, missing, backwards, quantile(sorted, 0.5), quantile(sorted, 0.99),
+        quantile(sorted, 1));
   }
 
-  /** From each node's start to its first list. */
+  /** Returns the time from each node's start, its first entry, to its first list. */
   static Times ofStarts(Map<String, List<Applied>> nodes) {
-    List<Double> took = new ArrayList<>();
+    List<Double> delaysMs = new ArrayList<>();
     int missing = 0;
     for (List<Applied> applied : nodes.values()) {
-      Applied first = applied.stream().filter(a -> a.index > 0).findFirst().orElse(null);
+      Applied first = applied.stream().filter(entry -> entry.index > 0).findFirst().orElse(null);
       if (first == null) missing++;
-      else took.add((first.atNanos - applied.get(0).atNanos) / NANOS_PER_MS);
+      else delaysMs.add((first.atNanos - applied.get(0).atNanos) / NANOS_PER_MS);
     }
-    double[] sorted = took.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    return new Times(sorted.length, missing, 0, at(sorted, 0.5), at(sorted, 0.99), at(sorted, 1));
+    double[] sorted = delaysMs.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    return new Times(sorted.length, missing, 0, quantile(sorted, 0.5), quantile(sorted, 0.99),
+        quantile(sorted, 1));
   }
 
-  private static double at(double[] sorted, double part) {
+  private static double quantile(double[] sorted, double fraction) {
     return sorted.length == 0 ? Double.NaN
-        : sorted[Math.min(sorted.length - 1, (int) (part * sorted.length))];
+        : sorted[Math.min(sorted.length - 1, (int) (fraction * sorted.length))];
   }
 }
--- a/src/main/java/saltlatch/lab/tiers/RelayScale.java
+++ b/src/main/java/saltlatch/lab/tiers/RelayScale.java
@@ -18,20 +18,21 @@
 import saltlatch.lab.tiers.TierProcesses.Server;
 
 /**
- * What distribution over two tiers of relays does and costs at a size: nodes that start at once,
- * changes at an ordinary day's rate and at 2 a second, a relay killed; and the same nodes on the
- * source directly. Each phase is written as measurements: {@code P50_MS}, {@code P99_MS},
- * {@code MAX_MS} from put to in force over all changes and nodes ({@code COUNT} of them); CPU ms
- * and bytes are a second, for a node, or for a relay (the mean of its tier) or the source.
+ * Measures distribution over two tiers of relays at a given size. The phases are: nodes that start
+ * at once, changes at the rate of an ordinary day and at 2 per second, a killed relay, and the same
+ * nodes directly on the source. The measurements of each phase contain the propagation delay from
+ * put to in force over all changes and nodes ({@code P50_MS}, {@code P99_MS}, {@code MAX_MS}) and
+ * its number of values ({@code COUNT}). Processor time in ms and bytes are per second: for one
+ * node, for one relay as the mean of its tier, or for the source.
  */
 public final class RelayScale implements AutoCloseable {
-  private static final double A_DAY = 8_200 / 86_400.0; // changes a second
-  private static final double BUSY = 2; // changes a second
-  private static final long SETTLE_S = 180; // until all nodes have a list or the last change
-  private static final long LOOK_MS = 200;
-  private static final double NANOS = 1e9; // in a second
+  private static final double ORDINARY_CHANGES_PER_SECOND = 8_200 / 86_400.0; // 8,200 a day
+  private static final double PEAK_CHANGES_PER_SECOND = 2;
+  private static final long APPLY_TIMEOUT_SECONDS = 180; // until all nodes have applied an index
+  private static final long POLL_INTERVAL_MS = 200;
+  private static final double NANOS_PER_SECOND = 1e9;
 
-  /** What has been used by an instant. */
+  /** Total resource usage up to a point in time; the maps are by the name of the server. */
   private record Usage(long atNanos, double nodeCpuMs, Map<String, Double> cpuMs,
       Map<String, Double> bytes) {}
 
@@ -46,7 +47,7 @@
   private final int repeat;
   private int nextNode;
 
-  /** Starts the source and the relays. */
+  /** Starts the source and the relays of this plan. */
   public RelayScale(TierPlan plan, Path jar, Path dir, Writer measurements, PrintStream progress,
       String commit, int repeat) throws Exception {
     this.plan = plan;
@@ -59,70 +60,71 @@
     tiers = new TierProcesses(plan, jar, dir);
   }
 
-  /** All phases, one after the other; {@code seconds} for each in which changes come. */
+  /** Runs all phases in sequence; {@code seconds} is the duration of a phase with changes. */
   public void run(long seconds) throws Exception {
-    startFirst();
+    startInitialNodes();
     startAtOnce("relay.start300");
-    changes("relay.day", A_DAY, seconds, () -> {});
-    changes("relay.change", BUSY, seconds, () -> {});
-    changes("relay.killed", BUSY, seconds / 2, tiers::killLower);
+    runChanges("relay.day", ORDINARY_CHANGES_PER_SECOND, seconds, () -> {});
+    runChanges("relay.change", PEAK_CHANGES_PER_SECOND, seconds, () -> {});
+    runChanges("relay.killed", PEAK_CHANGES_PER_SECOND, seconds / 2, tiers::killLower);
     tiers.agent().forwardTo(List.of(tiers.source().port()));
     tiers.agent().cut();
     tiers.agent().askedFrom(plan.nodes());
-    changes("relay.direct", BUSY, seconds, () -> {});
-    endAtOnce();
+    runChanges("relay.direct", PEAK_CHANGES_PER_SECOND, seconds, () -> {});
+    stopNodesStartedAtOnce();
     startAtOnce("relay.direct.start300");
   }
 
-  private interface Act {
+  private interface PhaseAction {
     void run() throws Exception;
   }
 
-  private void startFirst() throws Exception {
+  private void startInitialNodes() throws Exception {
     int nodes = plan.nodes() - plan.startAtOnce();
-    start("first", nodes, plan.firstProcesses(), 1 + nodes / 50.0); // 50 a second
-    settle(1);
-    say(nodes + " nodes have a list");
+    startGroups("first", nodes, plan.firstProcesses(), 1 + nodes / 50.0); // 50 nodes per second
+    awaitApplied(1);
+    printProgress(nodes + " nodes have a list");
   }
 
   private void startAtOnce(String what) throws Exception {
-    Usage before = usage();
-    List<HollowGroup> started = start(what, plan.startAtOnce(), plan.atOnceProcesses(), 0);
-    settle(tiers.rate(0));
-    Usage after = usage();
+    Usage before = readUsage();
+    List<HollowGroup> started = startGroups(what, plan.startAtOnce(), plan.atOnceProcesses(), 0);
+    awaitApplied(tiers.setChangeRate(0));
+    Usage after = readUsage();
     Map<String, List<Applied>> applied = new HashMap<>();
     for (HollowGroup group : started) applied.putAll(group.applied());
     Times times = PropagationDelay.ofStarts(applied);
     write(what, values(times).and(Quantity.SECONDS, seconds(before, after)));
-    servers(what, before, after);
+    writeServerUsage(what, before, after);
   }
 
-  private void endAtOnce() {
+  private void stopNodesStartedAtOnce() {
     for (int i = 0; i < plan.atOnceProcesses(); i++) groups.remove(groups.size() - 1).close();
   }
 
-  private List<HollowGroup> start(String name, int nodes, int processes, double overSeconds)
+  private List<HollowGroup> startGroups(String name, int nodes, int processes, double overSeconds)
       throws IOException {
     List<HollowGroup> started = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
-      int some = nodes / processes + (i < nodes % processes ? 1 : 0);
-      started.add(new HollowGroup(plan, jar, dir, name + i, nextNode, some, tiers.agent().address(),
-          overSeconds));
-      nextNode += some;
+      int groupSize = nodes / processes + (i < nodes % processes ? 1 : 0);
+      started.add(new HollowGroup(plan, jar, dir, name + i, nextNode, groupSize,
+          tiers.agent().address(), overSeconds));
+      nextNode += groupSize;
     }
     groups.addAll(started);
     return started;
   }
 
-  private void changes(String what, double perSecond, long seconds, Act act) throws Exception {
-    Usage before = usage();
-    long from = tiers.rate(perSecond);
+  private void runChanges(String what, double perSecond, long seconds, PhaseAction action)
+      throws Exception {
+    Usage before = readUsage();
+    long from = tiers.setChangeRate(perSecond);
     TimeUnit.SECONDS.sleep(seconds / 2);
-    act.run();
+    action.run();
     TimeUnit.SECONDS.sleep(seconds - seconds / 2);
-    long to = tiers.rate(0);
-    Usage after = usage();
-    settle(to);
+    long to = tiers.setChangeRate(0);
+    Usage after = readUsage();
+    awaitApplied(to);
     List<Put> puts = tiers.puts().stream().filter(put -> put.index() > from && put.index() <= to)
         .toList();
     Map<String, List<Applied>> applied = new HashMap<>();
@@ -133,21 +135,21 @@
         values(PropagationDelay.of(puts, applied)).and(Quantity.SECONDS, seconds(before, after))
             .and(Quantity.MESSAGES_IN, puts.size()).and(Quantity.BYTES_IN, bytes)
             .and(Quantity.CPU_MS, cpu).and(Quantity.RSS_BYTES, nodeRssBytes()));
-    servers(what, before, after);
+    writeServerUsage(what, before, after);
   }
 
   private double bytesToNodes(String what, Usage before, Usage after) {
     double bytes = 0;
-    List<Server> tellers = what.startsWith("relay.direct") ? List.of(tiers.source())
+    List<Server> servers = what.startsWith("relay.direct") ? List.of(tiers.source())
         : tiers.lower();
-    for (Server server : tellers)
+    for (Server server : servers)
       bytes += after.bytes.get(server.name()) - before.bytes.get(server.name());
     return bytes;
   }
 
   private MetricValues values(Times times) {
     if (times.missing() > 0 || times.backwards() > 0) {
-      say("FAILED: " + times.missing() + " never in force, " + times.backwards()
+      printProgress("FAILED: " + times.missing() + " never in force, " + times.backwards()
           + " went backwards");
     }
     MetricValues values = MetricValues.of(Quantity.COUNT, times.count());
@@ -156,15 +158,16 @@
         .and(Quantity.MAX_MS, times.maxMs());
   }
 
-  /** What the source and a relay of each tier have used in a phase. */
-  private void servers(String what, Usage before, Usage after) throws Exception {
-    tier(what + ".source", List.of(tiers.source()), before, after);
+  /** Writes the resource usage of the source and of one relay of each tier in a phase. */
+  private void writeServerUsage(String what, Usage before, Usage after) throws Exception {
+    writeTierUsage(what + ".source", List.of(tiers.source()), before, after);
     if (what.startsWith("relay.direct")) return;
-    tier(what + ".upper", tiers.upper(), before, after);
-    tier(what + ".lower", tiers.lower(), before, after);
+    writeTierUsage(what + ".upper", tiers.upper(), before, after);
+    writeTierUsage(what + ".lower", tiers.lower(), before, after);
   }
 
-  private void tier(String what, List<Server> tier, Usage before, Usage after) throws IOException {
+  private void writeTierUsage(String what, List<Server> tier, Usage before, Usage after)
+      throws IOException {
     double cpu = 0;
     double bytes = 0;
     double rss = 0;
@@ -178,7 +181,7 @@
         .and(Quantity.RSS_BYTES, rss).and(Quantity.COUNT, tier.size()));
   }
 
-  private Usage usage() throws Exception {
+  private Usage readUsage() throws Exception {
     Map<String, Double> cpu = new HashMap<>();
     Map<String, Double> bytes = new HashMap<>();
     List<Server> relays = new ArrayList<>(tiers.upper());
@@ -194,7 +197,7 @@
     return new Usage(System.nanoTime(), nodes, cpu, bytes);
   }
 
-  /** Mean of a node, with its part of the process that it shares. */
+  /** Returns the mean resident memory of a node, including its share of the process. */
   private double nodeRssBytes() throws IOException {
     double bytes = 0;
     for (HollowGroup group : groups) bytes += group.rssBytes();
@@ -202,34 +205,35 @@
   }
 
   private static double seconds(Usage before, Usage after) {
-    return (after.atNanos - before.atNanos) / NANOS;
+    return (after.atNanos - before.atNanos) / NANOS_PER_SECOND;
   }
 
-  private void settle(long index) throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_S);
+  private void awaitApplied(long index) throws Exception {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(APPLY_TIMEOUT_SECONDS);
     for (HollowGroup group : groups) {
-      while (!group.allAt(index)) {
-        if (System.nanoTime() > until)
-          throw new IOException("not all nodes have index " + index + " after " + SETTLE_S + " s");
-        Thread.sleep(LOOK_MS);
+      while (!group.allApplied(index)) {
+        if (System.nanoTime() > deadlineNanos) throw new IOException(
+            "expected all " + group.nodes() + " nodes of a group to apply index " + index
+                + " within " + APPLY_TIMEOUT_SECONDS + " s");
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     }
   }
 
   private void write(String what, MetricValues values) throws IOException {
-    Measurement made = new Measurement(what,
+    Measurement measurement = new Measurement(what,
         "hollow nodes before " + plan.entries() + " app servers", plan.nodes(), repeat,
         values.map(), commit);
-    measurements.write(made.toJson() + "\n");
+    measurements.write(measurement.toJson() + "\n");
     measurements.flush();
-    say(made.toJson());
+    printProgress(measurement.toJson());
   }
 
-  private void say(String text) {
+  private void printProgress(String text) {
     progress.println(text);
   }
 
-  /** Ends all processes. */
+  /** Stops all processes. */
   @Override
   public void close() {
     groups.forEach(HollowGroup::close);
--- a/src/main/java/saltlatch/lab/tiers/TierProcesses.java
+++ b/src/main/java/saltlatch/lab/tiers/TierProcesses.java
@@ -18,11 +18,11 @@
 import saltlatch.lab.tiers.PropagationDelay.Put;
 
 /**
- * The source and the relays of a run as processes of the built jar, and the agent that the nodes
- * reach them by.
+ * Runs the source and the relays of a plan as processes of the built jar, and the forwarding agent
+ * through which nodes reach them.
  */
 final class TierProcesses implements AutoCloseable {
-  /** One process that nodes or relays follow, and its address. */
+  /** A process that nodes or relays follow, with its address. */
   record Server(String name, ChildJvm process, String address) {
     int port() {
       return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
@@ -37,9 +37,9 @@
     }
   }
 
-  private static final String QUIET = "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn";
-  // watchers that a relay may have beyond all nodes: other relays
-  private static final int ROOM = 200;
+  private static final String LOG_WARNINGS_ONLY = "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn";
+  // watchers that a relay accepts in addition to all nodes, for other relays
+  private static final int WATCHERS_FOR_RELAYS = 200;
 
   private final TierPlan plan;
   private final Path jar;
@@ -57,16 +57,17 @@
     this.dir = dir;
     Files.createDirectories(dir);
     puts = dir.resolve("puts.jsonl");
-    ChildJvm process = new ChildJvm(List.of("-Xmx" + plan.sourceHeapMb() + "m", QUIET), jar,
+    ChildJvm process = new ChildJvm(List.of("-Xmx" + plan.sourceHeapMb() + "m", LOG_WARNINGS_ONLY),
+        jar,
         List.of("lab", "scale", "source", "--entries", "" + plan.entries(), "--puts", "" + puts),
         dir.resolve("source.log"));
     source = new Server("source", process,
         process.await("source of " + plan.entries() + " entries on "));
     for (int i = 0; i < plan.upper(); i++) upper.add(relay("upper" + i, List.of(source)));
     for (int i = 0; i < plan.lower(); i++) {
-      List<Server> above = new ArrayList<>(upper);
-      java.util.Collections.rotate(above, i); // each upper one is the first choice of as many
-      lower.add(relay("lower" + i, above));
+      List<Server> upstreams = new ArrayList<>(upper);
+      java.util.Collections.rotate(upstreams, i); // distributes first upstreams evenly
+      lower.add(relay("lower" + i, upstreams));
     }
     agent = new AgentForwarder(ports(lower));
   }
@@ -76,7 +77,7 @@
         .collect(Collectors.joining(","));
     Path config = Files.writeString(dir.resolve(name + ".json"),
         "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\",\"upstreams\":[" + addresses
-            + "],\"limits\":{\"watchers\":" + (plan.nodes() + ROOM) + "}}");
+            + "],\"limits\":{\"watchers\":" + (plan.nodes() + WATCHERS_FOR_RELAYS) + "}}");
     ChildJvm process = new ChildJvm(List.of("-Xmx" + plan.relayHeapMb() + "m"), jar,
         List.of("relay", "" + config), dir.resolve(name + ".log"));
     return new Server(name, process, process.await("relay on "));
@@ -102,15 +103,15 @@
     return List.copyOf(lower);
   }
 
-  /** Kills the first lower relay, without a warning. */
+  /** Kills the first lower relay forcibly and removes it from the lower tier. */
   void killLower() throws InterruptedException {
     Server killed = lower.remove(0);
     ProcessHandle.of(killed.process().pid()).orElseThrow().destroyForcibly();
     killed.process().waitFor();
   }
 
-  /** Sets the changes a second and gives the index at that instant. */
-  long rate(double perSecond) throws IOException, InterruptedException {
+  /** Sets the changes per second at the source and returns the index at that time. */
+  long setChangeRate(double perSecond) throws IOException, InterruptedException {
     HttpRequest request = HttpRequest
         .newBuilder(URI.create("http://" + source.address() + "/lab/rate?per_second=" + perSecond))
         .POST(HttpRequest.BodyPublishers.noBody()).build();
@@ -118,27 +119,27 @@
         .getAsLong();
   }
 
-  /** All changes so far. */
+  /** Returns all changes that the source has recorded. */
   List<Put> puts() throws IOException {
-    List<Put> all = new ArrayList<>();
-    for (String text : Files.readAllLines(puts)) {
-      JsonObject line = json(text);
-      all.add(new Put(line.get("index").getAsLong(), line.get("put_ns").getAsLong()));
+    List<Put> changes = new ArrayList<>();
+    for (String putLine : Files.readAllLines(puts)) {
+      JsonObject line = json(putLine);
+      changes.add(new Put(line.get("index").getAsLong(), line.get("put_ns").getAsLong()));
     }
-    return all;
+    return changes;
   }
 
-  /** Bytes that the source has written. */
+  /** Returns the bytes that the source has written. */
   long sourceBytes() throws IOException, InterruptedException {
     return json(get(source, "/lab/figures")).get("bytes_out").getAsLong();
   }
 
-  /** Bytes that a relay's watchers have taken. */
+  /** Returns the bytes that a relay has written to its watchers. */
   long relayBytes(Server relay) throws IOException, InterruptedException {
-    return Long.parseLong(info(relay, "bytes_out"));
+    return Long.parseLong(infoValue(relay, "bytes_out"));
   }
 
-  String info(Server relay, String name) throws IOException, InterruptedException {
+  String infoValue(Server relay, String name) throws IOException, InterruptedException {
     return get(relay, "/info").lines().filter(line -> line.startsWith(name + "=")).findFirst()
         .orElseThrow().substring(name.length() + 1);
   }
