--- a/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityPageTest.java
@@ -18,9 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** docs/CAPACITY.md says what docs/capacity and the formulas give, and the check can fail. */
+/**
+ * Tests that docs/CAPACITY.md matches docs/capacity and the formulas, and that a mismatch is found.
+ */
 class CapacityPageTest {
-  @TempDir Path copy;
+  @TempDir Path dataCopy;
 
   private static List<Table> tables() throws IOException {
     return CapacityTables.of(CapacityData.read(Sample.DATA));
@@ -29,41 +31,42 @@
   private void copyData() throws IOException {
     try (Stream<Path> files = Files.list(Sample.DATA)) {
       for (Path file : files.filter(Files::isRegularFile).toList())
-        Files.copy(file, copy.resolve(file.getFileName()));
+        Files.copy(file, dataCopy.resolve(file.getFileName()));
     }
   }
 
   @Test
-  void thePageIsWhatTheDataGive() throws Exception {
+  void committedPageMatchesTheData() throws Exception {
     String page = Files.readString(Sample.PAGE);
     assertEquals(List.of(), CapacityPage.outdatedTables(page, tables()), "run: lab scale report");
     assertEquals(CapacityPage.withTables(page, tables()), page);
   }
 
   @Test
-  void aChangedInputIsFound() throws Exception {
+  void changedInputIsReported() throws Exception {
     copyData();
-    Path inputs = copy.resolve("assumptions.toml");
+    Path inputs = dataCopy.resolve("assumptions.toml");
     String changed = Files.readString(inputs).replace("value = 650000", "value = 650001");
     Files.writeString(inputs, changed);
-    List<String> different = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
-        CapacityTables.of(CapacityData.read(copy)));
-    assertTrue(different.contains("target"), different.toString());
-    assertFalse(different.contains("subsets"), different.toString());
+    List<String> outdated = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
+        CapacityTables.of(CapacityData.read(dataCopy)));
+    assertTrue(outdated.contains("target"), outdated.toString());
+    assertFalse(outdated.contains("subsets"), outdated.toString());
   }
 
   @Test
-  void aChangedMeasurementIsFound() throws Exception {
+  void changedMeasurementIsReported() throws Exception {
     copyData();
-    Files.writeString(copy.resolve("more.jsonl"), Sample.one("list.start", 123_456, 99).toJson()
-        + "\n" + Sample.one("list.start", 234_567, 98).toJson() + "\n");
-    List<String> different = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
-        CapacityTables.of(CapacityData.read(copy)));
-    assertTrue(different.containsAll(List.of("slopes", "edge-node")), different.toString());
+    Files.writeString(dataCopy.resolve("more.jsonl"),
+        Sample.measurement("list.start", 123_456, 99).toJson() + "\n"
+            + Sample.measurement("list.start", 234_567, 98).toJson() + "\n");
+    List<String> outdated = CapacityPage.outdatedTables(Files.readString(Sample.PAGE),
+        CapacityTables.of(CapacityData.read(dataCopy)));
+    assertTrue(outdated.containsAll(List.of("slopes", "edge-node")), outdated.toString());
   }
 
   @Test
-  void aFigureChangedOnThePageIsFound() throws Exception {
+  void changedFigureOnThePageIsReported() throws Exception {
     String page = Files.readString(Sample.PAGE);
     String changed = page.replace("650,000", "660,000");
     assertFalse(page.equals(changed));
@@ -71,18 +74,18 @@
   }
 
   @Test
-  void localeTimeZoneAndOrderDoNotMatter() throws Exception {
+  void tablesDoNotDependOnLocaleTimeZoneOrOrder() throws Exception {
     CapacityData data = CapacityData.read(Sample.DATA);
-    List<Table> here = CapacityTables.of(data);
-    List<saltlatch.lab.scale.Measurement> turned = new ArrayList<>(data.measurements());
-    Collections.reverse(turned);
+    List<Table> expected = CapacityTables.of(data);
+    List<saltlatch.lab.scale.Measurement> reversed = new ArrayList<>(data.measurements());
+    Collections.reverse(reversed);
     Locale locale = Locale.getDefault();
     TimeZone zone = TimeZone.getDefault();
     try {
       Locale.setDefault(Locale.forLanguageTag("ar-EG-u-nu-arab"));
       TimeZone.setDefault(TimeZone.getTimeZone("Asia/Kathmandu"));
-      assertEquals(here, CapacityTables
-          .of(new CapacityData(data.inputs(), turned, data.before(), data.benchDays())));
+      assertEquals(expected, CapacityTables
+          .of(new CapacityData(data.inputs(), reversed, data.before(), data.benchDays())));
     } finally {
       Locale.setDefault(locale);
       TimeZone.setDefault(zone);
@@ -90,7 +93,7 @@
   }
 
   @Test
-  void theProseHoldsNoFigure() throws Exception {
+  void proseContainsNoDigits() throws Exception {
     String prose = CapacityPage.prose(Files.readString(Sample.PAGE));
     prose = prose.replaceAll("(?s)### Sources.*?\n## ", "\n## ").replaceAll("`[^`]*`", "");
     Pattern digit = Pattern.compile("[0-9]");
@@ -99,33 +102,33 @@
   }
 
   @Test
-  void placesAndTablesMustFit() {
+  void markersAndTablesMustMatch() {
     Table table = new Table("one", List.of("a"), List.of(List.of("1")));
-    String place = "<!-- table:one -->\nold\n<!-- end:one -->";
+    String markers = "<!-- table:one -->\nold\n<!-- end:one -->";
     assertEquals("x <!-- table:one -->\n| a |\n| --- |\n| 1 |\n<!-- end:one --> y",
-        CapacityPage.withTables("x " + place + " y", List.of(table)));
+        CapacityPage.withTables("x " + markers + " y", List.of(table)));
     assertThrows(CapacityPage.PageMismatchException.class,
         () -> CapacityPage.withTables("no place", List.of(table)));
     assertThrows(CapacityPage.PageMismatchException.class,
-        () -> CapacityPage.withTables(place + place, List.of(table)));
+        () -> CapacityPage.withTables(markers + markers, List.of(table)));
     assertThrows(CapacityPage.PageMismatchException.class,
-        () -> CapacityPage.withTables(place, List.of()));
+        () -> CapacityPage.withTables(markers, List.of()));
   }
 
   @Test
-  void badDataAreNamed() throws Exception {
+  void errorsNameTheInvalidFileOrKey() throws Exception {
     copyData();
-    Files.writeString(copy.resolve("broken.jsonl"), "{\"what\":\n");
-    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage()
+    Files.writeString(dataCopy.resolve("broken.jsonl"), "{\"what\":\n");
+    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(dataCopy)).getMessage()
         .contains("broken.jsonl: line 1"));
-    Files.delete(copy.resolve("broken.jsonl"));
-    Path inputs = copy.resolve("assumptions.toml");
-    String whole = Files.readString(inputs);
-    Files.writeString(inputs, whole.replace("[zones]", "[zonse]"));
-    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage()
+    Files.delete(dataCopy.resolve("broken.jsonl"));
+    Path inputs = dataCopy.resolve("assumptions.toml");
+    String committed = Files.readString(inputs);
+    Files.writeString(inputs, committed.replace("[zones]", "[zonse]"));
+    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(dataCopy)).getMessage()
         .contains("zones"));
-    Files.writeString(inputs, whole.replace("value = 650000", "value = -1"));
-    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(copy)).getMessage()
+    Files.writeString(inputs, committed.replace("value = 650000", "value = -1"));
+    assertTrue(assertThrows(IOException.class, () -> CapacityData.read(dataCopy)).getMessage()
         .contains("requests_per_second"));
   }
 }
--- a/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
+++ b/src/test/java/saltlatch/lab/capacity/CapacityReportCommandTest.java
@@ -10,21 +10,21 @@
 import picocli.CommandLine;
 import saltlatch.cli.RootCommand;
 
-/** {@code lab scale report}: what it writes and its exit codes. */
+/** Tests the output file and the exit codes of {@code lab scale report}. */
 class CapacityReportCommandTest {
   @TempDir Path directory;
 
-  private static int run(Path page, Path data, String... more) {
-    CommandLine commands = new CommandLine(new RootCommand());
+  private static int run(Path page, Path data, String... options) {
+    CommandLine commandLine = new CommandLine(new RootCommand());
     String[] arguments = {"lab", "scale", "report", "--page", page.toString(), "--data",
         data.toString()};
-    String[] all = java.util.Arrays.copyOf(arguments, arguments.length + more.length);
-    System.arraycopy(more, 0, all, arguments.length, more.length);
-    return commands.execute(all);
+    String[] allArguments = java.util.Arrays.copyOf(arguments, arguments.length + options.length);
+    System.arraycopy(options, 0, allArguments, arguments.length, options.length);
+    return commandLine.execute(allArguments);
   }
 
   @Test
-  void checkFindsWhatWritingMends() throws Exception {
+  void checkFailsUntilTheTablesAreWritten() throws Exception {
     Path page = directory.resolve("page.md");
     String committed = Files.readString(Sample.PAGE);
     Files.writeString(page, committed.replace("| 34,000 |", "| 35,000 |"));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void badDataAndPagesEndWithTwo() throws Exception {
+  void invalidDataOrPageExitsWithTwo() throws Exception {
     assertEquals(2, run(directory.resolve("none.md"), Sample.DATA, "--check"));
     assertEquals(2, run(Sample.PAGE, directory, "--check"));
     Path page = directory.resolve("page.md");
--- a/src/test/java/saltlatch/lab/tiers/PropagationDelayTest.java
+++ b/src/test/java/saltlatch/lab/tiers/PropagationDelayTest.java
@@ -17,7 +17,7 @@
   private static final List<Put> PUTS = List.of(new Put(5, 100 * MS), new Put(6, 200 * MS));
 
   @Test
-  void countsEachChangeAtEachNode() {
+  void delayIsMeasuredForEachChangeAtEachNode() {
     Map<String, List<Applied>> nodes = new TreeMap<>();
     nodes.put("each",
         List.of(new Applied(4, 0), new Applied(5, 110 * MS), new Applied(6, 202 * MS)));
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void tellsWhatIsMissingOrWentBackwards() {
+  void missingAndBackwardIndexesAreCounted() {
     Map<String, List<Applied>> nodes = new TreeMap<>();
     nodes.put("late", List.of(new Applied(5, 101 * MS)));
     nodes.put("back", List.of(new Applied(6, 250 * MS), new Applied(5, 260 * MS)));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void startsEndWithTheFirstList() {
+  void startDelayEndsWithTheFirstList() {
     Map<String, List<Applied>> nodes = new TreeMap<>();
     nodes.put("a",
         List.of(new Applied(0, 10 * MS), new Applied(9, 30 * MS), new Applied(10, 90 * MS)));
@@ -47,13 +47,14 @@
   }
 
   /**
-   * What is asked of the machine grows with nodes and entries, and a plan that makes no sense says
-   * why.
+   * The required memory grows with nodes and entries, and a plan in which all nodes start at once
+   * is rejected.
    */
   @Test
-  void plans() {
-    long small = new TierPlan(2, 5, 3_500, 2_700, 300, 6).bytes();
-    assertTrue(small > 2_700L * 3_500 * 578 && small < 12L << 30, small + " bytes");
+  void planComputesMemoryAndProcessesAndRejectsAnInvalidLayout() {
+    long smallPlanBytes = new TierPlan(2, 5, 3_500, 2_700, 300, 6).bytes();
+    assertTrue(smallPlanBytes > 2_700L * 3_500 * 578 && smallPlanBytes < 12L << 30,
+        smallPlanBytes + " bytes");
     assertTrue(new TierPlan(2, 5, 34_000, 2_700, 300, 6).bytes() > 40L << 30);
     assertThrows(IllegalArgumentException.class, () -> new TierPlan(2, 5, 4_000, 300, 300, 6));
     TierPlan mostAtOnce = new TierPlan(2, 5, 34_000, 360, 300, 5);
