--- a/src/main/java/saltlatch/lab/check/HistoryEvent.java
+++ b/src/main/java/saltlatch/lab/check/HistoryEvent.java
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Parses one line of JSON. The parser's unchecked exceptions for a truncated line are passed on.
+   * Parses one line of JSON. The parser's unchecked exceptions for a truncated line propagate.
    */
   public static HistoryEvent parse(String json, String at) {
     JsonObject object = JsonParser.parseString(json).getAsJsonObject();
--- a/src/main/java/saltlatch/lab/check/Properties.java
+++ b/src/main/java/saltlatch/lab/check/Properties.java
@@ -132,7 +132,7 @@
   }
 
   /**
-   * No non-replayable request arrives at an app server again after an attempt that may have run.
+   * No non-retriable request arrives at an app server again after an attempt that may have run.
    */
   public static final class NotRepeated implements Property {
     @Override
@@ -156,10 +156,10 @@
   }
 
   /**
-   * Every request that was reported as passed to its client ran at an app server, and no
-   * non-replayable request ran twice.
+   * Every request that was reported to its client as succeeded ran at an app server, and no
+   * non-retriable request ran twice.
    */
-  public static final class PassedRan implements Property {
+  public static final class SucceededRan implements Property {
     @Override
     public String name() {
       return "every passed req ran, and no non-replayable one twice";
--- a/src/main/java/saltlatch/lab/check/Recovery.java
+++ b/src/main/java/saltlatch/lab/check/Recovery.java
@@ -12,7 +12,7 @@
  * the meantime.
  */
 public final class Recovery {
-  // service counts as recovered at this part of the passed share before the fault
+  // service counts as recovered at this part of the share of succeeded attempts before the fault
   private static final double RECOVERED_PART = 0.9;
   private static final int STEADY_S = 2; // consecutive seconds at that share
   private static final int WARM_UP_S = 4; // excluded from the share before the fault
@@ -43,15 +43,15 @@
   }
 
   /**
-   * Returns the seconds from {@code faultS} until the passed share of the attempts sent to
-   * {@code nodes} is at least nine tenths of its mean before the fault for two consecutive seconds.
-   * The result is 0 if the share never fell below that, and -1 if it does not recover before
-   * {@code endS}.
+   * Returns the seconds from {@code faultS} until, of the attempts sent to {@code nodes}, the share
+   * that succeeded is at least nine tenths of its mean before the fault for two consecutive
+   * seconds. The result is 0 if the share never fell below that, and -1 if it does not recover
+   * before {@code endS}.
    */
   public static double recoverySeconds(List<HistoryEvent> history, long beginNs, double faultS,
       double endS, Set<String> nodes) {
     Map<String, Integer> sendSecond = new HashMap<>();
-    Map<Integer, double[]> countsBySecond = new HashMap<>(); // passed, all; by second of sending
+    Map<Integer, double[]> countsBySecond = new HashMap<>(); // succeeded, all; by second of sending
     for (HistoryEvent event : history) {
       if (event.kind().equals("sent") && nodes.contains(event.get("node"))) {
         sendSecond.put(event.get("id"), (int) Math.floor((event.monoNs() - beginNs) / 1e9));
@@ -62,14 +62,14 @@
       counts[0] += event.get("how").equals("PASSED") ? 1 : 0;
       counts[1]++;
     }
-    double passed = 0;
+    double succeeded = 0;
     double all = 0;
     for (int second = WARM_UP_S; second < (int) faultS; second++) {
       double[] counts = countsBySecond.getOrDefault(second, new double[2]);
-      passed += counts[0];
+      succeeded += counts[0];
       all += counts[1];
     }
-    double minShare = all == 0 ? 0 : RECOVERED_PART * passed / all;
+    double minShare = all == 0 ? 0 : RECOVERED_PART * succeeded / all;
     List<Boolean> recovered = new ArrayList<>();
     for (int second = (int) faultS; second < (int) endS; second++) {
       double[] counts = countsBySecond.getOrDefault(second, new double[2]);
--- a/src/main/java/saltlatch/lab/emulator/Emulator.java
+++ b/src/main/java/saltlatch/lab/emulator/Emulator.java
@@ -91,8 +91,8 @@
   /**
    * Returns the configuration of node {@code node}: its listener on a free port, the addresses of
    * the emulated systems, its peers through the relay, the endpoint list at time 0, and settings
-   * from the scenario's quota plan. The settings have one replayable request class {@code read},
-   * one non-replayable request class {@code write} and one quota plan {@code plan}.
+   * from the scenario's quota plan. The settings have one retriable request class {@code read},
+   * one non-retriable request class {@code write} and one quota plan {@code plan}.
    */
   public String nodeConfig(int node) {
     return nodeConfig(node, false);
--- a/src/main/java/saltlatch/lab/hollow/HollowRun.java
+++ b/src/main/java/saltlatch/lab/hollow/HollowRun.java
@@ -14,7 +14,7 @@
 import saltlatch.lab.rig.ProcessMetrics;
 
 /**
- * One run of a {@link HollowFleet}: starts the nodes, reports until the duration has passed or the
+ * One run of a {@link HollowFleet}: starts the nodes, reports until the duration has elapsed or the
  * run is ended, and writes a summary. The report consists of JSON lines: one
  * {@link HollowFleet.Applied} with {@code node}, {@code index} and {@code at_nanos} for each list
  * or change that a node applies, one {@link Sample} a second, and a {@link Summary} at the end. It
--- a/src/main/java/saltlatch/lab/load/LoadRunner.java
+++ b/src/main/java/saltlatch/lab/load/LoadRunner.java
@@ -35,7 +35,7 @@
  * attempt uses an idle connection to its node. If there is none, it opens a connection, up to
  * {@code connections_per_node}; beyond that it waits on the connection with the shortest queue.
  * Clients that give up early have a connection of their own and close it; a client also closes its
- * connection at the client timeout. Eager clients send a denied request again immediately, with a
+ * connection at the client timeout. Eager clients send a rejected request again immediately, with a
  * new id and {@code r=1}. The generator runs on one event loop and records latencies in
  * HdrHistogram.
  */
@@ -50,8 +50,8 @@
   // Maximum connections to one node if there is a load balancer. It is higher than usual because a
   // load balancer opens more connections when all are busy.
   private static final int MAX_BALANCER_CONNECTIONS = 256;
-  // A denial counts as one with room if, had the request passed, at least this fraction of the
-  // burst would have remained. Closer to the quota, a denial may be correct.
+  // A rejection counts as one with room if at least this fraction of the burst would have
+  // remained had the request succeeded. Closer to the quota, a rejection may be correct.
   private static final double ROOM_FRACTION = 0.5;
   private static final long HIGHEST_US = 120_000_000; // the histograms' range: two minutes
   // The sender's lateness in the first 2 s is recorded separately, because JIT compilation and new
@@ -68,22 +68,22 @@
   // For each first node of a set, the number of requests sent so far: the round-robin position.
   private final int[] nextOffset;
   private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-  private final Histogram passedLatency = new Histogram(HIGHEST_US, 3);
+  private final Histogram succeededLatency = new Histogram(HIGHEST_US, 3);
   private final Histogram answeredLatency = new Histogram(HIGHEST_US, 3);
   private final Histogram senderLateness = new Histogram(HIGHEST_US, 3);
   private final Histogram senderLatenessWarmUp = new Histogram(HIGHEST_US, 3);
   private final TreeMap<Long, long[]> outcomesPerSecond = new TreeMap<>();
   private final TreeMap<Long, Histogram> latencyPerSecond = new TreeMap<>();
-  // customer -> {units passed, ms of its first passed request}
+  // customer -> {units of succeeded requests, ms of its first succeeded request}
   private final Map<Long, double[]> customerUse = new HashMap<>();
-  private final List<String> passedIds = new ArrayList<>();
+  private final List<String> succeededIds = new ArrayList<>();
   private volatile long startUs;
   private volatile boolean pacing = true;
   private int nextArrival;
   private long attempts;
   private long openAttempts;
-  private long deniedWithRetryAfter;
-  private long deniedWithRoom;
+  private long rejectedWithRetryAfter;
+  private long rejectedWithRoom;
   private Promise<Void> done;
 
   /** One request as sent to a node, until it ends. */
@@ -386,21 +386,21 @@
             && !array.elements().isEmpty()
             && array.elements().get(0) instanceof RespValue.Bulk first && first.bytes() != null)) {
       outcome = Outcome.PASSED;
-      passedLatency.recordValue(latencyUs);
-      passedIds.add(attempt.id);
+      succeededLatency.recordValue(latencyUs);
+      succeededIds.add(attempt.id);
       double[] use = customerUse.computeIfAbsent(arrival.customer(),
           customer -> new double[] {0, nowUs / 1000.0});
       use[0] += arrival.units();
     } else if (answer instanceof RespValue.Line line && line.type() == '-'
         && line.text().startsWith("BUSY")) {
           outcome = Outcome.DENIED;
-          if (line.text().length() > "BUSY ".length()) deniedWithRetryAfter++;
+          if (line.text().length() > "BUSY ".length()) rejectedWithRetryAfter++;
           double[] use = customerUse.get(arrival.customer());
           double burst = scenario.plan().burst();
           double allowance = burst
               + (use == null ? 0 : scenario.plan().rate() * (nowUs / 1000.0 - use[1]) / 1000);
           if ((use == null ? 0 : use[0]) + arrival.units() <= allowance - ROOM_FRACTION * burst)
-            deniedWithRoom++;
+            rejectedWithRoom++;
         } else {
           outcome = Outcome.ABORTED;
         }
@@ -456,27 +456,29 @@
     return outcomes;
   }
 
-  /** Returns the number of denials that gave a retry-after time. */
+  /** Returns the number of rejections that gave a retry-after time. */
   public long retryAfter() {
-    return deniedWithRetryAfter;
+    return rejectedWithRetryAfter;
   }
 
   /**
-   * Returns the number of denials received although at least half of the customer's burst would
-   * have remained if the request had passed.
+   * Returns the number of rejections received although at least half of the customer's burst would
+   * have remained if the request had succeeded.
    */
-  public long deniedWithRoom() {
-    return deniedWithRoom;
+  public long rejectedWithRoom() {
+    return rejectedWithRoom;
   }
 
-  /** Returns the ids of the requests that passed. */
-  public List<String> passedIds() {
-    return passedIds;
+  /** Returns the ids of the requests that succeeded. */
+  public List<String> succeededIds() {
+    return succeededIds;
   }
 
-  /** Returns percentiles of the latency of passed and of all answered attempts, in microseconds. */
+  /**
+   * Returns percentiles of the latency of succeeded and of all answered attempts, in microseconds.
+   */
   public Map<String, Long> latency() {
-    return percentiles(passedLatency, answeredLatency);
+    return percentiles(succeededLatency, answeredLatency);
   }
 
   /**
@@ -510,11 +512,11 @@
     return vertx.close();
   }
 
-  private static Map<String, Long> percentiles(Histogram passed, Histogram answered) {
+  private static Map<String, Long> percentiles(Histogram succeeded, Histogram answered) {
     Map<String, Long> latencies = new TreeMap<>();
-    latencies.put("passed_p50", passed.getValueAtPercentile(50));
-    latencies.put("passed_p99", passed.getValueAtPercentile(99));
-    latencies.put("passed_p999", passed.getValueAtPercentile(99.9));
+    latencies.put("passed_p50", succeeded.getValueAtPercentile(50));
+    latencies.put("passed_p99", succeeded.getValueAtPercentile(99));
+    latencies.put("passed_p999", succeeded.getValueAtPercentile(99.9));
     latencies.put("answered_p50", answered.getValueAtPercentile(50));
     latencies.put("answered_p99", answered.getValueAtPercentile(99));
     latencies.put("answered_p999", answered.getValueAtPercentile(99.9));
--- a/src/main/java/saltlatch/lab/load/RunResult.java
+++ b/src/main/java/saltlatch/lab/load/RunResult.java
@@ -7,8 +7,8 @@
 /**
  * The figures of one run as stored in the run file (JSON, written by Gson). Latencies are in
  * microseconds and start at the scheduled time of an attempt, so they include the delay of a late
- * sender. The rows of {@code perSecond} are
- * {@code [second, passed, denied, all other outcomes, p99 latency of the second's answers in us]}.
+ * sender. The rows of {@code perSecond} are {@code [second, succeeded, rejected, all other
+ * outcomes, p99 latency of the second's answers in us]}.
  */
 public record RunResult(String scenario, String scenarioJson, long seed, String scheduleDigest,
     double seconds, int nodes, int servers, long offered, long tries, Map<Outcome, Long> outcomes,
@@ -47,7 +47,7 @@
   /** A check of the run, its result and the figures behind it. */
   public record Check(String name, boolean passed, String detail) {}
 
-  /** Returns whether every check passed. */
+  /** Returns whether every check holds. */
   public boolean passed() {
     return checks.stream().allMatch(Check::passed);
   }
--- a/src/main/java/saltlatch/lab/plan/GroundTruth.java
+++ b/src/main/java/saltlatch/lab/plan/GroundTruth.java
@@ -35,7 +35,7 @@
 
   /** The counts over all requests, as the checks of a run read them. */
   public record Totals(long requests, long attempts, long served, long unitsCharged,
-      long doubleCharges, long repeatedNonReplayable) {}
+      long doubleCharges, long repeatedNonRetriable) {}
 
   private final Map<String, TrackedRequest> requestsById = new HashMap<>();
   // customer -> second -> units
@@ -44,11 +44,11 @@
   private long served;
   private long unitsCharged;
   private long doubleCharges;
-  private long repeatedNonReplayable;
+  private long repeatedNonRetriable;
 
   /**
    * Records an attempt that an app server received completely. Returns whether it repeats a
-   * non-replayable request that may have run: an earlier attempt was not answered {@code -BUSY},
+   * non-retriable request that may have run: an earlier attempt was not answered {@code -BUSY},
    * the only answer which guarantees that the request did not run.
    */
   public boolean recordAttempt(String id, long customer, boolean submit, int requestUnits) {
@@ -57,7 +57,7 @@
         key -> new TrackedRequest(customer, submit, requestUnits));
     request.attempts++;
     boolean repeat = request.submit && request.mayHaveRun;
-    if (repeat) repeatedNonReplayable++;
+    if (repeat) repeatedNonRetriable++;
     return repeat;
   }
 
@@ -91,7 +91,7 @@
   /** Returns the counts over all requests recorded so far. */
   public Totals totals() {
     return new Totals(requestsById.size(), attempts, served, unitsCharged, doubleCharges,
-        repeatedNonReplayable);
+        repeatedNonRetriable);
   }
 
   /** Returns the request with this id, or null if no attempt of it was recorded. */
--- a/src/main/java/saltlatch/lab/report/Report.java
+++ b/src/main/java/saltlatch/lab/report/Report.java
@@ -48,20 +48,20 @@
     html.append("</ul>");
     if (run.faults() != null && !run.faults().isEmpty()) html.append(timeLine(run));
     List<double[]> p99Points = new ArrayList<>();
-    List<double[]> passedPoints = new ArrayList<>();
-    List<double[]> deniedPoints = new ArrayList<>();
-    List<double[]> abortedPoints = new ArrayList<>();
+    List<double[]> succeededPoints = new ArrayList<>();
+    List<double[]> rejectedPoints = new ArrayList<>();
+    List<double[]> failedPoints = new ArrayList<>();
     for (long[] row : run.perSecond()) {
       p99Points.add(new double[] {row[0], row[4] / 1000.0});
-      passedPoints.add(new double[] {row[0], row[1]});
-      deniedPoints.add(new double[] {row[0], row[2]});
-      abortedPoints.add(new double[] {row[0], row[3]});
+      succeededPoints.add(new double[] {row[0], row[1]});
+      rejectedPoints.add(new double[] {row[0], row[2]});
+      failedPoints.add(new double[] {row[0], row[3]});
     }
     html.append("<h2>Latency</h2>").append(plot("p99 of answers a second (ms)", "s",
         List.of(p99Points), List.of("p99"), List.of("#c33")));
     html.append("<h2>Outcomes</h2>")
         .append(plot("tries a second by outcome", "s",
-            List.of(passedPoints, deniedPoints, abortedPoints),
+            List.of(succeededPoints, rejectedPoints, failedPoints),
             List.of("passed", "denied", "aborted/other"), List.of("#393", "#c93", "#c33")));
     html.append("<h2>Units against plan</h2>");
     for (RunResult.Customer customer : run.customers()) {
--- a/src/main/java/saltlatch/lab/run/Lab.java
+++ b/src/main/java/saltlatch/lab/run/Lab.java
@@ -43,10 +43,10 @@
  * Vert.x instance and event loop and the same module as on the bench, or as child processes.
  *
  * <p>
- * The checks are: no double charge; no repeated attempt of a non-replayable request; every passed
+ * The checks are: no double charge; no repeated attempt of a non-retriable request; every succeeded
  * attempt ran at an app server; and the nodes' {@code answered_passed} equals the clients' number
- * of passed requests, except for answers that clients may have missed because they left, timed out
- * or lost the connection. The histories of child processes are checked for {@link #properties}.
+ * of succeeded requests, except for answers that clients may have missed because they left, timed
+ * out or lost the connection. The histories of child processes are checked for {@link #properties}.
  */
 public final class Lab {
   private static final Logger LOG = LoggerFactory.getLogger(Lab.class);
@@ -152,7 +152,7 @@
       for (Node node : startedNodes) nodeCounters.add(node.metrics());
       LoadRunner finishedLoad = loadRunner;
       RunResult.GroundTruth truth = emulator
-          .read(groundTruth -> truth(groundTruth, finishedLoad.passedIds(), scenario))
+          .read(groundTruth -> truth(groundTruth, finishedLoad.succeededIds(), scenario))
           .toCompletionStage().toCompletableFuture().get(CALL_TIMEOUT_S, TimeUnit.SECONDS);
       List<RunResult.Customer> customers = emulator
           .read(groundTruth -> customers(groundTruth, scenario)).toCompletionStage()
@@ -193,7 +193,7 @@
       return new RunResult(scenario.name(), scenario.json(), scenario.seed(),
           OpenLoopSchedule.digest(schedule), scenario.seconds(), scenario.nodes(),
           scenario.servers().count(), schedule.size(), loadRunner.attempts(), loadRunner.outcomes(),
-          loadRunner.retryAfter(), loadRunner.deniedWithRoom(), loadRunner.latency(),
+          loadRunner.retryAfter(), loadRunner.rejectedWithRoom(), loadRunner.latency(),
           loadRunner.senderLate(), loadRunner.perSecond(), truth, emulatorMetrics, nodeCounters,
           customers, processUsage, checks, faults,
           linkProxies == null ? Map.of() : linkProxies.delayUs(), violations, recoveryS,
@@ -215,7 +215,7 @@
     List<Property> properties = new ArrayList<>(
         List.of(new Properties.AnsweredOnce(), new Properties.Answered(),
             new Properties.LostOnlyByFaults(scenario.front().noticeS() * 1000 + FAULT_SLACK_MS),
-            new Properties.NotRepeated(), new Properties.PassedRan(),
+            new Properties.NotRepeated(), new Properties.SucceededRan(),
             new Properties.SharesWithinQuota()));
     if (scenario.bounds().beyondUnits() > 0) {
       properties.add(new Properties.WithinQuota(scenario.plan().rate(), scenario.plan().burst(),
@@ -336,11 +336,11 @@
     return GSON.fromJson(Files.readString(file), RunResult.class);
   }
 
-  static RunResult.GroundTruth truth(GroundTruth groundTruth, List<String> passedIds,
+  static RunResult.GroundTruth truth(GroundTruth groundTruth, List<String> succeededIds,
       Scenario scenario) {
     GroundTruth.Totals totals = groundTruth.totals();
     long notRun = 0;
-    for (String id : passedIds) {
+    for (String id : succeededIds) {
       GroundTruth.TrackedRequest request = groundTruth.request(id);
       if (request == null || request.served == 0) notRun++;
     }
@@ -349,7 +349,7 @@
         .values())
       unitsBeyond += Math.max(0, overshoot);
     return new RunResult.GroundTruth(totals.requests(), totals.attempts(), totals.served(),
-        totals.unitsCharged(), totals.doubleCharges(), totals.repeatedNonReplayable(), notRun,
+        totals.unitsCharged(), totals.doubleCharges(), totals.repeatedNonRetriable(), notRun,
         unitsBeyond);
   }
 
@@ -368,7 +368,7 @@
   static List<RunResult.Check> checks(RunResult.GroundTruth truth, LoadRunner load,
       List<Map<String, Long>> nodeCounters, boolean faults) {
     List<RunResult.Check> checks = new ArrayList<>();
-    // After an attempt that a fault interrupted, a replayable request may run again. Its units are
+    // After an attempt that a fault interrupted, a retriable request may run again. Its units are
     // then reported without being checked.
     checks.add(new RunResult.Check("no double charge", faults || truth.doubleCharges() == 0,
         truth.doubleCharges() + " reqs charged twice at app servers"));
@@ -379,14 +379,15 @@
         truth.passedNotRun() + " passed tries that no app server ran"));
     // a killed node returns no counters: the histories are checked instead
     if (faults) return checks;
-    long nodePassed = nodeCounters.stream()
+    long nodeSucceeded = nodeCounters.stream()
         .mapToLong(counters -> counters.getOrDefault("answered_passed", 0L)).sum();
-    long clientPassed = load.outcomes().get(Outcome.PASSED);
+    long clientSucceeded = load.outcomes().get(Outcome.PASSED);
     long unseen = load.outcomes().get(Outcome.LEFT) + load.outcomes().get(Outcome.TIMED_OUT)
         + load.outcomes().get(Outcome.BROKEN);
     checks.add(new RunResult.Check("nodes and clients agree on passed",
-        nodePassed >= clientPassed && nodePassed - clientPassed <= unseen, "nodes " + nodePassed
-            + ", clients " + clientPassed + ", of which clients could have missed " + unseen));
+        nodeSucceeded >= clientSucceeded && nodeSucceeded - clientSucceeded <= unseen,
+        "nodes " + nodeSucceeded + ", clients " + clientSucceeded
+            + ", of which clients could have missed " + unseen));
     return checks;
   }
 
--- a/src/main/java/saltlatch/lab/scale/LoadTrial.java
+++ b/src/main/java/saltlatch/lab/scale/LoadTrial.java
@@ -48,7 +48,7 @@
    * Latencies of the complete load, in ms. {@code lateP50} and {@code lateP99} are delays of the
    * load generator behind its schedule.
    */
-  record Latency(double p50, double p99, double lateP50, double lateP99, long passed,
+  record Latency(double p50, double p99, double lateP50, double lateP99, long succeeded,
       long attempts) {}
 
   private final TestEnvironment environment;
--- a/src/main/java/saltlatch/lab/scale/MemberNetwork.java
+++ b/src/main/java/saltlatch/lab/scale/MemberNetwork.java
@@ -30,7 +30,7 @@
 
   private final MembershipTimings timings;
   private final Membership[] members;
-  private final MembershipChanged[] lastEvents; // last event that each node passed to its policy
+  private final MembershipChanged[] lastEvents; // last event that each node sent to its policy
   private final boolean[] stopped;
   private final PriorityQueue<Step> steps = new PriorityQueue<>(
       (first, second) -> first.atTick != second.atTick ? Long.compare(first.atTick, second.atTick)
--- a/src/main/java/saltlatch/lab/scale/ModuleScale.java
+++ b/src/main/java/saltlatch/lab/scale/ModuleScale.java
@@ -17,7 +17,7 @@
 
 /**
  * Measures the policy alone, without sockets, by the length of the endpoint list.
- * {@code module.request} is the CPU time for one request that is dispatched and answered;
+ * {@code module.request} is the CPU time for one request with one answered attempt;
  * {@code module.change} is the CPU time for one changed list entry. The policy runs in this
  * process, in which the JIT compiler may optimize it more than with the JVM flags of {@code serve}.
  */
@@ -62,9 +62,9 @@
         MetricValues.of(Quantity.CPU_MS, driver.cpuMs(() -> driver.requests(MEASURED_COUNT))));
     measured.put("module.change",
         MetricValues.of(Quantity.CPU_MS, driver.cpuMs(() -> driver.changes(MEASURED_COUNT))));
-    if (driver.dispatched() != WARM_UP_COUNT + MEASURED_COUNT) {
+    if (driver.startedAttempts() != WARM_UP_COUNT + MEASURED_COUNT) {
       throw new IllegalStateException("expected " + (WARM_UP_COUNT + MEASURED_COUNT)
-          + " requests dispatched, found " + driver.dispatched());
+          + " requests dispatched, found " + driver.startedAttempts());
     }
     return measured;
   }
@@ -84,7 +84,7 @@
     private long now = 10_000;
     private long lastRequest;
     private long lastServer = -1; // server of the open attempt, or -1
-    private int dispatched;
+    private int startedAttempts;
     private int changed;
 
     PolicyDriver(int size, long seed) {
@@ -146,13 +146,13 @@
           / NANOS_PER_MS / MEASURED_COUNT;
     }
 
-    int dispatched() {
-      return dispatched;
+    int startedAttempts() {
+      return startedAttempts;
     }
 
     @Override
     public void startAttempt(long request, long server, long limit) {
-      dispatched++;
+      startedAttempts++;
       lastServer = server;
     }
 
@@ -163,7 +163,7 @@
     public void fail(long request) {}
 
     @Override
-    public void cancelAttempt(long request, int dispatch) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
     public void setTimer(long at, long handle) {}
--- a/src/main/java/saltlatch/lab/scale/Source.java
+++ b/src/main/java/saltlatch/lab/scale/Source.java
@@ -66,7 +66,7 @@
   private final class Watcher {
     final HttpServerResponse response;
     long position;
-    boolean quiet = true; // nothing was written since the last empty line was due
+    boolean idle = true; // nothing was written since the last empty line was due
 
     Watcher(HttpServerResponse response) {
       this.response = response;
@@ -78,7 +78,7 @@
      */
     void advance(Buffer change, long from) {
       if (position == list.index() || response.writeQueueFull()) return;
-      quiet = false;
+      idle = false;
       if (!list.hasChangesSince(position)) {
         snapshots++;
         response.write(snapshotLine());
@@ -177,11 +177,11 @@
 
   private void keepAlive() {
     for (Watcher watcher : List.copyOf(watchers)) {
-      if (watcher.quiet && !watcher.response.writeQueueFull()) {
+      if (watcher.idle && !watcher.response.writeQueueFull()) {
         emptyLines++;
         watcher.response.write(EMPTY_LINE);
       }
-      watcher.quiet = true;
+      watcher.idle = true;
     }
   }
 
--- a/src/main/java/saltlatch/lab/scale/WireBytes.java
+++ b/src/main/java/saltlatch/lab/scale/WireBytes.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts the bytes that a server writes to its connections: every byte that is passed to the
+ * Counts the bytes that a server writes to its connections: every byte that is written to the
  * kernel, including HTTP headers and chunk sizes but not TCP and IP headers. It is the first
  * handler in the pipeline of each connection. Vert.x metrics can't be used because they count only
  * bodies.
--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -132,9 +132,9 @@
   /**
    * The offered load: Poisson arrivals of {@code rate} requests per second in total, over
    * {@code customers} with Zipf skew {@code zipf}. The share {@code submit_share} of requests is
-   * non-replayable. The share {@code give_up_share} of clients closes its connection after the
+   * non-retriable. The share {@code give_up_share} of clients closes its connection after the
    * share {@code give_up_at} of its client timeout. The share {@code eager_share} retries
-   * immediately after a denial, up to {@code eager_tries} times.
+   * immediately after a rejection, up to {@code eager_tries} times.
    */
   public record Load(double rate, int customers, double zipf, double submitShare, int unitsMin,
       int unitsMax, double deadlineMs, double giveUpShare, double giveUpAt, double eagerShare,
--- a/src/test/java/saltlatch/lab/CheckTest.java
+++ b/src/test/java/saltlatch/lab/CheckTest.java
@@ -39,7 +39,7 @@
     return event;
   }
 
-  /** A correct history of one non-replayable request that an app server rejected once as busy. */
+  /** A correct history of one non-retriable request that an app server rejected once as busy. */
   @BeforeEach
   void addCorrectHistory() {
     add("n0", "started");
@@ -104,18 +104,18 @@
   }
 
   @Test
-  void findsRepeatedNonReplayableRequests() {
+  void findsRepeatedNonRetriableRequests() {
     assertViolations(new Properties.NotRepeated(), 0);
     add("stand-ins", "command", "id", "a", "submit", "true", "verdict", "BUSY");
     assertViolations(new Properties.NotRepeated(), 1);
   }
 
   @Test
-  void findsPassedRequestsThatNeverRanOrRanTwice() {
-    assertViolations(new Properties.PassedRan(), 0);
+  void findsSucceededRequestsThatNeverRanOrRanTwice() {
+    assertViolations(new Properties.SucceededRan(), 0);
     add("clients", "got", "id", "b", "how", "PASSED");
     add("stand-ins", "served", "id", "a", "units", "2", "customer", "7");
-    assertViolations(new Properties.PassedRan(), 2);
+    assertViolations(new Properties.SucceededRan(), 2);
   }
 
   @Test
--- a/src/test/java/saltlatch/lab/PlanTest.java
+++ b/src/test/java/saltlatch/lab/PlanTest.java
@@ -119,7 +119,7 @@
     GroundTruth truth = new GroundTruth();
     truth.recordAttempt("a", 1, false, 2);
     truth.recordServed("a", 100);
-    truth.recordAttempt("a", 1, false, 2); // a hedged copy of a replayable request that also ran
+    truth.recordAttempt("a", 1, false, 2); // a hedged copy of a retriable request that also ran
     truth.recordServed("a", 120);
     assertTrue(!truth.recordAttempt("b", 1, true, 1));
     // The first attempt was answered -BUSY, so it never ran.
@@ -129,7 +129,7 @@
     truth.recordServed("b", 1_500);
     GroundTruth.Totals totals = truth.totals();
     assertEquals(1, totals.doubleCharges());
-    assertEquals(1, totals.repeatedNonReplayable());
+    assertEquals(1, totals.repeatedNonRetriable());
     assertEquals(3, totals.unitsCharged());
     // Customer 1 was charged 2 units in second 0 and 1 unit in second 1: within a burst of 2 plus 1
     // unit per second, but 1 unit more than 1 + 2 * 0.5.
--- a/src/test/java/saltlatch/lab/ProcessesIT.java
+++ b/src/test/java/saltlatch/lab/ProcessesIT.java
@@ -66,11 +66,11 @@
 
   /**
    * A node is stopped for 8 s while requests queue at its sockets, and then continued. It must
-   * measure how long it was stopped, and must not dispatch a request whose client deadline had
-   * passed when the request was read.
+   * measure how long it was stopped, and must not start an attempt of a request whose
+   * client deadline had expired when the request was read.
    */
   @Test
-  void pausedNodeDispatchesNoExpiredRequests() throws Exception {
+  void pausedNodeStartsNoAttemptOfExpiredRequests() throws Exception {
     run("[[processes.faults]]\nkind = \"pause\"\nat_s = 2\nfor_s = 8\nnodes = \"n1\"\n");
     List<HistoryEvent> away = events("n1", "away");
     assertTrue(!away.isEmpty(), "n1 recorded no event away");
@@ -153,8 +153,8 @@
         from = "n3"
         to = "counter"
         """);
-    long peersTold = result.nodeCounters().get(1).get("peers_told");
-    assertTrue(peersTold > 0,
+    long peerMessagesSent = result.nodeCounters().get(1).get("peers_told");
+    assertTrue(peerMessagesSent > 0,
         "expected n1 to send to peers while the counter was silent, found peers_told = 0");
     assertTrue(result.emulator().get("peer_datagrams_lost") > 0,
         "expected lost peer datagrams on the cut link, found none");
