--- a/src/main/java/saltlatch/lab/rig/LinkProxies.java
+++ b/src/main/java/saltlatch/lab/rig/LinkProxies.java
@@ -24,26 +24,28 @@
 import saltlatch.lab.plan.Links;
 
 /**
- * TCP proxies on loopback that inject link faults, with one listener for each link, all on one
- * thread. {@link Links} decides which fault applies to which bytes. A cut link is silent, like a
- * machine that is cut off: bytes and ends of streams are held until the link heals, and new
- * connections are not established. For that, the proxy fills the listener's accept queue with
- * connections of its own (fillers), after which the system drops further connection requests.
+ * Runs TCP proxies on loopback that inject link faults. Each link with faults has a listener, and
+ * one thread serves all listeners. {@link Links} decides which fault applies to which bytes. While
+ * a link is cut, the proxy neither forwards nor closes anything, as if the other machine were
+ * unreachable: it holds bytes and ends of streams until the link heals, and it prevents new
+ * connections from being established. To prevent them, it opens connections to its own listener
+ * (fillers) until the accept queue is full; the kernel then drops further connection requests.
  */
 public final class LinkProxies implements AutoCloseable {
   private static final int BACKLOG = 32; // length of a listener's accept queue
-  private static final int CHUNK_BYTES = 16_384; // read at once
-  // one direction stops reading at this many held bytes, which stand for the buffers of a cut link
+  private static final int CHUNK_BYTES = 16_384; // largest size of one read
+  // A direction that holds at least this many bytes stops reading. The held bytes model the buffers
+  // of a cut link, which accept data until they are full.
   private static final int MAX_HELD_BYTES = 1 << 20;
-  private static final long TICK_MS = 2; // between checks of held chunks and of cut links
-  private static final long MAX_DELAY_US = 60_000_000; // range of the histogram
+  private static final long TICK_MS = 2; // interval of checks for due chunks and cut links
+  private static final long MAX_DELAY_US = 60_000_000; // 60 s; a longer delay is recorded as this
 
   /**
-   * Bytes that are held until they are due, or the end of a stream.
+   * Bytes of a stream or the end of a stream, held until it may be forwarded.
    *
    * @param bytes null for the end of a stream
-   * @param dueMs time from which the chunk may be forwarded
-   * @param readNs time at which it was read
+   * @param dueMs earliest time of forwarding, in ms on the laboratory's clock
+   * @param readNs time at which the chunk was read, by {@link System#nanoTime}
    * @param undelayed whether no fault delays the chunk
    * @param reset whether the stream ended with a reset
    */
@@ -75,7 +77,8 @@
     }
 
     /**
-     * Fills the accept queue when the link is cut, and empties it when the link has healed.
+     * Fills the accept queue if the link was cut since the last call, and empties the queue if the
+     * link has healed.
      */
     void updateFillers(double nowMs) throws IOException {
       boolean cut = cut(nowMs);
@@ -84,7 +87,8 @@
         for (int i = 0; i < 2 * BACKLOG; i++) {
           SocketChannel filler = SocketChannel.open();
           filler.configureBlocking(false);
-          // bound explicitly, so that its port is known before the connection is established
+          // Bound before it connects, so that its port is already defined: accept() recognizes
+          // fillers by their ports.
           filler.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
           filler.connect(channel.getLocalAddress());
           fillerPorts.add(((InetSocketAddress) filler.getLocalAddress()).getPort());
@@ -109,7 +113,7 @@
     }
   }
 
-  /** A connection through a proxy, with its two directions. */
+  /** A client connection and the connection to its target, which form two directions. */
   private final class ProxiedConnection {
     final Direction toTarget;
     final Direction toClient;
@@ -160,7 +164,7 @@
     ProxiedConnection connection;
     int heldBytes;
     double lastDueMs = Double.NEGATIVE_INFINITY;
-    boolean endRead; // the end of the source has been read
+    boolean endRead; // the end of the source stream or a read error was found
     boolean endForwarded;
 
     Direction(String from, String to, SocketChannel source, SocketChannel destination) {
@@ -247,9 +251,9 @@
   private final Histogram delayUs = new Histogram(MAX_DELAY_US, 3);
   private final Thread thread;
   private volatile boolean closed;
-  private volatile Exception failure; // of the proxy thread: the run's results are invalid
+  private volatile Exception failure; // ended the proxy thread; makes the results invalid
 
-  /** Starts the proxy thread; links get their listeners by {@link #port}. */
+  /** Starts the proxy thread without listeners; {@link #port} creates them. */
   public LinkProxies(Links links, LabClock clock) throws IOException {
     this.links = links;
     this.clock = clock;
@@ -260,8 +264,10 @@
   }
 
   /**
-   * Returns the port by which {@code from} reaches {@code to}. That is the given port of {@code to}
-   * if no fault applies to the link, and otherwise the port of a new listener.
+   * Returns the loopback port to which {@code from} must connect to reach {@code to}: the given
+   * port if no fault of the scenario affects the link, and otherwise the port of a new listener.
+   *
+   * @param port the port on which {@code to} listens
    */
   public int port(String from, String to, int port) {
     if (!links.everTouches(from, to)) return port;
@@ -285,8 +291,9 @@
   }
 
   /**
-   * Returns the proxies' own delay in µs, measured on the chunks that no fault delays, from reading
-   * to forwarding, and the number of these chunks.
+   * Returns the 50th and 99th percentile and the maximum of the delay that the proxies themselves
+   * add, in µs, and the number of measured chunks. The delay is the time from reading a chunk to
+   * forwarding its last byte; only chunks that no fault delays are measured.
    */
   public Map<String, Long> delayUs() {
     Map<String, Long> delays = new TreeMap<>();
@@ -324,7 +331,7 @@
   private void handle(SelectionKey key) throws IOException {
     if (key.attachment() instanceof Listener listener) {
       listener.accept();
-      // While the queue is kept full, the selector would report the listener without pause.
+      // While the accept queue is kept full, each select would return at once with this listener.
       if (listener.fillers != null) key.interestOps(0);
       return;
     }
@@ -367,7 +374,7 @@
     for (Listener listener : listeners) listener.channel.close();
     selector.close();
     if (failure != null) {
-      throw new IOException("the link proxies' thread stopped before they were closed", failure);
+      throw new IOException("the thread of the link proxies failed during the run", failure);
     }
   }
 }
--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -30,39 +30,42 @@
 import saltlatch.wire.resp.RespValue;
 
 /**
- * Runs edge nodes as child processes, each {@code java FLAGS -jar JAR serve} with the flags of the
- * {@code run} line, and injects the process faults of a schedule by process id: nodes are killed,
- * stopped and continued, terminated, and restarted with the same name, address and configuration
- * (or an older configuration). Metrics come from {@code INFO}, CPU time and RSS from {@code /proc}.
- * This does not work on the bench's platform, which allows one process and no fork.
+ * Runs edge nodes as child processes and injects the process faults of a schedule. Each child runs
+ * {@code java FLAGS -jar JAR serve} with the JVM flags of the {@code run} line in the deployment
+ * file. Faults kill, stop, continue or terminate the process of a node by its process id, or
+ * restart the node with the same name, address and configuration (or with an older configuration).
+ * Metrics come from {@code INFO}, CPU time and resident set size from {@code /proc}. This class
+ * does not work on the platform of the benchmark, which allows one process and no fork.
  */
 public final class Processes implements AutoCloseable {
-  // a node must answer PING within this time, as on the platform
+  // The platform of the benchmark also requires that a node answers PING within 30 s.
   private static final long READY_MS = 30_000;
-  private static final long TERMINATION_MS = 10_000; // a node ends at most 3.7 s after SIGTERM
-  private static final long POLL_MS = 50; // between two checks whether a node is ready
-  private static final int ANSWER_TIMEOUT_MS = 2_000; // of a PING or INFO
+  private static final long TERMINATION_MS = 10_000; // a node needs up to 3.7 s after SIGTERM
+  private static final long POLL_MS = 50; // interval between PINGs until a node is ready
+  private static final int ANSWER_TIMEOUT_MS = 2_000; // for each read of a reply
 
   /**
    * The program that the child processes run.
    *
-   * @param jvmFlags JVM flags of the {@code run} line
-   * @param jar jar with the nodes' main class
-   * @param dir directory for configurations, logs and histories
+   * @param jvmFlags JVM flags of the {@code run} line in the deployment file
+   * @param jar jar file that contains the nodes' main class
+   * @param dir directory for the nodes' configurations and logs
    */
   public record Program(List<String> jvmFlags, Path jar, Path dir) {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec java (.*?) -jar ");
 
     /**
-     * Returns a program with the flags of the {@code run} line. The flag for the class archive is
-     * left out, since an archive fits only the jar that it was made from.
+     * Returns a program with the JVM flags of the {@code run} line in the deployment file. The flag
+     * {@code -XX:SharedArchiveFile} is omitted, because a class archive is valid only for the jar
+     * file from which it was created.
      *
-     * @throws IOException if the file has no {@code run} line
+     * @param balancer the deployment file
+     * @throws IOException if the file has no {@code run} line that starts a jar with java
      */
     public static Program of(Path balancer, Path jar, Path dir) throws IOException {
       Matcher runLine = RUN.matcher(Files.readString(balancer));
       if (!runLine.find())
-        throw new IOException("expected a line run = \"exec java ... -jar in " + balancer);
+        throw new IOException("no line run = \"exec java ... -jar ...\" in " + balancer);
       String tempDir = System.getenv().getOrDefault("TMPDIR", "/tmp");
       return new Program(List.of(runLine.group(1).replaceAll(" -XX:SharedArchiveFile=\\S+", "")
           .replace("${TMPDIR:-/tmp}", tempDir).split(" ", 0)), jar, dir);
@@ -70,7 +73,7 @@
   }
 
   private final Program program;
-  // arguments: node number, and whether to return the older configuration
+  // returns a node's configuration; arguments: node number, and whether to return the older one
   private final BiFunction<Integer, Boolean, String> configs;
   private final List<Process> processes = new ArrayList<>();
   private final List<Integer> ports = new ArrayList<>();
@@ -80,20 +83,21 @@
   private volatile boolean closed;
 
   /**
-   * Creates the manager without starting any process.
+   * Prepares the processes; {@link #start} starts them.
    *
-   * @param configs returns a node's configuration by node number; the flag selects the older one
+   * @param configs returns the configuration of a node; the arguments are the node number and
+   *     whether to return the older configuration
    */
   public Processes(Program program, BiFunction<Integer, Boolean, String> configs) {
     this.program = program;
     this.configs = configs;
   }
 
-  /** Starts the given number of nodes at once, and waits until each of them answers PING. */
+  /** Starts all nodes, and then waits until each of them has answered PING. */
   public void start(int nodeCount) throws IOException, InterruptedException {
     Files.createDirectories(program.dir);
-    // Otherwise the nodes would outlive a laboratory JVM that is ended from outside, and keep their
-    // ports and CPU cores.
+    // Without this hook, the nodes would continue to run after a signal such as SIGTERM has ended
+    // the laboratory's JVM, and would occupy ports and CPU cores.
     Runtime.getRuntime().addShutdownHook(
         new Thread(() -> List.copyOf(processes).forEach(Process::destroyForcibly)));
     for (int node = 0; node < nodeCount; node++) {
@@ -112,9 +116,9 @@
   }
 
   /**
-   * Reserves a port for a node during the complete run, by a socket that is bound to it with
-   * {@code SO_REUSEADDR} and never listens. Without the reservation, the system may assign the port
-   * to an outgoing connection before the node starts or while it is down.
+   * Reserves a port for a node until {@link #close}. The reservation is a socket that is bound to
+   * the port with {@code SO_REUSEADDR} and never listens. Without it, the kernel could assign the
+   * port to an outgoing connection before the node starts or while the node is down.
    */
   private int reservePort() throws IOException {
     Socket reservation = new Socket();
@@ -124,12 +128,12 @@
     return reservation.getLocalPort();
   }
 
-  /** Returns the nodes' ports by node number. */
+  /** Returns the port of each node; the index is the node number. */
   public List<Integer> ports() {
     return ports;
   }
 
-  /** Returns whether the node's process exists, which includes a stopped one. */
+  /** Returns whether the node's process exists; true also for a process stopped by SIGSTOP. */
   public boolean alive(int node) {
     synchronized (processes) {
       return processes.get(node).isAlive();
@@ -157,9 +161,9 @@
   }
 
   /**
-   * Applies the schedule's steps on a separate thread.
+   * Starts a thread that applies each step of the schedule at its time.
    *
-   * @param faults receives an event after each step
+   * @param faults receives an event for each node of a step after the step has been applied
    */
   public void runTimeline(List<Timeline.Step> steps, LabClock clock, HistoryWriter faults) {
     faultInjector = new Thread(() -> {
@@ -184,8 +188,8 @@
   }
 
   /**
-   * Applies an action to nodes. A signal is sent to all of them by one command, so that it reaches
-   * them at the same time.
+   * Applies an action to the given nodes. One command sends a signal to all of them, so that they
+   * receive it at almost the same time.
    */
   public void apply(Action action, List<Integer> nodes) throws IOException, InterruptedException {
     synchronized (processes) {
@@ -245,21 +249,21 @@
       }
       long pid = processes.get(node).pid();
       String[] stat = Files.readString(Path.of("/proc/" + pid + "/stat")).split(" ", 0);
-      // in clock ticks of 10 ms
+      // Fields 14 and 15 are user and system time in clock ticks of 10 ms.
       metrics.put("process_cpu_ms", (Long.parseLong(stat[13]) + Long.parseLong(stat[14])) * 10);
       for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
         if (line.startsWith("VmRSS:"))
           metrics.put("rss_kb", Long.parseLong(line.replaceAll("[^0-9]", "")));
       }
     } catch (IOException e) {
-      return metrics; // the process has ended or does not answer: what was read so far
+      return metrics; // incomplete: the process has ended or does not answer
     }
     return metrics;
   }
 
   /**
-   * Parses the counters of an {@code INFO} reply, which has one {@code name=value} line for each.
-   * Lines whose value is not an integer are skipped.
+   * Parses the counters of an {@code INFO} reply, which has a {@code name=value} line for each
+   * counter. Skips a line if its value is not an integer of at most 18 digits.
    */
   public static Map<String, Long> counters(String info) {
     Map<String, Long> counters = new LinkedHashMap<>();
@@ -306,8 +310,8 @@
   }
 
   /**
-   * Ends all processes, each by its id: SIGTERM, and SIGKILL if a process does not end within 10 s.
-   * Stopped processes get SIGKILL at once.
+   * Ends all processes and releases their ports. Sends SIGTERM to each process, and SIGKILL if it
+   * does not end within 10 s. Sends SIGKILL at once to a process that is stopped by SIGSTOP.
    */
   @Override
   public void close() {
--- a/src/main/java/saltlatch/membership/MemberStateMachine.java
+++ b/src/main/java/saltlatch/membership/MemberStateMachine.java
@@ -4,14 +4,15 @@
 import saltlatch.membership.MembershipMessage.State;
 
 /**
- * Applies the transitions of members' states. It is the only writer of {@link MemberTable} and of
- * the suspicion timers.
+ * Changes the states of members. It is the only writer of {@link MemberTable} and of the suspicion
+ * timers.
  *
- * <p>Invariants: a state changes only by an update from the member itself or from another member
- * ({@link #apply}), by an unanswered probe ({@link #suspect}) or by a suspicion that expires; a
- * lower incarnation never overrides a higher one; this node is always alive in its own table until
- * it leaves. Every change is disseminated to the other members, invalidates the records of equal
- * views if the digest changed, and is reported to the output.
+ * <p>Invariants: the state of another member changes only by an update that this node receives
+ * ({@link #apply}), by an unanswered probe ({@link #suspect}) or when a suspicion expires
+ * ({@link #expireSuspicions}); a lower incarnation never overrides a higher one; this node is alive
+ * in its own table from {@link #join} to {@link #leave}. Every change is disseminated to the other
+ * members and reported to the output. If it changes the table's digest, {@link QuotaLeases} clears
+ * its records of the members whose view equals this node's view.
  */
 final class MemberStateMachine {
   private final MemberTable table;
@@ -31,7 +32,7 @@
     this.output = output;
   }
 
-  /** Marks this node alive in the first incarnation of its process. */
+  /** Marks this node as alive, with the first incarnation that this process uses. */
   void join(long incarnation, long now) {
     set(table.ownIndex(), State.ALIVE, incarnation, now);
   }
@@ -41,7 +42,7 @@
     set(table.ownIndex(), State.LEFT, table.ownIncarnation(), now);
   }
 
-  /** Applies an update about a member of the table. */
+  /** Applies a received update about another member or about this node. */
   void apply(MemberUpdate update, long now) {
     if (update.member() == table.ownIndex()) {
       refute(update, now);
@@ -57,9 +58,10 @@
   }
 
   /**
-   * SWIM's refutation: this node takes a higher incarnation, which overrides a suspicion of it. An
-   * update with an incarnation that this process never had is about an earlier process with the
-   * same member index, and is overridden in the same way.
+   * Refutes an update about this node, as in SWIM: if the update states that this node is suspect,
+   * failed or left in its current incarnation, this node takes a higher incarnation, which
+   * overrides the update. It does the same if the update has a higher incarnation than this process
+   * has used, since such an update is about an earlier process with the same member index.
    */
   private void refute(MemberUpdate update, long now) {
     boolean claimsUnavailable = update.state() != State.ALIVE && update.state() != State.UNKNOWN;
@@ -67,12 +69,12 @@
         || (claimsUnavailable && update.incarnation() == table.ownIncarnation())) {
       set(table.ownIndex(), State.ALIVE, update.incarnation() + 1, now);
       if (claimsUnavailable) {
-        health.degrade(1); // this node was too slow to answer probes
+        health.degrade(1); // because this node answered probes too slowly
       }
     }
   }
 
-  /** Raises or confirms a suspicion after the member did not answer this node's probe. */
+  /** Starts or confirms a suspicion of a member that did not answer this node's probe. */
   void suspect(int member, long now) {
     if (table.state(member) == State.ALIVE) {
       startSuspicion(member, table.incarnation(member), table.ownIndex(), now);
@@ -86,7 +88,7 @@
     set(member, State.SUSPECT, incarnation, now);
   }
 
-  /** Marks the members failed whose suspicion has expired. */
+  /** Marks each member whose suspicion has expired as failed. */
   void expireSuspicions(long now) {
     for (int member = 0; member < table.size(); member++) {
       if (table.state(member) == State.SUSPECT && suspicions[member].hasExpired(now)) {
@@ -96,8 +98,8 @@
   }
 
   /**
-   * Restarts every suspicion after this node did not run for a while: it may have missed messages
-   * that refute them.
+   * Restarts the timer of every suspicion. Called after a pause of this process, in which it may
+   * have missed messages that refute a suspicion.
    */
   void restartSuspicions(long now) {
     for (int member = 0; member < table.size(); member++) {
--- a/src/main/java/saltlatch/membership/SuspicionTimer.java
+++ b/src/main/java/saltlatch/membership/SuspicionTimer.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Measures how long a member stays suspect before it is considered failed. As in Lifeguard, each
- * further member that suspects it shortens the time.
+ * Determines when a suspect member is considered failed. As in Lifeguard, the suspicion expires
+ * earlier with each confirmation, which is the same suspicion reported by another member.
  *
- * <p>Invariants: each reporter counts once, so that a suspicion that arrives on several paths does
- * not count several times; only {@link #restart} lengthens the time. Times are in ticks.
+ * <p>Invariants: each reporter counts once, even if its suspicion arrives on several paths; only
+ * {@link #restart} postpones the expiry of a suspicion. Times are in ticks.
  */
 final class SuspicionTimer {
   private final MembershipTimings timings;
-  private final List<Integer> reporters = new ArrayList<>(); // the first raised the suspicion
+  private final List<Integer> reporters = new ArrayList<>(); // first: raised the suspicion
   private long startedAtTicks;
   private long expiresAtTicks;
 
@@ -20,7 +20,7 @@
     this.timings = timings;
   }
 
-  /** Starts a suspicion without confirmations. */
+  /** Starts a new suspicion, which has no confirmations yet. */
   void start(int reporter, long now) {
     reporters.clear();
     reporters.add(reporter);
@@ -28,7 +28,9 @@
     expiresAtTicks = now + timings.suspicionTicks(0);
   }
 
-  /** Records that another member has raised the same suspicion. */
+  /**
+   * Records a confirmation and shortens the suspicion. Ignores a reporter that is already recorded.
+   */
   void confirm(int reporter, long now) {
     if (reporters.size() > MembershipTimings.MAX_CONFIRMATIONS || reporters.contains(reporter)) {
       return;
@@ -39,7 +41,8 @@
   }
 
   /**
-   * Restarts the time after this node did not run for a while and may have missed a refutation.
+   * Measures the suspicion's duration from {@code now}. Called after a pause of this process, in
+   * which it may have missed a refutation.
    */
   void restart(long now) {
     startedAtTicks = now;
@@ -50,7 +53,7 @@
     return now >= expiresAtTicks;
   }
 
-  /** Returns the member that raised the suspicion. */
+  /** Returns the index of the member that raised the suspicion. */
   int reporter() {
     return reporters.get(0);
   }
--- a/src/main/java/saltlatch/policy/RetryPolicy.java
+++ b/src/main/java/saltlatch/policy/RetryPolicy.java
@@ -7,18 +7,19 @@
 import saltlatch.api.Ticks;
 
 /**
- * Decides whether a request may be retried, at which app servers, and which final answer is safe.
- * Inputs are the retry safety of the request class, the state of earlier attempts and their number.
- * Times are in ticks.
+ * Decides whether a request may be retried, at which app servers, and whether the request may be
+ * rejected. Inputs are the retry safety of the request class, the time and the server of the first
+ * attempt that may have been executed, and the number of attempts. Times are in ticks.
  *
- * <p>An idempotent request may always be retried. A request with an idempotency key may be retried
- * while the servers store the key of its first attempt that may have been executed, and only at
- * servers that share stored keys with the server of that attempt. Any other request may be retried
- * only if no attempt can have been executed. Guards against executing a request twice. A client
- * that receives REJECTED may send its request again, so the same conditions apply to a rejection.
+ * <p>The rules guard against executing a request twice. An idempotent request may always be sent
+ * again. A request with an idempotency key may be sent again only to servers that share stored keys
+ * with the server of the first attempt that may have been executed, and only until the key of that
+ * attempt expires. Any other request may be sent again only if no attempt can have been executed.
+ * A client that receives REJECTED may send its request again to any node, so a rejection requires
+ * that a repetition at any server is safe.
  */
 final class RetryPolicy {
-  /** Time within which the last byte of an attempt normally reaches the server. */
+  /** Time, 20 ms, within which the last byte of an attempt normally reaches the server. */
   private static final long SENDING_TICKS = 20 * Ticks.PER_MILLISECOND;
 
   private final int maxAttempts;
@@ -28,7 +29,8 @@
   }
 
   /**
-   * Returns whether another attempt may follow one that has ended. No attempt may be in flight.
+   * Returns whether the request may be retried after an attempt has ended. Requires that no attempt
+   * is in flight.
    *
    * @param outcome how the last attempt ended
    */
@@ -45,8 +47,8 @@
   }
 
   /**
-   * Returns whether servers still store the key of the first attempt that may have been executed
-   * when a new attempt reaches them.
+   * Returns whether the key of the first attempt that may have been executed will still be stored
+   * when an attempt that starts now reaches a server.
    */
   private static boolean isKeyRemembered(RequestState request, long now) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
@@ -55,8 +57,9 @@
   }
 
   /**
-   * Returns whether a server shares stored idempotency keys with the server that may have executed
-   * the request; true if the request does not depend on a key.
+   * Returns whether {@code server} shares stored idempotency keys with the server that may have
+   * executed the request. Returns true if the request class has no keys or if no attempt can have
+   * been executed.
    */
   static boolean sharesKeys(RequestState request, ServerState server) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
@@ -72,7 +75,8 @@
   }
 
   /**
-   * Returns whether the client may send the request again, whichever node and server receive it.
+   * Returns whether the request may be rejected: a repetition by the client, which can reach any
+   * node and any server, cannot execute the request a second time.
    */
   static boolean isRejectSafe(RequestState request) {
     GatewaySettings.RequestClass requestClass = request.stats.requestClass;
--- a/src/main/java/saltlatch/relay/InboundConnection.java
+++ b/src/main/java/saltlatch/relay/InboundConnection.java
@@ -9,11 +9,14 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /**
- * One accepted connection of the relay's listener. Limits the bytes that the client may send before
- * its requests are answered.
+ * A connection that the relay has accepted from a client. Limits the number of bytes that the
+ * client may send between two complete responses.
  */
 final class InboundConnection {
-  /** Bytes that may arrive before a response is complete: one request, or a few pipelined ones. */
+  /**
+   * Maximum number of bytes that may arrive between two complete responses. It is enough for one
+   * request or a few pipelined requests.
+   */
   static final int MAX_UNANSWERED_BYTES = 16 * 1024;
 
   private final ChannelHandlerContext firstContext;
@@ -26,25 +29,26 @@
   }
 
   /**
-   * Resets the count of unanswered bytes when a response is complete. This is never called while a
-   * watch is open, since its response does not end.
+   * Resets the number of unanswered bytes. Must be called when a response is complete. The response
+   * to a watch does not end, so the number is not reset while a watch is open.
    */
   void answered() {
     unansweredBytes = 0;
   }
 
   /**
-   * Closes the connection without waiting for pending writes. A close through Vert.x or through the
-   * channel waits for them, so a client that never reads would keep its connection open forever. A
-   * close that starts at the pipeline's first handler passes no handler that could delay it.
+   * Closes the connection without waiting for pending writes. The close methods of Vert.x and of
+   * the channel wait for pending writes, so a client that never reads could keep its connection
+   * open forever. Calling close on the context of the pipeline's first handler skips the handlers
+   * that would delay the close.
    */
   void close() {
     var unused = firstContext.close();
   }
 
   /**
-   * Closes the connection of a client that keeps sending requests after it opened a watch, or while
-   * it does not read the responses.
+   * Closes the connection when the client exceeds {@link #MAX_UNANSWERED_BYTES}, by requests that
+   * it sends while a watch is open or while it does not read the responses.
    */
   private final class InboundLimit extends ChannelInboundHandlerAdapter {
     @Override
--- a/src/main/java/saltlatch/settings/HostSettings.java
+++ b/src/main/java/saltlatch/settings/HostSettings.java
@@ -3,20 +3,22 @@
 import java.util.List;
 
 /**
- * The settings that only a host with sockets needs, in addition to those of the policy. Times are
- * in ticks.
+ * Settings that only the host needs, which is the part of a node that does network I/O. The policy
+ * does not read them. Times are in ticks.
  *
- * @param connectTimeoutTicks  timeout for connecting to an app server, and for a complete health
- *     check
+ * @param connectTimeoutTicks  timeout for connecting to an app server, and for a health check from
+ *     its start to its reply
  * @param connectionIdleTicks  idle time after which a connection to an app server is closed
- * @param counterTimeoutTicks  timeout for a reply of the counter, unless the policy allows more
+ * @param counterTimeoutTicks  minimum timeout for a reply of the counter; a call for which the
+ *     policy sets a longer timeout uses that one
  * @param gossipAllowed        whether nodes may send each other datagrams
- * @param maxRequestUnits      the largest number of units that a request may estimate
- * @param loadReportFields     the fields of app servers' load reports, in the policy's order
- * @param requestClassNames    the name of each request class; its index is the policy's number
- * @param quotaPlanNames       the name of each quota plan; its index is the policy's number
- * @param zoneNames            the name of each zone; its index is the policy's number
- * @param machineTypeNames     the name of each machine type; its index is the policy's number
+ * @param maxRequestUnits      maximum number of units that a client may estimate for a request
+ * @param loadReportFields     names of the fields in app servers' load reports, in the order in
+ *     which the policy receives their values
+ * @param requestClassNames    names of the request classs; the policy uses the index of a name
+ * @param quotaPlanNames       names of the quota plans; the policy uses the index of a name
+ * @param zoneNames            names of the zones; the policy uses the index of a name
+ * @param machineTypeNames     names of the machine types; the policy uses the index of a name
  */
 public record HostSettings(long connectTimeoutTicks, long connectionIdleTicks,
     long counterTimeoutTicks, boolean gossipAllowed, double maxRequestUnits,
--- a/src/test/java/saltlatch/node/ConnectionCloseTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -27,8 +27,8 @@
 import saltlatch.api.GatewayEvent;
 
 /**
- * Closing of real connections whose other end does not read what the node writes, or sends at the
- * same moment.
+ * Tests that the node closes TCP connections correctly if the peer does not read what the node
+ * writes, or if the peer sends commands while the node shuts down.
  */
 @Timeout(60)
 class ConnectionCloseTest extends NodeHarness {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * An attempt times out while its command is partly written. The app server must never get the
-   * complete command, since CONNECT_FAILED means that the attempt did not start.
+   * An attempt times out when only a part of its command has been written. The app server must not
+   * receive the rest, since CONNECT_FAILED states that the attempt cannot have been executed.
    */
   @Test
   void partlyWrittenCommandNeverArrivesCompletely() throws Exception {
@@ -64,8 +64,8 @@
   }
 
   /**
-   * The node reads several commands in one piece while it shuts down. An immediate reply to the
-   * first must not close the connection before the others are answered.
+   * One read returns several commands while the node shuts down. The first command is answered at
+   * once. The node must not close the connection before it has answered the other commands too.
    */
   @Test
   void answersAllPipelinedCommandsDuringShutdown() throws Exception {
@@ -89,8 +89,8 @@
   }
 
   /**
-   * An app server that reads nothing until {@link #readToEnd()}. Its segments are so short that the
-   * kernel on the node's side buffers few bytes.
+   * An app server that reads nothing before {@link #readToEnd()} is called. Its maximum segment
+   * size of 128 bytes keeps the node's kernel from buffering more than a few bytes.
    */
   private static final class SlowAppServer implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1,
@@ -140,7 +140,10 @@
     }
   }
 
-  /** A client that never reads its replies neither keeps its descriptor nor delays the shutdown. */
+  /**
+   * A client that never reads its replies must neither keep the node's socket open nor delay the
+   * node's shutdown.
+   */
   @Test
   void clientThatReadsNothingDoesNotDelayTheShutdown() throws Exception {
     try (SocketChannel client = SocketChannel
@@ -152,7 +155,7 @@
       while (commands.hasRemaining() && System.nanoTime() - lastWriteNanos < 1_000_000_000L) {
         if (client.write(commands) > 0) lastWriteNanos = System.nanoTime();
       }
-      assertTrue(commands.hasRemaining()); // the node has stopped reading
+      assertTrue(commands.hasRemaining()); // the node stopped reading before the last command
       node.stop().toCompletionStage().toCompletableFuture().get(4, TimeUnit.SECONDS);
       stopped = true;
     }
--- a/src/test/java/saltlatch/policy/ServerListTest.java
+++ b/src/test/java/saltlatch/policy/ServerListTest.java
@@ -10,7 +10,7 @@
 import saltlatch.api.GatewayEvent.EndpointState;
 import saltlatch.api.GatewayEvent.EndpointUpdateKind;
 
-/** Tests which app servers are listed, kept and counted as endpoint lists arrive. */
+/** Tests which app servers the server list holds and counts after endpoint updates. */
 class ServerListTest {
   private final SplittableRandom random = new SplittableRandom(1);
   private final ServerList servers = new ServerList(new SlowStart(PolicyFixtures.LIMITS, random),
@@ -39,7 +39,7 @@
     assertEquals(List.of(1L), serverIds());
   }
 
-  /** A draining server is kept until its attempt in flight has ended. */
+  /** A draining server stays in the list until no attempt is in flight on it. */
   @Test
   void drainingServerIsKeptWhileAttemptsAreInFlight() {
     servers.update(PolicyFixtures.readyServers(1), 0);
@@ -55,7 +55,10 @@
     assertEquals(List.of(), serverIds());
   }
 
-  /** A starting server is counted by its current capacity, which is initially a fifth. */
+  /**
+   * A server that warms up counts as the current fraction of its full capacity, which is a fifth at
+   * its start.
+   */
   @Test
   void startingServerCountsByItsCapacity() {
     long startedAtTicks = 1_000;
--- a/src/test/java/saltlatch/state/NodeMetricsTest.java
+++ b/src/test/java/saltlatch/state/NodeMetricsTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards the names of the metrics in the reply to INFO, which dashboards and the benchmark read:
- * renaming a constant must not change its line.
+ * Guards against a change of the metric names in the reply to INFO when a constant of
+ * {@link NodeMetrics.Metric} is renamed. Dashboards and the benchmark read these names.
  */
 class NodeMetricsTest {
   private static final List<String> INFO_NAMES = List.of("clients_accepted", "clients_over_limit",
