--- a/src/main/java/saltlatch/lab/rig/Processes.java
+++ b/src/main/java/saltlatch/lab/rig/Processes.java
@@ -49,7 +49,7 @@
    *
    * @param jvmFlags JVM flags of the {@code run} line in the deployment file
    * @param jar jar file that contains the nodes' main class
-   * @param dir directory for the nodes' configurations and logs
+   * @param dir directory for the nodes' configurations and logs and for the run's histories
    */
   public record Program(List<String> jvmFlags, Path jar, Path dir) {
     private static final Pattern RUN = Pattern.compile("(?m)^run = \"exec java (.*?) -jar ");
@@ -65,7 +65,7 @@
     public static Program of(Path balancer, Path jar, Path dir) throws IOException {
       Matcher runLine = RUN.matcher(Files.readString(balancer));
       if (!runLine.find())
-        throw new IOException("no line run = \"exec java ... -jar ...\" in " + balancer);
+        throw new IOException("expected a line run = \"exec java ... -jar ...\" in " + balancer);
       String tempDir = System.getenv().getOrDefault("TMPDIR", "/tmp");
       return new Program(List.of(runLine.group(1).replaceAll(" -XX:SharedArchiveFile=\\S+", "")
           .replace("${TMPDIR:-/tmp}", tempDir).split(" ", 0)), jar, dir);
