--- a/src/main/java/saltlatch/cli/RootCommand.java
+++ b/src/main/java/saltlatch/cli/RootCommand.java
@@ -10,9 +10,10 @@
 
 /**
  * The command line with the subcommands {@code serve}, {@code simhost}, {@code emulate}, {@code
- * load}, {@code report}, {@code lab} and {@code relay}. Exit codes: 0 for success (for {@code
- * serve}: the node serves), 1 if a lab check failed, 2 for invalid input or configuration, 3 if the
- * process can't listen.
+ * load}, {@code report}, {@code lab} and {@code relay}. Exit codes: 0 for success, 1 if a check of
+ * the laboratory failed, 2 if the input or the configuration is invalid, 3 if the process can't
+ * listen. For {@code serve}, success means that the node accepts clients; the process then
+ * continues to run.
  */
 @Command(name = "saltlatch", mixinStandardHelpOptions = true, version = "saltlatch 0.2.0",
     description = "A quota-keeping gateway for a shared API, and its laboratory.",
@@ -21,7 +22,7 @@
         RelayCommand.class})
 public final class RootCommand implements Runnable {
 
-  /** Returns whether the subcommand's work continues after {@code main} returns. */
+  /** Returns whether the process must continue to run after the subcommand has returned 0. */
   public static boolean keepsRunning(String[] args) {
     return args.length > 0 && (args[0].equals("serve") || args[0].equals("emulate"));
   }
@@ -33,7 +34,8 @@
   }
 
   /**
-   * Runs one edge node. The platform sets {@code LB_CONFIG} to the path of the configuration file.
+   * Runs one edge node. The environment variable {@code LB_CONFIG}, which the deployment platform
+   * sets, is the path of the configuration file.
    */
   @Command(name = "serve", mixinStandardHelpOptions = true,
       description = "Run one edge node; LB_CONFIG is the path of the configuration (JSON).")
@@ -42,15 +44,18 @@
     public Integer call() {
       String path = System.getenv("LB_CONFIG");
       if (path == null) {
-        System.err
-            .println("saltlatch serve: LB_CONFIG must be the path of a configuration, found unset");
+        System.err.println(
+            "saltlatch serve: expected the path of a configuration file in LB_CONFIG, found none");
         return 2;
       }
       return ServeProcess.run(PolicyEngine::new, path, System.err);
     }
   }
 
-  /** Runs the decision module on the simulator's frames, from standard input to standard output. */
+  /**
+   * Runs the gateway policy for the simulator: reads frames of events from standard input and
+   * writes frames of actions to standard output.
+   */
   @Command(name = "simhost", mixinStandardHelpOptions = true,
       description = "Run the decision module on the simulator's frames (stdin to stdout).")
   static final class SimHostCommand implements Callable<Integer> {
--- a/src/main/java/saltlatch/cli/ScaleCommand.java
+++ b/src/main/java/saltlatch/cli/ScaleCommand.java
@@ -21,15 +21,16 @@
 import saltlatch.lab.scale.TestEnvironment;
 
 /**
- * {@code lab scale TEST}: measures what a part of the system costs as one quantity grows. Its
- * subcommands run and report further measurements.
+ * {@code lab scale TEST}: measures the resources that a part of the system uses as one quantity
+ * grows. The subcommand {@code source} runs a substitute for discovery, {@code relay} measures
+ * relays, and {@code report} writes the tables of docs/CAPACITY.md.
  */
 @Command(name = "scale", mixinStandardHelpOptions = true,
     subcommands = {SourceCommand.class, RelayScaleCommand.class, CapacityReportCommand.class},
     description = "Measure what a part costs as one quantity grows: JSON lines of "
         + "measurements, a linear fit, the cost of the largest size as predicted and as measured.")
 final class ScaleCommand implements Callable<Integer> {
-  private static final int REFUSED = 2; // exit code
+  private static final int REFUSED = 2; // exit code if the test exceeds the resource limits
 
   @Spec CommandSpec spec;
 
@@ -78,7 +79,7 @@
     }
   }
 
-  /** Returns the jar or class directory of this program. */
+  /** Returns the jar or class directory from which this program runs. */
   static Path ownJar() throws URISyntaxException {
     return Path.of(ScaleCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
   }
--- a/src/main/java/saltlatch/lab/capacity/LoadBalancer.java
+++ b/src/main/java/saltlatch/lab/capacity/LoadBalancer.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * The operators' load balancer, which distributes requests to edge nodes; not part of this project.
+ * The load balancer that distributes requests to edge nodes. The operators provide it; it is not
+ * part of this project, so its resource figures are missing.
  */
 public final class LoadBalancer implements Role {
   private static final String LOAD_BALANCER = "the operators' front";
--- a/src/main/java/saltlatch/lab/plan/Timeline.java
+++ b/src/main/java/saltlatch/lab/plan/Timeline.java
@@ -7,11 +7,14 @@
 import saltlatch.lab.scenario.Scenario.ProcessFault;
 
 /**
- * Turns the scenario's process faults into single steps in order of time; one step acts on all its
- * nodes at once. The class does no I/O.
+ * Converts the process faults of a scenario into steps in ascending order of time. Each step is
+ * one action on one or more nodes. The class does no I/O.
  */
 public final class Timeline {
-  /** An action on a node's process. */
+  /**
+   * An action on a node's process: a signal, or a start with the current configuration ({@code
+   * START}) or with an older one ({@code START_OLD}).
+   */
   public enum Action {
     KILL,
     TERM,
@@ -21,12 +24,15 @@
     START_OLD
   }
 
-  /** An action on all the {@code nodes} at once, {@code atMs} after the load's start. */
+  /** An action on all of {@code nodes} at the same time, {@code atMs} ms after the load starts. */
   public record Step(double atMs, Action action, List<Integer> nodes) {}
 
   private Timeline() {}
 
-  /** Returns the steps of the faults for a run with {@code nodeCount} nodes, in order of time. */
+  /**
+   * Returns the steps of the faults for a run with {@code nodeCount} nodes, in ascending order of
+   * time.
+   */
   public static List<Step> of(List<ProcessFault> faults, int nodeCount) {
     List<Step> steps = new ArrayList<>();
     for (ProcessFault fault : faults) {
@@ -38,7 +44,7 @@
       for (int i = 0; i < affected.size(); i++)
         add(steps, fault, (fault.atS() + i * fault.stepS()) * 1000, List.of(affected.get(i)));
     }
-    // The sort is stable: steps at the same time stay in the order of the faults.
+    // The sort is stable: steps at the same time keep the order of their faults.
     steps.sort(Comparator.comparingDouble(Step::atMs));
     return steps;
   }
@@ -48,7 +54,7 @@
     switch (fault.kind()) {
       case "kill" -> steps.add(new Step(atMs, Action.KILL, affected));
       case "term" -> steps.add(new Step(atMs, Action.TERM, affected));
-      default -> {
+      default -> { // pause
         steps.add(new Step(atMs, Action.STOP, affected));
         if (fault.forS() > 0)
           steps.add(new Step(atMs + fault.forS() * 1000, Action.CONT, affected));
--- a/src/main/java/saltlatch/lab/scale/TestEnvironment.java
+++ b/src/main/java/saltlatch/lab/scale/TestEnvironment.java
@@ -7,21 +7,31 @@
 import saltlatch.lab.rig.Processes;
 
 /**
- * The programs and the directory from which scale tests start their processes.
+ * The programs that scale tests start as processes, and the directory for their files.
  *
- * @param program program of real nodes: JVM flags of the {@code run} line, the jar that is
- *     measured, and a directory for configurations and logs
- * @param tools   jar of the simulated servers and hollow nodes; always of the current revision,
- *     also if an older one is measured
+ * @param program the program of real nodes: the JVM flags of the deployment file's {@code run}
+ *     line, the jar that is measured, and a directory for configurations and logs
+ * @param tools   the jar that runs the simulated servers and hollow nodes. It is this program's
+ *     own jar, even if the measured jar is of an older revision.
  */
 public record TestEnvironment(Processes.Program program, Path tools) {
-  /** Heap 64, direct memory 24, metaspace 48 and code 24 MB as in the run line, plus stacks. */
+  /**
+   * Memory of one real node: 192 MB. The {@code run} line allows 64 MB of heap, 24 MB of direct
+   * memory, 48 MB of metaspace and 24 MB of code cache; the other 32 MB are for thread stacks.
+   */
   static final long NODE_BYTES = 192L << 20;
-  static final long SOURCE_BYTES = 768L << 20; // 384 MB heap and at most as much direct memory
+  /**
+   * Memory of one substitute for discovery ({@link SourceProcess}): 384 MB of heap, and at most 384
+   * MB of direct memory.
+   */
+  static final long SOURCE_BYTES = 768L << 20;
   static final List<String> SOURCE_FLAGS = List.of("-Xmx384m", "-XX:+UseSerialGC",
       "-Dorg.slf4j.simpleLogger.defaultLogLevel=warn");
 
-  /** Returns an environment that starts real nodes with the run line of a deployment file. */
+  /**
+   * Returns an environment that starts real nodes with the JVM flags of the {@code run} line in a
+   * deployment file.
+   */
   public static TestEnvironment of(Path deploymentFile, Path jar, Path tools, Path dir)
       throws IOException {
     return new TestEnvironment(Processes.Program.of(deploymentFile, jar, dir), tools);
@@ -32,7 +42,8 @@
   }
 
   /**
-   * Returns a group of real nodes, not started yet; {@code config} returns a node's JSON by number.
+   * Returns the manager of a group of real nodes, without starting them. {@code config} returns the
+   * JSON configuration of the node with the given number.
    */
   Processes nodes(IntFunction<String> config) {
     return new Processes(program, (number, old) -> config.apply(number));
--- a/src/main/java/saltlatch/wire/client/PendingReply.java
+++ b/src/main/java/saltlatch/wire/client/PendingReply.java
@@ -6,8 +6,9 @@
 import saltlatch.wire.resp.RespEncoder;
 
 /**
- * The reply to one command, queued in the order of the connection's commands until it is set and
- * written. This is the only class that contains the protocol's words for final responses. Owned by
+ * The reply to one command. The connection keeps its pending replies in a queue in the order of
+ * the commands; a reply leaves the queue when it has been set and all earlier ones are written.
+ * Only this class contains the protocol's text for a rejected and for an aborted request. Owned by
  * the connection; used on the event loop.
  */
 final class PendingReply implements RequestContext.ResponseSink {
@@ -15,14 +16,19 @@
   private static final String FAILED = "-ERR aborted";
 
   private final ClientConnection connection;
-  private RequestContext request; // null if the command is not a request or got its reply at once
+  // null if the command is not a request, or if the reply was set when the request arrived
+  private RequestContext request;
   private Buffer reply; // null until it is set
 
   PendingReply(ClientConnection connection) {
     this.connection = connection;
   }
 
-  /** Sets the request whose final response becomes the reply; null if the reply is already set. */
+  /**
+   * Sets the request whose final response becomes the reply.
+   *
+   * @param newRequest the request; null if the reply has been set already
+   */
   void awaitResponseTo(RequestContext newRequest) {
     request = newRequest;
   }
--- a/src/main/java/saltlatch/wire/discovery/EndpointList.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointList.java
@@ -11,12 +11,12 @@
 import saltlatch.wire.transport.TcpConnector;
 
 /**
- * A watch event of discovery: the complete list of app servers, or a change to it.
+ * An event that discovery sends on a watch: the complete list of app servers, or a change to it.
  *
- * @param series   the start of the series of indices in Unix ms; 0 if discovery does not send it
+ * @param series   identifies the series of indices by its start in Unix ms; 0 if not sent
  * @param index    the event's index, which grows within a series
- * @param snapshot whether the entries are the complete list
- * @param entries  the app servers with their current state
+ * @param snapshot true if {@code entries} is the complete list, false if it is a change
+ * @param entries  the listed or changed app servers with their current state
  */
 public record EndpointList(long series, long index, boolean snapshot, List<Entry> entries) {
   static final String ENDPOINTS_KEY = "endpoints";
@@ -38,29 +38,29 @@
   /**
    * An app server as discovery describes it.
    *
-   * @param address     the address to connect to; null if there is none
-   * @param keyGroup    the group of app servers within which idempotency keys are remembered
-   * @param weight      its capacity relative to other app servers
-   * @param startedAtMs its last start in Unix ms; 0 if it started long ago
+   * @param address     the address to connect to; null if discovery sent none
+   * @param keyGroup    the group of app servers that share stored idempotency keys
+   * @param weight      the app server's capacity relative to that of other app servers
+   * @param startedAtMs the app server's last start in Unix ms; 0 if not sent, which means long ago
    */
   public record Entry(String name, SocketAddress address, String zone, String machineType,
       int keyGroup, EndpointState state, double weight, long startedAtMs) {}
 
   /**
-   * Decodes an event whose entries are all in the object.
+   * Decodes a complete event from its JSON object.
    *
-   * @throws RuntimeException if the object is malformed; the message says what is wrong
+   * @throws RuntimeException if the object is malformed; the message names the fault
    */
   public static EndpointList decode(JsonObject object) {
     return decode(object, new ArrayList<>(), UnaryOperator.identity());
   }
 
   /**
-   * Decodes an event.
+   * Decodes an event of which some entries may have been decoded before.
    *
-   * @param object  the event without the entries that are already decoded
-   * @param decoded those entries, to which the object's entries are added
-   * @param intern  returns the same instance for equal words
+   * @param object  the event's JSON object, with only the entries that are not decoded yet
+   * @param decoded the entries decoded before; the entries of {@code object} are appended to it
+   * @param intern  returns one shared instance for equal strings, to save memory
    */
   static EndpointList decode(JsonObject object, List<Entry> decoded, UnaryOperator<String> intern) {
     for (JsonElement entry : object.getAsJsonArray(ENDPOINTS_KEY))
--- a/src/test/java/saltlatch/distribution/DistributorTest.java
+++ b/src/test/java/saltlatch/distribution/DistributorTest.java
@@ -13,7 +13,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Tests a distributor in cases with too many watchers or entries for a trace. */
+/**
+ * Tests the distributor with numbers of watchers, entries or steps that would make the trace files
+ * of {@link DecisionTraceTest} too long.
+ */
 class DistributorTest {
   private static final long SECOND_MS = 1_000;
   private static final long BUDGET_BYTES_PER_SECOND = 50_000;
@@ -22,7 +25,8 @@
   private record Sent(long atMs, long watcher, Message message) {}
 
   /**
-   * Records the actions; if {@code drainsAtOnce}, reports messages as drained within the action.
+   * Records the distributor's actions. If {@code drainsAtOnce} is set, reports each message as
+   * drained before {@code send} returns.
    */
   private static final class Host implements DistributorActions {
     final List<Sent> sent = new ArrayList<>();
@@ -98,13 +102,15 @@
               && sentMessage.atMs <= first.atMs + SECOND_MS)
           .count();
       assertTrue(snapshotsInASecond * listBytes <= BUDGET_BYTES_PER_SECOND + listBytes,
-          snapshotsInASecond + " snapshots in one second");
+          snapshotsInASecond + " snapshots of " + listBytes + " bytes in one second");
     }
-    // The budget is used fully, and watchers without a list are served first, except for the first
-    // snapshots, which are sent before the other watchers connect.
+    // The budget is used fully: all snapshots are sent in the time that they take at the refill
+    // rate, 90 % of the budget, plus 1 s. Watchers without a list (Version.NONE) are served before
+    // the others; the first three snapshots are skipped, because they may be sent before the other
+    // watchers connect.
     long lastAtSeconds = snapshots.get(WATCHERS - 1).atMs / SECOND_MS;
     assertTrue(lastAtSeconds <= WATCHERS * listBytes / (BUDGET_BYTES_PER_SECOND * 9 / 10) + 1,
-        lastAtSeconds + " s");
+        "last snapshot sent after " + lastAtSeconds + " s");
     Set<Long> earlyGroups = new HashSet<>();
     snapshots.subList(3, 200).forEach(sentMessage -> earlyGroups.add(sentMessage.watcher % 3));
     assertEquals(Set.of(1L, 2L), earlyGroups);
@@ -133,8 +139,8 @@
   }
 
   /**
-   * Guards against a stack overflow and against reordered messages if the host reports each message
-   * as drained from within the send action.
+   * Guards against a stack overflow and against messages out of order, which can occur if the host
+   * calls {@code watcherDrained} before its {@code send} returns.
    */
   @Test
   void drainsWithinTheSendActionNeitherRecurseNorReorder() {
@@ -165,7 +171,8 @@
   }
 
   /**
-   * Guards against a watcher that reads a few bytes at a time and so keeps a snapshot in memory.
+   * Guards against a watcher that reads only a few bytes at a time: the snapshot that it receives
+   * would stay in memory without limit. The maximum send time is 120 s.
    */
   @Test
   void tricklingWatcherIsClosedAfterTheMaximumSendTime() {
@@ -176,12 +183,14 @@
       host.distributor.watcherProgressed(1, host.nowMs);
     }
     assertEquals(List.of("1 STALLED"), host.closed);
-    assertTrue(host.nowMs >= 119 * SECOND_MS && host.nowMs <= 121 * SECOND_MS, host.nowMs + " ms");
+    assertTrue(host.nowMs >= 119 * SECOND_MS && host.nowMs <= 121 * SECOND_MS,
+        "watcher closed after " + host.nowMs + " ms");
   }
 
   /**
-   * Sends snapshots to new watchers while the list changes continuously: few snapshots are created
-   * and all watchers reach the latest version.
+   * Opens a watcher every 100 ms for 20 s, and changes the list each time. The distributor reuses a
+   * snapshot for up to 5 s, so the 200 watchers share at most 5 snapshots; with the changes sent
+   * afterwards, all of them reach the latest version.
    */
   @Test
   void snapshotIsReusedDuringChanges() {
--- a/src/test/java/saltlatch/relay/RelayTest.java
+++ b/src/test/java/saltlatch/relay/RelayTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks on real connections what a relay forwards to its watchers, and that it survives upstreams
- * that fail, send malformed lines or fall back to an older version.
+ * Tests on real connections which messages a relay forwards to its watchers, and that it continues
+ * to serve them if an upstream fails, sends malformed lines or returns to an older version.
  */
 @Timeout(60)
 class RelayTest extends RelayHarness {
@@ -25,7 +25,8 @@
   void forwardsEntriesUnchanged() throws Exception {
     Relay relay = relay("", upstream);
     TestWatcher early = watcher(relay, 0);
-    assertEquals("", early.line()); // a keep-alive: the watch is open although there is no list yet
+    // the relay accepts a watch before it has a list, and sends an empty line as keep-alive
+    assertEquals("", early.line());
     assertEquals("/api/targets?follow=1&since=0", upstream.answer());
     upstream.sendChunk(snapshotLine(41, UNUSUAL_ENTRY, entry("s-2", "Ready")));
     assertEquals(snapshotLine(41, UNUSUAL_ENTRY, entry("s-2", "Ready")).trim(),
@@ -35,13 +36,16 @@
     assertEquals(42, watcher(relay, 0).listAt(42).get("index").getAsLong());
     assertEquals(changesLine(42, entry("s-2", "Gone")).trim(),
         watcher(relay, 41).list().toString());
-    // an entry that a snapshot does not contain is sent as Gone with all its fields
+    // an entry missing from a new snapshot is sent to watchers with all its fields, status Gone
     upstream.sendChunk(snapshotLine(50, entry("s-3", "Ready")));
     assertEquals("[" + UNUSUAL_ENTRY.replace("Ready", "Gone") + "," + entry("s-3", "Ready") + "]",
         early.list().get("endpoints").toString());
   }
 
-  /** A relay may follow another relay, so the series is sent to upstreams and to watchers. */
+  /**
+   * A relay can be the upstream of another relay. It therefore sends the series of the list's
+   * index both in its requests to upstreams and in its lines to watchers.
+   */
   @Test
   void seriesIsSentWithTheIndexInBothDirections() throws Exception {
     Relay relay = relay("", snapshotLine(5, entry("s-1", "Ready")).replace("\"snapshot\"",
@@ -79,7 +83,10 @@
     assertEquals(0, metric(relay, "watchers"));
   }
 
-  /** Beyond the budget for snapshots a plain request is refused, and a watch waits for its turn. */
+  /**
+   * If the snapshot budget (bytes per second) is exhausted, a request without {@code follow} is
+   * refused with status 503, and a watch receives its snapshot later.
+   */
   @Test
   void snapshotsAreLimitedToTheBudget() throws Exception {
     Relay relay = relay("'snapshot_bytes_per_second':1000", snapshotLine(1, entries(100)));
@@ -94,8 +101,8 @@
   }
 
   /**
-   * An upstream falls silent, is reset and returns with an older list. A watcher must not receive
-   * the older list and must not lose its connection.
+   * The upstream sends nothing for 60 s, resets its connection and then sends an older list. The
+   * relay must neither forward the older list to its watcher nor close the watcher's connection.
    */
   @Test
   void watcherIsUnaffectedByAFailingUpstream() throws Exception {
@@ -120,15 +127,15 @@
   }
 
   /**
-   * If the first upstream answers with an error status, the relay follows the second one; when that
-   * one fails too, it returns to the first.
+   * If the first upstream responds with an error status, the relay follows the second upstream. If
+   * the second upstream also fails, the relay follows the first one again.
    */
   @Test
   void followsAnotherUpstreamAfterAFailure() throws Exception {
     TestUpstream second = newUpstream();
     Relay relay = relay("", upstream, second);
     upstream.accept();
-    // a list that comes with a status other than 200 must be ignored
+    // the relay must ignore a list in a response with a status other than 200
     String list = snapshotLine(9, entry("s-9", "Ready"));
     upstream.write(
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
@@ -141,8 +148,10 @@
   }
 
   /**
-   * A malformed or endless line ends the watch at the upstream that sent it, and the relay follows
-   * the other upstream instead.
+   * If an upstream sends a malformed line, or a line longer than the limit, the relay closes its
+   * watch at this upstream and follows the other one. In the parameter, {@code ENDLESS} means that
+   * the line is continued until the relay closes the watch, and {@code ENTRIES} is a snapshot with
+   * one entry more than the limit of 500.
    */
   @ParameterizedTest
   @ValueSource(
@@ -166,16 +175,16 @@
   private void repeatUntilClosed(String text) {
     String piece = text.repeat(4096);
     try {
-      // sixteen times the limit of a line
+      // 4,096,000 bytes, 15 times the limit of a line: 8 KiB and 512 bytes for each of 500 entries
       for (int i = 0; i < 1_000; i++) upstream.sendChunk(piece);
     } catch (java.io.IOException e) {
-      // the relay has closed the watch, as expected
+      // expected: the relay has closed the connection
     }
   }
 
   /**
-   * A watcher that moves to a relay with an older version receives nothing until that relay has
-   * passed the watcher's version.
+   * A watcher reconnects to a relay whose list is older than the watcher's. It receives only
+   * keep-alives until that relay's version is newer than the watcher's.
    */
   @Test
   void watcherReceivesNothingOlderFromARelayThatLags() throws Exception {
--- a/src/test/java/saltlatch/wire/client/ClientListenerTest.java
+++ b/src/test/java/saltlatch/wire/client/ClientListenerTest.java
@@ -26,8 +26,8 @@
 import saltlatch.wire.transport.ManualScheduler;
 
 /**
- * Tests the bytes of every reply that a client can receive and the selection of connections to
- * close. Uses real connections and a manual clock.
+ * Tests the bytes of every reply that a client can receive, and which connections the listener
+ * closes. Uses real connections and a manual clock, which counts ticks of 0.1 ms.
  */
 @Timeout(60)
 class ClientListenerTest {
@@ -65,7 +65,7 @@
     ManualScheduler.await(vertx.close());
   }
 
-  /** Handles requests as the test specifies, and fails requests that the listener aborts. */
+  /** Passes each request to {@link #onRequest}, and fails requests that the listener aborts. */
   private final class ScriptedHandler implements ClientListener.Handler {
     @Override
     public RequestContext requestArrived(ClientRequest request, ResponseSink client) {
@@ -102,7 +102,10 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** Asserts the complete reply; the reply to a subsequent PING shows that nothing follows it. */
+  /**
+   * Asserts the complete reply to one command. A PING is sent after the command; if its reply
+   * directly follows the expected bytes, the listener wrote no other bytes for the command.
+   */
   private void assertReply(String expected, String command) throws IOException {
     Socket socket = connect();
     send(socket, command + PING);
@@ -110,7 +113,10 @@
     socket.close();
   }
 
-  /** Asserts the complete output up to the end of the connection. */
+  /**
+   * Asserts everything that the listener writes in response to {@code bytes} until it closes the
+   * connection.
+   */
   private void assertLastReply(String expected, String bytes) throws IOException {
     Socket socket = connect();
     send(socket, bytes);
@@ -140,7 +146,7 @@
     assertReply("-ERR aborted\r\n", QUERY);
   }
 
-  /** Values are binary: every byte value is written unchanged. */
+  /** The value of a successful response is binary, so all 256 byte values are sent unchanged. */
   @Test
   void writesAllByteValuesUnchanged() throws Exception {
     byte[] allBytes = new byte[256];
@@ -176,7 +182,10 @@
     assertReply(expected, QUERY.replace("t=plan", "q=plan"));
   }
 
-  /** Bytes that are not RESP2 values get one error reply, and the connection is closed. */
+  /**
+   * If the received bytes are not a RESP2 array, or exceed a limit of the decoder, the listener
+   * writes one error reply and closes the connection.
+   */
   @Test
   void repliesToLostFraming() throws Exception {
     String error = "-ERR Protocol error: ";
@@ -196,7 +205,7 @@
     assertLastReply(error + "message too long\r\n", "*3\r\n" + value + value);
   }
 
-  /** Commands before the broken framing get their replies first. */
+  /** Commands received before the invalid bytes are answered before the error reply. */
   @Test
   void repliesToCommandsBeforeLostFraming() throws Exception {
     respondWith(client -> client.reject(0));
@@ -204,7 +213,7 @@
         PING + QUERY + "nonsense\r\n" + PING);
   }
 
-  /** A reply that is ready early waits for the replies to earlier commands. */
+  /** A reply is written only after the replies to all earlier commands of the connection. */
   @Test
   void writesRepliesInTheOrderOfCommands() throws Exception {
     List<RequestContext> arrived = new ArrayList<>();
@@ -222,7 +231,8 @@
 
   /**
    * Guards against a client that sends part of a command and nothing more, which would keep its
-   * connection open forever. After two seconds it gets an error, and the connection is closed.
+   * connection open forever. After 2 s (20,000 ticks) the listener writes an error and closes the
+   * connection.
    */
   @Test
   void incompleteCommandTimesOut() throws Exception {
@@ -234,7 +244,9 @@
     assertEquals("", receive(socket, 1));
   }
 
-  /** At the end of shutdown, new requests are rejected and requests in flight are aborted. */
+  /**
+   * Just before a node terminates, its listener aborts the requests in flight and rejects new ones.
+   */
   @Test
   void abortsPendingAndRejectsNewRequests() throws Exception {
     Socket socket = connect();
@@ -250,7 +262,7 @@
     while (!reached[0]) scheduler.runOnLoop(() -> reached[0] = requests.size() == count);
   }
 
-  /** Connects and waits for the reply to a PING, so that the connection is accepted. */
+  /** Connects, and waits for the reply to a PING, which shows that the listener has accepted. */
   private Socket connectAndPing() throws IOException {
     Socket socket = connect();
     ping(socket);
@@ -263,8 +275,9 @@
   }
 
   /**
-   * Guards against clients that send one request each and keep their connections until the limit is
-   * reached, so that others cannot connect. The least recently used connection is closed.
+   * Guards against clients that send one request each and keep their connections open: once the
+   * limit is reached, other clients could not connect. The listener closes the least recently used
+   * connection to accept a new one.
    */
   @Test
   void newConnectionClosesTheLeastRecentlyUsed() throws Exception {
@@ -280,8 +293,9 @@
   }
 
   /**
-   * Guards against connections that send nothing until the limit is reached. The oldest of them is
-   * closed before a recently used one, whose client still uses it.
+   * Guards against connections that never send a command and fill the limit. To accept a new
+   * connection, the listener closes the oldest of these rather than a recently used connection,
+   * whose client is still using it.
    */
   @Test
   void newConnectionClosesASilentOneBeforeARecentlyUsedOne() throws Exception {
@@ -294,7 +308,7 @@
     for (Socket socket : List.of(first, third, fourth, fifth)) ping(socket);
   }
 
-  /** If every connection has a pending reply, the new connection is closed. */
+  /** A new connection is closed if the limit is reached and all others have pending replies. */
   @Test
   void newConnectionIsClosedIfAllHavePendingReplies() throws Exception {
     List<Socket> pending = new ArrayList<>();
@@ -308,7 +322,10 @@
     for (Socket socket : pending) assertEquals("-ERR aborted\r\n", receive(socket, 14));
   }
 
-  /** The protocol requires that a connection that sends nothing is closed within 3 s. */
+  /**
+   * The protocol requires that the node closes a connection within 3 s if the client sends nothing.
+   * The clock is advanced to one tick before the listener's limit of 2 s, then by another 0.5 s.
+   */
   @Test
   void silentConnectionIsClosed() throws Exception {
     Socket silent = connect();
