--- a/src/main/java/saltlatch/wire/client/PendingReply.java
+++ b/src/main/java/saltlatch/wire/client/PendingReply.java
@@ -8,8 +8,8 @@
 /**
  * The reply to one command. The connection keeps its pending replies in a queue in the order of
  * the commands; a reply leaves the queue when it has been set and all earlier ones are written.
- * Only this class contains the protocol's text for a rejected and for an aborted request. Owned by
- * the connection; used on the event loop.
+ * In the gateway, only this class contains the protocol's text for a rejected and for an aborted
+ * request. Owned by the connection; used on the event loop.
  */
 final class PendingReply implements RequestContext.ResponseSink {
   private static final String REJECTED = "-BUSY";
