--- a/src/main/java/saltlatch/settings/HostSettings.java
+++ b/src/main/java/saltlatch/settings/HostSettings.java
@@ -15,7 +15,7 @@
  * @param maxRequestUnits      maximum number of units that a client may estimate for a request
  * @param loadReportFields     names of the fields in app servers' load reports, in the order in
  *     which the policy receives their values
- * @param requestClassNames    names of the request classs; the policy uses the index of a name
+ * @param requestClassNames    names of the request classes; the policy uses the index of a name
  * @param quotaPlanNames       names of the quota plans; the policy uses the index of a name
  * @param zoneNames            names of the zones; the policy uses the index of a name
  * @param machineTypeNames     names of the machine types; the policy uses the index of a name
