--- a/src/test/java/saltlatch/relay/RelayHarness.java
+++ b/src/test/java/saltlatch/relay/RelayHarness.java
@@ -16,8 +16,10 @@
  */
 abstract class RelayHarness {
   static final int MB = 1 << 20;
+  private static final long CLOCK_RUNS = -1;
 
   final AtomicLong clockOffsetMs = new AtomicLong(); // ms by which the relays' clock is ahead
+  private volatile long stoppedAtMs = CLOCK_RUNS;
   final List<Relay> relays = new ArrayList<>();
   final List<AutoCloseable> closeables = new ArrayList<>();
   TestUpstream upstream;
@@ -52,13 +54,29 @@
         .map(follows -> "'127.0.0.1:" + follows.port() + "'").collect(Collectors.joining(","));
     RelayConfig config = RelayConfig.parse(("{'listen':'127.0.0.1:0','upstreams':[" + addresses
         + "],'limits':{" + limits + "},'seed':1}").replace('\'', '"'));
-    Relay relay = new Relay(config,
-        () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + clockOffsetMs.get());
+    Relay relay = new Relay(config, this::clockMs);
     relays.add(relay);
     relay.start().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     return relay;
   }
 
+  private long clockMs() {
+    long atMs = stoppedAtMs;
+    return (atMs == CLOCK_RUNS ? systemMs() : atMs) + clockOffsetMs.get();
+  }
+
+  private static long systemMs() {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+  }
+
+  /**
+   * Stops the relays' clock, so that only {@link #advanceClock} moves it. Guards against a busy
+   * machine on which the test's own work takes so long that the relay's timeouts expire meanwhile.
+   */
+  void stopClock() {
+    stoppedAtMs = systemMs() + 1; // one more, so that the clock does not go back
+  }
+
   static void stop(Relay relay) throws Exception {
     relay.stop().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
--- a/src/test/java/saltlatch/relay/SlowWatcherTest.java
+++ b/src/test/java/saltlatch/relay/SlowWatcherTest.java
@@ -44,6 +44,7 @@
    */
   @Test
   void stalledWatchersShareOneBufferAndCanResume() throws Exception {
+    stopClock();
     Relay relay = relay("'snapshot_bytes_per_second':10000000000",
         snapshotLine(1, entries(LARGE_LIST)));
     TestWatcher reader = watcher(relay, 0);
@@ -130,6 +131,7 @@
    */
   @Test
   void releasesASnapshotWhoseConnectionBreaks() throws Exception {
+    stopClock();
     Relay relay = relay("'snapshot_bytes_per_second':10000000000",
         snapshotLine(1, entries(LARGE_LIST)));
     TestWatcher reader = watcher(relay, 0);
@@ -143,6 +145,7 @@
     }
     awaitMetric(relay, "watchers", 1);
     advanceClock(relay, 6_000); // after this time a new watcher gets a new snapshot
+    advanceClock(relay, 2_000); // more than the delay after which the relay reconnects
     upstream.answer(); // the relay reconnects: by its clock the upstream was silent
     upstream.sendChunk(changesLine(2, entry("s-1", "Gone")));
     awaitMetric(relay, "version", 2);
@@ -158,8 +161,10 @@
         snapshotLine(1, entries(1_000)));
     List<TestWatcher> watchers = new ArrayList<>();
     for (int i = 0; i < 300; i++) watchers.add(watcher(relay, 0));
-    for (TestWatcher watcher : watchers)
+    for (TestWatcher watcher : watchers) {
       assertEquals(1_000, watcher.list().getAsJsonArray("endpoints").size());
+      upstream.sendChunk("\n"); // a keep-alive, as discovery sends them
+    }
     assertEquals(300, metric(relay, "snapshots_sent"));
     TestWatcher beyondLimit = closeAfterTest(new TestWatcher(relay.port(), 0))
         .sendGet("/api/targets?follow=1&since=0");
