--- a/src/test/java/saltlatch/relay/SlowWatcherTest.java
+++ b/src/test/java/saltlatch/relay/SlowWatcherTest.java
@@ -63,7 +63,6 @@
     assertEquals(30, metric(relay, "behind"));
     assertTrue(metric(relay, "encoded_bytes") < 6 * MB, metricText(relay, "encoded_bytes"));
     long directGrowth = PlatformDependent.usedDirectMemory() - directBefore;
-    // a copy of the list for each watcher would be 120 MB
     assertTrue(directGrowth < 20 * MB, directGrowth + " bytes outside the heap");
     long heapGrowth = usedHeapBytes() - heapBefore;
     assertTrue(heapGrowth < 20 * MB, heapGrowth + " bytes of heap");
