--- a/src/main/java/saltlatch/membership/FailureDetector.java
+++ b/src/main/java/saltlatch/membership/FailureDetector.java
@@ -108,7 +108,7 @@
     }
     // Guards against an isolated node that suspects all others: if no datagram arrived from any
     // member or proxy, this node itself may be at fault. Lifeguard counts every missing nack. If
-    // most of a fleet dies at once, that would slow down all survivors although they reach each
+    // most of a fleet fails at once, that would slow down all survivors although they reach each
     // other, and failures would be detected too late.
     if (now - lastReceivedAtTicks > timings.absenceTicks()) {
       health.degrade(Math.max(1, unanswered.missingNacks));
--- a/src/main/java/saltlatch/membership/LocalHealth.java
+++ b/src/main/java/saltlatch/membership/LocalHealth.java
@@ -4,7 +4,7 @@
  * Lifeguard's local health multiplier: how slow this node has recently been, 0 for a node that is
  * not slow. Its periods and timeouts are longer by the factor of the multiplier plus one.
  *
- * <p>Guards against a node that gets too little CPU time and attributes its own delay to others: it
+ * <p>Guards against a node that gets too little CPU time and attributes this delay to others: it
  * would spread suspicions of live members through the fleet. The symptom is acks that are processed
  * after the timeout.
  */
--- a/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
+++ b/src/test/java/saltlatch/wire/resp/RespDecoderTest.java
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The error messages contain what was expected, what was found and the limit. */
+  /** The error messages contain the expected value, the value found and the limit. */
   @Test
   void errorMessagesContainCauseAndLimit() {
     assertEquals("RESP2 line: line too long (limit 1024 bytes)",
