--- a/src/test/java/saltlatch/node/ProcessIT.java
+++ b/src/test/java/saltlatch/node/ProcessIT.java
@@ -121,16 +121,7 @@
       NodeHarness.send(client, i % 2 == 0 ? PING : "*1\r\n");
     }
     long discoveryBackNanos = System.nanoTime();
-    Socket watch = accept(discovery);
-    discovery.setSoTimeout(200);
-    try {
-      // takes the newest watch: the node gave up the earlier ones, one every 2 s
-      while (true) watch = accept(discovery);
-    } catch (java.net.SocketTimeoutException e) {
-      // no newer watch: the node still waits for a response on this one
-    }
-    NodeHarness.readLine(watch);
-    NodeHarness.sendFirstChunk(watch,
+    answerWatches(
         "{\"index\":2,\"snapshot\":true,\"endpoints\":[{\"name\":\"s-2\",\"address\":\"127.0.0.1:"
             + appServer.getLocalPort()
             + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":3,\"status\":\"Ready\",\"weight\":1.0,"
@@ -149,6 +140,30 @@
     assertTrue(System.nanoTime() - discoveryBackNanos < 30_000_000_000L);
   }
 
+  /**
+   * Answers each watch with the list as soon as it is accepted, until no newer one arrives. The
+   * node gives up a watch without an answer after 2 s and opens the next one within another second,
+   * so a test thread that got no CPU time for a while may answer a watch that is closed already.
+   */
+  private void answerWatches(String list) throws IOException {
+    answerWatch(accept(discovery), list);
+    discovery.setSoTimeout(3_500);
+    try {
+      while (true) answerWatch(accept(discovery), list);
+    } catch (java.net.SocketTimeoutException e) {
+      // no newer watch: the node has received the list
+    }
+  }
+
+  private static void answerWatch(Socket watch, String list) {
+    try {
+      NodeHarness.readLine(watch);
+      NodeHarness.sendFirstChunk(watch, list);
+    } catch (IOException e) {
+      // the node has closed this watch and opens another one
+    }
+  }
+
   /**
    * Sends requests until the node connects to the counter, and accepts that connection. A node that
    * got no CPU time for a while rejects requests that waited unread; then the next one is sent.
