--- a/src/main/java/saltlatch/relay/EntryParser.java
+++ b/src/main/java/saltlatch/relay/EntryParser.java
@@ -72,21 +72,23 @@
 
   private static String string(JsonParser parser, JsonToken value, String key)
       throws IOException, MalformedWatchException {
-    require(value == JsonToken.VALUE_STRING, key + " must be a string, found " + value);
+    if (value != JsonToken.VALUE_STRING)
+      throw new MalformedWatchException(key + " must be a string, found " + value);
     return parser.getText();
   }
 
   private static long count(JsonParser parser, JsonToken value, String key)
       throws IOException, MalformedWatchException {
-    require(value == JsonToken.VALUE_NUMBER_INT, key + " must be an integer, found " + value);
+    if (value != JsonToken.VALUE_NUMBER_INT)
+      throw new MalformedWatchException(key + " must be an integer, found " + value);
     long count = parser.getLongValue();
-    require(count >= 0, key + " must be at least 0, found " + count);
+    if (count < 0) throw new MalformedWatchException(key + " must be at least 0, found " + count);
     return count;
   }
 
   private static boolean flag(JsonToken value) throws MalformedWatchException {
-    require(value == JsonToken.VALUE_TRUE || value == JsonToken.VALUE_FALSE,
-        "snapshot must be true or false, found " + value);
+    if (value != JsonToken.VALUE_TRUE && value != JsonToken.VALUE_FALSE)
+      throw new MalformedWatchException("snapshot must be true or false, found " + value);
     return value == JsonToken.VALUE_TRUE;
   }
 
