--- a/src/test/java/saltlatch/node/ConnectionCloseTest.java
+++ b/src/test/java/saltlatch/node/ConnectionCloseTest.java
@@ -24,7 +24,6 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltlatch.api.GatewayEvent;
 
 /**
  * Tests that the node closes TCP connections correctly if the peer does not read what the node
@@ -44,12 +43,7 @@
    */
   @Test
   void partlyWrittenCommandNeverArrivesCompletely() throws Exception {
-    eventHandler = event -> {
-      if (event instanceof GatewayEvent.RequestArrived)
-        actions.startAttempt(requestIdOf(event), 0, 5_000);
-      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
-        actions.fail(ended.requestId());
-    };
+    eventHandler = startAttemptsAndFailUnfinished(5_000);
     int port = appServer.getLocalPort();
     appServer.close();
     try (SlowAppServer slowServer = new SlowAppServer(port)) {
--- a/src/test/java/saltlatch/node/EventOrderTest.java
+++ b/src/test/java/saltlatch/node/EventOrderTest.java
@@ -44,12 +44,7 @@
    */
   @Test
   void asksThePolicyAgainBeforeWritingOnALateConnection() throws Exception {
-    eventHandler = event -> {
-      if (event instanceof GatewayEvent.RequestArrived)
-        actions.startAttempt(requestIdOf(event), 0, 80_000);
-      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
-        actions.fail(ended.requestId());
-    };
+    eventHandler = startAttemptsAndFailUnfinished(80_000);
     allowAttemptStart = false;
     Socket client = connectClient();
     send(client, queryCommand(0));
@@ -194,12 +189,7 @@
    */
   @Test
   void closesAnIdleServerConnectionThatReceivesBytes() throws Exception {
-    eventHandler = event -> {
-      if (event instanceof GatewayEvent.RequestArrived)
-        actions.startAttempt(requestIdOf(event), 0, 80_000);
-      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
-        actions.fail(ended.requestId());
-    };
+    eventHandler = startAttemptsAndFailUnfinished(80_000);
     Socket client = connectClient();
     String[] strayBytes = {"*3\r\n$2\r\nxx", SUCCESS_REPLY};
     for (int i = 0; i < strayBytes.length; i++) {
--- a/src/test/java/saltlatch/node/NodeHarness.java
+++ b/src/test/java/saltlatch/node/NodeHarness.java
@@ -251,6 +251,19 @@
         + requestId + "\r\n$39\r\nc=read,t=plan,d=900,units=1,spread=1,n=\r\n";
   }
 
+  /**
+   * Returns a policy that starts one attempt of each request at the first app server, and fails the
+   * request if the attempt ends without its final answer.
+   */
+  Consumer<GatewayEvent> startAttemptsAndFailUnfinished(long timeoutTicks) {
+    return event -> {
+      if (event instanceof GatewayEvent.RequestArrived)
+        actions.startAttempt(requestIdOf(event), 0, timeoutTicks);
+      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
+        actions.fail(ended.requestId());
+    };
+  }
+
   static long requestIdOf(GatewayEvent event) {
     return ((GatewayEvent.RequestArrived) event).requestId();
   }
--- a/src/test/java/saltlatch/node/NodeTest.java
+++ b/src/test/java/saltlatch/node/NodeTest.java
@@ -116,12 +116,7 @@
    */
   @Test
   void reportsEachAttemptOutcomeAndReusesTheConnection() throws Exception {
-    eventHandler = event -> {
-      if (event instanceof GatewayEvent.RequestArrived)
-        actions.startAttempt(requestIdOf(event), 0, 80_000);
-      if (event instanceof GatewayEvent.AttemptEnded ended && !ended.requestFinished())
-        actions.fail(ended.requestId());
-    };
+    eventHandler = startAttemptsAndFailUnfinished(80_000);
     Socket client = connectClient();
     String[] replies = {"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n", "-ERR failed\r\n", "-BUSY\r\n", null};
     String[] outcomes = {"SUCCEEDED over", "SERVER_ERROR", "SERVER_BUSY", "CONNECTION_LOST"};
