--- a/src/main/java/saltlatch/lab/check/HistoryEvent.java
+++ b/src/main/java/saltlatch/lab/check/HistoryEvent.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import saltlatch.wire.Excerpt;
 
 /**
  * One event of a history.
@@ -64,7 +65,7 @@
               || lines[i + 1].contains("\"message\":\"started\"");
           if (!truncated) throw new IOException(
               file + ":" + (i + 1) + ": expected a history event as a JSON object, found: "
-                  + lines[i].substring(0, Math.min(MAX_SHOWN_CHARS, lines[i].length())),
+                  + Excerpt.of(lines[i], MAX_SHOWN_CHARS),
               e);
         }
       }
--- a/src/main/java/saltlatch/lab/rig/ProcessMetrics.java
+++ b/src/main/java/saltlatch/lab/rig/ProcessMetrics.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import saltlatch.wire.Excerpt;
 
 /**
  * Reads the CPU time and memory of processes from Linux' {@code /proc}, and the heap use of JVMs
@@ -96,7 +97,7 @@
     jcmd.waitFor(1, TimeUnit.MINUTES);
     Matcher totalLine = HISTOGRAM_TOTAL.matcher(output);
     if (!totalLine.find()) throw new IOException("expected a heap histogram of process " + pid
-        + ", found: " + output.substring(0, Math.min(MAX_SHOWN_CHARS, output.length())));
+        + ", found: " + Excerpt.of(output, MAX_SHOWN_CHARS));
     return Long.parseLong(totalLine.group(1));
   }
 
--- a/src/main/java/saltlatch/lab/scenario/Scenario.java
+++ b/src/main/java/saltlatch/lab/scenario/Scenario.java
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import saltlatch.wire.Excerpt;
 
 /**
  * A laboratory scenario, read from TOML (docs/lab.md describes the format). Times are in seconds
@@ -290,7 +291,6 @@
   private static final int MAX_SERVERS = 256;
   private static final int MAX_RATE = 50_000; // requests per second
   // Limits the part of a scenario's text that an error message repeats.
-  private static final int MAX_QUOTED_CHARS = 64;
 
   private static List<Fault> copyOf(List<Fault> faults) {
     return faults == null ? List.of() : List.copyOf(faults);
@@ -302,8 +302,7 @@
 
   /** Returns a value of the scenario for an error message, limited in length. */
   static String quote(String value) {
-    if (value == null) return "none";
-    return '"' + value.substring(0, Math.min(value.length(), MAX_QUOTED_CHARS)) + '"';
+    return value == null ? "none" : Excerpt.quoted(value);
   }
 
   private static void require(boolean valid, String message) {
--- a/src/main/java/saltlatch/wire/client/ClientCommandDecoder.java
+++ b/src/main/java/saltlatch/wire/client/ClientCommandDecoder.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import saltlatch.state.ClientRequest;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.resp.RespValue;
 
@@ -69,7 +70,7 @@
       case QUERY -> true;
       case SUBMIT -> false;
       default -> throw new MalformedMessageException("verb",
-          "expected " + QUERY + " or " + SUBMIT + ", found " + RequestTerms.quote(verb));
+          "expected " + QUERY + " or " + SUBMIT + ", found " + Excerpt.quoted(verb));
     };
   }
 
@@ -82,14 +83,14 @@
     try {
       customer = Long.parseUnsignedLong(digits, HEXADECIMAL);
     } catch (NumberFormatException e) {
-      throw new MalformedMessageException("customer", "expected " + CUSTOMER_DIGITS
-          + " hexadecimal digits, found " + RequestTerms.quote(digits), e);
+      throw new MalformedMessageException("customer",
+          "expected " + CUSTOMER_DIGITS + " hexadecimal digits, found " + Excerpt.quoted(digits),
+          e);
     }
     // The parser accepts a leading plus sign, and returns numbers from 2^63 as negative numbers.
     if (digits.charAt(0) == '+' || customer < 0 || customer >= CUSTOMER_LIMIT) {
       throw new MalformedMessageException("customer",
-          "expected an unsigned number in range, found " + RequestTerms.quote(digits),
-          "0 to 2^33 - 1");
+          "expected an unsigned number in range, found " + Excerpt.quoted(digits), "0 to 2^33 - 1");
     }
     return customer;
   }
--- a/src/main/java/saltlatch/wire/client/RequestTerms.java
+++ b/src/main/java/saltlatch/wire/client/RequestTerms.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.resp.DecimalCodec;
 
@@ -25,7 +26,6 @@
   private static final long CLIENT_TIMEOUT_LIMIT_MS = 1L << 31;
   private static final double UNITS_LIMIT = 1e9;
   private static final int NODE_LIMIT = 1 << 20;
-  private static final int MAX_QUOTED_CHARACTERS = 64;
 
   private static final String MARKED_AS_RETRY = "1";
   private static final double DEFAULT_UNITS = 1;
@@ -54,11 +54,11 @@
   private void addTerm(int begin, int end) throws MalformedMessageException {
     int equals = text.indexOf('=', begin);
     if (equals <= begin || equals >= end) {
-      throw malformed("expected NAME=VALUE, found " + quote(text.substring(begin, end)));
+      throw malformed("expected NAME=VALUE, found " + Excerpt.quoted(text.substring(begin, end)));
     }
     String name = text.substring(begin, equals);
     if (values.put(name, text.substring(equals + 1, end)) != null) {
-      throw malformed("term " + quote(name) + " occurs more than once");
+      throw malformed("term " + Excerpt.quoted(name) + " occurs more than once");
     }
     if (name.equals(CLIENT_TIMEOUT_MS)) {
       timeoutBegin = equals + 1;
@@ -138,11 +138,6 @@
 
   private MalformedMessageException outOfRange(String name, String range) {
     return new MalformedMessageException("term " + name,
-        "expected a number in range, found " + quote(values.get(name)), range);
-  }
-
-  /** Returns the text in quotation marks for an error message, cut to a bounded length. */
-  static String quote(String text) {
-    return "\"" + text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARACTERS)) + "\"";
+        "expected a number in range, found " + Excerpt.quoted(values.get(name)), range);
   }
 }
--- a/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/ConfigurationCodec.java
@@ -22,6 +22,7 @@
 import saltlatch.configuration.SharedConfiguration;
 import saltlatch.configuration.SharedConfiguration.Limits;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.LimitExceededException;
 import saltlatch.wire.MalformedMessageException;
 import saltlatch.wire.ProtocolException;
@@ -132,7 +133,7 @@
         customers.add(Long.parseUnsignedLong(word, HEXADECIMAL));
       } catch (NumberFormatException e) {
         throw object.malformed(key, "expected a customer as a hexadecimal number of 64 bits, found "
-            + JsonObjectReader.quote(word));
+            + Excerpt.quoted(word));
       }
     }
     return customers;
--- a/src/main/java/saltlatch/wire/configuration/EnumWords.java
+++ b/src/main/java/saltlatch/wire/configuration/EnumWords.java
@@ -6,6 +6,7 @@
 import saltlatch.api.GatewaySettings.KeyScope;
 import saltlatch.api.GatewaySettings.RetrySafety;
 import saltlatch.configuration.SharedConfiguration.LeaseExpiryPolicy;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.MalformedMessageException;
 
 /** Maps enum values to their words in the JSON format, which differ from the names in the code. */
@@ -27,7 +28,6 @@
     String word = object.string(key);
     for (E value : values) if (word(value).equals(word)) return value;
     List<String> allowed = Arrays.stream(values).map(EnumWords::word).toList();
-    throw object.malformed(key,
-        "expected one of " + allowed + ", found " + JsonObjectReader.quote(word));
+    throw object.malformed(key, "expected one of " + allowed + ", found " + Excerpt.quoted(word));
   }
 }
--- a/src/main/java/saltlatch/wire/configuration/JsonObjectReader.java
+++ b/src/main/java/saltlatch/wire/configuration/JsonObjectReader.java
@@ -9,6 +9,7 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import saltlatch.api.Ticks;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.MalformedMessageException;
 
 /**
@@ -19,7 +20,6 @@
   private static final String ROOT = "document";
   // A double represents every integer up to this one exactly.
   private static final long MAX_INTEGER = 1L << 53;
-  private static final int MAX_QUOTED_CHARACTERS = 64;
   private static final int MAX_CAUSE_CHARACTERS = 256; // of the JSON library's message
 
   private final String path; // keys separated by dots; empty: the root
@@ -38,7 +38,7 @@
       return new JsonObjectReader("", JsonParser.parseString(text));
     } catch (JsonParseException e) {
       throw new MalformedMessageException(ROOT,
-          "expected JSON: " + truncate(String.valueOf(e.getMessage()), MAX_CAUSE_CHARACTERS), e);
+          "expected JSON: " + Excerpt.of(String.valueOf(e.getMessage()), MAX_CAUSE_CHARACTERS), e);
     }
   }
 
@@ -57,28 +57,19 @@
     return new MalformedMessageException(pathOf(key), problem);
   }
 
-  /** Quotes a text from outside in a message, cut to a bounded length. */
-  static String quote(String text) {
-    return '"' + truncate(text, MAX_QUOTED_CHARACTERS) + '"';
-  }
-
-  private static String truncate(String text, int maxCharacters) {
-    return text.substring(0, Math.min(maxCharacters, text.length()));
-  }
-
   /** Describes a value from outside in a message: the type of a container, or a bounded text. */
   private static String describe(JsonElement element) {
     if (element.isJsonObject()) return "an object";
     if (element.isJsonArray()) return "an array";
-    return isString(element) ? quote(element.getAsString())
-        : truncate(element.toString(), MAX_QUOTED_CHARACTERS);
+    return isString(element) ? Excerpt.quoted(element.getAsString())
+        : Excerpt.of(element.toString());
   }
 
   /** Rejects every key that is not in the list. */
   void allowOnly(List<String> keys) throws MalformedMessageException {
     for (String key : object.keySet()) {
-      if (!keys.contains(key)) throw malformed(truncate(key, MAX_QUOTED_CHARACTERS),
-          "unknown key, expected one of " + keys);
+      if (!keys.contains(key))
+        throw malformed(Excerpt.of(key), "unknown key, expected one of " + keys);
     }
   }
 
--- a/src/main/java/saltlatch/wire/configuration/LeaseCodec.java
+++ b/src/main/java/saltlatch/wire/configuration/LeaseCodec.java
@@ -5,6 +5,7 @@
 import saltlatch.configuration.ConfigurationVersion;
 import saltlatch.configuration.LeaseRenewal;
 import saltlatch.configuration.LeaseResponse;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.MalformedMessageException;
 
 /** Encodes lease renewals and the quorum's responses as JSON, and decodes them. */
@@ -83,7 +84,7 @@
       return ConfigurationVersion.parse(word);
     } catch (IllegalArgumentException e) {
       throw object.malformed(key,
-          "expected a version as EPOCH.NUMBER, found " + JsonObjectReader.quote(word));
+          "expected a version as EPOCH.NUMBER, found " + Excerpt.quoted(word));
     }
   }
 }
--- a/src/main/java/saltlatch/wire/discovery/EndpointList.java
+++ b/src/main/java/saltlatch/wire/discovery/EndpointList.java
@@ -8,6 +8,7 @@
 import java.util.Locale;
 import java.util.function.UnaryOperator;
 import saltlatch.api.GatewayEvent.EndpointState;
+import saltlatch.wire.Excerpt;
 import saltlatch.wire.transport.TcpConnector;
 
 /**
@@ -33,7 +34,6 @@
   private static final String WEIGHT_KEY = "weight";
   private static final String STARTED_AT_MS_KEY = "since_ms";
   private static final double DEFAULT_WEIGHT = 1;
-  private static final int MAX_QUOTED_CHARACTERS = 64;
 
   /**
    * An app server as discovery describes it.
@@ -89,9 +89,8 @@
       case "READY" -> EndpointState.READY;
       case "TERMINATING" -> EndpointState.DRAINING;
       case "GONE" -> EndpointState.REMOVED;
-      default ->
-        throw new IllegalArgumentException("expected status Ready, Terminating or Gone, found "
-            + status.substring(0, Math.min(MAX_QUOTED_CHARACTERS, status.length())));
+      default -> throw new IllegalArgumentException(
+          "expected status Ready, Terminating or Gone, found " + Excerpt.of(status));
     };
   }
 
--- a/src/main/java/saltlatch/wire/transport/TcpConnector.java
+++ b/src/main/java/saltlatch/wire/transport/TcpConnector.java
@@ -4,14 +4,13 @@
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
 import io.vertx.core.net.SocketAddress;
+import saltlatch.wire.Excerpt;
 
 /**
  * Creates the TCP clients that connect this node to its partners. Automatic reconnects and TCP
  * keep-alive are off, because only the policy decides what is sent and when. Has no state.
  */
 public final class TcpConnector {
-  private static final int MAX_QUOTED_CHARACTERS = 64;
-
   private TcpConnector() {}
 
   /**
@@ -22,8 +21,7 @@
   public static SocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
-      throw new IllegalArgumentException("expected HOST:PORT, found: "
-          + text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARACTERS)));
+      throw new IllegalArgumentException("expected HOST:PORT, found: " + Excerpt.of(text));
     }
     return SocketAddress.inetSocketAddress(Integer.parseInt(text.substring(colon + 1)),
         text.substring(0, colon));
